--- a/src/main/java/holdproxy/Main.java
+++ b/src/main/java/holdproxy/Main.java
@@ -21,8 +21,7 @@
 public final class Main {
     private static final List<String> WITH_ARGUMENTS = List.of("daemon", "lab", "rig");
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         boolean known = args.length == 1 || args.length > 1 && WITH_ARGUMENTS.contains(args[0]);
@@ -39,8 +38,9 @@
             }
             case "rig" -> System.exit(RigCommand.run(Arrays.copyOfRange(args, 1, args.length)));
             default -> {
-                System.err.println("usage: java -jar holdproxy.jar serve | simhost | daemon | lab | rig"
-                    + " (see daemon --help, lab --help, rig --help)");
+                System.err.println(
+                        "usage: java -jar holdproxy.jar serve | simhost | daemon | lab | rig"
+                                + " (see daemon --help, lab --help, rig --help)");
                 System.exit(2);
             }
         }
--- a/src/main/java/holdproxy/console/Console.java
+++ b/src/main/java/holdproxy/console/Console.java
@@ -29,20 +29,26 @@
 public final class Console {
     /** Descriptors it may hold: callers, one that is turned away, its listener, its selector's. */
     public static final int DESCRIPTORS = 24;
+
     static final int MOST_CALLERS = 16;
     static final int LONGEST_LINE = 256;
+
     /** For its call a caller has so long. */
     static final int CALL_MS = 5_000;
+
     /** And so long to take the answer and end the connection. */
     private static final int LINGER_MS = 1_000;
+
     private static final int BIND_AGAIN_MS = 200;
     private static final int BACKLOG = 64;
 
     private final EventLoop loop;
     private final Operations operations;
     private final Consumer<String> log;
+
     /** Those that have not finished their call, longest first. */
     private final Set<Channel> waiting = new LinkedHashSet<>();
+
     private int callers;
     private boolean toldOfFailure;
 
@@ -58,27 +64,44 @@
      * before this one may hold the address a moment longer. The channel, once it listens.
      */
     public void listen(InetSocketAddress address, Consumer<Channel> listening) {
-        ChannelFuture bound = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    ch.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_LINE, true, true), new Caller());
-                }
-            }).bind(address);
-        bound.addListener((ChannelFutureListener) f -> {
-            if (f.isSuccess()) {
-                listening.accept(f.channel());
-                return;
-            }
-            if (!toldOfFailure) {
-                toldOfFailure = true;
-                log.accept("the console cannot listen on " + address + ", trying on: "
-                    + f.cause().getMessage());
-            }
-            loop.schedule(() -> listen(address, listening), BIND_AGAIN_MS, TimeUnit.MILLISECONDS);
-        });
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel ch) {
+                                        ch.pipeline()
+                                                .addLast(
+                                                        new LineBasedFrameDecoder(
+                                                                LONGEST_LINE, true, true),
+                                                        new Caller());
+                                    }
+                                })
+                        .bind(address);
+        bound.addListener(
+                (ChannelFutureListener)
+                        f -> {
+                            if (f.isSuccess()) {
+                                listening.accept(f.channel());
+                                return;
+                            }
+                            if (!toldOfFailure) {
+                                toldOfFailure = true;
+                                log.accept(
+                                        "the console cannot listen on "
+                                                + address
+                                                + ", trying on: "
+                                                + f.cause().getMessage());
+                            }
+                            loop.schedule(
+                                    () -> listen(address, listening),
+                                    BIND_AGAIN_MS,
+                                    TimeUnit.MILLISECONDS);
+                        });
     }
 
     /** One connection. */
@@ -96,11 +119,15 @@
                 waiting.iterator().next().close();
             }
             waiting.add(ctx.channel());
-            ctx.executor().schedule(() -> {
-                if (!called) {
-                    answer(ctx, "ERR no call within " + CALL_MS + " ms");
-                }
-            }, CALL_MS, TimeUnit.MILLISECONDS);
+            ctx.executor()
+                    .schedule(
+                            () -> {
+                                if (!called) {
+                                    answer(ctx, "ERR no call within " + CALL_MS + " ms");
+                                }
+                            },
+                            CALL_MS,
+                            TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -127,11 +154,24 @@
                     return;
                 }
                 begun(ctx);
-                operations.leaveOut(words[1], leaveOut, why -> ctx.executor().execute(() ->
-                    answer(ctx, why == null ? "OK" : "ERR " + why)));
+                operations.leaveOut(
+                        words[1],
+                        leaveOut,
+                        why ->
+                                ctx.executor()
+                                        .execute(
+                                                () ->
+                                                        answer(
+                                                                ctx,
+                                                                why == null
+                                                                        ? "OK"
+                                                                        : "ERR " + why)));
             } else if (!words[0].equals("check") && !words[0].equals("vars")) {
-                answer(ctx, "ERR unknown call" + (line.isEmpty() ? "" : " " + words[0])
-                    + "; known are check, vars, set-down ID, set-up ID");
+                answer(
+                        ctx,
+                        "ERR unknown call"
+                                + (line.isEmpty() ? "" : " " + words[0])
+                                + "; known are check, vars, set-down ID, set-up ID");
             } else if (words.length != 1) {
                 answer(ctx, "ERR " + words[0] + " takes no argument");
             } else if (words[0].equals("check")) {
@@ -150,14 +190,19 @@
         private void answer(ChannelHandlerContext ctx, String text) {
             begun(ctx);
             ctx.writeAndFlush(Unpooled.copiedBuffer(text + "\r\n", StandardCharsets.ISO_8859_1))
-                .addListener(f -> {
-                    if (ctx.channel() instanceof SocketChannel s) {
-                        s.shutdownOutput();
-                        ctx.executor().schedule(() -> ctx.close(), LINGER_MS, TimeUnit.MILLISECONDS);
-                    } else {
-                        ctx.close();
-                    }
-                });
+                    .addListener(
+                            f -> {
+                                if (ctx.channel() instanceof SocketChannel s) {
+                                    s.shutdownOutput();
+                                    ctx.executor()
+                                            .schedule(
+                                                    () -> ctx.close(),
+                                                    LINGER_MS,
+                                                    TimeUnit.MILLISECONDS);
+                                } else {
+                                    ctx.close();
+                                }
+                            });
         }
 
         @Override
--- a/src/main/java/holdproxy/console/Figures.java
+++ b/src/main/java/holdproxy/console/Figures.java
@@ -16,8 +16,7 @@
         public final Count shed = new Count();
         public final Count errors = new Count();
 
-        private Outcomes() {
-        }
+        private Outcomes() {}
     }
 
     /** A number with one writer. */
@@ -39,15 +38,21 @@
 
     /** Attempts whose last byte has gone to a cache node. */
     public final Count tries = new Count();
+
     /** Requests taken and not ended. */
     public final Count active = new Count();
+
     /** Cache nodes in the list. */
     public final Count poolSize = new Count();
+
     /** Files taken and turned down at SIGHUP. */
     public final Count configApplied = new Count();
+
     public final Count configRejected = new Count();
+
     /** Listed cache nodes that are avoided now. */
     public final Count poolEjected = new Count();
+
     /** By class; a class that the settings have dropped keeps its counts. */
     private final Map<String, Outcomes> outcomes = new ConcurrentSkipListMap<>();
 
@@ -58,11 +63,12 @@
     /** A line {@code name=value} for each figure. */
     public String text() {
         StringBuilder text = new StringBuilder(512);
-        outcomes.forEach((name, o) -> {
-            line(text, "responses." + name + ".ok", o.ok::get);
-            line(text, "responses." + name + ".shed", o.shed::get);
-            line(text, "responses." + name + ".errors", o.errors::get);
-        });
+        outcomes.forEach(
+                (name, o) -> {
+                    line(text, "responses." + name + ".ok", o.ok::get);
+                    line(text, "responses." + name + ".shed", o.shed::get);
+                    line(text, "responses." + name + ".errors", o.errors::get);
+                });
         line(text, "tries", tries::get);
         line(text, "active", active::get);
         line(text, "pool_size", poolSize::get);
--- a/src/main/java/holdproxy/council/Council.java
+++ b/src/main/java/holdproxy/council/Council.java
@@ -40,22 +40,29 @@
  */
 public final class Council {
     private static final String GROUP = "council";
+
     /** What a leader begins its term with; no ledger has an operation like it. */
     private static final String NEW_TERM = "a new term";
+
     private static final int ELECTION_MS = 1_000;
     private static final int HEARTBEAT_S = 1;
     private static final int SILENCE_S = 5;
     private static final int SNAPSHOT_AFTER = 1_000;
     private static final int MOST_PENDING = 1_000;
     private static final int MOST_ASKED = 1_000;
+
     /** One voter is waited for so long before the next is asked. */
     private static final long ASK_US = 300_000;
+
     /** And after it has said that it does not lead, and knows nobody who does. */
     private static final long AGAIN_US = 30_000;
+
     private static final long STEP_DOWN_US = 500_000;
     private static final long ADMIT_US = 500_000;
+
     /** Four times as long as a leader may be silent, seen so often in turn. */
     private static final long STUCK_US = 4_000_000;
+
     private static final int STUCK_LOOKS = 3;
     private static final long LOOK_US = 500_000;
 
@@ -80,13 +87,15 @@
         void out(String why);
     }
 
-    private record Asked(Object operation, long endUs, CompletableFuture<Object> answer, String to) {
-    }
+    private record Asked(
+            Object operation, long endUs, CompletableFuture<Object> answer, String to) {}
 
     private final String name;
     private final List<String> voters;
+
     /** Those but this process: whom it can ask. */
     private final List<String> others;
+
     private final Host host;
     private final Random random;
     private final Ledger ledger;
@@ -100,8 +109,10 @@
     private boolean leading;
     private boolean failed;
     private boolean ended;
+
     /** Of the node in use: what an earlier one still reports is nothing any more. */
     private Machine machine;
+
     private long heardLeaderUs;
 
     /**
@@ -133,12 +144,25 @@
         if (!voters.contains(name)) {
             throw new BadInput(name + " is not one of the first voters, " + voters);
         }
-        kept.persistAndFlushLocalEndpoint(RaftCodec.MODELS.createRaftEndpointPersistentStateBuilder()
-            .setLocalEndpoint(new Seat(name, 0)).setVoting(true).build());
-        kept.persistAndFlushInitialGroupMembers(RaftCodec.MODELS.createRaftGroupMembersViewBuilder()
-            .setLogIndex(0).setMembers(seats).setVotingMembers(seats).build());
-        kept.persistAndFlushTerm(RaftCodec.MODELS.createRaftTermPersistentStateBuilder().setTerm(0)
-            .setVotedFor(null).build());
+        kept.persistAndFlushLocalEndpoint(
+                RaftCodec.MODELS
+                        .createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(new Seat(name, 0))
+                        .setVoting(true)
+                        .build());
+        kept.persistAndFlushInitialGroupMembers(
+                RaftCodec.MODELS
+                        .createRaftGroupMembersViewBuilder()
+                        .setLogIndex(0)
+                        .setMembers(seats)
+                        .setVotingMembers(seats)
+                        .build());
+        kept.persistAndFlushTerm(
+                RaftCodec.MODELS
+                        .createRaftTermPersistentStateBuilder()
+                        .setTerm(0)
+                        .setVotedFor(null)
+                        .build());
     }
 
     private static Set<RaftEndpoint> firstSeats(Collection<String> voters) {
@@ -167,8 +191,10 @@
         if (ended || !votes()) {
             return;
         }
-        boolean waits = node.getTerm().getLeaderEndpoint() != null && !leading
-            && host.nowUs() - heardLeaderUs > STUCK_US;
+        boolean waits =
+                node.getTerm().getLeaderEndpoint() != null
+                        && !leading
+                        && host.nowUs() - heardLeaderUs > STUCK_US;
         int times = waits ? before + 1 : 0;
         if (times == STUCK_LOOKS) {
             machine = null;
@@ -189,9 +215,17 @@
             boolean isNew = kept.seat() == null;
             seat = isNew ? new Seat(name, random.nextLong() >>> 1 | 1) : kept.seat();
             machine = new Machine();
-            RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP).setConfig(config())
-                .setExecutor(pace).setClock(pace).setRandom(random).setTransport(new Outward())
-                .setStateMachine(machine).setStore(kept).setRaftNodeReportListener(new Heard(machine));
+            RaftNode.RaftNodeBuilder builder =
+                    RaftNode.newBuilder()
+                            .setGroupId(GROUP)
+                            .setConfig(config())
+                            .setExecutor(pace)
+                            .setClock(pace)
+                            .setRandom(random)
+                            .setTransport(new Outward())
+                            .setStateMachine(machine)
+                            .setStore(kept)
+                            .setRaftNodeReportListener(new Heard(machine));
             if (isNew) {
                 builder.setLocalEndpoint(seat).setInitialGroupMembers(firstSeats(voters));
             } else {
@@ -217,10 +251,14 @@
     }
 
     private static RaftConfig config() {
-        return RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(ELECTION_MS)
-            .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S).setLeaderHeartbeatTimeoutSecs(SILENCE_S)
-            .setCommitCountToTakeSnapshot(SNAPSHOT_AFTER).setMaxPendingLogEntryCount(MOST_PENDING)
-            .setTransferSnapshotsFromFollowersEnabled(false).build();
+        return RaftConfig.newBuilder()
+                .setLeaderElectionTimeoutMillis(ELECTION_MS)
+                .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
+                .setLeaderHeartbeatTimeoutSecs(SILENCE_S)
+                .setCommitCountToTakeSnapshot(SNAPSHOT_AFTER)
+                .setMaxPendingLogEntryCount(MOST_PENDING)
+                .setTransferSnapshotsFromFollowersEnabled(false)
+                .build();
     }
 
     /** Whether this process leads, as far as it knows. */
@@ -257,8 +295,10 @@
             over.complete(null);
             return over;
         }
-        Optional<RaftEndpoint> other = node.getCommittedMembers().getVotingMembers().stream()
-            .filter(m -> !m.equals(seat)).findFirst();
+        Optional<RaftEndpoint> other =
+                node.getCommittedMembers().getVotingMembers().stream()
+                        .filter(m -> !m.equals(seat))
+                        .findFirst();
         if (other.isPresent()) {
             node.transferLeadership(other.get()).whenComplete((done, why) -> over.complete(null));
             host.after(STEP_DOWN_US, () -> over.complete(null)); // whom it was to go to may be gone
@@ -307,38 +347,47 @@
         }
         if (leading) {
             boolean[] over = {false};
-            replicate(operation, (value, why) -> {
-                if (why == null) {
-                    answer.complete(value);
-                } else if (!over[0]) {
-                    over[0] = true;
-                    host.after(AGAIN_US, () -> ask(operation, endUs, answer));
-                }
-            });
+            replicate(
+                    operation,
+                    (value, why) -> {
+                        if (why == null) {
+                            answer.complete(value);
+                        } else if (!over[0]) {
+                            over[0] = true;
+                            host.after(AGAIN_US, () -> ask(operation, endUs, answer));
+                        }
+                    });
             // a leader without a majority never hears of it
-            host.after(Math.min(ASK_US * 4, endUs - host.nowUs()), () -> {
-                if (!over[0]) {
-                    over[0] = true;
-                    ask(operation, endUs, answer);
-                }
-            });
+            host.after(
+                    Math.min(ASK_US * 4, endUs - host.nowUs()),
+                    () -> {
+                        if (!over[0]) {
+                            over[0] = true;
+                            ask(operation, endUs, answer);
+                        }
+                    });
             return;
         }
         if (others.isEmpty()) {
             host.after(ASK_US, () -> ask(operation, endUs, answer));
             return;
         }
-        String to = others.contains(leader) ? leader : others.get(Math.floorMod(nextVoter++, others.size()));
+        String to =
+                others.contains(leader)
+                        ? leader
+                        : others.get(Math.floorMod(nextVoter++, others.size()));
         long number = ++asks;
         asked.put(number, new Asked(operation, endUs, answer, to));
         host.send(to, RaftCodec.bytes(Arrays.asList("ask", name, number, operation)));
-        host.after(Math.min(ASK_US, endUs - host.nowUs()), () -> {
-            Asked mine = asked.remove(number);
-            if (mine != null) {
-                leader = leader.equals(mine.to) ? "" : leader;
-                ask(operation, endUs, answer);
-            }
-        });
+        host.after(
+                Math.min(ASK_US, endUs - host.nowUs()),
+                () -> {
+                    Asked mine = asked.remove(number);
+                    if (mine != null) {
+                        leader = leader.equals(mine.to) ? "" : leader;
+                        ask(operation, endUs, answer);
+                    }
+                });
     }
 
     private interface Result {
@@ -352,8 +401,10 @@
             return;
         }
         CompletableFuture<Ordered<Object>> agreed = node.replicate(operation);
-        agreed.whenComplete((ordered, why) ->
-            host.after(0, () -> result.of(why == null ? ordered.getResult() : null, why)));
+        agreed.whenComplete(
+                (ordered, why) ->
+                        host.after(
+                                0, () -> result.of(why == null ? ordered.getResult() : null, why)));
     }
 
     // ---- frames ----
@@ -375,7 +426,8 @@
         if (votes() && seat.toString().equals(to)) {
             RaftMessage read = RaftCodec.message(message, GROUP);
             // one that led and asks for votes now says by that that it leads no longer
-            boolean leads = read instanceof AppendEntriesRequest || read instanceof InstallSnapshotRequest;
+            boolean leads =
+                    read instanceof AppendEntriesRequest || read instanceof InstallSnapshotRequest;
             if (leads && read.getSender().equals(node.getTerm().getLeaderEndpoint())) {
                 heardLeaderUs = host.nowUs();
             }
@@ -388,8 +440,18 @@
             host.send(who, RaftCodec.bytes(Arrays.asList("answer", number, false, null, leader)));
             return;
         }
-        replicate(operation, (value, why) -> host.send(who, RaftCodec.bytes(
-            Arrays.asList("answer", number, why == null, value, why == null ? name : leader))));
+        replicate(
+                operation,
+                (value, why) ->
+                        host.send(
+                                who,
+                                RaftCodec.bytes(
+                                        Arrays.asList(
+                                                "answer",
+                                                number,
+                                                why == null,
+                                                value,
+                                                why == null ? name : leader))));
     }
 
     private void answered(long number, boolean done, Object value, String whoLeads) {
@@ -402,8 +464,9 @@
             mine.answer.complete(value);
         } else {
             // nobody may lead for a moment: not at once again
-            host.after(whoLeads.isEmpty() || whoLeads.equals(mine.to) ? AGAIN_US : 0,
-                () -> ask(mine.operation, mine.endUs, mine.answer));
+            host.after(
+                    whoLeads.isEmpty() || whoLeads.equals(mine.to) ? AGAIN_US : 0,
+                    () -> ask(mine.operation, mine.endUs, mine.answer));
         }
     }
 
@@ -428,14 +491,22 @@
         if (members.getLogIndex() != node.getCommittedMembers().getLogIndex()) {
             return; // a change is under way; it asks again
         }
-        Optional<RaftEndpoint> before = members.getMembers().stream()
-            .filter(s -> ((Seat) s).name().equals(newcomer.name()) && !s.equals(newcomer)).findFirst();
+        Optional<RaftEndpoint> before =
+                members.getMembers().stream()
+                        .filter(
+                                s ->
+                                        ((Seat) s).name().equals(newcomer.name())
+                                                && !s.equals(newcomer))
+                        .findFirst();
         if (before.isPresent()) {
             change(before.get(), MembershipChangeMode.REMOVE_MEMBER, members.getLogIndex());
         } else if (!members.getMembers().contains(newcomer)) {
             change(newcomer, MembershipChangeMode.ADD_LEARNER, members.getLogIndex());
         } else if (!members.getVotingMembers().contains(newcomer)) {
-            change(newcomer, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, members.getLogIndex());
+            change(
+                    newcomer,
+                    MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER,
+                    members.getLogIndex());
         }
     }
 
@@ -451,8 +522,10 @@
             if (failed) {
                 return;
             }
-            host.send(((Seat) to).name(), RaftCodec.bytes(
-                Arrays.asList("raft", to.toString(), RaftCodec.message(message))));
+            host.send(
+                    ((Seat) to).name(),
+                    RaftCodec.bytes(
+                            Arrays.asList("raft", to.toString(), RaftCodec.message(message))));
         }
 
         @Override
--- a/src/main/java/holdproxy/council/FileDisk.java
+++ b/src/main/java/holdproxy/council/FileDisk.java
@@ -41,8 +41,12 @@
     @Override
     public void replace(byte[] bytes) throws IOException {
         Path fresh = file.resolveSibling(file.getFileName() + ".new");
-        try (FileChannel out = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out =
+                FileChannel.open(
+                        fresh,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             write(out, bytes);
             out.force(true);
         }
--- a/src/main/java/holdproxy/council/RaftCodec.java
+++ b/src/main/java/holdproxy/council/RaftCodec.java
@@ -40,8 +40,7 @@
     private static final String MEMBERS = "members";
     private static final String VALUE = "value";
 
-    private RaftCodec() {
-    }
+    private RaftCodec() {}
 
     /** Reads a list part by part. */
     static final class Parts {
@@ -161,18 +160,30 @@
         if (m instanceof AppendEntriesRequest a) {
             List<Object> entries = new ArrayList<>();
             a.getLogEntries().forEach(e -> entries.add(entry(e)));
-            to.addAll(list(a.getPreviousLogTerm(), a.getPreviousLogIndex(), a.getCommitIndex(), entries,
-                a.getQuerySequenceNumber(), a.getFlowControlSequenceNumber()));
+            to.addAll(
+                    list(
+                            a.getPreviousLogTerm(),
+                            a.getPreviousLogIndex(),
+                            a.getCommitIndex(),
+                            entries,
+                            a.getQuerySequenceNumber(),
+                            a.getFlowControlSequenceNumber()));
             return "append";
         }
         if (m instanceof AppendEntriesSuccessResponse a) {
-            to.addAll(list(a.getLastLogIndex(), a.getQuerySequenceNumber(),
-                a.getFlowControlSequenceNumber()));
+            to.addAll(
+                    list(
+                            a.getLastLogIndex(),
+                            a.getQuerySequenceNumber(),
+                            a.getFlowControlSequenceNumber()));
             return "appended";
         }
         if (m instanceof AppendEntriesFailureResponse a) {
-            to.addAll(list(a.getExpectedNextIndex(), a.getQuerySequenceNumber(),
-                a.getFlowControlSequenceNumber()));
+            to.addAll(
+                    list(
+                            a.getExpectedNextIndex(),
+                            a.getQuerySequenceNumber(),
+                            a.getFlowControlSequenceNumber()));
             return "not-appended";
         }
         if (m instanceof PreVoteRequest v) {
@@ -196,17 +207,28 @@
             return "stand";
         }
         if (m instanceof InstallSnapshotRequest s) {
-            to.addAll(list(s.isSenderLeader(), s.getSnapshotTerm(), s.getSnapshotIndex(),
-                s.getTotalSnapshotChunkCount(),
-                s.getSnapshotChunk() == null ? null : chunk(s.getSnapshotChunk()),
-                texts(s.getSnapshottedMembers()),
-                s.getGroupMembersView() == null ? null : members(s.getGroupMembersView()),
-                s.getQuerySequenceNumber(), s.getFlowControlSequenceNumber()));
+            to.addAll(
+                    list(
+                            s.isSenderLeader(),
+                            s.getSnapshotTerm(),
+                            s.getSnapshotIndex(),
+                            s.getTotalSnapshotChunkCount(),
+                            s.getSnapshotChunk() == null ? null : chunk(s.getSnapshotChunk()),
+                            texts(s.getSnapshottedMembers()),
+                            s.getGroupMembersView() == null
+                                    ? null
+                                    : members(s.getGroupMembersView()),
+                            s.getQuerySequenceNumber(),
+                            s.getFlowControlSequenceNumber()));
             return "snapshot";
         }
         InstallSnapshotResponse s = (InstallSnapshotResponse) m;
-        to.addAll(list(s.getSnapshotIndex(), s.getRequestedSnapshotChunkIndex(), s.getQuerySequenceNumber(),
-            s.getFlowControlSequenceNumber()));
+        to.addAll(
+                list(
+                        s.getSnapshotIndex(),
+                        s.getRequestedSnapshotChunkIndex(),
+                        s.getQuerySequenceNumber(),
+                        s.getFlowControlSequenceNumber()));
         return "snapshot-part";
     }
 
@@ -216,37 +238,100 @@
         Seat sender = p.seat();
         int term = p.whole();
         return switch (kind) {
-            case "append" -> MODELS.createAppendEntriesRequestBuilder().setGroupId(group).setSender(sender)
-                .setTerm(term).setPreviousLogTerm(p.whole()).setPreviousLogIndex(p.number())
-                .setCommitIndex(p.number()).setLogEntries(entries(p.value()))
-                .setQuerySequenceNumber(p.number()).setFlowControlSequenceNumber(p.number()).build();
-            case "appended" -> MODELS.createAppendEntriesSuccessResponseBuilder().setGroupId(group)
-                .setSender(sender).setTerm(term).setLastLogIndex(p.number())
-                .setQuerySequenceNumber(p.number()).setFlowControlSequenceNumber(p.number()).build();
-            case "not-appended" -> MODELS.createAppendEntriesFailureResponseBuilder().setGroupId(group)
-                .setSender(sender).setTerm(term).setExpectedNextIndex(p.number())
-                .setQuerySequenceNumber(p.number()).setFlowControlSequenceNumber(p.number()).build();
-            case "pre-vote" -> MODELS.createPreVoteRequestBuilder().setGroupId(group).setSender(sender)
-                .setTerm(term).setLastLogTerm(p.whole()).setLastLogIndex(p.number()).build();
-            case "pre-voted" -> MODELS.createPreVoteResponseBuilder().setGroupId(group).setSender(sender)
-                .setTerm(term).setGranted(p.flag()).build();
-            case "vote" -> MODELS.createVoteRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                .setLastLogTerm(p.whole()).setLastLogIndex(p.number()).setSticky(p.flag()).build();
-            case "voted" -> MODELS.createVoteResponseBuilder().setGroupId(group).setSender(sender)
-                .setTerm(term).setGranted(p.flag()).build();
-            case "stand" -> MODELS.createTriggerLeaderElectionRequestBuilder().setGroupId(group)
-                .setSender(sender).setTerm(term).setLastLogTerm(p.whole()).setLastLogIndex(p.number())
-                .build();
-            case "snapshot" -> MODELS.createInstallSnapshotRequestBuilder().setGroupId(group)
-                .setSender(sender).setTerm(term).setSenderLeader(p.flag()).setSnapshotTerm(p.whole())
-                .setSnapshotIndex(p.number()).setTotalSnapshotChunkCount(p.whole())
-                .setSnapshotChunk(chunk(p.value())).setSnapshottedMembers(p.seats())
-                .setGroupMembersView(members(p.value())).setQuerySequenceNumber(p.number())
-                .setFlowControlSequenceNumber(p.number()).build();
-            case "snapshot-part" -> MODELS.createInstallSnapshotResponseBuilder().setGroupId(group)
-                .setSender(sender).setTerm(term).setSnapshotIndex(p.number())
-                .setRequestedSnapshotChunkIndex(p.whole()).setQuerySequenceNumber(p.number())
-                .setFlowControlSequenceNumber(p.number()).build();
+            case "append" ->
+                    MODELS.createAppendEntriesRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setPreviousLogTerm(p.whole())
+                            .setPreviousLogIndex(p.number())
+                            .setCommitIndex(p.number())
+                            .setLogEntries(entries(p.value()))
+                            .setQuerySequenceNumber(p.number())
+                            .setFlowControlSequenceNumber(p.number())
+                            .build();
+            case "appended" ->
+                    MODELS.createAppendEntriesSuccessResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogIndex(p.number())
+                            .setQuerySequenceNumber(p.number())
+                            .setFlowControlSequenceNumber(p.number())
+                            .build();
+            case "not-appended" ->
+                    MODELS.createAppendEntriesFailureResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setExpectedNextIndex(p.number())
+                            .setQuerySequenceNumber(p.number())
+                            .setFlowControlSequenceNumber(p.number())
+                            .build();
+            case "pre-vote" ->
+                    MODELS.createPreVoteRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(p.whole())
+                            .setLastLogIndex(p.number())
+                            .build();
+            case "pre-voted" ->
+                    MODELS.createPreVoteResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setGranted(p.flag())
+                            .build();
+            case "vote" ->
+                    MODELS.createVoteRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(p.whole())
+                            .setLastLogIndex(p.number())
+                            .setSticky(p.flag())
+                            .build();
+            case "voted" ->
+                    MODELS.createVoteResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setGranted(p.flag())
+                            .build();
+            case "stand" ->
+                    MODELS.createTriggerLeaderElectionRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(p.whole())
+                            .setLastLogIndex(p.number())
+                            .build();
+            case "snapshot" ->
+                    MODELS.createInstallSnapshotRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setSenderLeader(p.flag())
+                            .setSnapshotTerm(p.whole())
+                            .setSnapshotIndex(p.number())
+                            .setTotalSnapshotChunkCount(p.whole())
+                            .setSnapshotChunk(chunk(p.value()))
+                            .setSnapshottedMembers(p.seats())
+                            .setGroupMembersView(members(p.value()))
+                            .setQuerySequenceNumber(p.number())
+                            .setFlowControlSequenceNumber(p.number())
+                            .build();
+            case "snapshot-part" ->
+                    MODELS.createInstallSnapshotResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setSnapshotIndex(p.number())
+                            .setRequestedSnapshotChunkIndex(p.whole())
+                            .setQuerySequenceNumber(p.number())
+                            .setFlowControlSequenceNumber(p.number())
+                            .build();
             default -> throw new BadInput("a message is of no known kind");
         };
     }
@@ -259,8 +344,11 @@
 
     static LogEntry entry(Object value) {
         Parts p = new Parts(value);
-        return MODELS.createLogEntryBuilder().setIndex(p.number()).setTerm(p.whole())
-            .setOperation(operation(p.value())).build();
+        return MODELS.createLogEntryBuilder()
+                .setIndex(p.number())
+                .setTerm(p.whole())
+                .setOperation(operation(p.value()))
+                .build();
     }
 
     private static List<LogEntry> entries(Object value) {
@@ -273,8 +361,13 @@
     }
 
     static List<Object> chunk(SnapshotChunk c) {
-        return list(c.getIndex(), c.getTerm(), c.getOperation(), c.getSnapshotChunkIndex(),
-            c.getSnapshotChunkCount(), members(c.getGroupMembersView()));
+        return list(
+                c.getIndex(),
+                c.getTerm(),
+                c.getOperation(),
+                c.getSnapshotChunkIndex(),
+                c.getSnapshotChunkCount(),
+                members(c.getGroupMembersView()));
     }
 
     static SnapshotChunk chunk(Object value) {
@@ -282,9 +375,14 @@
             return null;
         }
         Parts p = new Parts(value);
-        return MODELS.createSnapshotChunkBuilder().setIndex(p.number()).setTerm(p.whole())
-            .setOperation(p.value()).setSnapshotChunkIndex(p.whole()).setSnapshotChunkCount(p.whole())
-            .setGroupMembersView(members(p.value())).build();
+        return MODELS.createSnapshotChunkBuilder()
+                .setIndex(p.number())
+                .setTerm(p.whole())
+                .setOperation(p.value())
+                .setSnapshotChunkIndex(p.whole())
+                .setSnapshotChunkCount(p.whole())
+                .setGroupMembersView(members(p.value()))
+                .build();
     }
 
     static List<Object> members(RaftGroupMembersView view) {
@@ -296,14 +394,21 @@
             return null;
         }
         Parts p = new Parts(value);
-        return MODELS.createRaftGroupMembersViewBuilder().setLogIndex(p.number()).setMembers(p.seats())
-            .setVotingMembers(p.seats()).build();
+        return MODELS.createRaftGroupMembersViewBuilder()
+                .setLogIndex(p.number())
+                .setMembers(p.seats())
+                .setVotingMembers(p.seats())
+                .build();
     }
 
     private static List<Object> written(Object operation) {
         if (operation instanceof UpdateRaftGroupMembersOp change) {
-            return list(MEMBERS, texts(change.getMembers()), texts(change.getVotingMembers()),
-                text(change.getEndpoint()), change.getMode().name());
+            return list(
+                    MEMBERS,
+                    texts(change.getMembers()),
+                    texts(change.getVotingMembers()),
+                    text(change.getEndpoint()),
+                    change.getMode().name());
         }
         return list(VALUE, operation);
     }
@@ -317,9 +422,18 @@
         Collection<RaftEndpoint> voting = p.seats();
         Seat seat = p.seat();
         String mode = p.text();
-        return MODELS.createUpdateRaftGroupMembersOpBuilder().setMembers(members).setVotingMembers(voting)
-            .setEndpoint(seat).setMode(Arrays.stream(MembershipChangeMode.values())
-                .filter(m -> m.name().equals(mode)).findFirst()
-                .orElseThrow(() -> new BadInput("a change of members is of no known kind"))).build();
+        return MODELS.createUpdateRaftGroupMembersOpBuilder()
+                .setMembers(members)
+                .setVotingMembers(voting)
+                .setEndpoint(seat)
+                .setMode(
+                        Arrays.stream(MembershipChangeMode.values())
+                                .filter(m -> m.name().equals(mode))
+                                .findFirst()
+                                .orElseThrow(
+                                        () ->
+                                                new BadInput(
+                                                        "a change of members is of no known kind")))
+                .build();
     }
 }
--- a/src/main/java/holdproxy/council/RaftDisk.java
+++ b/src/main/java/holdproxy/council/RaftDisk.java
@@ -34,18 +34,21 @@
     private static final short MAGIC = 0x5231;
     private static final int HEAD = 14;
     private static final int LARGEST = 64 << 20;
+
     /** Below so many bytes the file is left as it is. */
     private static final int SMALL = 1 << 20;
 
     private final Disk disk;
-    private Runnable onFailure = () -> { };
+    private Runnable onFailure = () -> {};
     private Seat seat;
     private boolean voting = true;
     private List<Object> initialMembers;
     private int term;
     private Seat votedFor;
+
     /** Entries and parts of snapshots in the form in which they are written, by index. */
     private final TreeMap<Long, byte[]> entries = new TreeMap<>();
+
     private final TreeMap<Long, TreeMap<Integer, byte[]>> chunks = new TreeMap<>();
     private long fileBytes;
     private long liveBytes;
@@ -81,15 +84,23 @@
     RestoredRaftState restored() {
         SnapshotEntry snapshot = snapshot();
         List<LogEntry> after = new ArrayList<>();
-        entries.tailMap(snapshot == null ? 0 : snapshot.getIndex(), false).values()
-            .forEach(e -> after.add(RaftCodec.entry(body(e))));
+        entries.tailMap(snapshot == null ? 0 : snapshot.getIndex(), false)
+                .values()
+                .forEach(e -> after.add(RaftCodec.entry(body(e))));
         return new RestoredRaftState(
-            RaftCodec.MODELS.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(seat)
-                .setVoting(voting).build(),
-            RaftCodec.members(initialMembers),
-            RaftCodec.MODELS.createRaftTermPersistentStateBuilder().setTerm(term).setVotedFor(votedFor)
-                .build(),
-            snapshot, after);
+                RaftCodec.MODELS
+                        .createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(seat)
+                        .setVoting(voting)
+                        .build(),
+                RaftCodec.members(initialMembers),
+                RaftCodec.MODELS
+                        .createRaftTermPersistentStateBuilder()
+                        .setTerm(term)
+                        .setVotedFor(votedFor)
+                        .build(),
+                snapshot,
+                after);
     }
 
     private SnapshotEntry snapshot() {
@@ -97,9 +108,13 @@
             List<SnapshotChunk> parts = new ArrayList<>();
             chunks.get(index).values().forEach(c -> parts.add(RaftCodec.chunk(body(c))));
             if (parts.size() == parts.get(0).getSnapshotChunkCount()) {
-                return RaftCodec.MODELS.createSnapshotEntryBuilder().setIndex(index)
-                    .setTerm(parts.get(0).getTerm()).setSnapshotChunks(parts)
-                    .setGroupMembersView(parts.get(0).getGroupMembersView()).build();
+                return RaftCodec.MODELS
+                        .createSnapshotEntryBuilder()
+                        .setIndex(index)
+                        .setTerm(parts.get(0).getTerm())
+                        .setSnapshotChunks(parts)
+                        .setGroupMembersView(parts.get(0).getGroupMembersView())
+                        .build();
             }
         }
         return null;
@@ -111,7 +126,9 @@
         byte[] body = RaftCodec.bytes(Arrays.asList(parts));
         ByteBuffer record = ByteBuffer.allocate(HEAD + body.length);
         record.putShort(MAGIC).putInt(body.length);
-        record.putInt(crc(record.array(), 0, record.position())).putInt(crc(body, 0, body.length)).put(body);
+        record.putInt(crc(record.array(), 0, record.position()))
+                .putInt(crc(body, 0, body.length))
+                .put(body);
         return record.array();
     }
 
@@ -151,7 +168,8 @@
             try {
                 apply(record);
             } catch (BadInput e) {
-                throw new BadInput("the record at byte " + at + " cannot be read: " + e.getMessage());
+                throw new BadInput(
+                        "the record at byte " + at + " cannot be read: " + e.getMessage());
             }
             at += record.length;
         }
@@ -186,8 +204,10 @@
             case "entry" -> put(entries, new RaftCodec.Parts(p.value()).number(), record);
             case "chunk" -> {
                 SnapshotChunk chunk = RaftCodec.chunk(p.value());
-                put(chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>()),
-                    chunk.getSnapshotChunkIndex(), record);
+                put(
+                        chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>()),
+                        chunk.getSnapshotChunkIndex(),
+                        record);
             }
             case "cut-from" -> cut(entries.tailMap(p.number(), true));
             case "cut-until" -> cut(entries.headMap(p.number(), true));
@@ -236,15 +256,17 @@
     }
 
     private void record(Object... parts) throws IOException {
-        guarded(() -> {
-            byte[] record = framed(parts);
-            if (record.length > LARGEST) {
-                throw new IOException("a record of " + record.length + " bytes is too long");
-            }
-            disk.append(record);
-            fileBytes += record.length;
-            apply(record);
-        });
+        guarded(
+                () -> {
+                    byte[] record = framed(parts);
+                    if (record.length > LARGEST) {
+                        throw new IOException(
+                                "a record of " + record.length + " bytes is too long");
+                    }
+                    disk.append(record);
+                    fileBytes += record.length;
+                    apply(record);
+                });
     }
 
     private void recordSafely(Object... parts) throws IOException {
@@ -258,7 +280,8 @@
     }
 
     @Override
-    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members)
+            throws IOException {
         recordSafely("members", RaftCodec.members(members));
     }
 
--- a/src/main/java/holdproxy/council/Seat.java
+++ b/src/main/java/holdproxy/council/Seat.java
@@ -13,7 +13,8 @@
     /** The form that frames and files have. */
     static Seat read(String text) {
         int slash = text.lastIndexOf('/');
-        return new Seat(text.substring(0, slash), Long.parseUnsignedLong(text.substring(slash + 1), 16));
+        return new Seat(
+                text.substring(0, slash), Long.parseUnsignedLong(text.substring(slash + 1), 16));
     }
 
     @Override
--- a/src/main/java/holdproxy/daemon/CouncilPart.java
+++ b/src/main/java/holdproxy/daemon/CouncilPart.java
@@ -27,16 +27,21 @@
  */
 final class CouncilPart {
     private static final String DISK = "council";
+
     /** Who plans for zones; nobody acts under it yet. */
     private static final String PLANNER = "planner";
+
     private static final int PLANNER_LEASE_MS = 3_000;
     private static final byte OF_COUNCIL = 0;
     private static final byte FREE = 1;
+
     /** Both are well under the time that an end after SIGTERM has. */
     private static final long HAND_OVER_MS = 1_500;
+
     private static final long END_MS = 500;
 
-    private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final EventLoop loop =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final long startNs = System.nanoTime();
     private final Peers peers;
     private final Council council;
@@ -56,14 +61,15 @@
     static CouncilPart start(DaemonFile file, long life, Peers peers) {
         CouncilPart part = new CouncilPart(file, life, peers);
         peers.receive(Peers.COUNCIL, frame -> part.loop.execute(() -> part.received(frame)));
-        part.run(() -> {
-            part.council.begin(new FileDisk(disk(file)));
-            part.duties.want(PLANNER, PLANNER_LEASE_MS);
-            for (DaemonFile.Drill drill : file.drills()) {
-                part.duties.want(drill.duty(), drill.leaseMs());
-                new Drilling(drill, part.duties, part.loop).begin();
-            }
-        });
+        part.run(
+                () -> {
+                    part.council.begin(new FileDisk(disk(file)));
+                    part.duties.want(PLANNER, PLANNER_LEASE_MS);
+                    for (DaemonFile.Drill drill : file.drills()) {
+                        part.duties.want(drill.duty(), drill.leaseMs());
+                        new Drilling(drill, part.duties, part.loop).begin();
+                    }
+                });
         return part;
     }
 
@@ -100,8 +106,15 @@
     /** Leadership, then what this process holds, goes to others, in time for them not to wait for it. */
     void end() {
         CompletableFuture<Void> handed = new CompletableFuture<>();
-        loop.execute(() -> council.stepDown().whenComplete((led, why) ->
-            duties.handOver().whenComplete((done, failed) -> handed.complete(null))));
+        loop.execute(
+                () ->
+                        council.stepDown()
+                                .whenComplete(
+                                        (led, why) ->
+                                                duties.handOver()
+                                                        .whenComplete(
+                                                                (done, failed) ->
+                                                                        handed.complete(null))));
         await(handed, HAND_OVER_MS, "the duties are not handed over in time");
         CompletableFuture<Void> over = new CompletableFuture<>();
         loop.execute(() -> council.end().whenComplete((done, failed) -> over.complete(null)));
@@ -136,8 +149,10 @@
 
         @Override
         public void send(String to, byte[] frame) {
-            peers.send(to, Peers.COUNCIL, ByteBuffer.allocate(1 + frame.length).put(OF_COUNCIL).put(frame)
-                .array());
+            peers.send(
+                    to,
+                    Peers.COUNCIL,
+                    ByteBuffer.allocate(1 + frame.length).put(OF_COUNCIL).put(frame).array());
         }
 
         @Override
@@ -162,8 +177,14 @@
                 return;
             }
             byte[] text = duty.getBytes(StandardCharsets.UTF_8);
-            peers.send(to, Peers.COUNCIL, ByteBuffer.allocate(1 + Long.BYTES + text.length).put(FREE)
-                .putLong(token).put(text).array());
+            peers.send(
+                    to,
+                    Peers.COUNCIL,
+                    ByteBuffer.allocate(1 + Long.BYTES + text.length)
+                            .put(FREE)
+                            .putLong(token)
+                            .put(text)
+                            .array());
         }
 
         @Override
--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -43,19 +43,37 @@
         EventLog.event("starting", "name", inUse.name(), "pid", ProcessHandle.current().pid());
         if (inUse.peers() != null) {
             long life = LifeFile.next(inUse.folder(), System.currentTimeMillis());
-            peers = Peers.start(inUse.peers(), life, text -> Config.address(text, "an address"), new Told());
-            EventLog.event("peers", "name", inUse.name(), "life", life, "address", inUse.peers().address());
+            peers =
+                    Peers.start(
+                            inUse.peers(),
+                            life,
+                            text -> Config.address(text, "an address"),
+                            new Told());
+            EventLog.event(
+                    "peers",
+                    "name",
+                    inUse.name(),
+                    "life",
+                    life,
+                    "address",
+                    inUse.peers().address());
             if (!inUse.voters().isEmpty()) {
                 council = CouncilPart.start(inUse, life, peers);
             }
         }
         Map<String, String> own = new HashMap<>(env);
         own.put(KEPT_BELOW, inUse.folder().toString());
-        Service.run(inUse.proxy(), config -> {
-            DaemonFile now = DaemonFile.again(file, inUse);
-            inUse = now;
-            return now.proxy();
-        }, own, EventLog::line, this::end).listening();
+        Service.run(
+                        inUse.proxy(),
+                        config -> {
+                            DaemonFile now = DaemonFile.again(file, inUse);
+                            inUse = now;
+                            return now.proxy();
+                        },
+                        own,
+                        EventLog::line,
+                        this::end)
+                .listening();
         EventLog.event("started", "name", inUse.name());
     }
 
@@ -88,9 +106,20 @@
     private static final class Told implements Peers.Listener {
         @Override
         public void changed(Change change) {
-            EventLog.event("peer", "peer", change.now().name(), "state", change.now().state(), "before",
-                change.before() == null ? "unknown" : change.before().state(), "life", change.now().life(),
-                "incarnation", change.now().incarnation(), "voices", change.voices());
+            EventLog.event(
+                    "peer",
+                    "peer",
+                    change.now().name(),
+                    "state",
+                    change.now().state(),
+                    "before",
+                    change.before() == null ? "unknown" : change.before().state(),
+                    "life",
+                    change.now().life(),
+                    "incarnation",
+                    change.now().incarnation(),
+                    "voices",
+                    change.voices());
         }
 
         @Override
--- a/src/main/java/holdproxy/daemon/DaemonCommand.java
+++ b/src/main/java/holdproxy/daemon/DaemonCommand.java
@@ -15,19 +15,21 @@
  * {@code holdproxy daemon}: the proxy of an installation of our own. Exit codes: 0 ended as it was told, or
  * the file is sound; 2 the command or the file is wrong.
  */
-@Command(name = "daemon", description = "Runs a proxy as one of a fleet that cooperates.",
-    mixinStandardHelpOptions = true, subcommands = {DaemonCommand.Check.class, DaemonCommand.Found.class})
+@Command(
+        name = "daemon",
+        description = "Runs a proxy as one of a fleet that cooperates.",
+        mixinStandardHelpOptions = true,
+        subcommands = {DaemonCommand.Check.class, DaemonCommand.Found.class})
 public final class DaemonCommand implements Callable<Integer> {
     /** Not an exit code: the process has started and goes on. */
     public static final int RUNS = -1;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
+
     @Option(names = "--config", paramLabel = "FILE.toml", description = "what operators say of it")
     private Path config;
 
-    private DaemonCommand() {
-    }
+    private DaemonCommand() {}
 
     /** Runs a command line; returns its exit code, or {@link #RUNS}. */
     public static int run(String[] args) {
@@ -37,16 +39,18 @@
     @Override
     public Integer call() {
         if (config == null) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "--config FILE.toml is missing");
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(), "--config FILE.toml is missing");
         }
         Daemon.start(config, System.getenv());
         return RUNS;
     }
 
     /** {@code holdproxy daemon found FILE}: once in the life of a fleet, for each of the first voters. */
-    @Command(name = "found",
-        description = "Writes what one of the first voters of a new council begins with.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "found",
+            description = "Writes what one of the first voters of a new council begins with.",
+            mixinStandardHelpOptions = true)
     static final class Found implements Callable<Integer> {
         @Parameters(paramLabel = "FILE.toml")
         private Path file;
@@ -57,14 +61,17 @@
             if (read.voters().isEmpty()) {
                 throw new BadInput(file + ": [council] is missing");
             }
-            System.out.println(read.name() + " is one of the first voters: " + CouncilPart.found(read));
+            System.out.println(
+                    read.name() + " is one of the first voters: " + CouncilPart.found(read));
             return 0;
         }
     }
 
     /** {@code holdproxy daemon check FILE}: reads the file as a start would, and starts nothing. */
-    @Command(name = "check", description = "Reads a file as a start would; code 2 names what is wrong.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "check",
+            description = "Reads a file as a start would; code 2 names what is wrong.",
+            mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE.toml")
         private Path file;
--- a/src/main/java/holdproxy/daemon/DaemonFile.java
+++ b/src/main/java/holdproxy/daemon/DaemonFile.java
@@ -29,8 +29,15 @@
  * @param voters names of the council's processes; empty: there is none
  * @param drills duties without a purpose but to be held, for operators and the rig to try the fleet with
  */
-record DaemonFile(String name, Path folder, InetSocketAddress listen, InetSocketAddress console,
-        Config proxy, Peers.Place peers, List<String> voters, List<Drill> drills) {
+record DaemonFile(
+        String name,
+        Path folder,
+        InetSocketAddress listen,
+        InetSocketAddress console,
+        Config proxy,
+        Peers.Place peers,
+        List<String> voters,
+        List<Drill> drills) {
     private static final int LEAST_SOCKETS = 128;
     private static final int MOST_SOCKETS = 1 << 20;
     private static final int SOCKETS = 1024;
@@ -45,8 +52,7 @@
      * @param everyMs an act each so often, in milliseconds
      * @param resource where acts go
      */
-    record Drill(String duty, int leaseMs, int everyMs, InetSocketAddress resource) {
-    }
+    record Drill(String duty, int leaseMs, int everyMs, InetSocketAddress resource) {}
 
     /** The file as it is now; {@code seed}: of all chance. */
     static DaemonFile read(Path file, long seed) {
@@ -66,14 +72,17 @@
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new BadInput("the file " + file + " cannot be read: " + e.getClass().getSimpleName());
+            throw new BadInput(
+                    "the file " + file + " cannot be read: " + e.getClass().getSimpleName());
         }
         TomlPart top = TomlPart.parse(file.toString(), "the file", text);
         String name = top.read("name", DaemonFile::name);
         InetSocketAddress listen = top.read("listen", t -> Config.address(t, "listen"));
         InetSocketAddress discovery = top.read("discovery", t -> Config.address(t, "discovery"));
-        InetSocketAddress console = top.at("console") == null ? null
-            : top.read("console", t -> Config.address(t, "console"));
+        InetSocketAddress console =
+                top.at("console") == null
+                        ? null
+                        : top.read("console", t -> Config.address(t, "console"));
         Path folder = top.read("folder", DaemonFile::folder);
         int sockets = top.whole("sockets", SOCKETS, LEAST_SOCKETS, MOST_SOCKETS);
         Map<String, Object> settings = top.map("settings");
@@ -81,10 +90,12 @@
         List<String> voters = voters(top);
         List<Drill> drills = new ArrayList<>();
         for (TomlPart each : top.parts("drill")) {
-            drills.add(new Drill(each.read("duty", DaemonFile::name),
-                each.whole("lease_ms", 3_000, LEAST_LEASE_MS, MOST_LEASE_MS),
-                each.whole("every_ms", 50, 1, MOST_LEASE_MS),
-                each.read("resource", t -> Config.address(t, "resource"))));
+            drills.add(
+                    new Drill(
+                            each.read("duty", DaemonFile::name),
+                            each.whole("lease_ms", 3_000, LEAST_LEASE_MS, MOST_LEASE_MS),
+                            each.whole("every_ms", 50, 1, MOST_LEASE_MS),
+                            each.read("resource", t -> Config.address(t, "resource"))));
             each.done();
         }
         top.done();
@@ -109,8 +120,10 @@
                 same(top, "council", inUse.voters, voters);
                 same(top, "drill", inUse.drills, drills);
             }
-            Config proxy = inUse == null ? Config.of(name, listen, discovery, console, json)
-                : inUse.proxy.reload(discovery, json);
+            Config proxy =
+                    inUse == null
+                            ? Config.of(name, listen, discovery, console, json)
+                            : inUse.proxy.reload(discovery, json);
             Set<String> unknown = proxy.unknownSettings();
             if (!unknown.isEmpty()) {
                 String first = unknown.iterator().next();
@@ -118,7 +131,9 @@
             }
             return new DaemonFile(name, folder, listen, console, proxy, peers, voters, drills);
         } catch (BadInput e) {
-            throw top.bad(top.atPath("settings" + (e.path() == null ? "" : "." + e.path())), e.getMessage());
+            throw top.bad(
+                    top.atPath("settings" + (e.path() == null ? "" : "." + e.path())),
+                    e.getMessage());
         }
     }
 
@@ -129,15 +144,19 @@
         TomlPart part = top.part("council");
         List<String> voters = part.texts("voters", DaemonFile::name);
         part.done();
-        if (voters.size() != 3 && voters.size() != 5 || voters.stream().distinct().count() != voters.size()) {
-            throw top.bad(top.atPath("council.voters"), "voters are not three or five processes: " + voters);
+        if (voters.size() != 3 && voters.size() != 5
+                || voters.stream().distinct().count() != voters.size()) {
+            throw top.bad(
+                    top.atPath("council.voters"),
+                    "voters are not three or five processes: " + voters);
         }
         return voters;
     }
 
     private static Peers.Place peers(String name, TomlPart part) {
         InetSocketAddress listen = part.read("listen", t -> Config.address(t, "listen"));
-        String address = part.text("address", listen.getAddress().getHostAddress() + ":" + listen.getPort());
+        String address =
+                part.text("address", listen.getAddress().getHostAddress() + ":" + listen.getPort());
         List<String> seeds = part.texts("seeds", t -> Config.address(t, "a seed"));
         Map<String, InetSocketAddress> routes = new HashMap<>();
         TomlPart stated = part.part("routes");
@@ -151,14 +170,16 @@
 
     private static void same(TomlPart top, String key, Object was, Object now) {
         if (!Objects.equals(was, now)) {
-            throw top.bad(top.at(key), key + " cannot change while the process runs: it was " + was);
+            throw top.bad(
+                    top.at(key), key + " cannot change while the process runs: it was " + was);
         }
     }
 
     private static String name(String text) {
         if (!text.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
-            throw new BadInput("name is not 1 to 64 letters, digits, dots, dashes and underscores: "
-                + text.replaceAll("\\p{Cntrl}", "?"));
+            throw new BadInput(
+                    "name is not 1 to 64 letters, digits, dots, dashes and underscores: "
+                            + text.replaceAll("\\p{Cntrl}", "?"));
         }
         return text;
     }
--- a/src/main/java/holdproxy/daemon/Drilling.java
+++ b/src/main/java/holdproxy/daemon/Drilling.java
@@ -34,7 +34,8 @@
     }
 
     void begin() {
-        loop.scheduleWithFixedDelay(this::act, drill.everyMs(), drill.everyMs(), TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                this::act, drill.everyMs(), drill.everyMs(), TimeUnit.MILLISECONDS);
     }
 
     private void act() {
@@ -49,8 +50,10 @@
             return;
         }
         Duties.Act act = duties.begin(drill.duty());
-        resource.writeAndFlush(Unpooled.copiedBuffer(drill.duty() + " " + act.token() + "\n",
-            StandardCharsets.US_ASCII)).addListener(f -> act.close());
+        resource.writeAndFlush(
+                        Unpooled.copiedBuffer(
+                                drill.duty() + " " + act.token() + "\n", StandardCharsets.US_ASCII))
+                .addListener(f -> act.close());
     }
 
     private void connect() {
@@ -58,12 +61,17 @@
             return;
         }
         connecting = true;
-        new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS).handler(new Ignoring())
-            .connect(drill.resource()).addListener(f -> {
-                connecting = false;
-                resource = f.isSuccess() ? ((ChannelFuture) f).channel() : null;
-            });
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .handler(new Ignoring())
+                .connect(drill.resource())
+                .addListener(
+                        f -> {
+                            connecting = false;
+                            resource = f.isSuccess() ? ((ChannelFuture) f).channel() : null;
+                        });
     }
 
     private static final class Ignoring extends ChannelInboundHandlerAdapter {
--- a/src/main/java/holdproxy/daemon/EventLog.java
+++ b/src/main/java/holdproxy/daemon/EventLog.java
@@ -11,10 +11,10 @@
 final class EventLog {
     /** The key of the monotonic clock's reading, in microseconds from no particular moment. */
     static final String CLOCK = "mono_us";
+
     private static final Logger LOG = LoggerFactory.getLogger("holdproxy");
 
-    private EventLog() {
-    }
+    private EventLog() {}
 
     /** An event with keys and values in turn. */
     static void event(String name, Object... keysAndValues) {
--- a/src/main/java/holdproxy/daemon/LifeFile.java
+++ b/src/main/java/holdproxy/daemon/LifeFile.java
@@ -14,8 +14,7 @@
 final class LifeFile {
     private static final String NAME = "life";
 
-    private LifeFile() {
-    }
+    private LifeFile() {}
 
     /** That of the life that begins now: the wall clock's milliseconds, or one more than the last. */
     static long next(Path folder, long wallMs) {
@@ -26,13 +25,21 @@
                 last = Long.parseLong(Files.readString(file).strip());
             }
         } catch (IOException | NumberFormatException e) {
-            throw new BadInput("the number of the last life cannot be read from " + file + ": " + e
-                + "; without the file a start takes the wall clock");
+            throw new BadInput(
+                    "the number of the last life cannot be read from "
+                            + file
+                            + ": "
+                            + e
+                            + "; without the file a start takes the wall clock");
         }
         long next = Math.max(wallMs, last + 1);
         Path fresh = folder.resolve(NAME + ".new");
-        try (FileChannel out = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out =
+                FileChannel.open(
+                        fresh,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer text = ByteBuffer.wrap((next + "\n").getBytes(StandardCharsets.UTF_8));
             while (text.hasRemaining()) {
                 out.write(text);
--- a/src/main/java/holdproxy/duties/Duties.java
+++ b/src/main/java/holdproxy/duties/Duties.java
@@ -28,6 +28,7 @@
 public final class Duties {
     /** How far the rate of a clock may be from the true one. */
     public static final double CLOCK_BOUND = 0.05;
+
     private static final int MOST_WAITING = 64;
     private static final long MS = 1_000;
     private static final long HAND_OVER_US = 1_000_000;
@@ -119,20 +120,30 @@
     private final Random random;
     private final Set<Guard> guards;
     private final Map<String, Own> wanted = new LinkedHashMap<>();
+
     /** In a voter: since when, by its own clock, each lease is as it is. */
     private final Map<String, Long> sinceUs = new HashMap<>();
+
     /** In a voter: who was told that a duty is taken, and would hear of its end. */
     private final Map<String, Set<String>> waiting = new HashMap<>();
+
     private final Set<String> watched = new LinkedHashSet<>();
     private boolean ending;
 
     /** {@code table}: what this process's council keeps, if it votes. */
-    public Duties(String name, long life, Council council, DutyTable table, Host host, Random random) {
+    public Duties(
+            String name, long life, Council council, DutyTable table, Host host, Random random) {
         this(name, life, council, table, host, random, EnumSet.allOf(Guard.class));
     }
 
     /** For trials: with these guards alone. */
-    public Duties(String name, long life, Council council, DutyTable table, Host host, Random random,
+    public Duties(
+            String name,
+            long life,
+            Council council,
+            DutyTable table,
+            Host host,
+            Random random,
             Set<Guard> guards) {
         this.name = name;
         this.life = life;
@@ -194,7 +205,7 @@
         own.holds = false;
         host.ended(own.duty, token, "handed over");
         council.propose(DutyTable.release(own.duty, token), HAND_OVER_US)
-            .whenComplete((answer, failed) -> own.giving.complete(null));
+                .whenComplete((answer, failed) -> own.giving.complete(null));
     }
 
     // ---- asking and renewing ----
@@ -206,26 +217,29 @@
         own.asking = true;
         long askedUs = host.nowUs();
         council.propose(DutyTable.ask(own.duty, name, life, own.ms, own.seen), own.ms * MS)
-            .whenComplete((answer, failed) -> {
-                own.asking = false;
-                if (failed != null) {
-                    again(own, askedUs);
-                    return;
-                }
-                List<?> words = (List<?>) answer;
-                long token = ((Number) words.get(1)).longValue();
-                switch (Word.valueOf((String) words.get(0))) {
-                    case HELD -> held(own, token, askedUs);
-                    case FREE -> {
-                        own.seen = token;
-                        host.after(1 + random.nextInt((int) LEAST_AGAIN_US), () -> ask(own));
-                    }
-                    default -> {
-                        own.seen = token;
-                        again(own, askedUs);
-                    }
-                }
-            });
+                .whenComplete(
+                        (answer, failed) -> {
+                            own.asking = false;
+                            if (failed != null) {
+                                again(own, askedUs);
+                                return;
+                            }
+                            List<?> words = (List<?>) answer;
+                            long token = ((Number) words.get(1)).longValue();
+                            switch (Word.valueOf((String) words.get(0))) {
+                                case HELD -> held(own, token, askedUs);
+                                case FREE -> {
+                                    own.seen = token;
+                                    host.after(
+                                            1 + random.nextInt((int) LEAST_AGAIN_US),
+                                            () -> ask(own));
+                                }
+                                default -> {
+                                    own.seen = token;
+                                    again(own, askedUs);
+                                }
+                            }
+                        });
     }
 
     /** Not all at once: whoever waits is told when it is free, and asks now and then should that be lost. */
@@ -237,7 +251,8 @@
     /** Until when a lease lasts by this process's clock that was asked for, or to be renewed, then. */
     private long lastsUs(Own own, long askedUs) {
         double part = guards.contains(Guard.BOUND) ? 1 - CLOCK_BOUND : 1;
-        return (guards.contains(Guard.FROM_ASKING) ? askedUs : host.nowUs()) + (long) (own.ms * MS * part);
+        return (guards.contains(Guard.FROM_ASKING) ? askedUs : host.nowUs())
+                + (long) (own.ms * MS * part);
     }
 
     private void held(Own own, long token, long askedUs) {
@@ -265,35 +280,43 @@
             return;
         }
         long askedUs = host.nowUs();
-        council.propose(DutyTable.renew(own.duty, token), own.ms * MS / 3).whenComplete((answer, failed) -> {
-            if (!own.holds || own.token != token) {
-                return;
-            }
-            if (failed == null && !Word.HELD.name().equals(((List<?>) answer).get(0))) {
-                end(own, "the council has ended it");
-                ask(own);
-            } else if (failed == null) {
-                own.untilUs = Math.max(own.untilUs, lastsUs(own, askedUs));
-                host.after(Math.max(LEAST_AGAIN_US, askedUs + own.ms * MS / 3 - host.nowUs()),
-                    () -> renew(own, token));
-            } else {
-                host.after(LEAST_AGAIN_US, () -> renew(own, token));
-            }
-        });
+        council.propose(DutyTable.renew(own.duty, token), own.ms * MS / 3)
+                .whenComplete(
+                        (answer, failed) -> {
+                            if (!own.holds || own.token != token) {
+                                return;
+                            }
+                            if (failed == null
+                                    && !Word.HELD.name().equals(((List<?>) answer).get(0))) {
+                                end(own, "the council has ended it");
+                                ask(own);
+                            } else if (failed == null) {
+                                own.untilUs = Math.max(own.untilUs, lastsUs(own, askedUs));
+                                host.after(
+                                        Math.max(
+                                                LEAST_AGAIN_US,
+                                                askedUs + own.ms * MS / 3 - host.nowUs()),
+                                        () -> renew(own, token));
+                            } else {
+                                host.after(LEAST_AGAIN_US, () -> renew(own, token));
+                            }
+                        });
     }
 
     private void stopInTime(Own own, long token) {
-        host.after(Math.max(1, own.untilUs - host.nowUs()), () -> {
-            if (!own.holds || own.token != token) {
-                return;
-            }
-            if (host.nowUs() >= own.untilUs) {
-                end(own, "not renewed in time");
-                ask(own);
-            } else {
-                stopInTime(own, token);
-            }
-        });
+        host.after(
+                Math.max(1, own.untilUs - host.nowUs()),
+                () -> {
+                    if (!own.holds || own.token != token) {
+                        return;
+                    }
+                    if (host.nowUs() >= own.untilUs) {
+                        end(own, "not renewed in time");
+                        ask(own);
+                    } else {
+                        stopInTime(own, token);
+                    }
+                });
     }
 
     private void end(Own own, String why) {
--- a/src/main/java/holdproxy/duties/DutyTable.java
+++ b/src/main/java/holdproxy/duties/DutyTable.java
@@ -36,11 +36,13 @@
     }
 
     private final Map<String, Lease> held = new TreeMap<>();
+
     /** The last token of each duty that was ever held. */
     private final Map<String, Long> last = new TreeMap<>();
+
     private long tokens;
-    private Consumer<String> changed = duty -> { };
-    private BiConsumer<String, String> refused = (duty, name) -> { };
+    private Consumer<String> changed = duty -> {};
+    private BiConsumer<String, String> refused = (duty, name) -> {};
 
     /** {@code listener} hears of each duty that is granted, renewed or ended, in the order of the log. */
     public void onChange(Consumer<String> listener) {
@@ -90,7 +92,13 @@
         List<?> op = (List<?>) operation;
         String duty = (String) op.get(1);
         return switch ((String) op.get(0)) {
-            case "ask" -> asked(duty, (String) op.get(2), number(op, 3), (int) number(op, 4), number(op, 5));
+            case "ask" ->
+                    asked(
+                            duty,
+                            (String) op.get(2),
+                            number(op, 3),
+                            (int) number(op, 4),
+                            number(op, 5));
             case "renew" -> renewed(duty, number(op, 2));
             case "release" -> ended(duty, number(op, 2), -1);
             case "expire" -> ended(duty, number(op, 2), number(op, 3));
@@ -154,7 +162,9 @@
 
     private List<Object> ended(String duty, long token, long renewals) {
         Lease lease = held.get(duty);
-        if (lease == null || lease.token() != token || renewals >= 0 && lease.renewals() != renewals) {
+        if (lease == null
+                || lease.token() != token
+                || renewals >= 0 && lease.renewals() != renewals) {
             return answer(Word.UNCHANGED);
         }
         held.remove(duty);
@@ -174,8 +184,17 @@
     @Override
     public List<Object> snapshot() {
         List<Object> leases = new ArrayList<>();
-        held.values().forEach(l -> leases.add(
-            Arrays.asList(l.duty(), l.token(), l.holder(), l.life(), l.ms(), l.renewals())));
+        held.values()
+                .forEach(
+                        l ->
+                                leases.add(
+                                        Arrays.asList(
+                                                l.duty(),
+                                                l.token(),
+                                                l.holder(),
+                                                l.life(),
+                                                l.ms(),
+                                                l.renewals())));
         List<Object> lasts = new ArrayList<>();
         last.forEach((duty, token) -> lasts.add(Arrays.asList(duty, token)));
         return List.of(Arrays.asList(tokens, leases, lasts));
@@ -188,8 +207,15 @@
         tokens = number(all, 0);
         for (Object each : (List<?>) all.get(1)) {
             List<?> l = (List<?>) each;
-            held.put((String) l.get(0), new Lease((String) l.get(0), number(l, 1), (String) l.get(2),
-                number(l, 3), (int) number(l, 4), number(l, 5)));
+            held.put(
+                    (String) l.get(0),
+                    new Lease(
+                            (String) l.get(0),
+                            number(l, 1),
+                            (String) l.get(2),
+                            number(l, 3),
+                            (int) number(l, 4),
+                            number(l, 5)));
         }
         for (Object each : (List<?>) all.get(2)) {
             List<?> pair = (List<?>) each;
--- a/src/main/java/holdproxy/input/SettingsText.java
+++ b/src/main/java/holdproxy/input/SettingsText.java
@@ -14,6 +14,7 @@
  */
 public final class SettingsText {
     private static final int MOST_ITEMS = 100_000;
+
     /** Where no time for dials is stated: the one that connections and windows of repeats both go by. */
     private static final long DIAL_US = 1_000_000;
 
@@ -55,7 +56,8 @@
         }
         s.aside = word("familyInfo.mode", "through", "through", "aside").equals("aside");
         s.originKind = integer("familyInfo.originKind", -1, -1);
-        s.askForNodes = word("registryMode", "automatic", "automatic", "subscribe").equals("subscribe");
+        s.askForNodes =
+                word("registryMode", "automatic", "automatic", "subscribe").equals("subscribe");
         s.mayCancel = flag("caps.mayCancel");
         s.mayProbe = flag("caps.probing");
         s.secondCopies = flag("caps.secondCopies");
@@ -74,17 +76,19 @@
         long dialUs = micros("caps.dialTimeoutMs", 0);
         s.dialTimeoutUs = dialUs > 0 ? dialUs : DIAL_US;
         s.streamsPerConnection = integer("caps.multiplex", 1, 1);
-        s.weights = switch (word("weights", "nominal", "off", "nominal", "rough", "live")) {
-            case "off" -> Router.Weights.NONE;
-            case "rough" -> Router.Weights.ROUGH;
-            case "live" -> Router.Weights.LIVE;
-            default -> Router.Weights.NOMINAL;
-        };
-        s.reports = switch (word("reporting.source", "off", "off", "inline", "on_probe")) {
-            case "inline" -> Router.ReportSource.ANSWERS;
-            case "on_probe" -> Router.ReportSource.PROBES;
-            default -> Router.ReportSource.NONE;
-        };
+        s.weights =
+                switch (word("weights", "nominal", "off", "nominal", "rough", "live")) {
+                    case "off" -> Router.Weights.NONE;
+                    case "rough" -> Router.Weights.ROUGH;
+                    case "live" -> Router.Weights.LIVE;
+                    default -> Router.Weights.NOMINAL;
+                };
+        s.reports =
+                switch (word("reporting.source", "off", "off", "inline", "on_probe")) {
+                    case "inline" -> Router.ReportSource.ANSWERS;
+                    case "on_probe" -> Router.ReportSource.PROBES;
+                    default -> Router.ReportSource.NONE;
+                };
         s.clientsMarkRepeats = flag("clients.marksRetry");
         s.mayTell = flag("caps.peers");
         s.countedByWork = word("countedBy", "request", "request", "work").equals("work");
@@ -140,18 +144,19 @@
             case "fail_rate", "eps" -> report.errorsPerS = value;
             case "x0" -> report.hitShare = value;
             case "x1" -> report.fetchesOut = value;
-            default -> { } // a value not known here
+            default -> {} // a value not known here
         }
     }
 
     private Router.RequestClass requestClass(String path) {
         Router.RequestClass c = new Router.RequestClass();
         c.name = value(path + "name", "");
-        c.effect = switch (word(path + "effect", "side_effect", "pure", "token", "side_effect")) {
-            case "pure" -> Router.Effect.SAFE;
-            case "token" -> Router.Effect.KEYED;
-            default -> Router.Effect.UNSAFE;
-        };
+        c.effect =
+                switch (word(path + "effect", "side_effect", "pure", "token", "side_effect")) {
+                    case "pure" -> Router.Effect.SAFE;
+                    case "token" -> Router.Effect.KEYED;
+                    default -> Router.Effect.UNSAFE;
+                };
         String group = word(path + "group", "all", "all", "zone", "cell");
         c.group = Router.Group.valueOf(group.toUpperCase(Locale.ROOT));
         c.aimUs = micros(path + "targetMs", 0);
@@ -170,7 +175,8 @@
     }
 
     private BadInput bad(String path, String wanted) {
-        return new BadInput("setting " + path + " is not " + wanted + ": " + shown(values.get(path)), path);
+        return new BadInput(
+                "setting " + path + " is not " + wanted + ": " + shown(values.get(path)), path);
     }
 
     private double number(String path, double fallback, double least) {
--- a/src/main/java/holdproxy/input/Shape.java
+++ b/src/main/java/holdproxy/input/Shape.java
@@ -9,8 +9,7 @@
  * needs stands in the one that serves already. Values are those of JSON.
  */
 public final class Shape {
-    private Shape() {
-    }
+    private Shape() {}
 
     /** Throws a {@link BadInput} that names the first key of {@code inUse} which {@code next} lacks. */
     public static void check(Map<String, ?> inUse, Map<String, ?> next) {
@@ -30,7 +29,8 @@
             map.forEach((key, value) -> check(before + key, value, other.get(key)));
         } else if (inUse instanceof List<?> list) {
             List<?> other = next instanceof List<?> l ? l : wrong(path, "a list");
-            // each entry is to have what all the entries that serve have; what only some have none needs
+            // each entry is to have what all the entries that serve have; what only some have none
+            // needs
             Object needed = common(list);
             for (int i = 0; i < other.size(); i++) {
                 check(path + "." + i, needed, other.get(i));
--- a/src/main/java/holdproxy/lab/CouncilCommand.java
+++ b/src/main/java/holdproxy/lab/CouncilCommand.java
@@ -9,11 +9,13 @@
 import picocli.CommandLine.Option;
 
 /** {@code holdproxy lab council}: councils under faults, in virtual time. */
-@Command(name = "council", description = "Councils that agree on a log, under faults drawn by seeds.",
-    mixinStandardHelpOptions = true)
+@Command(
+        name = "council",
+        description = "Councils that agree on a log, under faults drawn by seeds.",
+        mixinStandardHelpOptions = true)
 final class CouncilCommand implements Callable<Integer> {
-    @Mixin
-    private VoterOptions options;
+    @Mixin private VoterOptions options;
+
     @Option(names = "--planted", description = "a fault of the program's: ${COMPLETION-CANDIDATES}")
     private CouncilTrial.Planted planted;
 
@@ -25,11 +27,14 @@
             faults.add(planted);
         }
         LongAdder answered = new LongAdder();
-        return options.hunt(seed -> {
-            CouncilTrial.Outcome outcome = CouncilTrial.play(seed, options.voters, options.others,
-                options.seconds, faults);
-            answered.add(outcome.answered());
-            return outcome;
-        }, () -> System.out.println(answered + " operations answered"));
+        return options.hunt(
+                seed -> {
+                    CouncilTrial.Outcome outcome =
+                            CouncilTrial.play(
+                                    seed, options.voters, options.others, options.seconds, faults);
+                    answered.add(outcome.answered());
+                    return outcome;
+                },
+                () -> System.out.println(answered + " operations answered"));
     }
 }
--- a/src/main/java/holdproxy/lab/CouncilFleet.java
+++ b/src/main/java/holdproxy/lab/CouncilFleet.java
@@ -93,12 +93,14 @@
             if (links.cut(name, to)) {
                 return;
             }
-            time.after(delayUs(name, to), () -> {
-                Life target = lives.get(to);
-                if (target != null) {
-                    target.run(() -> what.accept(target));
-                }
-            });
+            time.after(
+                    delayUs(name, to),
+                    () -> {
+                        Life target = lives.get(to);
+                        if (target != null) {
+                            target.run(() -> what.accept(target));
+                        }
+                    });
         }
 
         @Override
@@ -145,7 +147,13 @@
      * So many voters and others; {@code clockBound}: how far the rates of their clocks are from the true one;
      * the faults of disks are the program's own, planted for a judge to find.
      */
-    CouncilFleet(long seed, int votes, int others, double clockBound, Purpose purpose, boolean forgetfulDisks,
+    CouncilFleet(
+            long seed,
+            int votes,
+            int others,
+            double clockBound,
+            Purpose purpose,
+            boolean forgetfulDisks,
             boolean lostDisksKeepVotes) {
         random = new Random(seed * 0x9e3779b97f4a7c15L);
         this.purpose = purpose;
@@ -180,8 +188,10 @@
     }
 
     long delayUs(String from, String to) {
-        return LEAST_DELAY_US + FORCE_US + links.lateUs(from, to)
-            + (long) (random.nextDouble() * (MOST_DELAY_US + links.slowUs(from, to)));
+        return LEAST_DELAY_US
+                + FORCE_US
+                + links.lateUs(from, to)
+                + (long) (random.nextDouble() * (MOST_DELAY_US + links.slowUs(from, to)));
     }
 
     private MemoryDisk disk() {
@@ -220,10 +230,12 @@
         String behind = others.get(0);
         disksLostUntilUs = time.nowUs() + 2 * LAG_US;
         part("behind", List.of(behind), LAG_US, true, true);
-        time.after(LAG_US, () -> {
-            kill("killed", leader, Math.max(forUs, LAG_US), lives.get(leader).disk);
-            loseDisk(others.get(1), LOOK_US, true);
-        });
+        time.after(
+                LAG_US,
+                () -> {
+                    kill("killed", leader, Math.max(forUs, LAG_US), lives.get(leader).disk);
+                    loseDisk(others.get(1), LOOK_US, true);
+                });
     }
 
     /** Operators give a damaged voter a new disk, as soon as they find it running. */
@@ -279,8 +291,14 @@
     private boolean allVote() {
         Set<Seat> seats = new LinkedHashSet<>();
         voters.forEach(v -> seats.add(lives.get(v).council.seat()));
-        return time.nowUs() > disksLostUntilUs && voters.stream().map(lives::get).allMatch(
-            l -> !l.over && l.council.votes() && l.council.seats().equals(seats));
+        return time.nowUs() > disksLostUntilUs
+                && voters.stream()
+                        .map(lives::get)
+                        .allMatch(
+                                l ->
+                                        !l.over
+                                                && l.council.votes()
+                                                && l.council.seats().equals(seats));
     }
 
     /** Answers come just before they are given up, and then none. */
@@ -325,14 +343,18 @@
         Collections.shuffle(mixed, random);
         int first = 1 + random.nextInt(Math.max(1, mixed.size() / 2));
         List<String> a = List.copyOf(mixed.subList(0, first));
-        List<String> b = random.nextBoolean() ? List.of()
-            : List.copyOf(mixed.subList(first, Math.min(mixed.size(), first + 2)));
+        List<String> b =
+                random.nextBoolean()
+                        ? List.of()
+                        : List.copyOf(mixed.subList(first, Math.min(mixed.size(), first + 2)));
         links.part(names, a, true, true, 1);
         links.part(names, b, true, true, 1);
-        time.after(forUs, () -> {
-            links.part(names, a, true, true, -1);
-            links.part(names, b, true, true, -1);
-        });
+        time.after(
+                forUs,
+                () -> {
+                    links.part(names, a, true, true, -1);
+                    links.part(names, b, true, true, -1);
+                });
     }
 
     private void slow(String one, String other, long forUs) {
@@ -352,14 +374,16 @@
         kinds.add(full ? "disk full" : "disk not forced");
         life.disk.full(full);
         life.disk.unforced(!full);
-        time.after(forUs, () -> {
-            life.disk.full(false);
-            life.disk.unforced(false);
-            Life now = lives.get(name);
-            if (now.disk == life.disk && !now.over && !now.council.votes()) {
-                kill("disk mended", name, 0, life.disk);
-            }
-        });
+        time.after(
+                forUs,
+                () -> {
+                    life.disk.full(false);
+                    life.disk.unforced(false);
+                    Life now = lives.get(name);
+                    if (now.disk == life.disk && !now.over && !now.council.votes()) {
+                        kill("disk mended", name, 0, life.disk);
+                    }
+                });
     }
 
     void restart(String name, long forUs) {
@@ -368,12 +392,25 @@
             return;
         }
         kinds.add("restarted");
-        life.run(() -> purpose.ending(life, () -> life.council.end().whenComplete((done, failed) -> {
-            if (!life.over) {
-                life.die();
-                time.after(forUs, () -> start(name, life.disk));
-            }
-        })));
+        life.run(
+                () ->
+                        purpose.ending(
+                                life,
+                                () ->
+                                        life.council
+                                                .end()
+                                                .whenComplete(
+                                                        (done, failed) -> {
+                                                            if (!life.over) {
+                                                                life.die();
+                                                                time.after(
+                                                                        forUs,
+                                                                        () ->
+                                                                                start(
+                                                                                        name,
+                                                                                        life.disk));
+                                                            }
+                                                        })));
     }
 
     /** A bit on the disk is another when it starts: it has to stay out, until it is given a new disk. */
@@ -386,12 +423,14 @@
         kinds.add("bit flipped");
         life.die();
         life.disk.flip();
-        time.after(forUs / 2, () -> {
-            start(name, life.disk);
-            if (!lives.get(name).isOut) {
-                broken.add(name + " votes with a damaged disk");
-            }
-            time.after(forUs / 2, () -> replace(name));
-        });
+        time.after(
+                forUs / 2,
+                () -> {
+                    start(name, life.disk);
+                    if (!lives.get(name).isOut) {
+                        broken.add(name + " votes with a damaged disk");
+                    }
+                    time.after(forUs / 2, () -> replace(name));
+                });
     }
 }
--- a/src/main/java/holdproxy/lab/CouncilTrial.java
+++ b/src/main/java/holdproxy/lab/CouncilTrial.java
@@ -37,12 +37,10 @@
      * @param kinds of faults that were caused
      */
     record Outcome(List<String> broken, int answered, int agreed, Set<String> kinds)
-            implements VoterOptions.Outcome {
-    }
+            implements VoterOptions.Outcome {}
 
     /** An operation that somebody asked for, and what came of it. */
-    private record Answer(String operation, long askedUs, long answeredUs, long index) {
-    }
+    private record Answer(String operation, long askedUs, long answeredUs, long index) {}
 
     /** The log's content: each operation once, with its place. */
     private final class Sequence implements Ledger {
@@ -111,8 +109,15 @@
 
     private CouncilTrial(long seed, int votes, int others, Set<Planted> planted) {
         this.planted = planted;
-        fleet = new CouncilFleet(seed, votes, others, 0, this, planted.contains(Planted.FORGETFUL_DISK),
-            planted.contains(Planted.LOST_DISK_KEEPS_VOTE));
+        fleet =
+                new CouncilFleet(
+                        seed,
+                        votes,
+                        others,
+                        0,
+                        this,
+                        planted.contains(Planted.FORGETFUL_DISK),
+                        planted.contains(Planted.LOST_DISK_KEEPS_VOTE));
     }
 
     /** A trial with so many voters, and so many others that ask; faults end at half of its time. */
@@ -120,7 +125,8 @@
         CouncilTrial trial = new CouncilTrial(seed, votes, others, planted);
         trial.fleet.play(seconds);
         trial.judge((long) (seconds * 1e6));
-        return new Outcome(trial.fleet.broken, trial.answers.size(), trial.agreed.size(), trial.fleet.kinds);
+        return new Outcome(
+                trial.fleet.broken, trial.answers.size(), trial.agreed.size(), trial.fleet.kinds);
     }
 
     @Override
@@ -131,19 +137,29 @@
     /** Each process asks for operations all the time, each of its own. */
     @Override
     public void begun(CouncilFleet.Life life) {
-        life.after(ASK_EVERY_US, () -> {
-            String operation = life.name + "-" + asked++;
-            long atUs = life.nowUs();
-            life.council.propose(operation, WITHIN_US).whenComplete((index, failed) -> {
-                if (failed == null) {
-                    answers.add(new Answer(operation, atUs, life.nowUs(), ((Number) index).longValue()));
-                }
-            });
-            if (planted.contains(Planted.ANSWER_BEFORE_AGREEMENT) && asked % 7 == 0) {
-                answers.add(new Answer(operation, atUs, atUs, Long.MAX_VALUE - asked));
-            }
-            begun(life);
-        });
+        life.after(
+                ASK_EVERY_US,
+                () -> {
+                    String operation = life.name + "-" + asked++;
+                    long atUs = life.nowUs();
+                    life.council
+                            .propose(operation, WITHIN_US)
+                            .whenComplete(
+                                    (index, failed) -> {
+                                        if (failed == null) {
+                                            answers.add(
+                                                    new Answer(
+                                                            operation,
+                                                            atUs,
+                                                            life.nowUs(),
+                                                            ((Number) index).longValue()));
+                                        }
+                                    });
+                    if (planted.contains(Planted.ANSWER_BEFORE_AGREEMENT) && asked % 7 == 0) {
+                        answers.add(new Answer(operation, atUs, atUs, Long.MAX_VALUE - asked));
+                    }
+                    begun(life);
+                });
     }
 
     @Override
@@ -157,8 +173,13 @@
         for (Answer each : answers) {
             String there = agreed.get(each.index);
             if (!each.operation.equals(there)) {
-                fleet.broken.add(each.operation + " was answered with place " + each.index + ", where "
-                    + (there == null ? "nothing" : there) + " is");
+                fleet.broken.add(
+                        each.operation
+                                + " was answered with place "
+                                + each.index
+                                + ", where "
+                                + (there == null ? "nothing" : there)
+                                + " is");
             }
         }
         // what was answered before another was asked for has the earlier place
@@ -173,8 +194,12 @@
                 highest = Math.max(highest, byAnswer.get(next++).index);
             }
             if (each.index < highest) {
-                fleet.broken.add(each.operation + " was asked for when place " + highest
-                    + " was answered, and has " + each.index);
+                fleet.broken.add(
+                        each.operation
+                                + " was asked for when place "
+                                + highest
+                                + " was answered, and has "
+                                + each.index);
             }
         }
         for (String name : fleet.names) {
@@ -182,14 +207,23 @@
             if (fleet.voters.contains(name) && !life.council.votes()) {
                 fleet.broken.add(name + " does not vote at the end");
             }
-            if (answers.stream().noneMatch(a -> a.operation.startsWith(name + "-")
-                    && a.answeredUs > endUs - 3_000_000)) {
+            if (answers.stream()
+                    .noneMatch(
+                            a ->
+                                    a.operation.startsWith(name + "-")
+                                            && a.answeredUs > endUs - 3_000_000)) {
                 fleet.broken.add(name + " had no answer in the last 3 s");
             }
             for (Map.Entry<Long, String> e : ((Sequence) life.ledger).all.entrySet()) {
                 if (!e.getValue().equals(agreed.get(e.getKey()))) {
-                    fleet.broken.add(name + " has " + e.getValue() + " at place " + e.getKey()
-                        + ", agreed is " + agreed.get(e.getKey()));
+                    fleet.broken.add(
+                            name
+                                    + " has "
+                                    + e.getValue()
+                                    + " at place "
+                                    + e.getKey()
+                                    + ", agreed is "
+                                    + agreed.get(e.getKey()));
                 }
             }
         }
--- a/src/main/java/holdproxy/lab/Cycle.java
+++ b/src/main/java/holdproxy/lab/Cycle.java
@@ -13,6 +13,7 @@
  */
 record Cycle(double periodS, double strength, double size) {
     private static final double LONGEST_S = 12;
+
     /** A peak under so many standard errors of white noise's autocorrelation is none. */
     private static final double ERRORS = 2;
 
@@ -29,7 +30,10 @@
             double[] c = autocovariance(part, average, lags);
             Arrays.setAll(mean, lag -> mean[lag] + c[lag] / Math.max(1e-9, c[0]) / series.size());
             double variance = c[0] / length;
-            size += Math.sqrt(Math.max(0, variance - average)) / Math.max(1e-9, average) / series.size();
+            size +=
+                    Math.sqrt(Math.max(0, variance - average))
+                            / Math.max(1e-9, average)
+                            / series.size();
         }
         int lag = 1;
         while (lag < lags && mean[lag] > 0) {
--- a/src/main/java/holdproxy/lab/DutiesCommand.java
+++ b/src/main/java/holdproxy/lab/DutiesCommand.java
@@ -12,16 +12,22 @@
 import picocli.CommandLine.Option;
 
 /** {@code holdproxy lab duties}: duties under faults, in virtual time. */
-@Command(name = "duties", description = "Duties that one process holds, under faults drawn by seeds.",
-    mixinStandardHelpOptions = true)
+@Command(
+        name = "duties",
+        description = "Duties that one process holds, under faults drawn by seeds.",
+        mixinStandardHelpOptions = true)
 final class DutiesCommand implements Callable<Integer> {
-    @Mixin
-    private VoterOptions options;
+    @Mixin private VoterOptions options;
+
     @Option(names = "--without", description = "a guard to do without: ${COMPLETION-CANDIDATES}")
     private Duties.Guard without;
+
     @Option(names = "--unguarded", description = "the resource does not look at tokens")
     private boolean unguarded;
-    @Option(names = "--table", description = "how long a duty is without a holder, by lease and cause")
+
+    @Option(
+            names = "--table",
+            description = "how long a duty is without a holder, by lease and cause")
     private boolean table;
 
     /** Floors: a lease is renewed each third of its length, and ends for others after it and the bound. */
@@ -34,11 +40,20 @@
                     ms.recordValue(Math.round(DutiesTrial.withoutHolderMs(seed, leaseMs, cause)));
                 }
                 boolean planned = cause == DutiesTrial.Cause.PLANNED;
-                System.out.printf(Locale.ROOT, "%3d s  %-8s %6d    %6d    %6d   %9s   %s%n", leaseMs / 1000,
-                    cause.name().toLowerCase(Locale.ROOT), ms.getValueAtPercentile(50),
-                    ms.getValueAtPercentile(99), ms.getMaxValue(), planned ? 100 : leaseMs + 1000,
-                    planned ? "two agreements and a message" : Math.round(leaseMs * (1.05 - 1.0 / 3)) + " to "
-                        + Math.round(leaseMs * 1.05));
+                System.out.printf(
+                        Locale.ROOT,
+                        "%3d s  %-8s %6d    %6d    %6d   %9s   %s%n",
+                        leaseMs / 1000,
+                        cause.name().toLowerCase(Locale.ROOT),
+                        ms.getValueAtPercentile(50),
+                        ms.getValueAtPercentile(99),
+                        ms.getMaxValue(),
+                        planned ? 100 : leaseMs + 1000,
+                        planned
+                                ? "two agreements and a message"
+                                : Math.round(leaseMs * (1.05 - 1.0 / 3))
+                                        + " to "
+                                        + Math.round(leaseMs * 1.05));
             }
         }
     }
@@ -57,17 +72,29 @@
         Histogram freeMs = new Histogram(3);
         LongAdder acts = new LongAdder();
         LongAdder refused = new LongAdder();
-        return options.hunt(seed -> {
-            DutiesTrial.Outcome outcome = DutiesTrial.play(seed, options.voters, options.others,
-                options.seconds, guards, !unguarded);
-            outcome.freeMs().forEach(freeMs::recordValue);
-            acts.add(outcome.acts());
-            refused.add(outcome.refused());
-            return outcome;
-        }, () -> {
-            System.out.println(acts + " acts, " + refused + " turned down for their token");
-            System.out.printf(Locale.ROOT, "a duty was free for %d ms (median), %d ms (99%%), %d ms (most)%n",
-                freeMs.getValueAtPercentile(50), freeMs.getValueAtPercentile(99), freeMs.getMaxValue());
-        });
+        return options.hunt(
+                seed -> {
+                    DutiesTrial.Outcome outcome =
+                            DutiesTrial.play(
+                                    seed,
+                                    options.voters,
+                                    options.others,
+                                    options.seconds,
+                                    guards,
+                                    !unguarded);
+                    outcome.freeMs().forEach(freeMs::recordValue);
+                    acts.add(outcome.acts());
+                    refused.add(outcome.refused());
+                    return outcome;
+                },
+                () -> {
+                    System.out.println(acts + " acts, " + refused + " turned down for their token");
+                    System.out.printf(
+                            Locale.ROOT,
+                            "a duty was free for %d ms (median), %d ms (99%%), %d ms (most)%n",
+                            freeMs.getValueAtPercentile(50),
+                            freeMs.getValueAtPercentile(99),
+                            freeMs.getMaxValue());
+                });
     }
 }
--- a/src/main/java/holdproxy/lab/DutiesTrial.java
+++ b/src/main/java/holdproxy/lab/DutiesTrial.java
@@ -23,11 +23,14 @@
     private static final String RESOURCE = "resource";
     private static final int[] LEASES_MS = {1_000, 1_000, 3_000};
     private static final long ACT_EVERY_US = 40_000;
+
     /** Where the time without a holder is measured. */
     private static final long ACT_OFTEN_US = 2_000;
+
     private static final double SETTLED_S = 8;
     private static final int LONGEST_ACT_US = 150_000;
     private static final int LONGEST_GAP_US = 20_000;
+
     /** Without a fault a duty is free for no longer than this, in seconds. */
     private static final double LAST_S = 6;
 
@@ -41,8 +44,7 @@
      * @param kinds of faults that were caused
      */
     record Outcome(List<String> broken, int acts, int refused, List<Long> freeMs, Set<String> kinds)
-            implements VoterOptions.Outcome {
-    }
+            implements VoterOptions.Outcome {}
 
     /** In true time; until: to when the holder's lease lasted by its own clock. */
     private static final class Act {
@@ -68,8 +70,10 @@
     private final long actEveryUs;
     private final Map<CouncilFleet.Life, Duties> duties = new HashMap<>();
     private final List<Act> acts = new ArrayList<>();
+
     /** What the resource has accepted: the highest token of each duty. */
     private final Map<String, Long> highest = new TreeMap<>();
+
     private final List<Long> freeMs = new ArrayList<>();
     private final Map<CouncilFleet.Life, Set<Duties.Act>> underWay = new HashMap<>();
     private int refused;
@@ -86,8 +90,14 @@
         PLANNED
     }
 
-    private DutiesTrial(long seed, int votes, int others, Set<Duties.Guard> guards, boolean checksTokens,
-            int[] leasesMs, long actEveryUs) {
+    private DutiesTrial(
+            long seed,
+            int votes,
+            int others,
+            Set<Duties.Guard> guards,
+            boolean checksTokens,
+            int[] leasesMs,
+            long actEveryUs) {
         this.leasesMs = leasesMs;
         this.actEveryUs = actEveryUs;
         this.guards = guards;
@@ -96,14 +106,23 @@
     }
 
     /** A trial with these guards; {@code checksTokens}: whether the resource does. */
-    static Outcome play(long seed, int votes, int others, double seconds, Set<Duties.Guard> guards,
+    static Outcome play(
+            long seed,
+            int votes,
+            int others,
+            double seconds,
+            Set<Duties.Guard> guards,
             boolean checksTokens) {
-        DutiesTrial trial = new DutiesTrial(seed, votes, others, guards, checksTokens, LEASES_MS,
-            ACT_EVERY_US);
+        DutiesTrial trial =
+                new DutiesTrial(seed, votes, others, guards, checksTokens, LEASES_MS, ACT_EVERY_US);
         trial.fleet.play(seconds);
         trial.judge(seconds);
-        return new Outcome(trial.fleet.broken, trial.acts.size(), trial.refused, trial.freeMs,
-            trial.fleet.kinds);
+        return new Outcome(
+                trial.fleet.broken,
+                trial.acts.size(),
+                trial.refused,
+                trial.freeMs,
+                trial.fleet.kinds);
     }
 
     /**
@@ -111,8 +130,15 @@
      * then to the first act of the next.
      */
     static double withoutHolderMs(long seed, int leaseMs, Cause cause) {
-        DutiesTrial trial = new DutiesTrial(seed, 5, 2, EnumSet.allOf(Duties.Guard.class), true,
-            new int[] {leaseMs}, ACT_OFTEN_US);
+        DutiesTrial trial =
+                new DutiesTrial(
+                        seed,
+                        5,
+                        2,
+                        EnumSet.allOf(Duties.Guard.class),
+                        true,
+                        new int[] {leaseMs},
+                        ACT_OFTEN_US);
         CouncilFleet fleet = trial.fleet;
         fleet.begin();
         double leaseS = leaseMs / 1000.0;
@@ -127,9 +153,16 @@
             default -> fleet.restart(last.name, forUs);
         }
         fleet.time.run(causedUs + forUs);
-        return trial.acts.stream().filter(a -> a.token > last.token).mapToLong(a -> a.beganUs).min()
-            .orElseThrow(() -> new IllegalStateException("seed " + seed + ": nobody took it")) / 1e3
-            - causedUs / 1e3;
+        return trial.acts.stream()
+                                .filter(a -> a.token > last.token)
+                                .mapToLong(a -> a.beganUs)
+                                .min()
+                                .orElseThrow(
+                                        () ->
+                                                new IllegalStateException(
+                                                        "seed " + seed + ": nobody took it"))
+                        / 1e3
+                - causedUs / 1e3;
     }
 
     @Override
@@ -139,8 +172,15 @@
 
     @Override
     public void begun(CouncilFleet.Life life) {
-        Duties own = new Duties(life.name, life.number, life.council, (DutyTable) life.ledger, new Held(life),
-            new Random(fleet.random.nextLong()), guards);
+        Duties own =
+                new Duties(
+                        life.name,
+                        life.number,
+                        life.council,
+                        (DutyTable) life.ledger,
+                        new Held(life),
+                        new Random(fleet.random.nextLong()),
+                        guards);
         duties.put(life, own);
         for (int i = 0; i < leasesMs.length; i++) {
             own.want("duty-" + i, leasesMs[i]);
@@ -150,15 +190,31 @@
 
     @Override
     public void ending(CouncilFleet.Life life, Runnable then) {
-        life.council.stepDown().whenComplete((led, why) ->
-            duties.get(life).handOver().whenComplete((done, failed) -> {
-                // one whose lease has run out meanwhile has nothing to hand over
-                if (underWay.getOrDefault(life, Set.of()).stream().anyMatch(
-                        a -> a.untilUs() > life.nowUs())) {
-                    fleet.broken.add(life.name + " has handed over with an act under way");
-                }
-                then.run();
-            }));
+        life.council
+                .stepDown()
+                .whenComplete(
+                        (led, why) ->
+                                duties.get(life)
+                                        .handOver()
+                                        .whenComplete(
+                                                (done, failed) -> {
+                                                    // one whose lease has run out meanwhile has
+                                                    // nothing to hand over
+                                                    if (underWay
+                                                            .getOrDefault(life, Set.of())
+                                                            .stream()
+                                                            .anyMatch(
+                                                                    a ->
+                                                                            a.untilUs()
+                                                                                    > life
+                                                                                            .nowUs())) {
+                                                        fleet.broken.add(
+                                                                life.name
+                                                                        + " has handed over with an"
+                                                                        + " act under way");
+                                                    }
+                                                    then.run();
+                                                }));
     }
 
     @Override
@@ -206,40 +262,58 @@
     // ---- acting ----
 
     private void actOn(CouncilFleet.Life life, String duty) {
-        life.after(actEveryUs / 2 + fleet.random.nextInt((int) actEveryUs), () -> {
-            Duties own = duties.get(life);
-            Duties.Act act = own.begin(duty);
-            if (act != null) {
-                underWay.computeIfAbsent(life, l -> new HashSet<>()).add(act);
-                Act seen = new Act(duty, life.name, act.token(), fleet.time.nowUs());
-                acts.add(seen);
-                // between its look at the lease and the sending it may be stopped
-                life.after(fleet.random.nextInt(LONGEST_GAP_US), () -> send(life, seen));
-                life.after(fleet.random.nextInt(Math.min(LONGEST_ACT_US, (int) (4 * actEveryUs))), () -> {
-                    // past its lease an act is the token's to stop, not the clock's
-                    seen.endedUs = Math.max(seen.beganUs,
-                        Math.min(fleet.time.nowUs(), life.trueUs(act.untilUs())));
-                    underWay.get(life).remove(act);
-                    act.close();
+        life.after(
+                actEveryUs / 2 + fleet.random.nextInt((int) actEveryUs),
+                () -> {
+                    Duties own = duties.get(life);
+                    Duties.Act act = own.begin(duty);
+                    if (act != null) {
+                        underWay.computeIfAbsent(life, l -> new HashSet<>()).add(act);
+                        Act seen = new Act(duty, life.name, act.token(), fleet.time.nowUs());
+                        acts.add(seen);
+                        // between its look at the lease and the sending it may be stopped
+                        life.after(fleet.random.nextInt(LONGEST_GAP_US), () -> send(life, seen));
+                        life.after(
+                                fleet.random.nextInt(
+                                        Math.min(LONGEST_ACT_US, (int) (4 * actEveryUs))),
+                                () -> {
+                                    // past its lease an act is the token's to stop, not the clock's
+                                    seen.endedUs =
+                                            Math.max(
+                                                    seen.beganUs,
+                                                    Math.min(
+                                                            fleet.time.nowUs(),
+                                                            life.trueUs(act.untilUs())));
+                                    underWay.get(life).remove(act);
+                                    act.close();
+                                });
+                    }
+                    actOn(life, duty);
                 });
-            }
-            actOn(life, duty);
-        });
     }
 
     private void send(CouncilFleet.Life life, Act act) {
-        fleet.time.after(fleet.delayUs(life.name, RESOURCE), () -> {
-            long before = highest.getOrDefault(act.duty, 0L);
-            if (act.token < before && checksTokens) {
-                refused++;
-                return;
-            }
-            if (act.token < before) {
-                fleet.broken.add("the resource took an act of " + act.name + " under " + act.duty
-                    + " with token " + act.token + " after " + before);
-            }
-            highest.put(act.duty, Math.max(before, act.token));
-        });
+        fleet.time.after(
+                fleet.delayUs(life.name, RESOURCE),
+                () -> {
+                    long before = highest.getOrDefault(act.duty, 0L);
+                    if (act.token < before && checksTokens) {
+                        refused++;
+                        return;
+                    }
+                    if (act.token < before) {
+                        fleet.broken.add(
+                                "the resource took an act of "
+                                        + act.name
+                                        + " under "
+                                        + act.duty
+                                        + " with token "
+                                        + act.token
+                                        + " after "
+                                        + before);
+                    }
+                    highest.put(act.duty, Math.max(before, act.token));
+                });
     }
 
     // ---- judging ----
@@ -253,9 +327,20 @@
         for (Act each : byStart) {
             Act before = newest.get(each.duty);
             if (before != null && each.token < before.token) {
-                fleet.broken.add(each.name + " began an act under " + each.duty + " with token " + each.token
-                    + " at " + each.beganUs + " us, " + before.name + " had with " + before.token + " at "
-                    + before.beganUs);
+                fleet.broken.add(
+                        each.name
+                                + " began an act under "
+                                + each.duty
+                                + " with token "
+                                + each.token
+                                + " at "
+                                + each.beganUs
+                                + " us, "
+                                + before.name
+                                + " had with "
+                                + before.token
+                                + " at "
+                                + before.beganUs);
             } else if (before == null || each.token > before.token) {
                 if (before != null) {
                     freeMs.add((each.beganUs - lastUs.get(each.duty)) / 1000);
@@ -263,9 +348,20 @@
                 newest.put(each.duty, each);
                 Act last = longest.remove(each.duty);
                 if (last != null && last.endedUs > each.beganUs) {
-                    fleet.broken.add(last.name + " was in an act under " + each.duty + " with token "
-                        + last.token + " until " + last.endedUs + " us, and " + each.name + " began one with "
-                        + each.token + " at " + each.beganUs);
+                    fleet.broken.add(
+                            last.name
+                                    + " was in an act under "
+                                    + each.duty
+                                    + " with token "
+                                    + last.token
+                                    + " until "
+                                    + last.endedUs
+                                    + " us, and "
+                                    + each.name
+                                    + " began one with "
+                                    + each.token
+                                    + " at "
+                                    + each.beganUs);
                 }
             }
             lastUs.put(each.duty, each.beganUs);
@@ -276,7 +372,8 @@
         }
         for (int i = 0; i < leasesMs.length; i++) {
             String duty = "duty-" + i;
-            if (acts.stream().noneMatch(a -> a.duty.equals(duty) && a.beganUs > (seconds - LAST_S) * 1e6)) {
+            if (acts.stream()
+                    .noneMatch(a -> a.duty.equals(duty) && a.beganUs > (seconds - LAST_S) * 1e6)) {
                 fleet.broken.add("nobody acts under " + duty + " in the last " + LAST_S + " s");
             }
         }
--- a/src/main/java/holdproxy/lab/Fault.java
+++ b/src/main/java/holdproxy/lab/Fault.java
@@ -19,10 +19,27 @@
  * @param times how many times slower, or as many requests
  * @param chance of a message's connection to be reset, or of a message to be lost
  */
-record Fault(Kind kind, double atS, double forS, double noticedS, int target, double part, double times,
+record Fault(
+        Kind kind,
+        double atS,
+        double forS,
+        double noticedS,
+        int target,
+        double part,
+        double times,
         double chance) {
     /** A figure beside the time at which it happens. */
-    enum Figure { FOR_S, NOTICED_S, NODE, PROXY, CLUB, ZONE, PART, TIMES, CHANCE }
+    enum Figure {
+        FOR_S,
+        NOTICED_S,
+        NODE,
+        PROXY,
+        CLUB,
+        ZONE,
+        PART,
+        TIMES,
+        CHANCE
+    }
 
     enum Kind {
         /** A node's process dies, comes back cold after its time. */
@@ -67,7 +84,9 @@
         ZONE_GRAY(EnumSet.of(Figure.FOR_S, Figure.ZONE, Figure.TIMES, Figure.CHANCE));
 
         /** Those of a town without zones, and those of zones. */
-        static final List<Kind> OF_TOWNS = Arrays.stream(values()).filter(k -> !k.ofZone()).toList();
+        static final List<Kind> OF_TOWNS =
+                Arrays.stream(values()).filter(k -> !k.ofZone()).toList();
+
         static final List<Kind> OF_ZONES = Arrays.stream(values()).filter(Kind::ofZone).toList();
 
         /** What such a fault may state; a node, proxy or club has to be stated. */
--- a/src/main/java/holdproxy/lab/LabCommand.java
+++ b/src/main/java/holdproxy/lab/LabCommand.java
@@ -32,22 +32,33 @@
  * {@code holdproxy lab}: towns in virtual time, played and judged. Exit codes: 0 all rules kept, 1 a rule was
  * broken, 2 the command or a file of it was wrong.
  */
-@Command(name = "lab", description = "Towns in virtual time that run the real proxy and check its rules.",
-    mixinStandardHelpOptions = true, subcommands = {LabCommand.Run.class, LabCommand.Hunt.class,
-        LabCommand.Shrink.class, LabCommand.Compare.class, OverloadCommand.class, StepCommand.class,
-        PeersCommand.class, CouncilCommand.class, DutiesCommand.class})
+@Command(
+        name = "lab",
+        description = "Towns in virtual time that run the real proxy and check its rules.",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            LabCommand.Run.class,
+            LabCommand.Hunt.class,
+            LabCommand.Shrink.class,
+            LabCommand.Compare.class,
+            OverloadCommand.class,
+            StepCommand.class,
+            PeersCommand.class,
+            CouncilCommand.class,
+            DutiesCommand.class
+        })
 public final class LabCommand {
     private static final int SHOWN = 10;
 
-    private LabCommand() {
-    }
+    private LabCommand() {}
 
     /** Runs a command line; returns its exit code. */
     public static int run(String[] args) {
         // a proxy that the town kills leaves its buffers behind, which is no leak of the program's
         ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.DISABLED);
         System.setProperty("logback.configurationFile", "logback-lab.xml");
-        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE); // the JSON lines are the daemon's
+        InternalLoggerFactory.setDefaultFactory(
+                JdkLoggerFactory.INSTANCE); // the JSON lines are the daemon's
         return Commands.run(new LabCommand(), args);
     }
 
@@ -71,17 +82,23 @@
     }
 
     private static String shown(Object value) {
-        return value instanceof Double ? String.format(Locale.ROOT, "%.4f", value) : String.valueOf(value);
+        return value instanceof Double
+                ? String.format(Locale.ROOT, "%.4f", value)
+                : String.valueOf(value);
     }
 
     /** {@code lab run FILE}: one scenario, and how it went. */
-    @Command(name = "run", description = "Plays a scenario file and reports.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "run",
+            description = "Plays a scenario file and reports.",
+            mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "SCENARIO.toml")
         private Path file;
+
         @Option(names = "--seed", description = "instead of the file's")
         private Long seed;
+
         @Option(names = "--json", description = "the report as JSON")
         private boolean json;
 
@@ -96,15 +113,29 @@
                 return json(play);
             }
             Scenario.Size town = scenario.town();
-            System.out.printf(Locale.ROOT, "%s, seed %d: %.0f s of %d proxies and %d nodes in %.1f s%n",
-                scenario.name(), scenario.seed(), scenario.seconds(), town.proxies(), town.nodes(), tookS);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%s, seed %d: %.0f s of %d proxies and %d nodes in %.1f s%n",
+                    scenario.name(),
+                    scenario.seed(),
+                    scenario.seconds(),
+                    town.proxies(),
+                    town.nodes(),
+                    tookS);
             play.figures().forEach((k, v) -> System.out.printf("%-28s %s%n", k, shown(v)));
             System.out.println("second  wanted  in time%  refused  failed  attempts");
             int at = 0;
             for (Service.Second s : play.service().seconds()) {
                 if (at < scenario.seconds()) {
-                    System.out.printf(Locale.ROOT, "%6d %7d %8.1f %8d %7d %9d%n", at, s.wanted,
-                        100 * Service.share(s), s.refused, s.failed, s.attempts);
+                    System.out.printf(
+                            Locale.ROOT,
+                            "%6d %7d %8.1f %8d %7d %9d%n",
+                            at,
+                            s.wanted,
+                            100 * Service.share(s),
+                            s.refused,
+                            s.failed,
+                            s.attempts);
                 }
                 at++;
             }
@@ -129,24 +160,36 @@
     }
 
     /** {@code lab hunt}: many seeds, each a town of its own. */
-    @Command(name = "hunt", description = "Plays towns drawn by seeds; ends at the first broken rule.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "hunt",
+            description = "Plays towns drawn by seeds; ends at the first broken rule.",
+            mixinStandardHelpOptions = true)
     static final class Hunt implements Callable<Integer> {
-        @Option(names = "--seeds", defaultValue = "200", description = "how many (${DEFAULT-VALUE})")
+        @Option(
+                names = "--seeds",
+                defaultValue = "200",
+                description = "how many (${DEFAULT-VALUE})")
         private int seeds;
+
         @Option(names = "--from", defaultValue = "1", description = "the first (${DEFAULT-VALUE})")
         private long from;
-        @Option(names = "--seconds", defaultValue = "10",
-            description = "of each town's time (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--seconds",
+                defaultValue = "10",
+                description = "of each town's time (${DEFAULT-VALUE})")
         private double seconds;
-        @Option(names = "--out", description = "where a town that breaks a rule is written as a scenario")
+
+        @Option(
+                names = "--out",
+                description = "where a town that breaks a rule is written as a scenario")
         private Path out;
 
         @Override
         public Integer call() throws InterruptedException, ExecutionException {
             if (seeds < 1 || !(seconds > 1)) {
-                throw new CommandLine.ParameterException(new CommandLine(this),
-                    "--seeds must be at least 1 and --seconds above 1");
+                throw new CommandLine.ParameterException(
+                        new CommandLine(this), "--seeds must be at least 1 and --seconds above 1");
             }
             long startNs = System.nanoTime();
             List<Scenario> scenarios = new ArrayList<>();
@@ -167,28 +210,46 @@
         }
 
         private void report(List<Play> plays, double tookS) {
-            System.out.printf(Locale.ROOT, "%d towns, %.0f s each, in %.1f s: no rule broken%n", plays.size(),
-                seconds, tookS);
-            System.out.println("worst served:  seed   wanted  in time%  refusals/want  attempts/want");
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d towns, %.0f s each, in %.1f s: no rule broken%n",
+                    plays.size(),
+                    seconds,
+                    tookS);
+            System.out.println(
+                    "worst served:  seed   wanted  in time%  refusals/want  attempts/want");
             Comparator<Play> byShare = Comparator.comparingDouble(p -> p.service().share());
-            plays.stream().sorted(byShare).limit(5).forEach(p -> {
-                Service.Second all = p.service().all();
-                System.out.printf(Locale.ROOT, "%20d %8d %9.1f %14.2f %14.2f%n", p.scenario().seed(),
-                    all.wanted,
-                    100 * p.service().share(), (double) all.refused / all.wanted,
-                    (double) all.attempts / all.wanted);
-            });
-            System.out.println("verdict " + Integer.toHexString(
-                plays.stream().map(Play::hash).toList().hashCode()));
+            plays.stream()
+                    .sorted(byShare)
+                    .limit(5)
+                    .forEach(
+                            p -> {
+                                Service.Second all = p.service().all();
+                                System.out.printf(
+                                        Locale.ROOT,
+                                        "%20d %8d %9.1f %14.2f %14.2f%n",
+                                        p.scenario().seed(),
+                                        all.wanted,
+                                        100 * p.service().share(),
+                                        (double) all.refused / all.wanted,
+                                        (double) all.attempts / all.wanted);
+                            });
+            System.out.println(
+                    "verdict "
+                            + Integer.toHexString(
+                                    plays.stream().map(Play::hash).toList().hashCode()));
         }
     }
 
     /** {@code lab shrink FILE}: the smallest scenario that still breaks the same rule. */
-    @Command(name = "shrink", description = "Makes a scenario smaller that still breaks the same rule.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "shrink",
+            description = "Makes a scenario smaller that still breaks the same rule.",
+            mixinStandardHelpOptions = true)
     static final class Shrink implements Callable<Integer> {
         @Parameters(paramLabel = "SCENARIO.toml")
         private Path file;
+
         @Option(names = "--out", required = true, description = "where the smaller one is written")
         private Path out;
 
@@ -200,8 +261,10 @@
                 throw new BadInput(file + " breaks no rule");
             }
             String rule = first.broken().get(0).rule();
-            Scenario least = Shrinker.shrink(whole,
-                s -> Play.of(s).broken().stream().anyMatch(b -> b.rule().equals(rule)));
+            Scenario least =
+                    Shrinker.shrink(
+                            whole,
+                            s -> Play.of(s).broken().stream().anyMatch(b -> b.rule().equals(rule)));
             save(out, least);
             System.out.println("still breaks \"" + rule + "\": " + out);
             return rules(Play.of(least).broken());
@@ -209,20 +272,25 @@
     }
 
     /** {@code lab compare A B}: two scenarios over the same seeds. */
-    @Command(name = "compare", description = "Plays two scenarios over the same seeds, side by side.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "compare",
+            description = "Plays two scenarios over the same seeds, side by side.",
+            mixinStandardHelpOptions = true)
     static final class Compare implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "A.toml")
         private Path a;
+
         @Parameters(index = "1", paramLabel = "B.toml")
         private Path b;
+
         @Option(names = "--seeds", defaultValue = "20", description = "how many (${DEFAULT-VALUE})")
         private int seeds;
 
         @Override
         public Integer call() throws InterruptedException, ExecutionException {
             if (seeds < 1) {
-                throw new CommandLine.ParameterException(new CommandLine(this), "--seeds must be at least 1");
+                throw new CommandLine.ParameterException(
+                        new CommandLine(this), "--seeds must be at least 1");
             }
             List<Scenario> scenarios = new ArrayList<>();
             for (Path file : List.of(a, b)) {
@@ -232,26 +300,35 @@
                 }
             }
             List<Play> plays = Plays.all(scenarios, Play::of, p -> true);
-            System.out.printf("%-28s %8s %8s %8s   %8s %8s %8s%n", seeds + " seeds", "A mean", "least",
-                "most", "B mean", "least", "most");
+            System.out.printf(
+                    "%-28s %8s %8s %8s   %8s %8s %8s%n",
+                    seeds + " seeds", "A mean", "least", "most", "B mean", "least", "most");
             List<Map<String, Object>> figures = plays.stream().map(Play::figures).toList();
             Set<String> common = new LinkedHashSet<>(figures.get(0).keySet());
-            figures.forEach(f -> common.retainAll(f.keySet())); // towns with other zones have other figures
+            figures.forEach(
+                    f -> common.retainAll(f.keySet())); // towns with other zones have other figures
             for (String figure : common) {
-                System.out.printf("%-28s %s   %s%n", figure, spread(figures.subList(0, seeds), figure),
-                    spread(figures.subList(seeds, 2 * seeds), figure));
+                System.out.printf(
+                        "%-28s %s   %s%n",
+                        figure,
+                        spread(figures.subList(0, seeds), figure),
+                        spread(figures.subList(seeds, 2 * seeds), figure));
             }
             int broken = plays.stream().mapToInt(p -> p.broken().size()).sum();
-            System.out.println(broken == 0 ? "all rules kept" : broken + " times a rule was broken");
+            System.out.println(
+                    broken == 0 ? "all rules kept" : broken + " times a rule was broken");
             return broken == 0 ? 0 : 1;
         }
 
         private static String spread(List<Map<String, Object>> plays, String figure) {
-            double[] values = plays.stream().mapToDouble(p -> ((Number) p.get(figure)).doubleValue())
-                .sorted().toArray();
+            double[] values =
+                    plays.stream()
+                            .mapToDouble(p -> ((Number) p.get(figure)).doubleValue())
+                            .sorted()
+                            .toArray();
             double mean = Arrays.stream(values).average().orElse(0);
-            return String.format(Locale.ROOT, "%8.3f %8.3f %8.3f", mean, values[0],
-                values[values.length - 1]);
+            return String.format(
+                    Locale.ROOT, "%8.3f %8.3f %8.3f", mean, values[0], values[values.length - 1]);
         }
     }
 }
--- a/src/main/java/holdproxy/lab/Link.java
+++ b/src/main/java/holdproxy/lab/Link.java
@@ -24,6 +24,7 @@
     private long outDueUs;
     private MemoryNetwork.Way way;
     private boolean closing;
+
     /** A zone's state has kept back something of it: it is silent until that passes, and is reset then. */
     private boolean holed;
 
@@ -85,16 +86,18 @@
             return;
         }
         inDueUs = dueUs(ctx, true, inDueUs);
-        loop.after(inDueUs - loop.nowUs(), () -> {
-            if (closing || gone(ctx, true)) {
-                ReferenceCountUtil.release(message);
-            } else if (host.resets()) {
-                reset(ctx, (ByteBuf) message);
-            } else {
-                here.add(message);
-                handOver(ctx);
-            }
-        });
+        loop.after(
+                inDueUs - loop.nowUs(),
+                () -> {
+                    if (closing || gone(ctx, true)) {
+                        ReferenceCountUtil.release(message);
+                    } else if (host.resets()) {
+                        reset(ctx, (ByteBuf) message);
+                    } else {
+                        here.add(message);
+                        handOver(ctx);
+                    }
+                });
     }
 
     /** What has come lies here, as in a kernel's buffer, for as long as nobody reads. */
@@ -149,16 +152,18 @@
             loop.after(outDueUs - loop.nowUs(), promise::trySuccess);
             return;
         }
-        out(ctx, () -> {
-            if (host.resets()) {
-                closing = true;
-                ctx.writeAndFlush(bytes.readRetainedSlice(bytes.readableBytes() / 2));
-                bytes.release();
-                ctx.close(promise);
-            } else {
-                ctx.writeAndFlush(message, promise);
-            }
-        });
+        out(
+                ctx,
+                () -> {
+                    if (host.resets()) {
+                        closing = true;
+                        ctx.writeAndFlush(bytes.readRetainedSlice(bytes.readableBytes() / 2));
+                        bytes.release();
+                        ctx.close(promise);
+                    } else {
+                        ctx.writeAndFlush(message, promise);
+                    }
+                });
     }
 
     @Override
--- a/src/main/java/holdproxy/lab/LoadOptions.java
+++ b/src/main/java/holdproxy/lab/LoadOptions.java
@@ -14,23 +14,37 @@
 
     @Option(names = "--proxies", defaultValue = "3", description = "in the town (${DEFAULT-VALUE})")
     private int proxies;
+
     @Option(names = "--nodes", defaultValue = "8", description = "in the town (${DEFAULT-VALUE})")
     private int nodes;
-    @Option(names = "--work-ms", defaultValue = "40",
-        description = "mean work of a request on a standard core (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--work-ms",
+            defaultValue = "40",
+            description = "mean work of a request on a standard core (${DEFAULT-VALUE})")
     private double workMs;
-    @Option(names = "--retries", defaultValue = "2",
-        description = "of clients after a try that failed (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--retries",
+            defaultValue = "2",
+            description = "of clients after a try that failed (${DEFAULT-VALUE})")
     private int retries;
+
     @Option(names = "--seeds", defaultValue = "3", description = "how many (${DEFAULT-VALUE})")
     private int seeds;
+
     @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
     private long from;
-    @Option(names = "--clubs", defaultValue = "3",
-        description = "3: as in the site; else so many of equal shares (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--clubs",
+            defaultValue = "3",
+            description = "3: as in the site; else so many of equal shares (${DEFAULT-VALUE})")
     private int clubs;
+
     @Option(names = "--json", description = "the report as JSON")
     boolean json;
+
     @Option(names = "--plot", paramLabel = "FILE.png", description = "writes a plot")
     Path plot;
 
@@ -39,8 +53,19 @@
     }
 
     String town() {
-        return proxies + " proxies, " + nodes + " nodes, " + workMs + " ms of work, " + clubs + " clubs, "
-            + retries + " retries, seeds " + from + " to " + (from + seeds - 1);
+        return proxies
+                + " proxies, "
+                + nodes
+                + " nodes, "
+                + workMs
+                + " ms of work, "
+                + clubs
+                + " clubs, "
+                + retries
+                + " retries, seeds "
+                + from
+                + " to "
+                + (from + seeds - 1);
     }
 
     List<Double> clubs() {
@@ -49,13 +74,28 @@
 
     /** The town of each seed, asked this part of what its nodes can do. */
     List<Scenario> towns(double load, double seconds, List<Fault> faults) {
-        return LongStream.range(from, from + seeds).mapToObj(seed -> {
-            Load plain = Scenario.PLAIN;
-            Scenario s = new Scenario("load", seed, seconds, Scenario.SMALL,
-                new Load(1, workMs, plain.keys(), plain.zipf(), retries, clubs()), faults)
-                .withTown(proxies, nodes);
-            return s.withRate(load * Town.capacityPerS(s));
-        }).toList();
+        return LongStream.range(from, from + seeds)
+                .mapToObj(
+                        seed -> {
+                            Load plain = Scenario.PLAIN;
+                            Scenario s =
+                                    new Scenario(
+                                                    "load",
+                                                    seed,
+                                                    seconds,
+                                                    Scenario.SMALL,
+                                                    new Load(
+                                                            1,
+                                                            workMs,
+                                                            plain.keys(),
+                                                            plain.zipf(),
+                                                            retries,
+                                                            clubs()),
+                                                    faults)
+                                            .withTown(proxies, nodes);
+                            return s.withRate(load * Town.capacityPerS(s));
+                        })
+                .toList();
     }
 
     void check() {
@@ -69,7 +109,8 @@
 
     static void require(String option, double value, double least, double most) {
         if (!(value >= least && value <= most)) {
-            throw new BadInput(option + " must be from " + least + " to " + most + ", not " + value);
+            throw new BadInput(
+                    option + " must be from " + least + " to " + most + ", not " + value);
         }
     }
 }
--- a/src/main/java/holdproxy/lab/LoadSeries.java
+++ b/src/main/java/holdproxy/lab/LoadSeries.java
@@ -18,11 +18,11 @@
     static final double BIN_S = 0.5;
     private static final long BIN_US = (long) (BIN_S * 1e6);
 
-    private record Want(RequestClass type, int club, long us) {
-    }
+    private record Want(RequestClass type, int club, long us) {}
 
     /** Requests a second that the nodes can do. */
     final double capacityPerS;
+
     final List<Auditors.Broken> broken;
     private final double[][] wanted;
     private final double[][] inTime;
@@ -45,7 +45,9 @@
                 wanted[club][bin]++;
             } else if (e.kind() == Event.Kind.ARRIVED && bin < bins) {
                 attempts[bin]++;
-            } else if (e.kind() == Event.Kind.ANSWERED && MetaLines.served(e.detail()) && !e.id().isEmpty()) {
+            } else if (e.kind() == Event.Kind.ANSWERED
+                    && MetaLines.served(e.detail())
+                    && !e.id().isEmpty()) {
                 Want w = open.remove(e.want());
                 if (w != null && e.us() - w.us <= w.type.aimMs() * 1000L) {
                     inTime[w.club][(int) (w.us / BIN_US)]++;
@@ -105,7 +107,9 @@
     static double[] bySecond(double[] bins, int fromS) {
         int each = (int) (1 / BIN_S);
         double[] seconds = new double[bins.length / each - fromS];
-        Arrays.setAll(seconds, s -> Arrays.stream(bins, (s + fromS) * each, (s + fromS + 1) * each).sum());
+        Arrays.setAll(
+                seconds,
+                s -> Arrays.stream(bins, (s + fromS) * each, (s + fromS + 1) * each).sum());
         return seconds;
     }
 }
--- a/src/main/java/holdproxy/lab/MemoryDisk.java
+++ b/src/main/java/holdproxy/lab/MemoryDisk.java
@@ -15,8 +15,10 @@
     private final boolean forgets;
     private byte[] safe = new byte[0];
     private ByteArrayOutputStream unsafe = new ByteArrayOutputStream();
+
     /** So much of it was safe before the crash. */
     private int forced;
+
     private boolean full;
     private boolean unforced;
 
--- a/src/main/java/holdproxy/lab/MemoryNetwork.java
+++ b/src/main/java/holdproxy/lab/MemoryNetwork.java
@@ -1,7 +1,6 @@
 package holdproxy.lab;
 
 import holdproxy.town.TownNetwork;
-import holdproxy.town.Clients;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -31,17 +30,26 @@
     /** One address and the way to it. */
     static final class Host {
         private final String name;
+
         /** One way, in microseconds, and what chance adds to it, exponential with this mean. */
         private final double meanDelayUs;
+
         private final double jitterUs;
         private final SplittableRandom random;
         private final int zone;
+
         /** Cut off: it says nothing, and new connections to it never come up. */
         boolean silent;
+
         /** With this chance a message's connection is reset. */
         double resetChance;
 
-        private Host(String name, double meanDelayUs, double jitterUs, SplittableRandom random, int zone) {
+        private Host(
+                String name,
+                double meanDelayUs,
+                double jitterUs,
+                SplittableRandom random,
+                int zone) {
             this.name = name;
             this.zone = zone;
             this.meanDelayUs = meanDelayUs;
@@ -75,28 +83,40 @@
 
         /** Whether nothing gets to the host, or from it: neither end is told. */
         boolean gone(boolean toHost) {
-            return host.silent || zones.silent(host.zone) || !opener.people && zones.silent(opener.zone)
-                || (toHost ? zones.cut(opener.zone, host.zone) : zones.cut(host.zone, opener.zone));
+            return host.silent
+                    || zones.silent(host.zone)
+                    || !opener.people && zones.silent(opener.zone)
+                    || (toHost
+                            ? zones.cut(opener.zone, host.zone)
+                            : zones.cut(host.zone, opener.zone));
         }
 
         /** What a message takes, in microseconds. */
         long delayUs(boolean toHost) {
             long own = host.delayUs();
-            return own + (toHost ? zones.addedUs(opener.zone, host.zone, own)
-                : zones.addedUs(host.zone, opener.zone, own));
+            return own
+                    + (toHost
+                            ? zones.addedUs(opener.zone, host.zone, own)
+                            : zones.addedUs(host.zone, opener.zone, own));
         }
 
         /** Something was lost, or is late, by the town's doing; from outside into a silent zone, or else. */
         void lost(boolean toHost, String what) {
             boolean silence = toHost && zones.silent(host.zone) && !zones.silent(opener.zone);
-            whenLost.lost(opener.name, opener.people, host.name, silence ? host.zone : Zones.NOWHERE, what);
+            whenLost.lost(
+                    opener.name,
+                    opener.people,
+                    host.name,
+                    silence ? host.zone : Zones.NOWHERE,
+                    what);
         }
 
         /** Both ways of a connection that comes up: the host's own delay is the same there and back. */
         private long roundTripUs() {
             long own = host.delayUs();
-            return 2 * own + zones.addedUs(opener.zone, host.zone, own)
-                + zones.addedUs(host.zone, opener.zone, own);
+            return 2 * own
+                    + zones.addedUs(opener.zone, host.zone, own)
+                    + zones.addedUs(host.zone, opener.zone, own);
         }
 
         private boolean answers() {
@@ -127,8 +147,10 @@
         private final String name;
         private final VirtualLoop loop;
         private final int zone;
+
         /** Clients: a zone that falls silent does not hold people, who go to others. */
         private final boolean people;
+
         private final Set<Channel> open = new LinkedHashSet<>();
         private boolean over;
 
@@ -140,14 +162,21 @@
         }
 
         @Override
-        public ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
-            Channel ch = new Bootstrap().group(loop).channelFactory(LocalChannel::new)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel fresh) {
-                        fresh.pipeline().addLast(handlers);
-                    }
-                }).register().channel();
+        public ChannelFuture connect(
+                InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+            Channel ch =
+                    new Bootstrap()
+                            .group(loop)
+                            .channelFactory(LocalChannel::new)
+                            .handler(
+                                    new ChannelInitializer<Channel>() {
+                                        @Override
+                                        protected void initChannel(Channel fresh) {
+                                            fresh.pipeline().addLast(handlers);
+                                        }
+                                    })
+                            .register()
+                            .channel();
             ChannelPromise connected = ch.newPromise();
             if (over) {
                 ch.close();
@@ -157,41 +186,64 @@
             Host host = hosts.get(address);
             Way way = host == null ? null : new Way(this, host);
             // a round trip of the network, then at once
-            loop.after(host == null ? 0 : way.roundTripUs(), () -> {
-                if (ch.isOpen() && (host == null || way.answers())) {
-                    LocalAddress own = new LocalAddress(town + "/" + name + "#" + ++connections);
-                    ch.connect(place(address), own).addListener(f -> {
-                        if (f.isSuccess()) {
-                            connected.trySuccess();
-                        } else {
-                            connected.tryFailure(f.cause());
+            loop.after(
+                    host == null ? 0 : way.roundTripUs(),
+                    () -> {
+                        if (ch.isOpen() && (host == null || way.answers())) {
+                            LocalAddress own =
+                                    new LocalAddress(town + "/" + name + "#" + ++connections);
+                            ch.connect(place(address), own)
+                                    .addListener(
+                                            f -> {
+                                                if (f.isSuccess()) {
+                                                    connected.trySuccess();
+                                                } else {
+                                                    connected.tryFailure(f.cause());
+                                                }
+                                            });
                         }
                     });
-                }
-            });
-            ScheduledFuture<?> timeout = loop.schedule(() -> {
-                if (connected.tryFailure(new ConnectTimeoutException("no answer from " + address))) {
-                    ch.close();
-                }
-            }, timeoutMs, TimeUnit.MILLISECONDS);
+            ScheduledFuture<?> timeout =
+                    loop.schedule(
+                            () -> {
+                                if (connected.tryFailure(
+                                        new ConnectTimeoutException("no answer from " + address))) {
+                                    ch.close();
+                                }
+                            },
+                            timeoutMs,
+                            TimeUnit.MILLISECONDS);
             connected.addListener(f -> timeout.cancel(false));
             return connected;
         }
 
         @Override
-        public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
+        public ChannelFuture listen(
+                InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
             Host host = hosts.get(address);
-            ChannelFuture bound = new ServerBootstrap().group(loop, loop)
-                .channelFactory(LocalServerChannel::new)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel ch) {
-                        counted(ch);
-                        ch.pipeline().addLast(new Link(loop, host, peer -> new Way(byName.get(peer), host)))
-                            .addLast(handlers.get());
-                    }
-                })
-                .bind(place(address));
+            ChannelFuture bound =
+                    new ServerBootstrap()
+                            .group(loop, loop)
+                            .channelFactory(LocalServerChannel::new)
+                            .childHandler(
+                                    new ChannelInitializer<Channel>() {
+                                        @Override
+                                        protected void initChannel(Channel ch) {
+                                            counted(ch);
+                                            ch.pipeline()
+                                                    .addLast(
+                                                            new Link(
+                                                                    loop,
+                                                                    host,
+                                                                    peer ->
+                                                                            new Way(
+                                                                                    byName.get(
+                                                                                            peer),
+                                                                                    host)))
+                                                    .addLast(handlers.get());
+                                        }
+                                    })
+                            .bind(place(address));
             counted(bound.channel());
             return bound;
         }
@@ -235,8 +287,13 @@
     }
 
     /** Puts an address on the map; connecting to any other one is refused. */
-    Host host(String name, InetSocketAddress address, double meanDelayUs, double jitterUs,
-            SplittableRandom random, int zone) {
+    Host host(
+            String name,
+            InetSocketAddress address,
+            double meanDelayUs,
+            double jitterUs,
+            SplittableRandom random,
+            int zone) {
         Host host = new Host(name, meanDelayUs, jitterUs, random, zone);
         hosts.put(address, host);
         return host;
--- a/src/main/java/holdproxy/lab/OverloadCommand.java
+++ b/src/main/java/holdproxy/lab/OverloadCommand.java
@@ -21,26 +21,48 @@
  * asked for, and what greedy clubs leave to those within their quota. Open loop; a want counts as served if
  * its answer came in its wanted time from the moment when it was first wanted, whichever try brought it.
  */
-@Command(name = "overload", description = "Goodput under a steady load, from too little to far too much.",
-    mixinStandardHelpOptions = true)
+@Command(
+        name = "overload",
+        description = "Goodput under a steady load, from too little to far too much.",
+        mixinStandardHelpOptions = true)
 final class OverloadCommand implements Callable<Integer> {
     /** What the clubs ask for together, of what the nodes can do, before any of them gets greedy. */
     private static final double CALM = 0.6;
 
-    @Mixin
-    private LoadOptions options;
-    @Option(names = "--loads", split = ",", defaultValue = "0.7,0.9,1,1.2,1.5,2,3,5",
-        description = "over what the nodes can do (${DEFAULT-VALUE})")
+    @Mixin private LoadOptions options;
+
+    @Option(
+            names = "--loads",
+            split = ",",
+            defaultValue = "0.7,0.9,1,1.2,1.5,2,3,5",
+            description = "over what the nodes can do (${DEFAULT-VALUE})")
     private List<Double> loads;
-    @Option(names = "--seconds", defaultValue = "40", description = "of each play (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--seconds",
+            defaultValue = "40",
+            description = "of each play (${DEFAULT-VALUE})")
     private int seconds;
-    @Option(names = "--warm-up", defaultValue = "10", description = "seconds not counted (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--warm-up",
+            defaultValue = "10",
+            description = "seconds not counted (${DEFAULT-VALUE})")
     private int warmUp;
-    @Option(names = "--greedy", defaultValue = "1",
-        description = "clubs, the last ones, that together ask for --greedy-load (${DEFAULT-VALUE}); 0: none")
+
+    @Option(
+            names = "--greedy",
+            defaultValue = "1",
+            description =
+                    "clubs, the last ones, that together ask for --greedy-load (${DEFAULT-VALUE});"
+                            + " 0: none")
     private int greedy;
-    @Option(names = "--greedy-load", defaultValue = "1.08",
-        description = "over what the nodes can do; the default is 10 times the site's last club")
+
+    @Option(
+            names = "--greedy-load",
+            defaultValue = "1.08",
+            description =
+                    "over what the nodes can do; the default is 10 times the site's last club")
     private double greedyLoad;
 
     @Override
@@ -54,13 +76,18 @@
         List<LoadSeries> plays = Plays.all(all, LoadSeries::of, p -> true);
         List<Map<String, Object>> rows = new ArrayList<>();
         for (int i = 0; i < loads.size(); i++) {
-            rows.add(row(loads.get(i), plays.subList(i * options.seeds(), (i + 1) * options.seeds())));
+            rows.add(
+                    row(
+                            loads.get(i),
+                            plays.subList(i * options.seeds(), (i + 1) * options.seeds())));
         }
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("town", options.town());
         report.put("loads", rows);
         if (greedy > 0) {
-            report.put("greedy", greedyRow(plays.subList(loads.size() * options.seeds(), plays.size())));
+            report.put(
+                    "greedy",
+                    greedyRow(plays.subList(loads.size() * options.seeds(), plays.size())));
         }
         List<Auditors.Broken> broken = plays.stream().flatMap(p -> p.broken.stream()).toList();
         report.put("broken", broken.size());
@@ -87,26 +114,50 @@
 
     private List<Fault> greed() {
         List<Double> clubs = options.clubs();
-        double share = clubs.subList(clubs.size() - greedy, clubs.size()).stream().mapToDouble(s -> s).sum();
-        return IntStream.range(clubs.size() - greedy, clubs.size()).mapToObj(
-            club -> new Fault(Fault.Kind.SURGE, 0, 0, 0, club, 0, greedyLoad / (CALM * share), 0)).toList();
+        double share =
+                clubs.subList(clubs.size() - greedy, clubs.size()).stream()
+                        .mapToDouble(s -> s)
+                        .sum();
+        return IntStream.range(clubs.size() - greedy, clubs.size())
+                .mapToObj(
+                        club ->
+                                new Fault(
+                                        Fault.Kind.SURGE,
+                                        0,
+                                        0,
+                                        0,
+                                        club,
+                                        0,
+                                        greedyLoad / (CALM * share),
+                                        0))
+                .toList();
     }
 
     private Map<String, Object> row(double load, List<LoadSeries> plays) {
-        double[] seconds = plays.stream()
-            .flatMapToDouble(p -> Arrays.stream(LoadSeries.bySecond(p.inTime(), warmUp))).sorted().toArray();
+        double[] seconds =
+                plays.stream()
+                        .flatMapToDouble(
+                                p -> Arrays.stream(LoadSeries.bySecond(p.inTime(), warmUp)))
+                        .sorted()
+                        .toArray();
         Cycle served = Cycle.of(plays.stream().map(LoadSeries::inTime).toList(), warmUp);
         Cycle sent = Cycle.of(plays.stream().map(LoadSeries::attempts).toList(), warmUp);
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("load", load);
-        row.put("capacity_per_s", plays.stream().mapToDouble(p -> p.capacityPerS).average().orElse(0));
+        row.put(
+                "capacity_per_s",
+                plays.stream().mapToDouble(p -> p.capacityPerS).average().orElse(0));
         row.put("share", share(plays));
         row.put("spread", plays.stream().map(p -> p.shareOfCapacity(warmUp)).sorted().toList());
         row.put("least_s", seconds[0]);
         row.put("most_s", seconds[seconds.length - 1]);
         row.put("mean_s", Arrays.stream(seconds).average().orElse(0));
-        row.put("attempts_per_s",
-            plays.stream().mapToDouble(p -> LoadSeries.perS(p.attempts(), warmUp)).average().orElse(0));
+        row.put(
+                "attempts_per_s",
+                plays.stream()
+                        .mapToDouble(p -> LoadSeries.perS(p.attempts(), warmUp))
+                        .average()
+                        .orElse(0));
         row.put("period_s", sent.periodS());
         row.put("strength", sent.strength());
         row.put("swing_sent", sent.size());
@@ -121,8 +172,15 @@
     /** The clubs within their quota, and the greedy ones. */
     private Map<String, Object> greedyRow(List<LoadSeries> plays) {
         int clubs = options.clubs().size();
-        double[] shares = IntStream.range(0, clubs).mapToDouble(
-            club -> plays.stream().mapToDouble(p -> p.share(club, warmUp)).average().orElse(0)).toArray();
+        double[] shares =
+                IntStream.range(0, clubs)
+                        .mapToDouble(
+                                club ->
+                                        plays.stream()
+                                                .mapToDouble(p -> p.share(club, warmUp))
+                                                .average()
+                                                .orElse(0))
+                        .toArray();
         double[] within = Arrays.copyOf(shares, clubs - greedy);
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("within_mean", Arrays.stream(within).average().orElse(0));
@@ -134,23 +192,44 @@
 
     private static void print(List<Map<String, Object>> rows, Map<String, Object> report) {
         System.out.println(report.get("town"));
-        System.out.println("load/capacity  share  least-most second (mean)  attempts/s (capacity)  "
-            + "cycle s (strength)  swing sent  served");
+        System.out.println(
+                "load/capacity  share  least-most second (mean)  attempts/s (capacity)  "
+                        + "cycle s (strength)  swing sent  served");
         for (Map<String, Object> r : rows) {
-            System.out.printf(Locale.ROOT, "%13.2f %6.3f %8.0f - %4.0f (%4.0f) %16.0f (%.0f) "
-                + "%14.1f (%.2f) %15.2f %7.2f%n", r.get("load"), r.get("share"), r.get("least_s"),
-                r.get("most_s"), r.get("mean_s"), r.get("attempts_per_s"), r.get("capacity_per_s"),
-                r.get("period_s"), r.get("strength"), r.get("swing_sent"), r.get("swing_served"));
+            System.out.printf(
+                    Locale.ROOT,
+                    "%13.2f %6.3f %8.0f - %4.0f (%4.0f) %16.0f (%.0f) "
+                            + "%14.1f (%.2f) %15.2f %7.2f%n",
+                    r.get("load"),
+                    r.get("share"),
+                    r.get("least_s"),
+                    r.get("most_s"),
+                    r.get("mean_s"),
+                    r.get("attempts_per_s"),
+                    r.get("capacity_per_s"),
+                    r.get("period_s"),
+                    r.get("strength"),
+                    r.get("swing_sent"),
+                    r.get("swing_served"));
         }
         if (report.get("greedy") instanceof Map<?, ?> greedy) {
-            System.out.printf(Locale.ROOT, "clubs within their quota in time: mean %.3f, least %.3f; greedy "
-                + "%.3f; share of capacity %.3f%n", greedy.get("within_mean"), greedy.get("within_least"),
-                greedy.get("greedy_mean"), greedy.get("share"));
+            System.out.printf(
+                    Locale.ROOT,
+                    "clubs within their quota in time: mean %.3f, least %.3f; greedy "
+                            + "%.3f; share of capacity %.3f%n",
+                    greedy.get("within_mean"),
+                    greedy.get("within_least"),
+                    greedy.get("greedy_mean"),
+                    greedy.get("share"));
         }
     }
 
     private void plot(List<Map<String, Object>> rows) {
-        Plot plot = new Plot("Served in time over what the nodes can do", "load / capacity", "per capacity");
+        Plot plot =
+                new Plot(
+                        "Served in time over what the nodes can do",
+                        "load / capacity",
+                        "per capacity");
         double[] x = column(rows, "load");
         double[] capacity = column(rows, "capacity_per_s");
         plot.line("served in time", x, column(rows, "share"));
--- a/src/main/java/holdproxy/lab/PeersCommand.java
+++ b/src/main/java/holdproxy/lab/PeersCommand.java
@@ -12,29 +12,39 @@
 import picocli.CommandLine.Option;
 
 /** {@code holdproxy lab peers}: fleets that know of each other, under faults, in virtual time. */
-@Command(name = "peers",
-    description = "Fleets whose processes know of each other, under faults drawn by seeds.",
-    mixinStandardHelpOptions = true)
+@Command(
+        name = "peers",
+        description = "Fleets whose processes know of each other, under faults drawn by seeds.",
+        mixinStandardHelpOptions = true)
 final class PeersCommand implements Callable<Integer> {
     private static final int SHOWN = 5;
     private static final double MS = 1000;
 
     @Option(names = "--seeds", defaultValue = "200", description = "how many (${DEFAULT-VALUE})")
     private int seeds;
+
     @Option(names = "--from", defaultValue = "1", description = "the first (${DEFAULT-VALUE})")
     private long from;
-    @Option(names = "--processes", defaultValue = "7", description = "of the fleet (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--processes",
+            defaultValue = "7",
+            description = "of the fleet (${DEFAULT-VALUE})")
     private int processes;
+
     @Option(names = "--seconds", defaultValue = "180", description = "of each (${DEFAULT-VALUE})")
     private double seconds;
+
     @Option(names = "--without", description = "a rule to do without: ${COMPLETION-CANDIDATES}")
     private Membership.Guard without;
 
     @Override
     public Integer call() {
         if (seeds < 1 || processes < 2 || processes > Membership.MOST_MEMBERS || !(seconds >= 30)) {
-            throw new BadInput("--seeds must be at least 1, --processes 2 to " + Membership.MOST_MEMBERS
-                + ", --seconds at least 30");
+            throw new BadInput(
+                    "--seeds must be at least 1, --processes 2 to "
+                            + Membership.MOST_MEMBERS
+                            + ", --seconds at least 30");
         }
         Set<Membership.Guard> guards = EnumSet.allOf(Membership.Guard.class);
         if (without != null) {
@@ -50,15 +60,21 @@
             outcome.kinds().forEach(k -> kinds.merge(k, 1, Integer::sum));
             messages += outcome.messages();
             if (!outcome.broken().isEmpty() && bad++ < SHOWN) {
-                System.out.println("seed " + seed + " " + outcome.kinds() + ": " + outcome.broken().get(0));
+                System.out.println(
+                        "seed " + seed + " " + outcome.kinds() + ": " + outcome.broken().get(0));
             }
         }
         System.out.println("faults: " + kinds);
-        System.out.printf(Locale.ROOT, "a death known after %.1f s (median), %.1f s (99%%), %.1f s (most)%n",
-            foundMs.getValueAtPercentile(50) / MS, foundMs.getValueAtPercentile(99) / MS,
-            foundMs.getMaxValue() / MS);
-        System.out.printf(Locale.ROOT, "%.2f messages a second and process%n",
-            messages / seconds / processes / seeds);
+        System.out.printf(
+                Locale.ROOT,
+                "a death known after %.1f s (median), %.1f s (99%%), %.1f s (most)%n",
+                foundMs.getValueAtPercentile(50) / MS,
+                foundMs.getValueAtPercentile(99) / MS,
+                foundMs.getMaxValue() / MS);
+        System.out.printf(
+                Locale.ROOT,
+                "%.2f messages a second and process%n",
+                messages / seconds / processes / seeds);
         System.out.println(bad + " of " + seeds + " seeds broke a rule");
         return bad == 0 ? 0 : 1;
     }
--- a/src/main/java/holdproxy/lab/PeersTrial.java
+++ b/src/main/java/holdproxy/lab/PeersTrial.java
@@ -22,12 +22,15 @@
     private static final long MOST_DELAY_US = 3_000;
     private static final int MOST_FAULTS = 6;
     private static final double FIRST_FAULT_S = 4;
+
     /** Wall clocks are about here; a start takes its life's number from them. */
     private static final long WALL_MS = 1_764_000_000_000L;
+
     private static final long HOUR_MS = 3_600_000;
+
     /** Whom these alone have met may know less than others, and must not hold sound ones for dead. */
     private static final Set<String> BLINDING =
-        Set.of("stopped", "hears nobody", "nobody hears it", "cut off");
+            Set.of("stopped", "hears nobody", "nobody hears it", "cut off");
 
     /**
      * How a trial went.
@@ -37,17 +40,19 @@
      * @param foundS how long each sound process took to hold one that was killed for dead, in seconds
      * @param kinds of faults that were caused
      */
-    record Outcome(List<String> broken, long messages, List<Double> foundS, Set<String> kinds) {
-    }
+    record Outcome(List<String> broken, long messages, List<Double> foundS, Set<String> kinds) {}
 
     private final class Process extends TrialProcess implements Membership.Output {
         final String name;
         final String address;
         final Random random;
         Membership rules;
+
         /** When its timer rings. */
         long wakingUs = Long.MAX_VALUE;
+
         boolean superseded;
+
         /** What has been done to it or its links. */
         final Set<String> harms = new TreeSet<>();
 
@@ -56,8 +61,17 @@
             this.name = name;
             this.address = address;
             random = new Random(trialRandom.nextLong());
-            rules = new Membership(Membership.Settings.USUAL, name, address, wallMs, seeds, random,
-                time.nowUs(), this, guards);
+            rules =
+                    new Membership(
+                            Membership.Settings.USUAL,
+                            name,
+                            address,
+                            wallMs,
+                            seeds,
+                            random,
+                            time.nowUs(),
+                            this,
+                            guards);
             at.put(address, this);
             wake();
         }
@@ -74,15 +88,19 @@
             long dueUs = Math.max(rules.dueUs(), time.nowUs());
             if (dueUs < wakingUs) {
                 wakingUs = dueUs;
-                time.after(dueUs - time.nowUs(), () -> run(() -> {
-                    if (dueUs == wakingUs) {
-                        wakingUs = Long.MAX_VALUE;
-                        if (rules.dueUs() <= time.nowUs()) {
-                            rules.tick(time.nowUs());
-                        }
-                        wake();
-                    }
-                }));
+                time.after(
+                        dueUs - time.nowUs(),
+                        () ->
+                                run(
+                                        () -> {
+                                            if (dueUs == wakingUs) {
+                                                wakingUs = Long.MAX_VALUE;
+                                                if (rules.dueUs() <= time.nowUs()) {
+                                                    rules.tick(time.nowUs());
+                                                }
+                                                wake();
+                                            }
+                                        }));
             }
         }
 
@@ -90,18 +108,26 @@
         public void send(String to, String toAddress, Message message) {
             messages++;
             Process target = at.get(toAddress);
-            if (target == null || links.cut(address, toAddress)
+            if (target == null
+                    || links.cut(address, toAddress)
                     || random.nextDouble() < links.lost(address, toAddress)) {
                 return;
             }
-            long delay = LEAST_DELAY_US
-                + (long) (random.nextDouble() * (MOST_DELAY_US + links.slowUs(address, toAddress)));
-            time.after(delay, () -> target.run(() -> {
-                if (!target.superseded) {
-                    target.rules.received(time.nowUs(), message);
-                    target.wake();
-                }
-            }));
+            long delay =
+                    LEAST_DELAY_US
+                            + (long)
+                                    (random.nextDouble()
+                                            * (MOST_DELAY_US + links.slowUs(address, toAddress)));
+            time.after(
+                    delay,
+                    () ->
+                            target.run(
+                                    () -> {
+                                        if (!target.superseded) {
+                                            target.rules.received(time.nowUs(), message);
+                                            target.wake();
+                                        }
+                                    }));
         }
 
         @Override
@@ -117,10 +143,18 @@
                 return;
             }
             boolean blind = !sound() && BLINDING.containsAll(harms);
-            if (subject.sound() && subject.runs() && subject.rules.self().life() == change.now().life()
+            if (subject.sound()
+                    && subject.runs()
+                    && subject.rules.self().life() == change.now().life()
                     && (sound() || blind)) {
-                broken.add(name + " holds " + subject.name + ", which no fault has met, for dead at "
-                    + time.nowUs() / 1e6 + " s" + (sound() ? "" : ", itself met by " + harms));
+                broken.add(
+                        name
+                                + " holds "
+                                + subject.name
+                                + ", which no fault has met, for dead at "
+                                + time.nowUs() / 1e6
+                                + " s"
+                                + (sound() ? "" : ", itself met by " + harms));
             }
             Long killed = killedUs.get(subject);
             if (killed != null && sound()) {
@@ -132,8 +166,13 @@
         private void suspects(Member other) {
             Process subject = at.get(other.address());
             if (harms.equals(Set.of("stopped")) && subject != null && subject.sound()) {
-                broken.add(name + ", which only stood still, suspects " + subject.name
-                    + ", which no fault has met, at " + time.nowUs() / 1e6 + " s");
+                broken.add(
+                        name
+                                + ", which only stood still, suspects "
+                                + subject.name
+                                + ", which no fault has met, at "
+                                + time.nowUs() / 1e6
+                                + " s");
             }
         }
 
@@ -193,8 +232,14 @@
         }
         for (int i = 0; i < count; i++) {
             int number = i;
-            time.after(trialRandom.nextInt(1_000_000), () -> processes.add(
-                new Process("proxy-" + number, address(number), WALL_MS + time.nowUs() / 1000)));
+            time.after(
+                    trialRandom.nextInt(1_000_000),
+                    () ->
+                            processes.add(
+                                    new Process(
+                                            "proxy-" + number,
+                                            address(number),
+                                            WALL_MS + time.nowUs() / 1000)));
         }
     }
 
@@ -231,14 +276,24 @@
 
     private void kill(Process one, long forUs, boolean again, long setBackMs) {
         one.over = true;
-        harm(one, !again ? "killed" : setBackMs > 0 ? "killed, back with an earlier clock" : "killed, back");
+        harm(
+                one,
+                !again
+                        ? "killed"
+                        : setBackMs > 0 ? "killed, back with an earlier clock" : "killed, back");
         killedUs.put(one, time.nowUs());
         if (again) {
-            time.after(forUs, () -> {
-                Process back = new Process(one.name, one.address, WALL_MS + time.nowUs() / 1000 - setBackMs);
-                back.harms.add("new");
-                processes.add(back);
-            });
+            time.after(
+                    forUs,
+                    () -> {
+                        Process back =
+                                new Process(
+                                        one.name,
+                                        one.address,
+                                        WALL_MS + time.nowUs() / 1000 - setBackMs);
+                        back.harms.add("new");
+                        processes.add(back);
+                    });
         }
     }
 
@@ -277,8 +332,11 @@
     /** Operators start its successor elsewhere, and forget to end it. */
     private void namesake(Process one) {
         harm(one, "a second one of its name");
-        Process other = new Process(one.name, address(100 + processes.size()),
-            Math.max(WALL_MS + time.nowUs() / 1000, one.rules.self().life() + 1));
+        Process other =
+                new Process(
+                        one.name,
+                        address(100 + processes.size()),
+                        Math.max(WALL_MS + time.nowUs() / 1000, one.rules.self().life() + 1));
         other.harms.add("new");
         processes.add(other);
     }
@@ -286,21 +344,29 @@
     /** Everybody that runs holds everybody else that runs for live, and nobody besides. */
     private void ofOneMind() {
         Set<String> running = new TreeSet<>();
-        processes.stream().filter(Process::runs).forEach(p -> running.add(p.name + "@" + p.address));
+        processes.stream()
+                .filter(Process::runs)
+                .forEach(p -> running.add(p.name + "@" + p.address));
         for (Process p : processes) {
             if (!p.runs()) {
                 continue;
             }
             Set<String> seen = new TreeSet<>();
             seen.add(p.name + "@" + p.address);
-            p.rules.others().stream().filter(Member::live)
-                .forEach(m -> seen.add(m.name() + "@" + m.address()));
+            p.rules.others().stream()
+                    .filter(Member::live)
+                    .forEach(m -> seen.add(m.name() + "@" + m.address()));
             if (!seen.equals(running)) {
                 Set<String> missing = new TreeSet<>(running);
                 missing.removeAll(seen);
                 seen.removeAll(running);
-                broken.add(p.name + " at the end does not know " + missing + " and holds " + seen
-                    + " for live");
+                broken.add(
+                        p.name
+                                + " at the end does not know "
+                                + missing
+                                + " and holds "
+                                + seen
+                                + " for live");
             }
         }
     }
--- a/src/main/java/holdproxy/lab/Play.java
+++ b/src/main/java/holdproxy/lab/Play.java
@@ -19,7 +19,11 @@
  * @param broken the rules broken, none if all is well
  * @param hash of all that happened: the same for two plays that went the same way
  */
-record Play(Scenario scenario, Service service, Map<String, Object> figures, List<Auditors.Broken> broken,
+record Play(
+        Scenario scenario,
+        Service service,
+        Map<String, Object> figures,
+        List<Auditors.Broken> broken,
         String hash) {
     static Play of(Scenario scenario) {
         return of(scenario, t -> t);
@@ -31,12 +35,18 @@
             town.play();
             List<Event> events = town.record.events();
             List<Auditors.Broken> broken = Auditors.broken(events);
-            town.logs.stream().filter(l -> l.contains(" fault: "))
-                .forEach(l -> broken.add(new Auditors.Broken("no fault", l)));
+            town.logs.stream()
+                    .filter(l -> l.contains(" fault: "))
+                    .forEach(l -> broken.add(new Auditors.Broken("no fault", l)));
             for (ProxyProcess p : town.proxies) {
                 if (p.open() != 0) {
-                    broken.add(new Auditors.Broken("nothing left open", p.name + " has " + p.open()
-                        + " requests open after all clients have gone"));
+                    broken.add(
+                            new Auditors.Broken(
+                                    "nothing left open",
+                                    p.name
+                                            + " has "
+                                            + p.open()
+                                            + " requests open after all clients have gone"));
                 }
                 if (!p.runs()) {
                     broken.add(new Auditors.Broken("runs", p.name + " does not run at the end"));
--- a/src/main/java/holdproxy/lab/Plays.java
+++ b/src/main/java/holdproxy/lab/Plays.java
@@ -11,8 +11,7 @@
 
 /** Plays many scenarios on all cores but one. */
 final class Plays {
-    private Plays() {
-    }
+    private Plays() {}
 
     /** What {@code play} makes of each, in their order; ends early where {@code go} says no. */
     static <T> List<T> all(List<Scenario> scenarios, Function<Scenario, T> play, Predicate<T> go)
--- a/src/main/java/holdproxy/lab/Plot.java
+++ b/src/main/java/holdproxy/lab/Plot.java
@@ -36,8 +36,11 @@
     /** As PNG. */
     void write(Path file) {
         try {
-            ChartUtils.saveChartAsPNG(file.toFile(),
-                ChartFactory.createXYLineChart(title, xName, yName, lines), WIDTH, HEIGHT);
+            ChartUtils.saveChartAsPNG(
+                    file.toFile(),
+                    ChartFactory.createXYLineChart(title, xName, yName, lines),
+                    WIDTH,
+                    HEIGHT);
         } catch (IOException e) {
             throw new BadInput("cannot write " + file + ": " + e.getClass().getSimpleName());
         }
--- a/src/main/java/holdproxy/lab/ProxyProcess.java
+++ b/src/main/java/holdproxy/lab/ProxyProcess.java
@@ -24,6 +24,7 @@
 final class ProxyProcess {
     /** Until when the platform lets a process end after SIGTERM: the longest deadline plus 0.7 s. */
     private static final long KILLED_AFTER_US = 3_700_000;
+
     /** New connections still come for so long after SIGTERM. */
     private static final long FRONT_TOLD_US = 300_000;
 
@@ -37,8 +38,10 @@
     private final Front front;
     private final IntFunction<Config> config;
     private final IntFunction<Config> retuned;
+
     /** Nodes that operators have left out: this outlives a life, as a folder of the platform's does. */
     private final Set<String> leftOut = new TreeSet<>();
+
     private int attempts = ProxyConfig.ATTEMPTS;
     private final UnaryOperator<Transport> planted;
     private final Consumer<String> log;
@@ -53,9 +56,20 @@
      * attempts; {@code retuned}: what it is given meanwhile; {@code planted} stands between it and its
      * network.
      */
-    ProxyProcess(String name, int zone, int door, VirtualTime time, VirtualLoop world, MemoryNetwork network,
-            TownRecord record, Front front, IntFunction<Config> config, IntFunction<Config> retuned,
-            Function<VirtualTime, Time> clock, UnaryOperator<Transport> planted, Consumer<String> log) {
+    ProxyProcess(
+            String name,
+            int zone,
+            int door,
+            VirtualTime time,
+            VirtualLoop world,
+            MemoryNetwork network,
+            TownRecord record,
+            Front front,
+            IntFunction<Config> config,
+            IntFunction<Config> retuned,
+            Function<VirtualTime, Time> clock,
+            UnaryOperator<Transport> planted,
+            Consumer<String> log) {
         this.name = name;
         this.zone = zone;
         this.door = door;
@@ -88,14 +102,21 @@
         loop = time.loop(false);
         process = network.process(name, loop, zone);
         Transport transport = planted.apply(process);
-        loop.execute(() -> {
-            proxy = Proxy.start(config.apply(attempts), loop, clock.apply(time), transport,
-                line -> log.accept(time.nowUs() + " " + name + " " + line));
-            record.add(time.nowUs(), Event.Kind.FAULT, name, "", "started");
-            record.add(time.nowUs(), Event.Kind.RETUNED, name, "", Integer.toString(attempts));
-            leftOut.forEach(node -> leaveOut(proxy, node, true));
-            world.execute(() -> front.use(door, true));
-        });
+        loop.execute(
+                () -> {
+                    proxy =
+                            Proxy.start(
+                                    config.apply(attempts),
+                                    loop,
+                                    clock.apply(time),
+                                    transport,
+                                    line -> log.accept(time.nowUs() + " " + name + " " + line));
+                    record.add(time.nowUs(), Event.Kind.FAULT, name, "", "started");
+                    record.add(
+                            time.nowUs(), Event.Kind.RETUNED, name, "", Integer.toString(attempts));
+                    leftOut.forEach(node -> leaveOut(proxy, node, true));
+                    world.execute(() -> front.use(door, true));
+                });
     }
 
     /** Operators' call to leave a node out, or to use it again. */
@@ -121,10 +142,12 @@
         attempts = to;
         if (runs() && proxy != null) {
             Proxy told = proxy;
-            loop.execute(() -> {
-                told.taken(retuned.apply(to));
-                record.add(time.nowUs(), Event.Kind.RETUNED, name, "", Integer.toString(to));
-            });
+            loop.execute(
+                    () -> {
+                        told.taken(retuned.apply(to));
+                        record.add(
+                                time.nowUs(), Event.Kind.RETUNED, name, "", Integer.toString(to));
+                    });
         }
     }
 
@@ -143,8 +166,12 @@
             shed += o.shed.get();
             errors += o.errors.get();
         }
-        record.add(time.nowUs(), Event.Kind.FIGURES, name, "", ok + " " + shed + " " + errors + " "
-            + f.tries.get() + " " + f.active.get());
+        record.add(
+                time.nowUs(),
+                Event.Kind.FIGURES,
+                name,
+                "",
+                ok + " " + shed + " " + errors + " " + f.tries.get() + " " + f.active.get());
     }
 
     /** SIGTERM; it is started again so long after its end, in microseconds. */
@@ -154,12 +181,15 @@
         }
         record.add(time.nowUs(), Event.Kind.FAULT, name, "", "told to end");
         int ending = life;
-        loop.execute(() -> proxy.end().addListener(f -> world.execute(() -> ended(ending, downUs))));
-        world.after(FRONT_TOLD_US, () -> {
-            if (life == ending) {
-                front.use(door, false);
-            }
-        });
+        loop.execute(
+                () -> proxy.end().addListener(f -> world.execute(() -> ended(ending, downUs))));
+        world.after(
+                FRONT_TOLD_US,
+                () -> {
+                    if (life == ending) {
+                        front.use(door, false);
+                    }
+                });
         world.after(KILLED_AFTER_US, () -> ended(ending, downUs));
     }
 
@@ -178,16 +208,20 @@
         }
         over("killed");
         int killed = life;
-        world.after(noticedUs, () -> {
-            if (life == killed) {
-                front.use(door, false);
-            }
-        });
-        world.after(downUs, () -> {
-            if (life == killed) {
-                start();
-            }
-        });
+        world.after(
+                noticedUs,
+                () -> {
+                    if (life == killed) {
+                        front.use(door, false);
+                    }
+                });
+        world.after(
+                downUs,
+                () -> {
+                    if (life == killed) {
+                        start();
+                    }
+                });
     }
 
     private void over(String how) {
