--- a/src/main/java/holdproxy/lab/Scenario.java
+++ b/src/main/java/holdproxy/lab/Scenario.java
@@ -16,7 +16,13 @@
  * @param faults in any order
  * @param rooms its zones
  */
-record Scenario(String name, long seed, double seconds, Size town, Load load, List<Fault> faults,
+record Scenario(
+        String name,
+        long seed,
+        double seconds,
+        Size town,
+        Load load,
+        List<Fault> faults,
         Rooms rooms) {
     /**
      * How large a town is.
@@ -34,9 +40,19 @@
      * @param originMs what the register takes for one
      * @param originSlots how many it works on at once
      */
-    record Size(int proxies, int nodes, int slots, int queue, int memory, double ttlS, int connections,
-            double handshakeMs, double coldFrom, double coldS, double originMs, int originSlots) {
-    }
+    record Size(
+            int proxies,
+            int nodes,
+            int slots,
+            int queue,
+            int memory,
+            double ttlS,
+            int connections,
+            double handshakeMs,
+            double coldFrom,
+            double coldS,
+            double originMs,
+            int originSlots) {}
 
     /**
      * The zones of a town. Nodes and proxies have theirs in turn; discovery and the register have none.
@@ -81,28 +97,73 @@
 
     /** The same town with so many proxies and nodes. */
     Scenario withTown(int proxies, int nodes) {
-        return new Scenario(name, seed, seconds, new Size(proxies, nodes, town.slots, town.queue, town.memory,
-            town.ttlS, town.connections, town.handshakeMs, town.coldFrom, town.coldS, town.originMs,
-            town.originSlots), load, faults, rooms);
+        return new Scenario(
+                name,
+                seed,
+                seconds,
+                new Size(
+                        proxies,
+                        nodes,
+                        town.slots,
+                        town.queue,
+                        town.memory,
+                        town.ttlS,
+                        town.connections,
+                        town.handshakeMs,
+                        town.coldFrom,
+                        town.coldS,
+                        town.originMs,
+                        town.originSlots),
+                load,
+                faults,
+                rooms);
     }
 
     Scenario withRate(double perS) {
-        return new Scenario(name, seed, seconds, town, new Load(perS, load.workMs(), load.keys(), load.zipf(),
-            load.retries(), load.clubs()), faults, rooms);
+        return new Scenario(
+                name,
+                seed,
+                seconds,
+                town,
+                new Load(
+                        perS,
+                        load.workMs(),
+                        load.keys(),
+                        load.zipf(),
+                        load.retries(),
+                        load.clubs()),
+                faults,
+                rooms);
     }
 
     /** A small town of which a seed draws all: sizes, load, and faults that may overlap. */
     static Scenario drawn(long seed, double seconds) {
         SplittableRandom random = new SplittableRandom(seed);
-        Size size = new Size(1 + random.nextInt(4), 4 + random.nextInt(9), 2 + random.nextInt(5),
-            9 + random.nextInt(25), 4000, random.nextDouble(20, 40), 20 + random.nextInt(200),
-            random.nextDouble(1.2, 4), random.nextDouble(0.13, 0.35), random.nextDouble(12, 24),
-            random.nextDouble(30, 120), 40);
+        Size size =
+                new Size(
+                        1 + random.nextInt(4),
+                        4 + random.nextInt(9),
+                        2 + random.nextInt(5),
+                        9 + random.nextInt(25),
+                        4000,
+                        random.nextDouble(20, 40),
+                        20 + random.nextInt(200),
+                        random.nextDouble(1.2, 4),
+                        random.nextDouble(0.13, 0.35),
+                        random.nextDouble(12, 24),
+                        random.nextDouble(30, 120),
+                        40);
         double workMs = random.nextDouble(8, 60);
         // from a third of what the nodes can do to a little more than all of it
         double ratePerS = Math.min(200, random.nextDouble(0.3, 1.1) * size.nodes / workMs * 1000);
-        Load load = new Load(ratePerS, workMs, 20_000, random.nextDouble(0.74, 0.97), random.nextInt(3),
-            PLAIN.clubs());
+        Load load =
+                new Load(
+                        ratePerS,
+                        workMs,
+                        20_000,
+                        random.nextDouble(0.74, 0.97),
+                        random.nextInt(3),
+                        PLAIN.clubs());
         List<Fault> faults = new ArrayList<>();
         for (int i = random.nextInt(MOST_FAULTS + 1); i > 0; i--) {
             faults.add(drawnFault(random, size, load, random.nextDouble(FIRST_FAULT_S, seconds)));
@@ -119,9 +180,15 @@
         Fault.Kind kind = Fault.Kind.OF_ZONES.get(random.nextInt(Fault.Kind.OF_ZONES.size()));
         boolean gray = kind == Fault.Kind.ZONE_GRAY;
         boolean noticed = kind.figures.contains(Fault.Figure.NOTICED_S);
-        return new Fault(kind, atS, random.nextDouble(0.5, 6), noticed ? random.nextDouble(0.5, 5) : 0,
-            random.nextInt(rooms.zones()), 0, gray ? random.nextDouble(1, 20) : 0,
-            gray ? random.nextDouble(0.02, 0.4) : 0);
+        return new Fault(
+                kind,
+                atS,
+                random.nextDouble(0.5, 6),
+                noticed ? random.nextDouble(0.5, 5) : 0,
+                random.nextInt(rooms.zones()),
+                0,
+                gray ? random.nextDouble(1, 20) : 0,
+                gray ? random.nextDouble(0.02, 0.4) : 0);
     }
 
     private static Fault drawnFault(SplittableRandom random, Size size, Load load, double atS) {
@@ -135,7 +202,8 @@
         return switch (kind) {
             case CRASH, SILENT -> new Fault(kind, atS, forS, noticedS, node, part, 0, 0);
             case SLOW -> new Fault(kind, atS, forS, 0, node, part, times, 0);
-            case RESETS -> new Fault(kind, atS, forS, 0, node, part, 0, random.nextDouble(0.05, 0.5));
+            case RESETS ->
+                    new Fault(kind, atS, forS, 0, node, part, 0, random.nextDouble(0.05, 0.5));
             case REPLACE -> new Fault(kind, atS, forS, 0, node, 2 * part, 0, 0);
             case LEAVE_OUT -> new Fault(kind, atS, forS, 0, node, part, 0, 0);
             case RETUNE -> new Fault(kind, atS, forS, 0, 0, 0, 0, 0);
@@ -143,7 +211,8 @@
             case KILL -> new Fault(kind, atS, forS, Math.min(noticedS, 3.8), proxy, 0, 0, 0);
             case HOLD -> new Fault(kind, atS, forS / 8, 0, proxy, 0, 0, 0);
             case DISCOVERY_DOWN -> new Fault(kind, atS, forS, 0, 0, 0, 0, 0);
-            case SURGE -> new Fault(kind, atS, forS, 0, random.nextInt(load.clubs().size()), 0, times, 0);
+            case SURGE ->
+                    new Fault(kind, atS, forS, 0, random.nextInt(load.clubs().size()), 0, times, 0);
             case HOT_KEY -> new Fault(kind, atS, forS, 0, 0, random.nextDouble(0.1, 0.5), 0, 0);
             default -> throw new IllegalStateException(kind + " is of zones");
         };
--- a/src/main/java/holdproxy/lab/ScenarioFile.java
+++ b/src/main/java/holdproxy/lab/ScenarioFile.java
@@ -22,14 +22,14 @@
     private static final double LONGEST_S = 3600;
     private static final int MOST_DELAY_MS = 10_000;
 
-    private ScenarioFile() {
-    }
+    private ScenarioFile() {}
 
     static Scenario read(Path file) {
         try {
             return read(file.getFileName().toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new BadInput("the scenario " + file + " cannot be read: " + e.getClass().getSimpleName());
+            throw new BadInput(
+                    "the scenario " + file + " cannot be read: " + e.getClass().getSimpleName());
         }
     }
 
@@ -54,15 +54,20 @@
 
     private static Scenario.Size size(TomlPart p) {
         Scenario.Size d = Scenario.SMALL;
-        Scenario.Size size = new Scenario.Size(p.whole("proxies", d.proxies(), 1, 200),
-            p.whole("nodes", d.nodes(), 1, 1000), p.whole("slots", d.slots(), 1, 1000),
-            p.whole("queue", d.queue(), 0, 10_000), p.whole("memory_keys", d.memory(), 1, 1_000_000),
-            p.number("ttl_s", d.ttlS(), 0.001, LONGEST_S),
-            p.whole("connections", d.connections(), 1, 100_000),
-            p.number("handshake_ms", d.handshakeMs(), 0, 1000),
-            p.number("cold_from", d.coldFrom(), 0.01, 1), p.number("cold_s", d.coldS(), 0.001, LONGEST_S),
-            p.number("origin_ms", d.originMs(), 0.1, 10_000),
-            p.whole("origin_slots", d.originSlots(), 1, 100_000));
+        Scenario.Size size =
+                new Scenario.Size(
+                        p.whole("proxies", d.proxies(), 1, 200),
+                        p.whole("nodes", d.nodes(), 1, 1000),
+                        p.whole("slots", d.slots(), 1, 1000),
+                        p.whole("queue", d.queue(), 0, 10_000),
+                        p.whole("memory_keys", d.memory(), 1, 1_000_000),
+                        p.number("ttl_s", d.ttlS(), 0.001, LONGEST_S),
+                        p.whole("connections", d.connections(), 1, 100_000),
+                        p.number("handshake_ms", d.handshakeMs(), 0, 1000),
+                        p.number("cold_from", d.coldFrom(), 0.01, 1),
+                        p.number("cold_s", d.coldS(), 0.001, LONGEST_S),
+                        p.number("origin_ms", d.originMs(), 0.1, 10_000),
+                        p.whole("origin_slots", d.originSlots(), 1, 100_000));
         return size;
     }
 
@@ -73,37 +78,56 @@
         for (int i = 0; each != null && i < each.size(); i++) {
             double ms = each.get(i) instanceof Number n ? n.doubleValue() : -1;
             if (!(ms >= 0 && ms <= MOST_DELAY_MS)) {
-                throw p.bad(each.inputPositionOf(i),
-                    "zone_ms holds something else than milliseconds from 0 to " + MOST_DELAY_MS);
+                throw p.bad(
+                        each.inputPositionOf(i),
+                        "zone_ms holds something else than milliseconds from 0 to "
+                                + MOST_DELAY_MS);
             }
             delays.add(ms);
         }
         int pairs = Zones.pairs(zones);
         if (each != null && delays.size() != 1 && delays.size() != pairs) {
-            throw p.bad(p.at("zone_ms"), "zone_ms holds " + delays.size()
-                + " figures and not one for all, or one for each of the " + pairs + " pairs of zones");
+            throw p.bad(
+                    p.at("zone_ms"),
+                    "zone_ms holds "
+                            + delays.size()
+                            + " figures and not one for all, or one for each of the "
+                            + pairs
+                            + " pairs of zones");
         }
         return new Scenario.Rooms(zones, delays.isEmpty() ? List.of(0.0) : delays);
     }
 
-    private static Fault fault(TomlPart p, Scenario.Size size, Load load, int zones, double seconds) {
+    private static Fault fault(
+            TomlPart p, Scenario.Size size, Load load, int zones, double seconds) {
         String word = p.text("kind", "");
         Fault.Kind kind = null;
         for (Fault.Kind k : Fault.Kind.values()) {
             kind = k.word().equals(word) ? k : kind;
         }
         if (kind == null) {
-            throw p.bad(p.at("kind"), "kind is not one of " + String.join(", ",
-                Arrays.stream(Fault.Kind.values()).map(Fault.Kind::word).toList()));
+            throw p.bad(
+                    p.at("kind"),
+                    "kind is not one of "
+                            + String.join(
+                                    ", ",
+                                    Arrays.stream(Fault.Kind.values())
+                                            .map(Fault.Kind::word)
+                                            .toList()));
         }
         Set<Fault.Figure> has = kind.figures;
         double atS = p.needed("at_s", 0, seconds);
         double forS = has.contains(Fault.Figure.FOR_S) ? p.number("for_s", 0, 0, LONGEST_S) : 0;
-        double noticedS = has.contains(Fault.Figure.NOTICED_S) ? p.number("noticed_s", 2, 0, LONGEST_S) : 0;
-        int target = has.contains(Fault.Figure.NODE) ? p.whole("node", 0, 0, size.nodes() - 1)
-            : has.contains(Fault.Figure.PROXY) ? (int) p.needed("proxy", 0, size.proxies() - 1)
-            : has.contains(Fault.Figure.CLUB) ? (int) p.needed("club", 0, load.clubs().size() - 1)
-            : kind.ofZone() ? (int) p.needed("zone", 0, zones - 1) : 0;
+        double noticedS =
+                has.contains(Fault.Figure.NOTICED_S) ? p.number("noticed_s", 2, 0, LONGEST_S) : 0;
+        int target =
+                has.contains(Fault.Figure.NODE)
+                        ? p.whole("node", 0, 0, size.nodes() - 1)
+                        : has.contains(Fault.Figure.PROXY)
+                                ? (int) p.needed("proxy", 0, size.proxies() - 1)
+                                : has.contains(Fault.Figure.CLUB)
+                                        ? (int) p.needed("club", 0, load.clubs().size() - 1)
+                                        : kind.ofZone() ? (int) p.needed("zone", 0, zones - 1) : 0;
         double part = has.contains(Fault.Figure.PART) ? p.number("part", 0, 0, 1) : 0;
         double times = has.contains(Fault.Figure.TIMES) ? p.needed("times", 0.01, 1000) : 0;
         double chance = has.contains(Fault.Figure.CHANCE) ? p.needed("chance", 0, 1) : 0;
@@ -144,14 +168,17 @@
             line(out, "kind", "\"" + f.kind().word() + "\"");
             line(out, "at_s", f.atS());
             for (Fault.Figure figure : f.kind().figures) {
-                line(out, figure.name().toLowerCase(Locale.ROOT), switch (figure) {
-                    case FOR_S -> f.forS();
-                    case NOTICED_S -> f.noticedS();
-                    case NODE, PROXY, CLUB, ZONE -> f.target();
-                    case PART -> f.part();
-                    case TIMES -> f.times();
-                    case CHANCE -> f.chance();
-                });
+                line(
+                        out,
+                        figure.name().toLowerCase(Locale.ROOT),
+                        switch (figure) {
+                            case FOR_S -> f.forS();
+                            case NOTICED_S -> f.noticedS();
+                            case NODE, PROXY, CLUB, ZONE -> f.target();
+                            case PART -> f.part();
+                            case TIMES -> f.times();
+                            case CHANCE -> f.chance();
+                        });
             }
         }
         return out.toString();
--- a/src/main/java/holdproxy/lab/Shrinker.java
+++ b/src/main/java/holdproxy/lab/Shrinker.java
@@ -46,8 +46,9 @@
 
     private boolean shorter() {
         double halfS = least.seconds() / 2;
-        return halfS >= 1 && least.faults().stream().allMatch(f -> f.atS() <= halfS)
-            && take(least.withSeconds(halfS));
+        return halfS >= 1
+                && least.faults().stream().allMatch(f -> f.atS() <= halfS)
+                && take(least.withSeconds(halfS));
     }
 
     private boolean fewerNodes() {
@@ -62,8 +63,8 @@
 
     /** Whether with so many every fault still has its node or proxy. */
     private boolean leavesTargets(int fewer) {
-        return fewer >= 1 && least.faults().stream()
-            .allMatch(f -> f.kind().ofZone() || f.target() < fewer);
+        return fewer >= 1
+                && least.faults().stream().allMatch(f -> f.kind().ofZone() || f.target() < fewer);
     }
 
     private boolean lessLoad() {
--- a/src/main/java/holdproxy/lab/StepCommand.java
+++ b/src/main/java/holdproxy/lab/StepCommand.java
@@ -19,28 +19,52 @@
  * {@code lab step}: what follows a step in load up and one down again. All figures are of the mean over the
  * seeds, each counted over what its nodes can do, in a window of one second.
  */
-@Command(name = "step", description = "The answer to a step in load up and down.",
-    mixinStandardHelpOptions = true)
+@Command(
+        name = "step",
+        description = "The answer to a step in load up and down.",
+        mixinStandardHelpOptions = true)
 final class StepCommand implements Callable<Integer> {
     /** Settled: from here on within this of the level that it settles at, of which seconds are the mean. */
     private static final double WITHIN = 0.15;
+
     private static final double LEVEL_S = 10;
     private static final double RISEN = 0.9;
+
     /** Down: settled once the share served is back at its level before less this. */
     private static final double LESS = 0.05;
+
     private static final int WINDOW = (int) (1 / LoadSeries.BIN_S);
 
-    @Mixin
-    private LoadOptions options;
-    @Option(names = "--low", defaultValue = "0.6", description = "load over capacity (${DEFAULT-VALUE})")
+    @Mixin private LoadOptions options;
+
+    @Option(
+            names = "--low",
+            defaultValue = "0.6",
+            description = "load over capacity (${DEFAULT-VALUE})")
     private double low;
-    @Option(names = "--high", defaultValue = "2", description = "load over capacity (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--high",
+            defaultValue = "2",
+            description = "load over capacity (${DEFAULT-VALUE})")
     private double high;
-    @Option(names = "--up-at", defaultValue = "15", description = "second of the step (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--up-at",
+            defaultValue = "15",
+            description = "second of the step (${DEFAULT-VALUE})")
     private int upAt;
-    @Option(names = "--for", defaultValue = "20", description = "seconds of high load (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--for",
+            defaultValue = "20",
+            description = "seconds of high load (${DEFAULT-VALUE})")
     private int forS;
-    @Option(names = "--after", defaultValue = "20", description = "seconds after it (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--after",
+            defaultValue = "20",
+            description = "seconds after it (${DEFAULT-VALUE})")
     private int afterS;
 
     @Override
@@ -51,10 +75,25 @@
         LoadOptions.require("--up-at", upAt, LEVEL_S + 1, 3600);
         LoadOptions.require("--for", forS, LEVEL_S + 1, 3600);
         LoadOptions.require("--after", afterS, 1, 3600);
-        List<Fault> surges = IntStream.range(0, options.clubs().size()).mapToObj(
-            club -> new Fault(Fault.Kind.SURGE, upAt, forS, 0, club, 0, high / low, 0)).toList();
+        List<Fault> surges =
+                IntStream.range(0, options.clubs().size())
+                        .mapToObj(
+                                club ->
+                                        new Fault(
+                                                Fault.Kind.SURGE,
+                                                upAt,
+                                                forS,
+                                                0,
+                                                club,
+                                                0,
+                                                high / low,
+                                                0))
+                        .toList();
         List<LoadSeries> plays =
-            Plays.all(options.towns(low, upAt + forS + afterS, surges), LoadSeries::of, p -> true);
+                Plays.all(
+                        options.towns(low, upAt + forS + afterS, surges),
+                        LoadSeries::of,
+                        p -> true);
         double[] wanted = mean(plays.stream().map(p -> over(p.wanted(), p)).toList());
         double[] inTime = mean(plays.stream().map(p -> over(p.inTime(), p)).toList());
         double[] attempts = mean(plays.stream().map(p -> over(p.attempts(), p)).toList());
@@ -64,13 +103,24 @@
         if (options.json) {
             System.out.println(JSON.std.asString(report));
         } else {
-            System.out.println(options.town() + ": load " + low + " to " + high + " of capacity and back");
-            report.forEach((k, v) -> System.out.printf(Locale.ROOT, "%-22s %s%n", k,
-                v instanceof Double ? String.format(Locale.ROOT, "%.3f", v) : v));
+            System.out.println(
+                    options.town() + ": load " + low + " to " + high + " of capacity and back");
+            report.forEach(
+                    (k, v) ->
+                            System.out.printf(
+                                    Locale.ROOT,
+                                    "%-22s %s%n",
+                                    k,
+                                    v instanceof Double
+                                            ? String.format(Locale.ROOT, "%.3f", v)
+                                            : v));
         }
         if (options.plot != null) {
             Plot plot = new Plot("A step in load", "second", "over what the nodes can do");
-            double[] x = IntStream.range(0, wanted.length).mapToDouble(i -> i * LoadSeries.BIN_S).toArray();
+            double[] x =
+                    IntStream.range(0, wanted.length)
+                            .mapToDouble(i -> i * LoadSeries.BIN_S)
+                            .toArray();
             plot.line("wanted", x, wanted);
             plot.line("in time", x, inTime);
             plot.line("attempts", x, attempts);
@@ -89,23 +139,47 @@
         f.put("share_before", shareBefore);
         f.put("up_level", level);
         f.put("up_attempts_level", sentLevel);
-        f.put("up_rise_s", LoadSeries.BIN_S * IntStream.range(0, down - up)
-            .filter(i -> window(inTime, up + i) >= RISEN * level).findFirst().orElse(down - up));
-        f.put("up_overshoot_sent",
-            IntStream.range(up, down - WINDOW).mapToDouble(i -> window(attempts, i)).max().orElse(0)
-                / sentLevel - 1);
-        f.put("up_least_served", IntStream.range(up, down - WINDOW)
-            .mapToDouble(i -> window(inTime, i)).min().orElse(0) / level);
-        f.put("up_settled_s", settled(up, down, i -> Math.abs(window(inTime, i) / level - 1) - WITHIN));
-        f.put("down_settled_s", settled(down, wanted.length,
-            i -> shareBefore - LESS - window(inTime, i) / window(wanted, i)));
+        f.put(
+                "up_rise_s",
+                LoadSeries.BIN_S
+                        * IntStream.range(0, down - up)
+                                .filter(i -> window(inTime, up + i) >= RISEN * level)
+                                .findFirst()
+                                .orElse(down - up));
+        f.put(
+                "up_overshoot_sent",
+                IntStream.range(up, down - WINDOW)
+                                        .mapToDouble(i -> window(attempts, i))
+                                        .max()
+                                        .orElse(0)
+                                / sentLevel
+                        - 1);
+        f.put(
+                "up_least_served",
+                IntStream.range(up, down - WINDOW)
+                                .mapToDouble(i -> window(inTime, i))
+                                .min()
+                                .orElse(0)
+                        / level);
+        f.put(
+                "up_settled_s",
+                settled(up, down, i -> Math.abs(window(inTime, i) / level - 1) - WITHIN));
+        f.put(
+                "down_settled_s",
+                settled(
+                        down,
+                        wanted.length,
+                        i -> shareBefore - LESS - window(inTime, i) / window(wanted, i)));
         return f;
     }
 
     /** Seconds after the first bin from which on nothing is above 0. */
     private static double settled(int from, int to, IntToDoubleFunction beyond) {
-        int last = IntStream.range(from, to - WINDOW + 1).filter(i -> beyond.applyAsDouble(i) > 0)
-            .max().orElse(from - 1);
+        int last =
+                IntStream.range(from, to - WINDOW + 1)
+                        .filter(i -> beyond.applyAsDouble(i) > 0)
+                        .max()
+                        .orElse(from - 1);
         return (last + 1 - from) * LoadSeries.BIN_S;
     }
 
--- a/src/main/java/holdproxy/lab/Town.java
+++ b/src/main/java/holdproxy/lab/Town.java
@@ -32,29 +32,40 @@
 final class Town implements AutoCloseable {
     /** A month into 1970, so that no start is taken for long ago. */
     private static final long UNIX_MS = 2_592_000_000L;
+
     private static final long CALL_US = 30_000;
+
     /** After the last request, until the last of its tries is over. */
     private static final double LAST_TRIES_S = 12;
+
     /** Share of nodes of the fast kind; what a core of either does, in standard cores. */
     private static final double FAST_SHARE = 0.4;
+
     private static final double[] FAST = {1.3, 1.7};
     private static final double[] STANDARD = {0.85, 1.1};
+
     /** Part of what the nodes can do that the clubs may ask for together. */
     private static final double QUOTA_PART = 0.83;
 
     final VirtualTime time = new VirtualTime();
+
     /** The loop of all but the proxies. */
     final VirtualLoop loop = time.loop(true);
+
     final TownRecord record = new TownRecord();
     final Zones zones;
     final MemoryNetwork network;
     final DiscoveryService discovery;
+
     /** By place; a node that is replaced leaves its place to another. */
     final List<CacheNode> nodes = new ArrayList<>();
+
     final List<ProxyProcess> proxies = new ArrayList<>();
     final Clients clients;
+
     /** What the proxies wrote to their logs. */
     final List<String> logs = new ArrayList<>();
+
     private final Scenario scenario;
     final MemberRegister register;
     private final Map<CacheNode, MemoryNetwork.Host> hosts = new HashMap<>();
@@ -71,13 +82,28 @@
         this.scenario = scenario;
         Scenario.Size size = scenario.town();
         Load load = scenario.load();
-        zones = new Zones(scenario.rooms().zones(), scenario.rooms().delaysMs(), stream("zones", 0));
-        network = new MemoryNetwork(zones, (from, byPeople, to, zone, what) -> record.add(time.nowUs(),
-            Event.Kind.LOST, to, from, what + " " + byPeople + " " + zone));
-        discovery = new DiscoveryService(loop, record, CALL_US, network::silent,
-            (proxy, node) -> node);
-        register = new MemberRegister(loop, record, size.originSlots(), (long) (size.originMs() * 1000),
-            ProxyConfig.REPEATS_DROPPED_US);
+        zones =
+                new Zones(
+                        scenario.rooms().zones(), scenario.rooms().delaysMs(), stream("zones", 0));
+        network =
+                new MemoryNetwork(
+                        zones,
+                        (from, byPeople, to, zone, what) ->
+                                record.add(
+                                        time.nowUs(),
+                                        Event.Kind.LOST,
+                                        to,
+                                        from,
+                                        what + " " + byPeople + " " + zone));
+        discovery =
+                new DiscoveryService(loop, record, CALL_US, network::silent, (proxy, node) -> node);
+        register =
+                new MemberRegister(
+                        loop,
+                        record,
+                        size.originSlots(),
+                        (long) (size.originMs() * 1000),
+                        ProxyConfig.REPEATS_DROPPED_US);
         InetSocketAddress registry = address(1, 0, 8500);
         network.host("discovery", registry, 300, 100, stream("discovery", 0), Zones.NOWHERE);
         discovery.start(network.process("discovery", loop, Zones.NOWHERE), registry);
@@ -88,10 +114,25 @@
         }
         double perS = cores / load.workMs() * 1000 * QUOTA_PART;
         Front front = new Front();
-        List<MemoryNetwork.Process> people = IntStream.range(0, zones.count()).mapToObj(
-            z -> network.people(zones.count() == 1 ? "clients" : "clients-" + z, loop, z)).toList();
-        clients = new Clients(loop, people, record, stream("clients", 0), load,
-            ProxyConfig.clubNames(load.clubs().size()), front, size.proxies());
+        List<MemoryNetwork.Process> people =
+                IntStream.range(0, zones.count())
+                        .mapToObj(
+                                z ->
+                                        network.people(
+                                                zones.count() == 1 ? "clients" : "clients-" + z,
+                                                loop,
+                                                z))
+                        .toList();
+        clients =
+                new Clients(
+                        loop,
+                        people,
+                        record,
+                        stream("clients", 0),
+                        load,
+                        ProxyConfig.clubNames(load.clubs().size()),
+                        front,
+                        size.proxies());
         for (int i = 0; i < size.proxies(); i++) {
             proxies.add(proxy(i, front, registry, perS, planted));
             proxies.get(i).start();
@@ -99,23 +140,52 @@
         Troubles.plan(this, scenario.faults());
     }
 
-    private ProxyProcess proxy(int i, Front front, InetSocketAddress registry, double perS,
+    private ProxyProcess proxy(
+            int i,
+            Front front,
+            InetSocketAddress registry,
+            double perS,
             UnaryOperator<Transport> planted) {
         Scenario.Size size = scenario.town();
         InetSocketAddress address = address(3, i, 11211);
         String name = "proxy-" + i;
         int zone = zones.of(i);
         network.host(name, address, 800, 200, stream("proxy network", i), zone);
-        ProxyConfig told = new ProxyConfig(i, size.proxies(), zone, Zones.names(zones.count()),
-            size.coldFrom(), size.coldS(), scenario.load().clubs(), perS);
+        ProxyConfig told =
+                new ProxyConfig(
+                        i,
+                        size.proxies(),
+                        zone,
+                        Zones.names(zones.count()),
+                        size.coldFrom(),
+                        size.coldS(),
+                        scenario.load().clubs(),
+                        perS);
         SplittableRandom seeds = stream("proxy", i);
-        return new ProxyProcess(name, zone, front.door(address, zone), time, loop, network, record, front,
-            attempts -> Config.of(name, address, registry,
-                told.json(name, seeds.nextLong(), discovery.whole(name), attempts)),
-            attempts -> Config.of(name, address, registry,
-                told.json(name, 0, ProxyConfig.NO_LIST, attempts)),
-            t -> new Time(t.ticker(), () -> UNIX_MS + t.nowUs() / 1000),
-            network -> clients.atDoor(name, planted.apply(network)), logs::add);
+        return new ProxyProcess(
+                name,
+                zone,
+                front.door(address, zone),
+                time,
+                loop,
+                network,
+                record,
+                front,
+                attempts ->
+                        Config.of(
+                                name,
+                                address,
+                                registry,
+                                told.json(name, seeds.nextLong(), discovery.whole(name), attempts)),
+                attempts ->
+                        Config.of(
+                                name,
+                                address,
+                                registry,
+                                told.json(name, 0, ProxyConfig.NO_LIST, attempts)),
+                t -> new Time(t.ticker(), () -> UNIX_MS + t.nowUs() / 1000),
+                network -> clients.atDoor(name, planted.apply(network)),
+                logs::add);
     }
 
     /** One more node, not up yet. */
@@ -124,16 +194,36 @@
         Scenario.Size size = scenario.town();
         SplittableRandom random = stream(scenario.seed(), "node kind", number);
         boolean fast = random.nextDouble() < FAST_SHARE;
-        CacheNode.Kind kind = new CacheNode.Kind(fast ? "fast-1c" : "std-1c", 1, speed(random, fast),
-            size.slots(), size.queue(), scenario.load().workMs() * 1000, size.coldFrom(),
-            (long) (size.coldS() * 1e6), size.memory(), (long) (size.ttlS() * 1e6), size.connections(),
-            size.handshakeMs() * 1000);
+        CacheNode.Kind kind =
+                new CacheNode.Kind(
+                        fast ? "fast-1c" : "std-1c",
+                        1,
+                        speed(random, fast),
+                        size.slots(),
+                        size.queue(),
+                        scenario.load().workMs() * 1000,
+                        size.coldFrom(),
+                        (long) (size.coldS() * 1e6),
+                        size.memory(),
+                        (long) (size.ttlS() * 1e6),
+                        size.connections(),
+                        size.handshakeMs() * 1000);
         cores += kind.speed() * kind.cores();
         String name = "s-" + number;
         InetSocketAddress address = address(2, number, 11211);
-        MemoryNetwork.Host host = network.host(name, address, 200, 50, stream("node network", number), zone);
-        CacheNode node = new CacheNode(name, zone, address, kind, loop, network.process(name, loop, zone),
-            record, register, stream("node", number));
+        MemoryNetwork.Host host =
+                network.host(name, address, 200, 50, stream("node network", number), zone);
+        CacheNode node =
+                new CacheNode(
+                        name,
+                        zone,
+                        address,
+                        kind,
+                        loop,
+                        network.process(name, loop, zone),
+                        record,
+                        register,
+                        stream("node", number));
         hosts.put(node, host);
         return node;
     }
@@ -211,7 +301,8 @@
     @Override
     public void close() {
         proxies.forEach(ProxyProcess::close);
-        loop.end(network::close); // else Netty's table of local addresses would hold the town for good
+        loop.end(network::close); // else Netty's table of local addresses would hold the town for
+        // good
     }
 
     static InetSocketAddress address(int net, int host, int port) {
--- a/src/main/java/holdproxy/lab/TrialLinks.java
+++ b/src/main/java/holdproxy/lab/TrialLinks.java
@@ -7,8 +7,7 @@
 
 /** What is wrong between the processes of a trial, in each direction; faults may lie over one another. */
 final class TrialLinks {
-    private record Pair(String from, String to) {
-    }
+    private record Pair(String from, String to) {}
 
     private final Map<Pair, Integer> cuts = new HashMap<>();
     private final Map<Pair, Double> slow = new HashMap<>();
--- a/src/main/java/holdproxy/lab/TrialProcess.java
+++ b/src/main/java/holdproxy/lab/TrialProcess.java
@@ -4,6 +4,7 @@
 abstract class TrialProcess {
     boolean over;
     private final TrialTime time;
+
     /** It stands still until then, in true time. */
     private long wakesUs;
 
--- a/src/main/java/holdproxy/lab/TrialTime.java
+++ b/src/main/java/holdproxy/lab/TrialTime.java
@@ -6,11 +6,10 @@
 
 /** Time that passes from task to task; those of one moment run in the order in which they were given. */
 final class TrialTime implements Timeline {
-    private record Task(long us, long order, Runnable what) {
-    }
+    private record Task(long us, long order, Runnable what) {}
 
-    private final PriorityQueue<Task> tasks = new PriorityQueue<>(
-        Comparator.comparingLong(Task::us).thenComparingLong(Task::order));
+    private final PriorityQueue<Task> tasks =
+            new PriorityQueue<>(Comparator.comparingLong(Task::us).thenComparingLong(Task::order));
     private long nowUs;
     private long order;
 
--- a/src/main/java/holdproxy/lab/Troubles.java
+++ b/src/main/java/holdproxy/lab/Troubles.java
@@ -10,9 +10,12 @@
 final class Troubles {
     /** A drained node's process ends so long after, and its successor starts so long after that. */
     private static final double DRAIN_S = 3;
+
     private static final double SUCCEEDS_S = 0.5;
+
     /** Discovery lists a started node so long after, and a drain. */
     private static final double ADDED_S = 1.5;
+
     private static final double TOLD_S = 0.1;
 
     private final Town town;
@@ -41,8 +44,13 @@
     private void happen(Fault f) {
         switch (f.kind()) {
             case RESTART -> proxies(f).forEach(p -> p.restart((long) (f.forS() * 1e6)));
-            case KILL -> proxies(f).forEach(p -> p.kill((long) (f.noticedS() * 1e6),
-                (long) (f.forS() * 1e6)));
+            case KILL ->
+                    proxies(f)
+                            .forEach(
+                                    p ->
+                                            p.kill(
+                                                    (long) (f.noticedS() * 1e6),
+                                                    (long) (f.forS() * 1e6)));
             case HOLD -> town.proxies.get(f.target()).hold((long) (f.forS() * 1e6));
             case DISCOVERY_DOWN -> {
                 town.discovery.down(true);
@@ -66,10 +74,12 @@
             case ZONE_GRAY -> {
                 said(f, "gray");
                 town.zones.gray(f.target(), f.chance(), f.times());
-                after(f, () -> {
-                    town.zones.gray(f.target(), 0, 1);
-                    said(f, "sound");
-                });
+                after(
+                        f,
+                        () -> {
+                            town.zones.gray(f.target(), 0, 1);
+                            said(f, "sound");
+                        });
             }
             case HOT_KEY -> {
                 town.clients.hot(f.part());
@@ -91,8 +101,9 @@
 
     private List<ProxyProcess> proxies(Fault f) {
         int all = town.proxies.size();
-        return IntStream.range(0, f.count(all)).mapToObj(i -> town.proxies.get((f.target() + i) % all))
-            .toList();
+        return IntStream.range(0, f.count(all))
+                .mapToObj(i -> town.proxies.get((f.target() + i) % all))
+                .toList();
     }
 
     private void said(Fault f, String what) {
@@ -103,17 +114,21 @@
         String way = inwards ? " inwards" : " outwards";
         said(f, "cut" + way);
         town.zones.cut(f.target(), inwards, true);
-        after(f, () -> {
-            town.zones.cut(f.target(), inwards, false);
-            said(f, "joined" + way);
-        });
+        after(
+                f,
+                () -> {
+                    town.zones.cut(f.target(), inwards, false);
+                    said(f, "joined" + way);
+                });
     }
 
     /** Dead, or silent and back cold or as it was. Discovery and the front notice later. */
     private void loseZone(Fault f) {
         boolean dead = f.kind() == Fault.Kind.ZONE_DEAD;
-        List<CacheNode> nodes = town.nodes.stream().filter(n -> n.zone == f.target() && n.up()).toList();
-        List<ProxyProcess> proxies = town.proxies.stream().filter(p -> p.zone == f.target()).toList();
+        List<CacheNode> nodes =
+                town.nodes.stream().filter(n -> n.zone == f.target() && n.up()).toList();
+        List<ProxyProcess> proxies =
+                town.proxies.stream().filter(p -> p.zone == f.target()).toList();
         said(f, dead ? "dead" : "silent");
         if (dead) {
             nodes.forEach(n -> n.end("crash"));
@@ -121,27 +136,33 @@
         } else {
             town.zones.silent(f.target(), true);
         }
-        later(f.noticedS(), () -> {
-            nodes.forEach(town::relist);
-            if (!dead && town.zones.silent(f.target())) {
-                proxies.forEach(p -> p.believed(false));
-            }
-        });
-        after(f, () -> {
-            town.zones.silent(f.target(), false);
-            said(f, "back");
-            if (f.kind() == Fault.Kind.ZONE_LOST) {
-                nodes.forEach(n -> n.end("crash"));
-                proxies.forEach(p -> p.kill(0, 0));
-            } else if (!dead) {
-                proxies.forEach(p -> p.believed(true));
-            }
-            if (f.kind() != Fault.Kind.ZONE_SILENT) {
-                // a place may have another node by now, and that one may be up
-                nodes.stream().filter(n -> !n.up() && town.nodes.contains(n)).forEach(CacheNode::startCold);
-            }
-            later(ADDED_S, () -> nodes.forEach(town::relist));
-        });
+        later(
+                f.noticedS(),
+                () -> {
+                    nodes.forEach(town::relist);
+                    if (!dead && town.zones.silent(f.target())) {
+                        proxies.forEach(p -> p.believed(false));
+                    }
+                });
+        after(
+                f,
+                () -> {
+                    town.zones.silent(f.target(), false);
+                    said(f, "back");
+                    if (f.kind() == Fault.Kind.ZONE_LOST) {
+                        nodes.forEach(n -> n.end("crash"));
+                        proxies.forEach(p -> p.kill(0, 0));
+                    } else if (!dead) {
+                        proxies.forEach(p -> p.believed(true));
+                    }
+                    if (f.kind() != Fault.Kind.ZONE_SILENT) {
+                        // a place may have another node by now, and that one may be up
+                        nodes.stream()
+                                .filter(n -> !n.up() && town.nodes.contains(n))
+                                .forEach(CacheNode::startCold);
+                    }
+                    later(ADDED_S, () -> nodes.forEach(town::relist));
+                });
     }
 
     private void atNode(Fault f, int place) {
@@ -150,20 +171,24 @@
             case CRASH -> {
                 node.end("crash");
                 later(f.noticedS(), () -> town.relist(node));
-                after(f, () -> {
-                    if (!node.up() && town.nodes.get(place) == node) {
-                        node.startCold();
-                        later(ADDED_S, () -> town.relist(node));
-                    }
-                });
+                after(
+                        f,
+                        () -> {
+                            if (!node.up() && town.nodes.get(place) == node) {
+                                node.startCold();
+                                later(ADDED_S, () -> town.relist(node));
+                            }
+                        });
             }
             case SILENT -> {
                 town.cut(node, true);
                 later(f.noticedS(), () -> town.relist(node));
-                after(f, () -> {
-                    town.cut(node, false);
-                    later(ADDED_S, () -> town.relist(node));
-                });
+                after(
+                        f,
+                        () -> {
+                            town.cut(node, false);
+                            later(ADDED_S, () -> town.relist(node));
+                        });
             }
             case LEAVE_OUT -> leaveOut(f, node, place);
             case RESETS -> {
@@ -179,17 +204,21 @@
 
     private void leaveOut(Fault f, CacheNode node, int place) {
         town.proxies.forEach(p -> p.leaveOut(node.name, true));
-        later(DRAIN_S / 2, () -> {
-            if (node.up() && town.nodes.get(place) == node) {
-                node.end("end");
-                later(SUCCEEDS_S, () -> {
-                    if (!node.up() && town.nodes.get(place) == node) {
-                        node.startCold();
-                        later(ADDED_S, () -> town.relist(node));
+        later(
+                DRAIN_S / 2,
+                () -> {
+                    if (node.up() && town.nodes.get(place) == node) {
+                        node.end("end");
+                        later(
+                                SUCCEEDS_S,
+                                () -> {
+                                    if (!node.up() && town.nodes.get(place) == node) {
+                                        node.startCold();
+                                        later(ADDED_S, () -> town.relist(node));
+                                    }
+                                });
                     }
                 });
-            }
-        });
         after(f, () -> town.proxies.forEach(p -> p.leaveOut(node.name, false)));
     }
 
@@ -200,14 +229,18 @@
         }
         node.drain();
         later(TOLD_S, () -> town.relist(node));
-        later(DRAIN_S, () -> {
-            node.end("end");
-            town.relist(node);
-            later(SUCCEEDS_S, () -> {
-                CacheNode successor = town.successor(place);
-                successor.startCold();
-                later(ADDED_S, () -> town.relist(successor));
-            });
-        });
+        later(
+                DRAIN_S,
+                () -> {
+                    node.end("end");
+                    town.relist(node);
+                    later(
+                            SUCCEEDS_S,
+                            () -> {
+                                CacheNode successor = town.successor(place);
+                                successor.startCold();
+                                later(ADDED_S, () -> town.relist(successor));
+                            });
+                });
     }
 }
--- a/src/main/java/holdproxy/lab/VirtualLoop.java
+++ b/src/main/java/holdproxy/lab/VirtualLoop.java
@@ -78,7 +78,10 @@
             return Long.MAX_VALUE;
         }
         long waitNs = nextScheduledTaskNano();
-        long dueNs = !tasks.isEmpty() ? time.nowNs() : waitNs < 0 ? Long.MAX_VALUE : time.nowNs() + waitNs;
+        long dueNs =
+                !tasks.isEmpty()
+                        ? time.nowNs()
+                        : waitNs < 0 ? Long.MAX_VALUE : time.nowNs() + waitNs;
         return Math.max(dueNs, heldUntilNs);
     }
 
--- a/src/main/java/holdproxy/lab/VoterOptions.java
+++ b/src/main/java/holdproxy/lab/VoterOptions.java
@@ -23,21 +23,32 @@
 
     @Option(names = "--seeds", defaultValue = "200", description = "how many (${DEFAULT-VALUE})")
     int seeds;
+
     @Option(names = "--from", defaultValue = "1", description = "the first (${DEFAULT-VALUE})")
     long from;
+
     @Option(names = "--voters", defaultValue = "5", description = "3 or 5 (${DEFAULT-VALUE})")
     int voters;
-    @Option(names = "--others", defaultValue = "2",
-        description = "that do not vote, and ask as well (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--others",
+            defaultValue = "2",
+            description = "that do not vote, and ask as well (${DEFAULT-VALUE})")
     int others;
+
     @Option(names = "--seconds", defaultValue = "60", description = "of each (${DEFAULT-VALUE})")
     double seconds;
 
     void check() {
-        if (seeds < 1 || voters != 3 && voters != 5 || others < 0 || others > MOST_OTHERS
+        if (seeds < 1
+                || voters != 3 && voters != 5
+                || others < 0
+                || others > MOST_OTHERS
                 || !(seconds >= 30)) {
-            throw new BadInput("--seeds must be at least 1, --voters 3 or 5, --others 0 to " + MOST_OTHERS
-                + ", --seconds at least 30");
+            throw new BadInput(
+                    "--seeds must be at least 1, --voters 3 or 5, --others 0 to "
+                            + MOST_OTHERS
+                            + ", --seconds at least 30");
         }
     }
 
@@ -51,8 +62,15 @@
             Outcome outcome = play.apply(seed);
             outcome.kinds().forEach(k -> kinds.merge(k, 1, Integer::sum));
             if (!outcome.broken().isEmpty() && bad++ < SHOWN) {
-                System.out.println("seed " + seed + " " + outcome.kinds() + ": " + outcome.broken().size()
-                    + " times, first: " + outcome.broken().get(0));
+                System.out.println(
+                        "seed "
+                                + seed
+                                + " "
+                                + outcome.kinds()
+                                + ": "
+                                + outcome.broken().size()
+                                + " times, first: "
+                                + outcome.broken().get(0));
             }
         }
         System.out.println("faults: " + kinds);
--- a/src/main/java/holdproxy/lab/Zones.java
+++ b/src/main/java/holdproxy/lab/Zones.java
@@ -12,10 +12,20 @@
 final class Zones {
     static final int NOWHERE = -1;
     static final int MOST = 8;
-    private static final List<String> NAMES = List.of("room-north", "room-south", "room-east", "room-west",
-        "room-hill", "room-harbour", "room-school", "room-market");
+    private static final List<String> NAMES =
+            List.of(
+                    "room-north",
+                    "room-south",
+                    "room-east",
+                    "room-west",
+                    "room-hill",
+                    "room-harbour",
+                    "room-school",
+                    "room-market");
+
     /** What a lost message takes more, as TCP sends it again: at first, and twice as long each time. */
     private static final long AGAIN_US = 200_000;
+
     private static final int AGAIN_MOST = 6;
 
     /** A link as it is now. */
@@ -81,10 +91,13 @@
     /** Each message from and to a zone is lost with this chance, and its way takes so many times as long. */
     void gray(int zone, double lost, double times) {
         for (boolean inwards : new boolean[] {true, false}) {
-            eachOther(zone, inwards, way -> {
-                way.lost = lost;
-                way.times = times;
-            });
+            eachOther(
+                    zone,
+                    inwards,
+                    way -> {
+                        way.lost = lost;
+                        way.times = times;
+                    });
         }
     }
 
@@ -115,7 +128,12 @@
 
     /** Whether what comes late this way, or never, is the town's doing. */
     boolean troubled(int from, int to) {
-        return silent(from) || silent(to) || from != NOWHERE && to != NOWHERE
-            && (ways[from][to].cut || ways[from][to].lost > 0 || ways[from][to].times > 1);
+        return silent(from)
+                || silent(to)
+                || from != NOWHERE
+                        && to != NOWHERE
+                        && (ways[from][to].cut
+                                || ways[from][to].lost > 0
+                                || ways[from][to].times > 1);
     }
 }
--- a/src/main/java/holdproxy/net/Answer.java
+++ b/src/main/java/holdproxy/net/Answer.java
@@ -1,7 +1,7 @@
 package holdproxy.net;
 
-import holdproxy.policy.Router;
 import holdproxy.input.SettingsText;
+import holdproxy.policy.Router;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import java.nio.charset.StandardCharsets;
@@ -10,14 +10,19 @@
 /** One answer of a cache node. */
 final class Answer {
     final Router.Outcome outcome;
+
     /** The id that it names; null on an error line. */
     String opaque;
+
     String receipt;
     byte[] value;
+
     /** Its value is too large to be held and follows in pieces, of so many bytes together; else 0. */
     int follows;
+
     Router.CacheNote note = Router.CacheNote.NONE;
     private String load;
+
     /** Set where the node broke the protocol: what it sends after this cannot be told apart. */
     boolean broken;
 
@@ -53,10 +58,16 @@
     /** The lines for the client, but for what follows; what the node tells the proxy alone is left out. */
     ByteBuf encode(ByteBufAllocator alloc) {
         int length = value == null ? follows : value.length;
-        ByteBuf out = alloc.buffer(opaque.length() + 32 + (value == null ? 0 : length)
-            + (receipt == null ? 0 : receipt.length()));
-        String line = isValue() ? "VA " + length + " " + opaque
-                : receipt != null ? "HD " + opaque + " " + receipt : "HD " + opaque;
+        ByteBuf out =
+                alloc.buffer(
+                        opaque.length()
+                                + 32
+                                + (value == null ? 0 : length)
+                                + (receipt == null ? 0 : receipt.length()));
+        String line =
+                isValue()
+                        ? "VA " + length + " " + opaque
+                        : receipt != null ? "HD " + opaque + " " + receipt : "HD " + opaque;
         out.writeCharSequence(line + "\r\n", StandardCharsets.ISO_8859_1);
         if (value != null) {
             out.writeBytes(value).writeByte('\r').writeByte('\n');
@@ -106,10 +117,11 @@
                 switch (t.isEmpty() ? ' ' : t.charAt(0)) {
                     case 'O' -> a.opaque = t;
                     case 'c' -> a.receipt = t;
-                    case 'h' -> a.note = t.equals("h1") ? Router.CacheNote.HIT : Router.CacheNote.MISS;
+                    case 'h' ->
+                            a.note = t.equals("h1") ? Router.CacheNote.HIT : Router.CacheNote.MISS;
                     case 'Z' -> fetching = true;
                     case 'L' -> a.load = t.substring(1);
-                    default -> { } // a flag not known here
+                    default -> {} // a flag not known here
                 }
             }
             if (fetching && a.note == Router.CacheNote.MISS) {
--- a/src/main/java/holdproxy/net/ClientSession.java
+++ b/src/main/java/holdproxy/net/ClientSession.java
@@ -15,24 +15,32 @@
 final class ClientSession extends SimpleChannelInboundHandler<Object> {
     /** So many may wait for their answers; those that come on top are refused, each in its turn. */
     private static final int MOST_WAITING = 128;
+
     private static final String BUSY = "SERVER_ERROR busy";
     private static final String FAILED = "SERVER_ERROR failed";
+
     /** One that takes nothing of its answers for so long has gone, though its end may never come. */
     private static final int UNTAKEN_MS = 10_000;
+
     private static final int LINGER_MS = 500;
     private static final int LINGER_MOST_MS = 10_000;
+
     /** One that has sent no whole command is owed an error or its end within 3 s; it holds a place. */
     static final int UNHEARD_MS = 2500;
+
     /** Within 6 s where much is sent: for as long as more of it has come within this time. */
     private static final int UNHEARD_LARGE_MS = 5_500;
+
     private static final int AT_WORK_MS = 400;
 
     /** A request's place in the order of answers. */
     static final class Slot {
         private ByteBuf answer;
         private Exchange exchange;
+
         /** Gives the answer as it comes; null where it is given whole. */
         private Relay relay;
+
         /** Not one request but so many running that were refused for want of room: counted and not held. */
         private int refused;
 
@@ -46,10 +54,13 @@
     private Channel channel;
     private Future<?> unheard;
     private Future<?> stuck;
+
     /** When more of a large value came last. */
     private long moreUs = Long.MIN_VALUE / 2;
+
     /** Bytes of whole answers that the client has not taken. */
     private int untaken;
+
     private boolean unread;
     private boolean closing;
     private boolean refusing;
@@ -67,15 +78,22 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        unheard = ctx.executor().schedule(() -> unheard(ctx, UNHEARD_MS), UNHEARD_MS, TimeUnit.MILLISECONDS);
+        unheard =
+                ctx.executor()
+                        .schedule(
+                                () -> unheard(ctx, UNHEARD_MS), UNHEARD_MS, TimeUnit.MILLISECONDS);
         proxy.reception.opened(this);
     }
 
     /** A client that is at work on a large value has longer. */
     private void unheard(ChannelHandlerContext ctx, int afterMs) {
         if (proxy.now() - moreUs <= AT_WORK_MS * 1000L && afterMs < UNHEARD_LARGE_MS) {
-            unheard = ctx.executor().schedule(() -> unheard(ctx, afterMs + AT_WORK_MS), AT_WORK_MS,
-                TimeUnit.MILLISECONDS);
+            unheard =
+                    ctx.executor()
+                            .schedule(
+                                    () -> unheard(ctx, afterMs + AT_WORK_MS),
+                                    AT_WORK_MS,
+                                    TimeUnit.MILLISECONDS);
         } else {
             // the answer to a command that crosses it too: such a one is not sent on
             channel.write(line("CLIENT_ERROR no command"));
@@ -100,7 +118,8 @@
         }
         unheard.cancel(false);
         if (unread) {
-            return; // behind a lost framing, or after the end of our sending: the client asks again elsewhere
+            return; // behind a lost framing, or after the end of our sending: the client asks again
+            // elsewhere
         }
         if (closing || slots.size() >= MOST_WAITING) {
             turnAway(message);
@@ -165,11 +184,19 @@
             stuck.cancel(false);
             stuck = null;
         } else if (stuck == null && !channel.isWritable()) {
-            stuck = ctx.executor().schedule(() -> {
-                if (slots.isEmpty() || slots.peek().relay == null) { // a relay looks after its own client
-                    channel.close();
-                }
-            }, UNTAKEN_MS, TimeUnit.MILLISECONDS);
+            stuck =
+                    ctx.executor()
+                            .schedule(
+                                    () -> {
+                                        if (slots.isEmpty()
+                                                || slots.peek().relay
+                                                        == null) { // a relay looks after its own
+                                            // client
+                                            channel.close();
+                                        }
+                                    },
+                                    UNTAKEN_MS,
+                                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -306,10 +333,16 @@
         ending = true;
         unread = true;
         // a slow client still takes what was written before
-        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> {
-            proxy.reception.endSending(channel);
-            channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
-        });
+        channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
+                .addListener(
+                        f -> {
+                            proxy.reception.endSending(channel);
+                            channel.eventLoop()
+                                    .schedule(
+                                            () -> channel.close(),
+                                            LINGER_MS,
+                                            TimeUnit.MILLISECONDS);
+                        });
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MOST_MS, TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/holdproxy/net/Command.java
+++ b/src/main/java/holdproxy/net/Command.java
@@ -22,11 +22,13 @@
     final String requestClass;
     final int tenant;
     final long key;
+
     /**
      * How long the client waits from its sending on, in milliseconds. 0 is a time too, and has passed: read
      * as none stated, it would hold the request for a client that leaves at once.
      */
     final int waitMs;
+
     final double costUs;
     final double sizeBytes;
     final boolean repeat;
@@ -101,7 +103,7 @@
                 case "h" -> hint = figure(text);
                 case "size" -> size = figure(text);
                 case "r" -> again = text.equals("1");
-                default -> { } // passed on unread
+                default -> {} // passed on unread
             }
         }
         if (!names.classes.containsKey(type) || who < 0 || wait < NOT_STATED) {
@@ -184,9 +186,11 @@
 
     /** The command for a node that the proxy will wait for so long, with its value unless that is large. */
     ByteBuf encode(ByteBufAllocator alloc, long waitUs) {
-        String wait = afterWait == null ? "" : Long.toString(Math.max(1, waitUs / 1000)) + afterWait;
+        String wait =
+                afterWait == null ? "" : Long.toString(Math.max(1, waitUs / 1000)) + afterWait;
         boolean whole = value != null && !large();
-        ByteBuf out = alloc.buffer(beforeWait.length() + wait.length() + 4 + (whole ? value.length : 0));
+        ByteBuf out =
+                alloc.buffer(beforeWait.length() + wait.length() + 4 + (whole ? value.length : 0));
         out.writeCharSequence(beforeWait, StandardCharsets.ISO_8859_1);
         out.writeCharSequence(wait, StandardCharsets.ISO_8859_1);
         out.writeBytes(CRLF);
@@ -262,12 +266,16 @@
         void piece(ByteBuf in, int bytes, List<Object> out) {
             if (tooMuch || !room.take(bytes)) {
                 give();
-                tooMuch = true; // it is read to its end, where the next command begins, but not held
+                tooMuch =
+                        true; // it is read to its end, where the next command begins, but not held
                 in.skipBytes(bytes);
             } else {
                 // grown as its bytes come, and not as its header says
                 if (large.length < held + bytes) {
-                    large = Arrays.copyOf(large, Math.min(length, Math.max(2 * large.length, held + bytes)));
+                    large =
+                            Arrays.copyOf(
+                                    large,
+                                    Math.min(length, Math.max(2 * large.length, held + bytes)));
                 }
                 in.readBytes(large, held, bytes);
                 held += bytes;
@@ -311,14 +319,11 @@
     static final Object MORE = new Object();
 
     /** A command whose value there was no room for. */
-    record TooMuch(Command command) {
-    }
+    record TooMuch(Command command) {}
 
     /** {@code mn}: whether the proxy is there. */
-    record Greeting() {
-    }
+    record Greeting() {}
 
     /** A line for a client that did not keep to the protocol, and whether nothing after it can be read. */
-    record Fault(String line, boolean close) {
-    }
+    record Fault(String line, boolean close) {}
 }
--- a/src/main/java/holdproxy/net/Config.java
+++ b/src/main/java/holdproxy/net/Config.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import holdproxy.input.BadInput;
-import holdproxy.policy.Router;
 import holdproxy.input.SettingsText;
 import holdproxy.input.Shape;
+import holdproxy.policy.Router;
 import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -22,20 +22,30 @@
     final String name;
     final InetSocketAddress listen;
     final InetSocketAddress discovery;
+
     /** Where operators call; null: nowhere. */
     final InetSocketAddress console;
+
     final long seed;
+
     /** File descriptors that the process may hold. */
     final int sockets;
+
     final Router.Settings settings;
     final List<?> zones;
     final List<?> kinds;
+
     /** The list as last had, in discovery's form. */
     final Map<String, Object> known;
+
     private final Map<String, Object> json;
 
-    private Config(String name, InetSocketAddress listen, InetSocketAddress discovery,
-            InetSocketAddress console, Map<String, Object> json) {
+    private Config(
+            String name,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            InetSocketAddress console,
+            Map<String, Object> json) {
         this.name = name;
         this.listen = listen;
         this.discovery = discovery;
@@ -44,7 +54,8 @@
         seed = seed(text(json, "seed", "the configuration"));
         Object limit = object(json, "limits", "the configuration").get("sockets");
         if (!(limit instanceof Number n) || n.intValue() < 128) {
-            throw new BadInput("limits.sockets in the configuration is not a number of at least 128");
+            throw new BadInput(
+                    "limits.sockets in the configuration is not a number of at least 128");
         }
         sockets = n.intValue();
         known = object(json, "known", "the configuration");
@@ -67,8 +78,12 @@
 
     static Config load(Map<String, String> env) {
         Map<String, Object> json = read(variable(env, "LB_CONFIG"));
-        return new Config(variable(env, "LB_NAME"), address(variable(env, "LB_LISTEN"), "LB_LISTEN"),
-            address(variable(env, "LB_DISCOVERY"), "LB_DISCOVERY"), console(env, json), json);
+        return new Config(
+                variable(env, "LB_NAME"),
+                address(variable(env, "LB_LISTEN"), "LB_LISTEN"),
+                address(variable(env, "LB_DISCOVERY"), "LB_DISCOVERY"),
+                console(env, json),
+                json);
     }
 
     /**
@@ -106,12 +121,14 @@
         if (!told.isEmpty()) {
             return address(told, "LB_CONSOLE");
         }
-        return json.get("console") == null ? null
-            : address(text(json, "console", "the configuration"), "console");
+        return json.get("console") == null
+                ? null
+                : address(text(json, "console", "the configuration"), "console");
     }
 
     /** The configuration that this text holds, as the file of {@code LB_CONFIG} would. */
-    public static Config of(String name, InetSocketAddress listen, InetSocketAddress discovery, String text) {
+    public static Config of(
+            String name, InetSocketAddress listen, InetSocketAddress discovery, String text) {
         Map<String, Object> json = parse(text);
         if (json == null) {
             throw new BadInput("the configuration of " + name + " is not a JSON object");
@@ -120,8 +137,12 @@
     }
 
     /** What another file says: {@code json} as the file of {@code LB_CONFIG}; no console where it is null. */
-    public static Config of(String name, InetSocketAddress listen, InetSocketAddress discovery,
-            InetSocketAddress console, Map<String, Object> json) {
+    public static Config of(
+            String name,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            InetSocketAddress console,
+            Map<String, Object> json) {
         return new Config(name, listen, discovery, console, json);
     }
 
@@ -150,8 +171,11 @@
         try {
             text = Files.readString(Path.of(path));
         } catch (IOException | IllegalArgumentException e) {
-            throw new BadInput("the configuration " + path + " (LB_CONFIG) cannot be read: "
-                    + e.getClass().getSimpleName());
+            throw new BadInput(
+                    "the configuration "
+                            + path
+                            + " (LB_CONFIG) cannot be read: "
+                            + e.getClass().getSimpleName());
         }
         Map<String, Object> json = parse(text);
         if (json == null) {
@@ -192,7 +216,8 @@
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new BadInput("seed in the configuration is not a hexadecimal number: " + shown(text));
+            throw new BadInput(
+                    "seed in the configuration is not a hexadecimal number: " + shown(text));
         }
     }
 
--- a/src/main/java/holdproxy/net/Counting.java
+++ b/src/main/java/holdproxy/net/Counting.java
@@ -11,8 +11,10 @@
  */
 final class Counting {
     private static final int EVERY_MS = 1000;
+
     /** So much in a second is worth a word; a start, or a collection, costs less. */
     private static final long LATE_US = 100_000;
+
     /** The same of turns without work. A loop that waits for its timers has some 10. */
     private static final long IDLE_TURNS = 250;
 
@@ -38,13 +40,16 @@
     }
 
     void start(EventLoop loop, Proxy proxy) {
-        loop.schedule(() -> {
-            String counted = sinceThen(proxy.now());
-            if (!counted.isEmpty()) {
-                proxy.log("counted:" + counted);
-            }
-            start(loop, proxy);
-        }, EVERY_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    String counted = sinceThen(proxy.now());
+                    if (!counted.isEmpty()) {
+                        proxy.log("counted:" + counted);
+                    }
+                    start(loop, proxy);
+                },
+                EVERY_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Each count that is not 0, with a space before it; of the loop only what is out of the ordinary. */
--- a/src/main/java/holdproxy/net/Descriptors.java
+++ b/src/main/java/holdproxy/net/Descriptors.java
@@ -4,8 +4,10 @@
 record Descriptors(int clients, int nodes) {
     /** Connections over the bound on clients that are still told so. */
     static final int REFUSING = 16;
+
     /** For the program itself: libraries, selectors, listeners, the console's callers, discovery. */
     private static final int OWN = 48;
+
     /** Of all descriptors clients hold no more than this part for requests: 1 of so many. */
     private static final int CLIENTS_PART = 3;
 
@@ -20,6 +22,7 @@
             return new Descriptors(left / 2, left - left / 2 - REFUSING);
         }
         int clients = most / CLIENTS_PART;
-        return new Descriptors(clients, Math.max(REFUSING, (most - clients - REFUSING - 2 * OWN) / 2));
+        return new Descriptors(
+                clients, Math.max(REFUSING, (most - clients - REFUSING - 2 * OWN) / 2));
     }
 }
--- a/src/main/java/holdproxy/net/Discovery.java
+++ b/src/main/java/holdproxy/net/Discovery.java
@@ -36,18 +36,20 @@
 final class Discovery {
     private static final String PATH = "/registry/instances";
     private static final int LONGEST_LIST = 1 << 20;
+
     /**
      * An empty line comes every 2 s; a cut-off machine says nothing at all. What a silent watch misses counts
      * as told 6 s after it fell silent: it has to be given up, opened anew and answered within that time.
      */
     private static final int SILENCE_MS = 3000;
+
     private static final int CONNECT_MS = 2000;
+
     /** Where lists are pushed a dial may take this part of the grace: 1 of so many. */
     private static final int PUSHED_PART = 2;
 
     /** An entry of a list with the address and name that the module does not need. */
-    record Entry(Router.Node node, String name, InetSocketAddress address) {
-    }
+    record Entry(Router.Node node, String name, InetSocketAddress address) {}
 
     private final Proxy proxy;
     private final Config config;
@@ -76,8 +78,9 @@
     /** What is pushed counts at once: a dial that does not come up must not outlast the grace. */
     private static int connectMs(Router.Settings settings) {
         long graceMs = settings.drainGraceUs / 1000;
-        return settings.askForNodes || graceMs == 0 ? CONNECT_MS
-            : (int) Math.max(1, Math.min(CONNECT_MS, graceMs / PUSHED_PART));
+        return settings.askForNodes || graceMs == 0
+                ? CONNECT_MS
+                : (int) Math.max(1, Math.min(CONNECT_MS, graceMs / PUSHED_PART));
     }
 
     /** The list that the configuration holds. */
@@ -152,12 +155,13 @@
         String where = "a list entry";
         String id = Config.text(m, "id", where);
         Router.Node n = new Router.Node();
-        n.state = switch (Config.text(m, "state", where)) {
-            case "SERVING" -> Router.NodeState.READY;
-            case "DRAINING" -> Router.NodeState.DRAINING;
-            case "DELETED" -> Router.NodeState.GONE;
-            default -> throw new BadInput("a list entry has an unknown state");
-        };
+        n.state =
+                switch (Config.text(m, "state", where)) {
+                    case "SERVING" -> Router.NodeState.READY;
+                    case "DRAINING" -> Router.NodeState.DRAINING;
+                    case "DELETED" -> Router.NodeState.GONE;
+                    default -> throw new BadInput("a list entry has an unknown state");
+                };
         n.id = number(id);
         n.zone = zones.indexOf(m.get("zone"));
         n.kind = kinds.indexOf(m.get("kind"));
@@ -165,8 +169,10 @@
         n.weight = figure(m, "weight", 1);
         double started = figure(m, "started_ms", 0);
         n.startedUs = started > 0 ? proxy.monotonic((long) started) : Long.MIN_VALUE;
-        InetSocketAddress address = n.state == Router.NodeState.GONE && !(m.get("addr") instanceof String)
-            ? null : Config.address(Config.text(m, "addr", where), "addr in a list entry");
+        InetSocketAddress address =
+                n.state == Router.NodeState.GONE && !(m.get("addr") instanceof String)
+                        ? null
+                        : Config.address(Config.text(m, "addr", where), "addr in a list entry");
         return new Entry(n, id, address);
     }
 
@@ -218,27 +224,39 @@
         private final JsonFraming framing = new JsonFraming(LONGEST_LIST);
         private final Channel channel;
         private boolean over;
+
         /** It has served: silence then is the connection's, and not that of a discovery that is down. */
         private boolean served;
+
         /** When no list was begun and not ended last. */
         private long betweenUs = proxy.now();
 
         Call(String path, boolean stream) {
             this.stream = stream;
-            ChannelFuture connected = transport.connect(address, connectMs,
-                new ReadTimeoutHandler(SILENCE_MS, TimeUnit.MILLISECONDS), new HttpClientCodec(), this);
+            ChannelFuture connected =
+                    transport.connect(
+                            address,
+                            connectMs,
+                            new ReadTimeoutHandler(SILENCE_MS, TimeUnit.MILLISECONDS),
+                            new HttpClientCodec(),
+                            this);
             channel = connected.channel();
-            connected.addListener((ChannelFutureListener) f -> {
-                    if (f.isSuccess()) {
-                        DefaultFullHttpRequest get =
-                            new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-                        get.headers().set(HttpHeaderNames.HOST,
-                            NetUtil.toSocketAddressString(address));
-                        f.channel().writeAndFlush(get);
-                    } else {
-                        failed("no connection");
-                    }
-                });
+            connected.addListener(
+                    (ChannelFutureListener)
+                            f -> {
+                                if (f.isSuccess()) {
+                                    DefaultFullHttpRequest get =
+                                            new DefaultFullHttpRequest(
+                                                    HttpVersion.HTTP_1_1, HttpMethod.GET, path);
+                                    get.headers()
+                                            .set(
+                                                    HttpHeaderNames.HOST,
+                                                    NetUtil.toSocketAddressString(address));
+                                    f.channel().writeAndFlush(get);
+                                } else {
+                                    failed("no connection");
+                                }
+                            });
         }
 
         void silently() {
@@ -305,7 +323,8 @@
             if (framing.between()) {
                 betweenUs = proxy.now();
             } else if (proxy.now() - betweenUs > SILENCE_MS * 1000L) {
-                failed("a list does not end"); // the lines that say that it lives would keep it for ever
+                failed("a list does not end"); // the lines that say that it lives would keep it
+                // for ever
             }
         }
 
@@ -320,7 +339,12 @@
                 boolean full = Boolean.TRUE.equals(list.get("full"));
                 if (newVersion < version) {
                     // of a discovery that has less: a node that drains would be sent to again
-                    log.line("discovery: list " + newVersion + " is older than " + version + ": not taken");
+                    log.line(
+                            "discovery: list "
+                                    + newVersion
+                                    + " is older than "
+                                    + version
+                                    + ": not taken");
                     return;
                 }
                 version = newVersion;
@@ -338,8 +362,9 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             boolean silent = stream && served && cause instanceof ReadTimeoutException;
-            failed(silent ? "the watch has fallen silent" : cause.getClass().getSimpleName(),
-                silent ? Router.ListKind.SILENT : Router.ListKind.FAILED);
+            failed(
+                    silent ? "the watch has fallen silent" : cause.getClass().getSimpleName(),
+                    silent ? Router.ListKind.SILENT : Router.ListKind.FAILED);
         }
     }
 }
--- a/src/main/java/holdproxy/net/Exchange.java
+++ b/src/main/java/holdproxy/net/Exchange.java
@@ -12,19 +12,29 @@
     final ClientSession session;
     final ClientSession.Slot slot;
     final long dueUs;
+
     /** As the settings had it when it came. */
     final int maxAttempts;
+
     /** Whether it may run twice, likewise. */
     final boolean repeatable;
+
     /** For so long after the sending of an attempt that may have run another one does nothing, likewise. */
     private final long repeatWindowUs;
+
     final List<Attempt> attempts = new ArrayList<>(2);
     int out;
     boolean answered;
     Future<?> overdue;
 
-    Exchange(long id, Command command, ClientSession session, ClientSession.Slot slot, long dueUs,
-            int maxAttempts, Router.RequestClass type) {
+    Exchange(
+            long id,
+            Command command,
+            ClientSession session,
+            ClientSession.Slot slot,
+            long dueUs,
+            int maxAttempts,
+            Router.RequestClass type) {
         this.id = id;
         this.command = command;
         this.session = session;
--- a/src/main/java/holdproxy/net/JsonFraming.java
+++ b/src/main/java/holdproxy/net/JsonFraming.java
@@ -32,8 +32,11 @@
                 escaped = b == '\\' && !escaped;
             } else if (b != ' ' && b != '\n' && b != '\r' && b != '\t') {
                 if (depth == 0 && b != '{') {
-                    throw new BadInput("no JSON object: " + Config.shown(
-                        (char) (b & 0xff) + bytes.toString(StandardCharsets.ISO_8859_1)));
+                    throw new BadInput(
+                            "no JSON object: "
+                                    + Config.shown(
+                                            (char) (b & 0xff)
+                                                    + bytes.toString(StandardCharsets.ISO_8859_1)));
                 }
                 keep(b);
                 inText = b == '"';
--- a/src/main/java/holdproxy/net/KeptOut.java
+++ b/src/main/java/holdproxy/net/KeptOut.java
@@ -22,6 +22,7 @@
 final class KeptOut {
     /** A file that tells of a return is of no use once the node is warm for certain. */
     private static final long RETURNS_FOR_MS = 600_000;
+
     private static final String OUT = "out-";
     private static final String BACK = "back-";
 
@@ -32,6 +33,7 @@
 
     /** Null: nothing outlives the process. */
     private final Path folder;
+
     private final Time time;
     private final Set<String> out = new HashSet<>();
 
@@ -81,7 +83,8 @@
             make(file(OUT, node));
         } else if (folder != null && Files.exists(file(OUT, node))) {
             Files.deleteIfExists(file(BACK, node));
-            make(file(BACK, node)); // first, so that the return is not missed by one that starts just now
+            make(file(BACK, node)); // first, so that the return is not missed by one that starts
+            // just now
             Files.deleteIfExists(file(OUT, node));
         }
         if (leaveOut) {
@@ -115,8 +118,9 @@
             for (Path file : files) {
                 String name = file.getFileName().toString().substring(kind.length());
                 try {
-                    found.put(URLDecoder.decode(name, StandardCharsets.UTF_8),
-                        Files.getLastModifiedTime(file).toMillis());
+                    found.put(
+                            URLDecoder.decode(name, StandardCharsets.UTF_8),
+                            Files.getLastModifiedTime(file).toMillis());
                 } catch (java.nio.file.NoSuchFileException e) {
                     // taken away between the two looks
                 } catch (IllegalArgumentException e) {
--- a/src/main/java/holdproxy/net/Lateness.java
+++ b/src/main/java/holdproxy/net/Lateness.java
@@ -8,6 +8,7 @@
 final class Lateness {
     /** The interval at which {@link #ticked} is due. */
     static final long TICK_US = 20_000;
+
     private static final long JUST_US = 5_000;
 
     private long dueUs;
--- a/src/main/java/holdproxy/net/Members.java
+++ b/src/main/java/holdproxy/net/Members.java
@@ -16,9 +16,12 @@
     private final NodePools pools;
     private final Discovery discovery;
     private final Log log;
+
     /** Done with the first list that discovery has given. */
     private final Promise<Void> first;
+
     private final Set<Integer> listed = new HashSet<>();
+
     /** By their names in the list, which they may have left. */
     private final Set<String> leftOut = new HashSet<>();
 
@@ -43,7 +46,8 @@
                 listed.add(e.node().id);
             }
         }
-        proxy.events.list(() -> proxy.router.onNodes(proxy.now(), kind, nodes, nodes.length, proxy));
+        proxy.events.list(
+                () -> proxy.router.onNodes(proxy.now(), kind, nodes, nodes.length, proxy));
         for (Router.Node n : nodes) {
             if (n.state != Router.NodeState.READY) {
                 left(n.id, n.state == Router.NodeState.GONE);
--- a/src/main/java/holdproxy/net/MetaDecoder.java
+++ b/src/main/java/holdproxy/net/MetaDecoder.java
@@ -9,14 +9,18 @@
 /** Lines, each perhaps with a block of bytes after it: the framing of the memcache text protocol. */
 abstract class MetaDecoder extends ByteToMessageDecoder {
     static final int LONGEST_LINE = 2048;
+
     /** Up to this size a value is held until it is whole. */
     static final int LARGEST_WHOLE = 64 * 1024;
+
     static final int LARGEST_VALUE = 4 << 20;
     static final int NO_BLOCK = -1;
 
     private int block = NO_BLOCK;
+
     /** What is still to come of a block that is taken in pieces. */
     private int left;
+
     private boolean lost;
 
     /** A line without its end; returns the length of the block that follows, or {@link #NO_BLOCK}. */
--- a/src/main/java/holdproxy/net/NettyLog.java
+++ b/src/main/java/holdproxy/net/NettyLog.java
@@ -20,12 +20,13 @@
 
     /** To be called before any of Netty's classes is used: each keeps the logger that it finds first. */
     static void install(Log log) {
-        InternalLoggerFactory.setDefaultFactory(new InternalLoggerFactory() {
-            @Override
-            protected InternalLogger newInstance(String name) {
-                return new NettyLog(name, log);
-            }
-        });
+        InternalLoggerFactory.setDefaultFactory(
+                new InternalLoggerFactory() {
+                    @Override
+                    protected InternalLogger newInstance(String name) {
+                        return new NettyLog(name, log);
+                    }
+                });
     }
 
     private void line(String format, Object... arguments) {
@@ -44,8 +45,11 @@
             at = format.indexOf("{}", from);
         }
         text.append(format, from, format.length());
-        boolean cause = next < arguments.length && arguments[arguments.length - 1] instanceof Throwable;
-        return cause ? text.append(": ").append(arguments[arguments.length - 1]).toString() : text.toString();
+        boolean cause =
+                next < arguments.length && arguments[arguments.length - 1] instanceof Throwable;
+        return cause
+                ? text.append(": ").append(arguments[arguments.length - 1]).toString()
+                : text.toString();
     }
 
     @Override
--- a/src/main/java/holdproxy/net/NodeConnection.java
+++ b/src/main/java/holdproxy/net/NodeConnection.java
@@ -18,29 +18,41 @@
 
     final NodePool pool;
     final InetSocketAddress address;
+
     /** How long what is put on it may wait for it to come up. */
     private final long dialUs;
+
     /** Those that are begun, in the order of their answers, and behind them those that are not yet. */
     private final ArrayDeque<Attempt> line = new ArrayDeque<>();
+
     private final ArrayDeque<Attempt> unsent = new ArrayDeque<>();
+
     /** Those whose values are on their way, and how much of the first one's has gone. */
     private final ArrayDeque<Attempt> sending = new ArrayDeque<>();
+
     private int sent;
     private Channel channel;
     private boolean up;
     private boolean wanted;
     private boolean closed;
+
     /** An attempt on it was given up: what went on it now would wait behind that one's answer. */
     private boolean retired;
+
     /** Where the value goes that comes in pieces now; null: nowhere, it is thrown away. */
     private Relay relay;
+
     /** A value comes in pieces now. */
     private boolean inPieces;
+
     private Answer relayed;
+
     /** When it came back from its last answer; before the first one it never idles. */
     long idleSinceUs;
+
     /** The last answer may have been another command's: failures and refusals bear no id. */
     private boolean doubtful;
+
     private boolean answered;
 
     NodeConnection(NodePool pool, InetSocketAddress address, long dialUs) {
@@ -97,7 +109,9 @@
      * out, or where it has waited longer than a dial may take, by which the module has reckoned.
      */
     private boolean mayBegin(Attempt a) {
-        return !a.exchange.answered && pool.takes(this) && pool.pools.proxy.now() - a.sentUs <= dialUs;
+        return !a.exchange.answered
+                && pool.takes(this)
+                && pool.pools.proxy.now() - a.sentUs <= dialUs;
     }
 
     private void write(Attempt a) {
@@ -132,7 +146,8 @@
                 sent = 0;
                 sending.poll();
             }
-            // the write may make room, which comes back here: what this slice is has been put down before
+            // the write may make room, which comes back here: what this slice is has been put down
+            // before
             ChannelFuture written = channel.writeAndFlush(c.slice(from, SLICE_BYTES));
             if (last) {
                 written.addListener(f -> written(a, f.isSuccess()));
@@ -225,9 +240,13 @@
         }
         boolean ours = answer.outcome != Router.Outcome.OK || fits(answer, a);
         if (answer.broken || inPieces || !a.written || !ours) {
-            pool.pools.log.line("node " + pool.name + " broke the protocol"
-                + (answer.broken ? ": " + Config.shown(answer.receipt) : ""));
-            // a broken connection, not a read error: it may have run, and it says nothing of capacity
+            pool.pools.log.line(
+                    "node "
+                            + pool.name
+                            + " broke the protocol"
+                            + (answer.broken ? ": " + Config.shown(answer.receipt) : ""));
+            // a broken connection, not a read error: it may have run, and it says nothing of
+            // capacity
             if (!inPieces) {
                 line.poll();
                 end(a, Router.Outcome.RESET, null);
--- a/src/main/java/holdproxy/net/NodePool.java
+++ b/src/main/java/holdproxy/net/NodePool.java
@@ -14,11 +14,15 @@
     final NodePools pools;
     final String name;
     InetSocketAddress address;
+
     /** Its node takes nothing new: a connection that comes back from its last answer would only be held. */
     private boolean left;
+
     private final List<NodeConnection> all = new ArrayList<>();
+
     /** Newest last: the newest is used first, so that what is not needed grows old and is closed. */
     private final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
+
     private final Map<NodeConnection, Future<?>> idleTimers = new HashMap<>();
 
     NodePool(NodePools pools, String name, InetSocketAddress address) {
@@ -50,7 +54,7 @@
         while (!idle.isEmpty() && now - idle.peekFirst().idleSinceUs >= pools.idleUs) {
             idle.peekFirst().close(); // its timer is late, as this loop was
         }
-        for (Iterator<NodeConnection> newest = idle.descendingIterator(); newest.hasNext();) {
+        for (Iterator<NodeConnection> newest = idle.descendingIterator(); newest.hasNext(); ) {
             NodeConnection c = newest.next();
             if (c.usable() && (repeatable || c.certain(now))) {
                 newest.remove();
@@ -72,7 +76,9 @@
         NodeConnection best = null;
         if (pools.streams > 1) {
             for (NodeConnection c : all) {
-                if (c.usable() && c.load() < pools.streams && (best == null || c.load() < best.load())) {
+                if (c.usable()
+                        && c.load() < pools.streams
+                        && (best == null || c.load() < best.load())) {
                     best = c;
                 }
             }
--- a/src/main/java/holdproxy/net/NodePools.java
+++ b/src/main/java/holdproxy/net/NodePools.java
@@ -38,10 +38,12 @@
 
     /** What the settings say of connections, for those that are made or become idle from here on. */
     void retune(Router.Settings settings) {
-        // drains: what waits for a connection must be written within the grace of a change told meanwhile
+        // drains: what waits for a connection must be written within the grace of a change told
+        // meanwhile
         long grace = settings.drainGraceUs;
         dialUs = grace > 0 ? Math.min(settings.dialTimeoutUs, grace / 2) : settings.dialTimeoutUs;
-        // an attempt given up on a shared connection stays out: where no second copy may be, none is shared
+        // an attempt given up on a shared connection stays out: where no second copy may be, none
+        // is shared
         streams = settings.secondCopies ? settings.streamsPerConnection : 1;
         idleUs = settings.idleCloseUs - settings.idleCloseUs / IDLE_SHARE;
         byId.values().forEach(NodePool::retuned);
@@ -94,8 +96,9 @@
         dials++;
         NodeConnection c = new NodeConnection(pool, pool.address, dialUs);
         pool.added(c);
-        transport.connect(pool.address, (int) Math.max(1, dialUs / 1000), new Answer.Decoder(), c)
-            .addListener((ChannelFutureListener) c::dialed);
+        transport
+                .connect(pool.address, (int) Math.max(1, dialUs / 1000), new Answer.Decoder(), c)
+                .addListener((ChannelFutureListener) c::dialed);
         return c;
     }
 
@@ -109,8 +112,17 @@
 
     /** Connections made, failed and used again since this was asked last, and how many are open. */
     String counted() {
-        String text = dials + reused == 0 ? "" : " dials=" + dials + " dials_failed=" + dialsFailed
-            + " reused=" + reused + " open=" + open;
+        String text =
+                dials + reused == 0
+                        ? ""
+                        : " dials="
+                                + dials
+                                + " dials_failed="
+                                + dialsFailed
+                                + " reused="
+                                + reused
+                                + " open="
+                                + open;
         dials = dialsFailed = reused = 0;
         return text;
     }
--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -25,27 +25,36 @@
     private static final long UNTAKEN_FOR_TAKING_BYTES = 4L << 20;
     private static final int MOST_OPEN = 4096;
     private static final long DEFAULT_ADVICE_US = 500_000;
+
     /** The client's clock started when it sent: what an answer needs to be with it in time. */
     private static final long TRANSIT_US = 5_000;
+
     /** A request that the module has left unanswered for so long after it was due is failed here. */
     private static final long OVERDUE_US = 15_000;
+
     /**
      * SIGKILL comes no sooner than the longest deadline, counted as 3 s where it is longer, and 0.7 s after
      * SIGTERM: what is open so much before is failed, as a request without an answer would be lost.
      */
     private static final long KILL_AFTER_MS = 700;
+
     private static final long KILL_DEADLINE_MOST_MS = 3_000;
     private static final long LAST_WORD_BEFORE_MS = 150;
+
     /** A time-out is the proxy's own if its loop stood still for this part of the wait: 1 of so many. */
     private static final int OWN_PART = 4;
+
     /** Nothing is sent on for who left 0.3 s ago: after a third of that ends are looked for first. */
     private static final long LONG_STILL_US = 100_000;
+
     /** For so long a class that new settings have dropped is still served: its requests were under way. */
     private static final int DROPPED_MS = 5_000;
 
     private Router.Settings settings;
+
     /** The classes of the latest settings, without those that they dropped. */
     private Router.RequestClass[] kept;
+
     private final Time time;
     private final Log log;
     private final EventLoop loop;
@@ -92,8 +101,8 @@
      * A proxy on this thread's own event loop, listening; whoever runs the loop runs the proxy.
      * {@code log} takes its lines.
      */
-    public static Proxy start(Config config, EventLoop loop, Time time, Transport transport,
-            Consumer<String> log) {
+    public static Proxy start(
+            Config config, EventLoop loop, Time time, Transport transport, Consumer<String> log) {
         Proxy proxy = new Proxy(config, loop, time, transport, new Log(time, log));
         proxy.begin();
         proxy.listen();
@@ -113,14 +122,22 @@
         now.settings.classes = Retuning.withDropped(settings.classes, classes);
         retune(now.settings);
         figures.configApplied.add(1);
-        log.line("settings taken: " + classes.length + " classes, "
-            + (settings.classes.length - classes.length) + " dropped, attempts " + settings.maxAttempts);
+        log.line(
+                "settings taken: "
+                        + classes.length
+                        + " classes, "
+                        + (settings.classes.length - classes.length)
+                        + " dropped, attempts "
+                        + settings.maxAttempts);
         kept = classes;
-        loop.schedule(() -> {
-            if (kept == classes) {
-                forgetDropped();
-            }
-        }, DROPPED_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (kept == classes) {
+                        forgetDropped();
+                    }
+                },
+                DROPPED_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Serves only the classes that the latest settings name. */
@@ -186,10 +203,13 @@
     }
 
     private void tickLater() {
-        loop.schedule(() -> {
-            tick();
-            tickLater();
-        }, Lateness.TICK_US, TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    tick();
+                    tickLater();
+                },
+                Lateness.TICK_US,
+                TimeUnit.MICROSECONDS);
     }
 
     void tick() {
@@ -218,32 +238,45 @@
             session.answer(slot, "CLIENT_ERROR c is not known here any longer");
             return null;
         }
-        if (table.size() >= Math.min(MOST_OPEN, settings.maxOpen)
-                || !values.take(c.valueBytes())) {
+        if (table.size() >= Math.min(MOST_OPEN, settings.maxOpen) || !values.take(c.valueBytes())) {
             session.answer(slot, shed(c));
             return null;
         }
         long now = now();
         long classUs = settings.classes[type].deadlineUs;
         long waitUs = c.waitMs == Command.NOT_STATED ? classUs : c.waitMs * 1000L;
-        waitUs = classUs > 0 ? Math.min(waitUs, classUs) : waitUs; // no client holds a place for longer
+        waitUs =
+                classUs > 0
+                        ? Math.min(waitUs, classUs)
+                        : waitUs; // no client holds a place for longer
         long dueUs = now + Math.max(waitUs / 2, waitUs - TRANSIT_US) - lateness.justNowUs(now);
-        Exchange x = new Exchange(nextId++, c, session, slot, dueUs, settings.maxAttempts,
-            settings.classes[type]);
+        Exchange x =
+                new Exchange(
+                        nextId++,
+                        c,
+                        session,
+                        slot,
+                        dueUs,
+                        settings.maxAttempts,
+                        settings.classes[type]);
         table.put(x.id, x);
         figures.active.add(1);
-        x.overdue = loop.schedule(() -> overdue(x), Math.max(0, dueUs - now) + OVERDUE_US,
-            TimeUnit.MICROSECONDS);
-        events.add(() -> {
-            if (x.answered) {
-                return; // its client has left in this very turn
-            }
-            c.fill(request);
-            request.requestClass = type;
-            request.id = x.id;
-            request.dueUs = x.dueUs;
-            router.onRequest(now(), request, this);
-        });
+        x.overdue =
+                loop.schedule(
+                        () -> overdue(x),
+                        Math.max(0, dueUs - now) + OVERDUE_US,
+                        TimeUnit.MICROSECONDS);
+        events.add(
+                () -> {
+                    if (x.answered) {
+                        return; // its client has left in this very turn
+                    }
+                    c.fill(request);
+                    request.requestClass = type;
+                    request.id = x.id;
+                    request.dueUs = x.dueUs;
+                    router.onRequest(now(), request, this);
+                });
         return x;
     }
 
@@ -287,7 +320,8 @@
     String shed(Command c) {
         outcomes(c).shed.add(1);
         log.line("too much is open: refusing");
-        return busy(settings.retryAfter ? Math.min(DEFAULT_ADVICE_US, settings.maxRetryAfterUs) : 0);
+        return busy(
+                settings.retryAfter ? Math.min(DEFAULT_ADVICE_US, settings.maxRetryAfterUs) : 0);
     }
 
     /** Bytes of answers that clients have not taken yet. */
@@ -301,7 +335,9 @@
     }
 
     private String busy(long adviceUs) {
-        return adviceUs > 0 ? "SERVER_ERROR busy " + Math.max(1, adviceUs / 1000) : "SERVER_ERROR busy";
+        return adviceUs > 0
+                ? "SERVER_ERROR busy " + Math.max(1, adviceUs / 1000)
+                : "SERVER_ERROR busy";
     }
 
     private void answerFailed(Exchange x) {
@@ -325,15 +361,24 @@
         }
         settle(x);
         long latencyUs = a.firstBytesUs >= 0 ? a.firstBytesUs : latencyUs(a, now());
-        events.add(() -> {
-            if (answer != null) {
-                answer.report(report);
-            } else {
-                report.clear();
-            }
-            router.onOutcome(now(), x.id, a.number, outcome, latencyUs, x.answered,
-                answer == null ? Router.CacheNote.NONE : answer.note, report, this);
-        });
+        events.add(
+                () -> {
+                    if (answer != null) {
+                        answer.report(report);
+                    } else {
+                        report.clear();
+                    }
+                    router.onOutcome(
+                            now(),
+                            x.id,
+                            a.number,
+                            outcome,
+                            latencyUs,
+                            x.answered,
+                            answer == null ? Router.CacheNote.NONE : answer.note,
+                            report,
+                            this);
+                });
     }
 
     /** What an attempt has taken; what lay there while the loop stood still says nothing of the node. */
@@ -358,10 +403,15 @@
     private void timedOut(Attempt a) {
         if (!a.over) {
             boolean ownFault = stoodStillUs(a, now()) > a.waitUs / OWN_PART;
-            // what was never written whole cannot run: the module may refuse it or send it elsewhere
+            // what was never written whole cannot run: the module may refuse it or send it
+            // elsewhere
             boolean neverRan = !a.connection.giveUp(a);
-            ended(a, neverRan ? ownFault ? Router.Outcome.NOT_SENT : Router.Outcome.CONNECT_FAILED
-                : ownFault ? Router.Outcome.CANCELLED : Router.Outcome.TIMEOUT, null);
+            ended(
+                    a,
+                    neverRan
+                            ? ownFault ? Router.Outcome.NOT_SENT : Router.Outcome.CONNECT_FAILED
+                            : ownFault ? Router.Outcome.CANCELLED : Router.Outcome.TIMEOUT,
+                    null);
         }
     }
 
@@ -411,8 +461,7 @@
         Attempt a = new Attempt(x, x.attempts.size(), now, lateness.totalUs(now), wait);
         x.attempts.add(a);
         x.out++;
-        a.timer = loop.schedule(() -> timedOut(a), Math.max(0, wait),
-            TimeUnit.MICROSECONDS);
+        a.timer = loop.schedule(() -> timedOut(a), Math.max(0, wait), TimeUnit.MICROSECONDS);
         if (x.answered || wait <= 0 || pool == null || a.number >= x.maxAttempts) {
             ended(a, Router.Outcome.NOT_SENT, null);
         } else {
@@ -452,17 +501,20 @@
 
     @Override
     public void timer(long delayUs, long label) {
-        loop.schedule(() -> events.add(() -> router.onTimer(now(), label, this)), Math.max(0, delayUs),
-            TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> events.add(() -> router.onTimer(now(), label, this)),
+                Math.max(0, delayUs),
+                TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void probe(int node) {
         // the module asks for none; one that does is told that none was sent
-        events.add(() -> {
-            report.clear();
-            router.onProbe(now(), node, Router.Outcome.NOT_SENT, 0, report, this);
-        });
+        events.add(
+                () -> {
+                    report.clear();
+                    router.onProbe(now(), node, Router.Outcome.NOT_SENT, 0, report, this);
+                });
     }
 
     @Override
--- a/src/main/java/holdproxy/net/Reception.java
+++ b/src/main/java/holdproxy/net/Reception.java
@@ -15,6 +15,7 @@
 final class Reception {
     /** After SIGTERM new connections still come for 0.4 s; what comes after 0.7 s may be cut off. */
     private static final long DRAIN_OPEN_MS = 500;
+
     /** So often it is looked, a millisecond apart, whether the kernel has more connections for us. */
     private static final int LAST_LOOKS = 100;
 
@@ -24,20 +25,31 @@
     private final Transport transport;
     private final Log log;
     private final int most;
+
     /** In the order of their coming, so that a run in virtual time can be played again. */
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
+
     /** Idle connections, longest first. */
     private final Set<ClientSession> idle = new LinkedHashSet<>();
+
     private final Promise<Void> drained;
+
     /** Connections that ever came. */
     private long opened;
+
     private Channel listener;
     private boolean handingOver;
     private volatile boolean listening;
     private volatile boolean draining;
 
     /** {@code most}: connections that it keeps. */
-    Reception(Proxy proxy, InetSocketAddress place, EventLoop loop, Transport transport, Log log, int most) {
+    Reception(
+            Proxy proxy,
+            InetSocketAddress place,
+            EventLoop loop,
+            Transport transport,
+            Log log,
+            int most) {
         this.proxy = proxy;
         this.place = place;
         this.loop = loop;
@@ -78,7 +90,8 @@
         opened++;
         sessions.add(s);
         if (sessions.size() > most) {
-            // between requests a connection may be closed: the one that has been idle longest makes room
+            // between requests a connection may be closed: the one that has been idle longest makes
+            // room
             if (!idle.isEmpty()) {
                 ClientSession oldest = idle.iterator().next();
                 idle.remove(oldest);
@@ -87,7 +100,8 @@
                 s.refuse();
             }
             if (sessions.size() > most + Descriptors.REFUSING) {
-                s.abort(); // descriptors: past the bound nothing could be opened, not even to a node
+                s.abort(); // descriptors: past the bound nothing could be opened, not even
+                // to a node
             }
         }
         idle.add(s);
@@ -128,23 +142,30 @@
      * client is then least likely to be sending. What idles until the time is over ends then.
      */
     Future<Void> end(long openMs) {
-        loop.execute(() -> {
-            if (draining) {
-                return;
-            }
-            draining = true;
-            log.line("ending: " + proxy.open() + " requests open, " + sessions.size() + " connections");
-            if (listener == null) {
-                finishDrain(); // it has not listened yet: nobody was taken
-                return;
-            }
-            handingOver = transport.shared();
-            if (handingOver) {
-                listener.config().setAutoRead(false);
-            }
-            loop.schedule(() -> stopListening(-1, LAST_LOOKS), openMs, TimeUnit.MILLISECONDS);
-            loop.schedule(proxy::lastWord, proxy.lastWordMs(), TimeUnit.MILLISECONDS);
-        });
+        loop.execute(
+                () -> {
+                    if (draining) {
+                        return;
+                    }
+                    draining = true;
+                    log.line(
+                            "ending: "
+                                    + proxy.open()
+                                    + " requests open, "
+                                    + sessions.size()
+                                    + " connections");
+                    if (listener == null) {
+                        finishDrain(); // it has not listened yet: nobody was taken
+                        return;
+                    }
+                    handingOver = transport.shared();
+                    if (handingOver) {
+                        listener.config().setAutoRead(false);
+                    }
+                    loop.schedule(
+                            () -> stopListening(-1, LAST_LOOKS), openMs, TimeUnit.MILLISECONDS);
+                    loop.schedule(proxy::lastWord, proxy.lastWordMs(), TimeUnit.MILLISECONDS);
+                });
         return drained;
     }
 
--- a/src/main/java/holdproxy/net/Rehearsal.java
+++ b/src/main/java/holdproxy/net/Rehearsal.java
@@ -21,14 +21,15 @@
 final class Rehearsal implements Transport {
     /** Enough for what runs with each request to be compiled, which takes 200 calls and then some time. */
     static final int ROUNDS = 600;
+
     /** Where another process serves meanwhile: nobody waits for this one until all that is compiled. */
     static final int UNHURRIED_ROUNDS = 10 * ROUNDS;
+
     private static final int ROUNDS_PER_CLIENT = 4;
 
     private final List<EmbeddedChannel> nodes = new ArrayList<>();
 
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
     /** Returns how many requests were served. */
     static int run(Config config, int rounds) {
@@ -36,11 +37,15 @@
     }
 
     private int serve(Config config, int rounds) {
-        // an event loop that nobody runs: the timers set here, that for the node list among them, never fire
+        // an event loop that nobody runs: the timers set here, that for the node list among them,
+        // never fire
         Time time = Time.system();
-        Proxy proxy = new Proxy(config, new EmbeddedChannel().eventLoop(), time, this, new Log(time));
+        Proxy proxy =
+                new Proxy(config, new EmbeddedChannel().eventLoop(), time, this, new Log(time));
         Router.Node node = new Router.Node();
-        proxy.nodes(Router.ListKind.CACHED, List.of(new Discovery.Entry(node, "rehearsal", config.listen)));
+        proxy.nodes(
+                Router.ListKind.CACHED,
+                List.of(new Discovery.Entry(node, "rehearsal", config.listen)));
         int served = 0;
         EmbeddedChannel client = null;
         for (int i = 0; i < rounds; i++) {
@@ -61,7 +66,8 @@
     }
 
     @Override
-    public ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+    public ChannelFuture connect(
+            InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
         EmbeddedChannel node = new EmbeddedChannel(handlers);
         nodes.add(node);
         return node.newSucceededFuture();
@@ -78,11 +84,25 @@
     }
 
     private static ByteBuf request(Router.Settings settings, int i) {
-        String fields = " O" + i + " Pc=" + settings.classes[i % settings.classes.length].name
-            + (settings.tenants.length == 0 ? "" : ",t=" + settings.tenants[i % settings.tenants.length].name)
-            + ",d=60000";
-        return bytes(i % 8 != 0 ? "mg " + Integer.toHexString(i) + " v" + fields + "\r\n"
-            : "ms " + Integer.toHexString(i) + " 5" + fields + ",k=" + i + "\r\nhello\r\n");
+        String fields =
+                " O"
+                        + i
+                        + " Pc="
+                        + settings.classes[i % settings.classes.length].name
+                        + (settings.tenants.length == 0
+                                ? ""
+                                : ",t=" + settings.tenants[i % settings.tenants.length].name)
+                        + ",d=60000";
+        return bytes(
+                i % 8 != 0
+                        ? "mg " + Integer.toHexString(i) + " v" + fields + "\r\n"
+                        : "ms "
+                                + Integer.toHexString(i)
+                                + " 5"
+                                + fields
+                                + ",k="
+                                + i
+                                + "\r\nhello\r\n");
     }
 
     /** What a node says to the command that has come to it. */
@@ -91,8 +111,11 @@
         if (!command.isEmpty()) {
             int at = command.indexOf(" O") + 1;
             String id = command.substring(at, command.indexOf(' ', at));
-            node.writeInbound(bytes(command.startsWith("mg") ? "VA 5 " + id + "\r\nhello\r\n"
-                : "HD " + id + " c1\r\n"));
+            node.writeInbound(
+                    bytes(
+                            command.startsWith("mg")
+                                    ? "VA 5 " + id + "\r\nhello\r\n"
+                                    : "HD " + id + " c1\r\n"));
         }
     }
 
--- a/src/main/java/holdproxy/net/Relay.java
+++ b/src/main/java/holdproxy/net/Relay.java
@@ -13,8 +13,10 @@
 final class Relay {
     /** A node that gives nothing for so long has gone silent. */
     private static final long NODE_SILENT_US = 5_000_000;
+
     /** So has a client that takes nothing. */
     private static final long CLIENT_SILENT_US = 10_000_000;
+
     private static final int LOOK_MS = 500;
 
     private final Proxy proxy;
@@ -23,11 +25,15 @@
     private final NodeConnection node;
     private final ClientSession session;
     private final ClientSession.Slot slot;
+
     /** What has come before it is this value's turn. */
     private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
+
     private final Future<?> look;
+
     /** Handed to the client's connection and not taken yet. */
     private long held;
+
     private boolean whole;
     private boolean over;
     private boolean reading = true;
@@ -105,16 +111,18 @@
         boolean last = whole && waiting.isEmpty();
         held += size;
         all.hold(size);
-        session.write(bytes).addListener(f -> {
-            held -= size;
-            all.hold(-size);
-            movedUs = proxy.now();
-            if (last) {
-                all.taken(attempt.exchange, f.isSuccess());
-            } else if (held == 0) {
-                pump();
-            }
-        });
+        session.write(bytes)
+                .addListener(
+                        f -> {
+                            held -= size;
+                            all.hold(-size);
+                            movedUs = proxy.now();
+                            if (last) {
+                                all.taken(attempt.exchange, f.isSuccess());
+                            } else if (held == 0) {
+                                pump();
+                            }
+                        });
     }
 
     /** A cut-off machine says nothing for ever, a client may take nothing; neither can before its turn. */
@@ -124,8 +132,10 @@
         if (!turn) {
             movedUs = proxy.now();
         } else if (!over && proxy.now() - movedUs > (ofNode ? NODE_SILENT_US : CLIENT_SILENT_US)) {
-            proxy.log(ofNode ? "node " + node.pool.name + " fell silent in the middle of a value"
-                : "a client takes nothing of its value: closed");
+            proxy.log(
+                    ofNode
+                            ? "node " + node.pool.name + " fell silent in the middle of a value"
+                            : "a client takes nothing of its value: closed");
             if (ofNode) {
                 node.close(); // which ends this
             } else {
--- a/src/main/java/holdproxy/net/Retuning.java
+++ b/src/main/java/holdproxy/net/Retuning.java
@@ -10,21 +10,25 @@
 
 /** Settings that replace others while a proxy runs: which may, and what is kept of those before. */
 final class Retuning {
-    private Retuning() {
-    }
+    private Retuning() {}
 
     /** Throws a {@link BadInput} that names what no running proxy can take. */
     static void check(Router.Settings inUse, Router.Settings next) {
-        reject(inUse.aside != next.aside, "settings.familyInfo.mode cannot change while the proxy runs");
-        reject(inUse.originKind != next.originKind,
-            "settings.familyInfo.originKind cannot change while the proxy runs");
-        reject(inUse.askForNodes != next.askForNodes,
-            "settings.registryMode cannot change while the proxy runs");
+        reject(
+                inUse.aside != next.aside,
+                "settings.familyInfo.mode cannot change while the proxy runs");
+        reject(
+                inUse.originKind != next.originKind,
+                "settings.familyInfo.originKind cannot change while the proxy runs");
+        reject(
+                inUse.askForNodes != next.askForNodes,
+                "settings.registryMode cannot change while the proxy runs");
         Set<String> names = new HashSet<>();
         for (Router.RequestClass c : next.classes) {
             reject(c.deadlineUs <= 0, "class '" + c.name + "' needs a deadline above 0");
-            reject(c.name.isEmpty() || !names.add(c.name),
-                "a class has no name, or that of another: '" + c.name + "'");
+            reject(
+                    c.name.isEmpty() || !names.add(c.name),
+                    "a class has no name, or that of another: '" + c.name + "'");
         }
     }
 
@@ -42,8 +46,8 @@
         List<Router.Tenant> fresh = new ArrayList<>(Arrays.asList(next));
         List<Router.Tenant> placed = new ArrayList<>();
         for (Router.Tenant before : inUse) {
-            Router.Tenant same = fresh.stream().filter(t -> t.name.equals(before.name)).findFirst()
-                .orElse(null);
+            Router.Tenant same =
+                    fresh.stream().filter(t -> t.name.equals(before.name)).findFirst().orElse(null);
             fresh.remove(same);
             placed.add(same);
         }
@@ -57,7 +61,8 @@
     }
 
     /** The next classes, and behind them those that are no longer among them. */
-    static Router.RequestClass[] withDropped(Router.RequestClass[] inUse, Router.RequestClass[] next) {
+    static Router.RequestClass[] withDropped(
+            Router.RequestClass[] inUse, Router.RequestClass[] next) {
         List<Router.RequestClass> all = new ArrayList<>(Arrays.asList(next));
         for (Router.RequestClass before : inUse) {
             if (all.stream().noneMatch(c -> c.name.equals(before.name))) {
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -24,16 +24,22 @@
      * values that their clients take slowly, which the process must not be the one to break off.
      */
     private static final long DRAIN_MOST_MS = 15_000;
+
     /** How often it is looked up what another process was told. */
     private static final int LOOK_MS = 100;
+
     private static final int LOOK_ALONE_MS = 250;
     private static final int REFRESH_MS = 200;
+
     /** The folder for them in {@code TMPDIR}. */
     private static final String KEPT = "left-out";
+
     /** So long clients are left to another process until discovery has told this one of the nodes. */
     private static final int FIRST_LIST_MS = 2_000;
+
     /** Where lists are pushed; while discovery is down there is none, and clients have waited for long. */
     private static final int FIRST_PUSHED_MS = 500;
+
     private static final int BIND_TRIES = 30;
     private static final int BIND_WAIT_MS = 100;
 
@@ -55,10 +61,16 @@
     /** Runs a proxy until SIGTERM; at SIGHUP it reads its configuration again. */
     public static void serve(Map<String, String> env) {
         NettyLog.install(new Log(Time.system()));
-        run(Config.load(env), null, env, null, service -> {
-            service.drain();
-            Runtime.getRuntime().halt(0);
-        }).listening();
+        run(
+                        Config.load(env),
+                        null,
+                        env,
+                        null,
+                        service -> {
+                            service.drain();
+                            Runtime.getRuntime().halt(0);
+                        })
+                .listening();
     }
 
     /**
@@ -67,8 +79,12 @@
      * on any thread (null: standard error); {@code env} is looked up for {@code LB_FD} and {@code TMPDIR};
      * {@code end} is run at SIGTERM. Both signals are heeded before the first client can have an answer.
      */
-    public static Service run(Config config, UnaryOperator<Config> again, Map<String, String> env,
-            Consumer<String> lines, Consumer<Service> end) {
+    public static Service run(
+            Config config,
+            UnaryOperator<Config> again,
+            Map<String, String> env,
+            Consumer<String> lines,
+            Consumer<Service> end) {
         Log log = new Log(Time.system(), lines);
         ServerSocketChannel inherited = inherited(env);
         KeptOut kept = kept(config, env, log);
@@ -97,11 +113,12 @@
 
     /** Says that all signals are heeded from here on: for who has seen to SIGTERM. */
     public void listening() {
-        loop.execute(() -> {
-            if (proxy.takesClients()) {
-                proxy.log("listening on " + proxy.address());
-            }
-        });
+        loop.execute(
+                () -> {
+                    if (proxy.takesClients()) {
+                        proxy.log("listening on " + proxy.address());
+                    }
+                });
     }
 
     static EventLoop loop(Turns turns) {
@@ -117,7 +134,11 @@
     }
 
     /** A proxy on this loop, once it listens: on the socket that was inherited, or on one of its own. */
-    static Proxy start(Config config, EventLoop loop, ServerSocketChannel inherited, KeptOut kept,
+    static Proxy start(
+            Config config,
+            EventLoop loop,
+            ServerSocketChannel inherited,
+            KeptOut kept,
             Consumer<String> lines) {
         Proxy proxy = begun(config, loop, inherited, kept, lines);
         listen(proxy, config, loop, inherited != null);
@@ -125,21 +146,41 @@
     }
 
     /** One that follows the lists already, and takes no clients yet. */
-    private static Proxy begun(Config config, EventLoop loop, ServerSocketChannel inherited, KeptOut kept,
+    private static Proxy begun(
+            Config config,
+            EventLoop loop,
+            ServerSocketChannel inherited,
+            KeptOut kept,
             Consumer<String> lines) {
         Time time = Time.system();
         try {
-            Proxy proxy = loop.submit(
-                () -> new Proxy(config, loop, time, new Sockets(loop, inherited), new Log(time, lines)))
-                .get();
-            loop.submit(() -> {
-                proxy.begin();
-                if (kept != null) {
-                    // before anything is sent: what the process before this one was told holds here too
-                    kept.all((node, out, at) -> proxy.members().restore(node, out, proxy.monotonic(at)));
-                }
-                return null;
-            }).get();
+            Proxy proxy =
+                    loop.submit(
+                                    () ->
+                                            new Proxy(
+                                                    config,
+                                                    loop,
+                                                    time,
+                                                    new Sockets(loop, inherited),
+                                                    new Log(time, lines)))
+                            .get();
+            loop.submit(
+                            () -> {
+                                proxy.begin();
+                                if (kept != null) {
+                                    // before anything is sent: what the process before this one was
+                                    // told holds here too
+                                    kept.all(
+                                            (node, out, at) ->
+                                                    proxy.members()
+                                                            .restore(
+                                                                    node,
+                                                                    out,
+                                                                    proxy.monotonic(at)));
+                                }
+                                return null;
+                            })
+                    .get();
             return proxy;
         } catch (ExecutionException e) {
             throw new BadInput("cannot start: " + e.getCause().getMessage());
@@ -152,18 +193,22 @@
         try {
             awaitFirstList(proxy, config, inherited);
             ChannelFuture bound = bound(proxy, loop);
-            for (int i = 0; i < BIND_TRIES && bound != null && bound.cause() instanceof BindException; i++) {
+            for (int i = 0;
+                    i < BIND_TRIES && bound != null && bound.cause() instanceof BindException;
+                    i++) {
                 // after a restart the one before may hold the address a moment longer
                 if (i == 0) {
-                    loop.execute(() -> proxy.log("waiting for " + config.listen + ", which is in use"));
+                    loop.execute(
+                            () -> proxy.log("waiting for " + config.listen + ", which is in use"));
                 }
                 Thread.sleep(BIND_WAIT_MS);
                 bound = bound(proxy, loop);
             }
             if (bound != null && !bound.isSuccess()) {
-                throw new BadInput("cannot listen on " + config.listen + ": " + bound.cause().getMessage());
+                throw new BadInput(
+                        "cannot listen on " + config.listen + ": " + bound.cause().getMessage());
             }
-            loop.submit(() -> { }).get(); // the proxy itself has heard of it, and says so
+            loop.submit(() -> {}).get(); // the proxy itself has heard of it, and says so
         } catch (ExecutionException e) {
             throw new BadInput("cannot start: " + e.getCause().getMessage());
         } catch (InterruptedException e) {
@@ -196,7 +241,9 @@
         }
         String folder = env.getOrDefault("TMPDIR", "");
         if (folder.isEmpty()) {
-            log.line("TMPDIR is not set: nodes left out by operators are forgotten with this process");
+            log.line(
+                    "TMPDIR is not set: nodes left out by operators are forgotten with this"
+                            + " process");
         }
         try {
             return new KeptOut(folder.isEmpty() ? null : Path.of(folder, KEPT), Time.system());
@@ -215,15 +262,17 @@
             return null;
         }
         if (!descriptor.equals("0")) {
-            throw new BadInput("LB_FD is not 0, the only descriptor that can be taken over: "
-                + Config.shown(descriptor));
+            throw new BadInput(
+                    "LB_FD is not 0, the only descriptor that can be taken over: "
+                            + Config.shown(descriptor));
         }
         try {
             if (System.inheritedChannel() instanceof ServerSocketChannel server) {
                 return server;
             }
         } catch (IOException e) {
-            throw new BadInput("descriptor 0, named by LB_FD, cannot be taken over: " + e.getMessage());
+            throw new BadInput(
+                    "descriptor 0, named by LB_FD, cannot be taken over: " + e.getMessage());
         }
         throw new BadInput("descriptor 0, named by LB_FD, is no listening socket");
     }
@@ -233,19 +282,28 @@
         Time time = Time.system();
         Log own = new Log(time, lines);
         Watchdog watchdog = watchdog(time, own, LOOK_MS);
-        console.scheduleAtFixedRate(() -> watchdog.look(time.us()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-        console.execute(() -> {
-            new Console(console, this, line -> loop.execute(() -> proxy.log(line)))
-                .listen(config.console,
-                    listening -> say("the console listens on " + listening.localAddress()));
-            console.scheduleAtFixedRate(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-        });
-        loop.scheduleAtFixedRate(proxy.members()::refresh, REFRESH_MS, REFRESH_MS, TimeUnit.MILLISECONDS);
+        console.scheduleAtFixedRate(
+                () -> watchdog.look(time.us()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        console.execute(
+                () -> {
+                    new Console(console, this, line -> loop.execute(() -> proxy.log(line)))
+                            .listen(
+                                    config.console,
+                                    listening ->
+                                            say(
+                                                    "the console listens on "
+                                                            + listening.localAddress()));
+                    console.scheduleAtFixedRate(
+                            this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+                });
+        loop.scheduleAtFixedRate(
+                proxy.members()::refresh, REFRESH_MS, REFRESH_MS, TimeUnit.MILLISECONDS);
     }
 
     private Watchdog watchdog(Time time, Log own, int everyMs) {
         Watchdog watchdog = new Watchdog(loopThread(), time.us(), own::line);
-        loop.scheduleAtFixedRate(() -> watchdog.beat(time.us()), everyMs, everyMs, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                () -> watchdog.beat(time.us()), everyMs, everyMs, TimeUnit.MILLISECONDS);
         return watchdog;
     }
 
@@ -253,16 +311,21 @@
     private void watchAlone() {
         Time time = Time.system();
         Watchdog watchdog = watchdog(time, new Log(time, lines), LOOK_ALONE_MS);
-        Thread looking = new Thread(() -> {
-            try {
-                while (true) {
-                    Thread.sleep(LOOK_ALONE_MS);
-                    watchdog.look(time.us());
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt(); // nobody does; the process ends with the others
-            }
-        }, "watchdog");
+        Thread looking =
+                new Thread(
+                        () -> {
+                            try {
+                                while (true) {
+                                    Thread.sleep(LOOK_ALONE_MS);
+                                    watchdog.look(time.us());
+                                }
+                            } catch (InterruptedException e) {
+                                Thread.currentThread()
+                                        .interrupt(); // nobody does; the process ends with the
+                                // others
+                            }
+                        },
+                        "watchdog");
         looking.setDaemon(true);
         looking.start();
     }
@@ -278,8 +341,13 @@
     /** What the process before, or the other one in an upgrade, was told of nodes left out. */
     private void look() {
         try {
-            kept.changes((node, out, atUnixMs) ->
-                loop.execute(() -> proxy.members().leaveOut(node, out, proxy.monotonic(atUnixMs))));
+            kept.changes(
+                    (node, out, atUnixMs) ->
+                            loop.execute(
+                                    () ->
+                                            proxy.members()
+                                                    .leaveOut(
+                                                            node, out, proxy.monotonic(atUnixMs))));
         } catch (IOException e) {
             say("which nodes are left out cannot be read: " + e);
         }
@@ -292,31 +360,47 @@
     /** The call holds once it is kept for the next process and the module has it; else nothing of it does. */
     @Override
     public void leaveOut(String node, boolean out, Consumer<String> answer) {
-        loop.execute(() -> {
-            if (!proxy.members().knows(node, out)) {
-                answer.accept("no cache node is called " + Config.shown(node));
-                return;
-            }
-            console.execute(() -> {
-                try {
-                    long atUnixMs = kept.keep(node, out);
-                    loop.execute(() -> {
-                        proxy.members().leaveOut(node, out, proxy.monotonic(atUnixMs));
-                        answer.accept(null);
-                    });
-                } catch (IOException e) {
-                    say("node " + node + " could not be kept as left out or used: " + e);
-                    answer.accept("cannot be kept: " + e.getClass().getSimpleName());
-                }
-            });
-        });
+        loop.execute(
+                () -> {
+                    if (!proxy.members().knows(node, out)) {
+                        answer.accept("no cache node is called " + Config.shown(node));
+                        return;
+                    }
+                    console.execute(
+                            () -> {
+                                try {
+                                    long atUnixMs = kept.keep(node, out);
+                                    loop.execute(
+                                            () -> {
+                                                proxy.members()
+                                                        .leaveOut(
+                                                                node,
+                                                                out,
+                                                                proxy.monotonic(atUnixMs));
+                                                answer.accept(null);
+                                            });
+                                } catch (IOException e) {
+                                    say(
+                                            "node "
+                                                    + node
+                                                    + " could not be kept as left out or used: "
+                                                    + e);
+                                    answer.accept(
+                                            "cannot be kept: " + e.getClass().getSimpleName());
+                                }
+                            });
+                });
     }
 
     /**
      * What SIGHUP asks for: the file as it is now, or nothing of it. On any thread, and each signal has one
      * of its own: one after the other, so that the last file is the last that is taken.
      */
-    static void reload(Config inUse, Proxy proxy, EventLoop loop, UnaryOperator<Config> again,
+    static void reload(
+            Config inUse,
+            Proxy proxy,
+            EventLoop loop,
+            UnaryOperator<Config> again,
             Map<String, String> env) {
         synchronized (proxy) {
             try {
--- a/src/main/java/holdproxy/net/Sockets.java
+++ b/src/main/java/holdproxy/net/Sockets.java
@@ -20,6 +20,7 @@
 /** TCP, all of it on one event loop. */
 final class Sockets implements Transport {
     private static final int BACKLOG = 512;
+
     /** Of at most 64 KiB each: small answers on other connections do not wait behind a large value. */
     private static final int READS_A_TURN = 4;
 
@@ -31,41 +32,55 @@
     Sockets(EventLoop loop, ServerSocketChannel inherited) {
         this.loop = loop;
         this.inherited = inherited;
-        client = new Bootstrap().group(loop)
-            .channelFactory(NioSocketChannel::new) // by reflection, a start would pay for it again and again
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.RECVBUF_ALLOCATOR,
-                new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(READS_A_TURN));
+        client =
+                new Bootstrap()
+                        .group(loop)
+                        .channelFactory(
+                                NioSocketChannel
+                                        ::new) // by reflection, a start would pay for it again and
+                        // again
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(
+                                ChannelOption.RECVBUF_ALLOCATOR,
+                                new AdaptiveRecvByteBufAllocator()
+                                        .maxMessagesPerRead(READS_A_TURN));
     }
 
     @Override
-    public ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
-        return client.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
-            .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    ch.pipeline().addLast(handlers);
-                }
-            }).connect(address);
+    public ChannelFuture connect(
+            InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+        return client.clone()
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
+                .handler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel ch) {
+                                ch.pipeline().addLast(handlers);
+                            }
+                        })
+                .connect(address);
     }
 
     @Override
     public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
-        ServerBootstrap server = new ServerBootstrap().group(loop, loop)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel ch) {
-                    ch.pipeline().addLast(handlers.get());
-                }
-            });
+        ServerBootstrap server =
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel ch) {
+                                        ch.pipeline().addLast(handlers.get());
+                                    }
+                                });
         if (inherited != null) {
             return server.channelFactory(() -> new NioServerSocketChannel(inherited)).register();
         }
         return server.channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .bind(address);
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .bind(address);
     }
 
     /** An inherited socket is never closed: the JDK would then send the log to nowhere. */
--- a/src/main/java/holdproxy/net/Turns.java
+++ b/src/main/java/holdproxy/net/Turns.java
@@ -111,8 +111,9 @@
         @Override
         public long delayNanos(long currentNanos) {
             long delay = context.delayNanos(currentNanos);
-            return delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND ? delay
-                : (delay + MILLISECOND - 1) / MILLISECOND * MILLISECOND;
+            return delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND
+                    ? delay
+                    : (delay + MILLISECOND - 1) / MILLISECOND * MILLISECOND;
         }
 
         @Override
--- a/src/main/java/holdproxy/net/Watchdog.java
+++ b/src/main/java/holdproxy/net/Watchdog.java
@@ -10,6 +10,7 @@
 final class Watchdog {
     /** Callers of the console are owed an answer within 1 s; a loop that is this late is news. */
     static final long STILL_US = 700_000;
+
     private static final int FRAMES = 12;
 
     private final Thread watched;
@@ -45,8 +46,10 @@
             StringBuilder at = new StringBuilder();
             StackTraceElement[] frames = watched.getStackTrace();
             for (int i = 0; i < Math.min(FRAMES, frames.length); i++) {
-                at.append(i == 0 ? "" : " < ").append(frames[i].getClassName()).append('.')
-                    .append(frames[i].getMethodName());
+                at.append(i == 0 ? "" : " < ")
+                        .append(frames[i].getClassName())
+                        .append('.')
+                        .append(frames[i].getMethodName());
             }
             log.accept("the request loop stands still since " + still / 1000 + " ms in " + at);
         }
--- a/src/main/java/holdproxy/peers/Change.java
+++ b/src/main/java/holdproxy/peers/Change.java
@@ -7,5 +7,4 @@
  * @param now what it is held for
  * @param voices how many processes had said so, this one included
  */
-public record Change(Member before, Member now, int voices) {
-}
+public record Change(Member before, Member now, int voices) {}
--- a/src/main/java/holdproxy/peers/Links.java
+++ b/src/main/java/holdproxy/peers/Links.java
@@ -40,6 +40,7 @@
 public final class Links implements AutoCloseable {
     /** Bytes of the longest frame. */
     public static final int LONGEST_FRAME = 1 << 20;
+
     private static final int VERSION = 1;
     private static final int HEAD = 2;
     private static final int LENGTH = 4;
@@ -73,8 +74,11 @@
      * {@code addresses} reads an address, with a {@link BadInput} where it is none; {@code log} takes lines
      * on the loop.
      */
-    public Links(EventLoop loop, Map<String, InetSocketAddress> routes,
-            Function<String, InetSocketAddress> addresses, Consumer<String> log) {
+    public Links(
+            EventLoop loop,
+            Map<String, InetSocketAddress> routes,
+            Function<String, InetSocketAddress> addresses,
+            Consumer<String> log) {
         this.loop = loop;
         this.routes = Map.copyOf(routes);
         this.addresses = addresses;
@@ -87,22 +91,34 @@
     }
 
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel ch) {
-                    if (incoming.size() >= MOST_CONNECTIONS) {
-                        ch.close();
-                        return;
-                    }
-                    incoming.add(ch);
-                    ch.closeFuture().addListener(f -> incoming.remove(ch));
-                    ch.pipeline().addLast(new IdleStateHandler(SILENT_S, 0, 0),
-                        new LengthFieldBasedFrameDecoder(LONGEST_FRAME + LENGTH + HEAD, 0, LENGTH, 0, LENGTH),
-                        new Incoming());
-                }
-            }).bind(address);
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childHandler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel ch) {
+                                        if (incoming.size() >= MOST_CONNECTIONS) {
+                                            ch.close();
+                                            return;
+                                        }
+                                        incoming.add(ch);
+                                        ch.closeFuture().addListener(f -> incoming.remove(ch));
+                                        ch.pipeline()
+                                                .addLast(
+                                                        new IdleStateHandler(SILENT_S, 0, 0),
+                                                        new LengthFieldBasedFrameDecoder(
+                                                                LONGEST_FRAME + LENGTH + HEAD,
+                                                                0,
+                                                                LENGTH,
+                                                                0,
+                                                                LENGTH),
+                                                        new Incoming());
+                                    }
+                                })
+                        .bind(address);
         listener = bound.channel();
         return bound;
     }
@@ -185,13 +201,17 @@
         }
 
         void send(int kind, byte[] frame) {
-            if (failed && System.nanoTime() - failedNs < AGAIN_NS || waiting.size() >= MOST_WAITING
+            if (failed && System.nanoTime() - failedNs < AGAIN_NS
+                    || waiting.size() >= MOST_WAITING
                     || open && !channel.isWritable()) {
                 dropped++;
                 return;
             }
             ByteBuf bytes = Unpooled.buffer(LENGTH + HEAD + frame.length);
-            bytes.writeInt(HEAD + frame.length).writeByte(VERSION).writeByte(kind).writeBytes(frame);
+            bytes.writeInt(HEAD + frame.length)
+                    .writeByte(VERSION)
+                    .writeByte(kind)
+                    .writeBytes(frame);
             sentFrames++;
             sentBytes += bytes.readableBytes();
             if (open) {
@@ -206,33 +226,43 @@
 
         private void connect() {
             failed = false;
-            ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK,
-                    new WriteBufferWaterMark(MOST_UNSENT / 2, MOST_UNSENT))
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new IdleStateHandler(0, IDLE_S, 0), new Ending());
-                    }
-                }).connect(to);
+            ChannelFuture connecting =
+                    new Bootstrap()
+                            .group(loop)
+                            .channel(NioSocketChannel.class)
+                            .option(ChannelOption.TCP_NODELAY, true)
+                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                            .option(
+                                    ChannelOption.WRITE_BUFFER_WATER_MARK,
+                                    new WriteBufferWaterMark(MOST_UNSENT / 2, MOST_UNSENT))
+                            .handler(
+                                    new ChannelInitializer<SocketChannel>() {
+                                        @Override
+                                        protected void initChannel(SocketChannel ch) {
+                                            ch.pipeline()
+                                                    .addLast(
+                                                            new IdleStateHandler(0, IDLE_S, 0),
+                                                            new Ending());
+                                        }
+                                    })
+                            .connect(to);
             channel = connecting.channel();
-            connecting.addListener(f -> {
-                if (!f.isSuccess()) {
-                    failed = true;
-                    failedNs = System.nanoTime();
-                    dropped += waiting.size();
-                    drop();
-                    channel = null;
-                    return;
-                }
-                open = true;
-                waiting.forEach(channel::write);
-                waiting.clear();
-                channel.flush();
-                channel.closeFuture().addListener(c -> over());
-            });
+            connecting.addListener(
+                    f -> {
+                        if (!f.isSuccess()) {
+                            failed = true;
+                            failedNs = System.nanoTime();
+                            dropped += waiting.size();
+                            drop();
+                            channel = null;
+                            return;
+                        }
+                        open = true;
+                        waiting.forEach(channel::write);
+                        waiting.clear();
+                        channel.flush();
+                        channel.closeFuture().addListener(c -> over());
+                    });
         }
 
         private void over() {
@@ -288,7 +318,8 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            ctx.close(); // nothing has come for long: whoever sent is gone, or has another connection
+            ctx.close(); // nothing has come for long: whoever sent is gone, or has another
+            // connection
         }
 
         @Override
--- a/src/main/java/holdproxy/peers/Member.java
+++ b/src/main/java/holdproxy/peers/Member.java
@@ -10,7 +10,8 @@
  * @param state what it is held for
  * @param by whose word that is; the process's own name while it is alive or has left
  */
-public record Member(String name, String address, long life, int incarnation, State state, String by) {
+public record Member(
+        String name, String address, long life, int incarnation, State state, String by) {
     /** In the order in which words of the same incarnation replace each other. */
     public enum State {
         ALIVE,
--- a/src/main/java/holdproxy/peers/Membership.java
+++ b/src/main/java/holdproxy/peers/Membership.java
@@ -67,21 +67,32 @@
      * @param newsPerMessage words that go along with a message
      * @param newsRounds that a word is passed on, times the binary logarithm of the fleet
      */
-    public record Settings(long periodUs, long timeoutUs, int helpers, double suspicionPeriods,
-            double suspicionSpread, int voices, int newsPerMessage, int newsRounds) {
+    public record Settings(
+            long periodUs,
+            long timeoutUs,
+            int helpers,
+            double suspicionPeriods,
+            double suspicionSpread,
+            int voices,
+            int newsPerMessage,
+            int newsRounds) {
         public static final Settings USUAL = new Settings(500_000, 200_000, 3, 4, 4, 3, 8, 3);
     }
 
     /** What is held of another process. */
     private static final class Entry {
         Member member;
+
         /** Who suspects it by what they saw themselves. */
         final Set<String> suspectedBy = new LinkedHashSet<>();
+
         long suspectedUs;
         long heardUs = Long.MIN_VALUE;
         long overUs;
+
         /** The last question before a verdict: its number (0: none), when, and whether others answered. */
         long lastSeq;
+
         long lastUs;
         boolean othersAnswer;
 
@@ -91,8 +102,7 @@
     }
 
     /** A ping that goes out on behalf of another process. */
-    private record AskedFor(String asker, long askersSeq, String target, long nackUs) {
-    }
+    private record AskedFor(String asker, long askersSeq, String target, long nackUs) {}
 
     private final Settings settings;
     private final List<String> seeds;
@@ -133,14 +143,29 @@
      * @param life higher than that of any start before, as far as the process can tell
      * @param seeds addresses at which others may be found, its own among them or not
      */
-    public Membership(Settings settings, String name, String address, long life, List<String> seeds,
-            Random random, long nowUs, Output out) {
+    public Membership(
+            Settings settings,
+            String name,
+            String address,
+            long life,
+            List<String> seeds,
+            Random random,
+            long nowUs,
+            Output out) {
         this(settings, name, address, life, seeds, random, nowUs, out, EnumSet.allOf(Guard.class));
     }
 
     /** For trials: with these rules alone. */
-    public Membership(Settings settings, String name, String address, long life, List<String> seeds,
-            Random random, long nowUs, Output out, Set<Guard> guards) {
+    public Membership(
+            Settings settings,
+            String name,
+            String address,
+            long life,
+            List<String> seeds,
+            Random random,
+            long nowUs,
+            Output out,
+            Set<Guard> guards) {
         this.settings = settings;
         this.seeds = seeds.stream().filter(s -> !s.equals(address)).toList();
         this.random = random;
@@ -222,17 +247,22 @@
             return;
         }
         reconnectUs = nowUs + RECONNECT_US + random.nextInt((int) RECONNECT_US);
-        List<Member> gone = entries.values().stream().map(e -> e.member).filter(m -> !m.live()).toList();
+        List<Member> gone =
+                entries.values().stream().map(e -> e.member).filter(m -> !m.live()).toList();
         if (!gone.isEmpty()) {
             Member one = gone.get(random.nextInt(gone.size()));
             out.send(one.name(), one.address(), message(Kind.ASK_VIEW, ++seq, "", List.of(one)));
         }
         Set<String> known = new LinkedHashSet<>();
-        entries.values().stream().filter(e -> e.member.live()).forEach(e -> known.add(e.member.address()));
+        entries.values().stream()
+                .filter(e -> e.member.live())
+                .forEach(e -> known.add(e.member.address()));
         List<String> unmet = seeds.stream().filter(s -> !known.contains(s)).toList();
         if (joined && !unmet.isEmpty()) {
-            out.send(null, unmet.get(random.nextInt(unmet.size())),
-                message(Kind.ASK_VIEW, ++seq, "", List.of()));
+            out.send(
+                    null,
+                    unmet.get(random.nextInt(unmet.size())),
+                    message(Kind.ASK_VIEW, ++seq, "", List.of()));
         }
     }
 
@@ -262,9 +292,11 @@
 
     private void missed(long nowUs) {
         Entry target = entries.get(probed);
-        // helpers that live but got no answer speak against the target; silent ones against this process
+        // helpers that live but got no answer speak against the target; silent ones against this
+        // process
         worse(helpersAsked > nacks ? 1 : 0);
-        boolean heard = lastHeardUs >= probeStartUs || !guards.contains(Guard.LAST_QUESTION) || live() == 1;
+        boolean heard =
+                lastHeardUs >= probeStartUs || !guards.contains(Guard.LAST_QUESTION) || live() == 1;
         if (target != null && target.member.live() && heard) {
             suspected(target, target.member.as(State.SUSPECT, self.name()), nowUs);
         }
@@ -291,8 +323,10 @@
     private String nextTarget() {
         while (true) {
             if (round.isEmpty()) {
-                entries.values().stream().map(e -> e.member).filter(Member::live)
-                    .forEach(m -> round.add(m.name()));
+                entries.values().stream()
+                        .map(e -> e.member)
+                        .filter(Member::live)
+                        .forEach(m -> round.add(m.name()));
                 if (round.isEmpty()) {
                     return null;
                 }
@@ -308,8 +342,10 @@
 
     private List<Member> some(int most, String but) {
         List<Member> all = new ArrayList<>();
-        entries.values().stream().map(e -> e.member)
-            .filter(m -> m.state() == State.ALIVE && !m.name().equals(but)).forEach(all::add);
+        entries.values().stream()
+                .map(e -> e.member)
+                .filter(m -> m.state() == State.ALIVE && !m.name().equals(but))
+                .forEach(all::add);
         Collections.shuffle(all, random);
         return all.subList(0, Math.min(most, all.size()));
     }
@@ -323,14 +359,16 @@
     }
 
     private void nackOn(long nowUs) {
-        askedFor.values().removeIf(each -> {
-            boolean due = nowUs >= each.nackUs;
-            Entry asker = entries.get(each.asker);
-            if (due && asker != null) {
-                send(asker.member, Kind.NACK, each.askersSeq, each.target);
-            }
-            return due;
-        });
+        askedFor.values()
+                .removeIf(
+                        each -> {
+                            boolean due = nowUs >= each.nackUs;
+                            Entry asker = entries.get(each.asker);
+                            if (due && asker != null) {
+                                send(asker.member, Kind.NACK, each.askersSeq, each.target);
+                            }
+                            return due;
+                        });
     }
 
     // ---- suspicion ----
@@ -343,7 +381,8 @@
             entry.suspectedBy.clear();
             hold(entry, word);
         }
-        boolean isNew = entry.suspectedBy.size() <= settings.voices && entry.suspectedBy.add(word.by());
+        boolean isNew =
+                entry.suspectedBy.size() <= settings.voices && entry.suspectedBy.add(word.by());
         if (isNew) {
             rumours.add(word);
         }
@@ -354,7 +393,8 @@
 
     /** When a suspicion becomes a death: the sooner the more have it by what they saw themselves. */
     private long endsUs(Entry entry) {
-        double least = settings.suspicionPeriods * settings.periodUs * Math.max(1, Math.log10(live() + 1));
+        double least =
+                settings.suspicionPeriods * settings.periodUs * Math.max(1, Math.log10(live() + 1));
         double most = least * settings.suspicionSpread;
         int further = Math.max(0, entry.suspectedBy.size() - 1);
         double part = Math.log(further + 1) / Math.log(settings.voices + 1);
@@ -413,7 +453,9 @@
 
     /** A message has come. */
     public void received(long nowUs, Message message) {
-        if (over || message.sender().name().equals(self.name()) && message.sender().life() == self.life()) {
+        if (over
+                || message.sender().name().equals(self.name())
+                        && message.sender().life() == self.life()) {
             return;
         }
         if (message.sender().name().equals(self.name())) {
@@ -425,8 +467,10 @@
         if (sender == null || sender.member.life() > message.sender().life()) {
             // there are too many, or a life that is over still talks; it is told who lives
             if (sender != null) {
-                out.send(null, message.sender().address(), message(Kind.VIEW, message.seq(), "",
-                    List.of(sender.member)));
+                out.send(
+                        null,
+                        message.sender().address(),
+                        message(Kind.VIEW, message.seq(), "", List.of(sender.member)));
             }
             return;
         }
@@ -449,8 +493,13 @@
             case PING_REQUEST -> {
                 Entry target = entries.get(message.target());
                 if (target != null && askedFor.size() < MOST_ASKED_FOR) {
-                    askedFor.put(++seq, new AskedFor(sender.name(), message.seq(), message.target(),
-                        nowUs + settings.timeoutUs * 4 / 5));
+                    askedFor.put(
+                            ++seq,
+                            new AskedFor(
+                                    sender.name(),
+                                    message.seq(),
+                                    message.target(),
+                                    nowUs + settings.timeoutUs * 4 / 5));
                     send(target.member, Kind.PING, seq, "");
                 }
             }
@@ -510,8 +559,14 @@
             Collections.swap(all, 0, asker);
         }
         for (int from = 0; from == 0 || from < all.size(); from += VIEW_PART) {
-            out.send(to.name().isEmpty() ? null : to.name(), to.address(), message(Kind.VIEW, number, "",
-                all.subList(from, Math.min(all.size(), from + VIEW_PART))));
+            out.send(
+                    to.name().isEmpty() ? null : to.name(),
+                    to.address(),
+                    message(
+                            Kind.VIEW,
+                            number,
+                            "",
+                            all.subList(from, Math.min(all.size(), from + VIEW_PART))));
         }
     }
 
@@ -557,8 +612,10 @@
             entry.overUs = nowUs;
         }
         rumours.add(word);
-        boolean seen = before.state() != word.state() || before.life() != word.life()
-            || !before.address().equals(word.address());
+        boolean seen =
+                before.state() != word.state()
+                        || before.life() != word.life()
+                        || !before.address().equals(word.address());
         if (seen) {
             changed(before, entry, 1, nowUs);
         }
@@ -571,16 +628,32 @@
                 over = true;
                 out.superseded(word);
             } else {
-                // the wall clock went back, or the disk is gone: this start is the later one all the same
-                self = new Member(self.name(), self.address(), word.life() + 1, 0, State.ALIVE, self.name());
+                // the wall clock went back, or the disk is gone: this start is the later one all
+                // the same
+                self =
+                        new Member(
+                                self.name(),
+                                self.address(),
+                                word.life() + 1,
+                                0,
+                                State.ALIVE,
+                                self.name());
                 joinUs = nowUs;
             }
         } else if (word.life() < self.life()) {
             rumours.add(self);
-        } else if (word.state() != State.ALIVE && word.incarnation() >= self.incarnation()
-                && self.state() == State.ALIVE && guards.contains(Guard.REFUTATION)) {
-            self = new Member(self.name(), self.address(), self.life(), word.incarnation() + 1, State.ALIVE,
-                self.name());
+        } else if (word.state() != State.ALIVE
+                && word.incarnation() >= self.incarnation()
+                && self.state() == State.ALIVE
+                && guards.contains(Guard.REFUTATION)) {
+            self =
+                    new Member(
+                            self.name(),
+                            self.address(),
+                            self.life(),
+                            word.incarnation() + 1,
+                            State.ALIVE,
+                            self.name());
             worse(1);
             rumours.add(self);
         }
@@ -607,8 +680,14 @@
         if (over) {
             return;
         }
-        self = new Member(self.name(), self.address(), self.life(), self.incarnation() + 1, State.LEFT,
-            self.name());
+        self =
+                new Member(
+                        self.name(),
+                        self.address(),
+                        self.life(),
+                        self.incarnation() + 1,
+                        State.LEFT,
+                        self.name());
         for (Member member : some(settings.newsRounds * log2(), "")) {
             out.send(member.name(), member.address(), message(Kind.NACK, 0, "", List.of(self)));
         }
@@ -622,7 +701,8 @@
 
     /** What goes round, and what the receiver has to hear: that it is suspected. */
     private List<Member> newsFor(String to) {
-        List<Member> words = rumours.next(to, settings.newsPerMessage, settings.newsRounds * log2());
+        List<Member> words =
+                rumours.next(to, settings.newsPerMessage, settings.newsRounds * log2());
         Entry entry = entries.get(to);
         if (entry != null && entry.member.state() != State.ALIVE && !words.contains(entry.member)) {
             words.add(entry.member);
@@ -663,8 +743,9 @@
 
     private static long of(Member member) {
         CRC32C crc = new CRC32C();
-        crc.update((member.name() + " " + member.life() + " " + member.incarnation())
-            .getBytes(StandardCharsets.UTF_8));
+        crc.update(
+                (member.name() + " " + member.life() + " " + member.incarnation())
+                        .getBytes(StandardCharsets.UTF_8));
         return crc.getValue();
     }
 }
--- a/src/main/java/holdproxy/peers/Message.java
+++ b/src/main/java/holdproxy/peers/Message.java
@@ -12,7 +12,8 @@
  * @param sender itself, as it knows itself
  * @param news words that have not gone round yet; all that is known in a {@link Kind#VIEW}
  */
-public record Message(Kind kind, long seq, String target, long digest, Member sender, List<Member> news) {
+public record Message(
+        Kind kind, long seq, String target, long digest, Member sender, List<Member> news) {
     /** What a message is about. */
     public enum Kind {
         /** Do you live? */
--- a/src/main/java/holdproxy/peers/MessageCodec.java
+++ b/src/main/java/holdproxy/peers/MessageCodec.java
@@ -18,22 +18,28 @@
     private static final int LONGEST = 256;
     private static final int PARTS = 6;
 
-    private MessageCodec() {
-    }
+    private MessageCodec() {}
 
     static byte[] bytes(Message message) {
         List<Object> news = new ArrayList<>();
         message.news().forEach(m -> news.add(list(m)));
         try {
-            return CBOR.asBytes(List.of(message.kind().ordinal(), message.seq(), message.target(),
-                message.digest(), list(message.sender()), news));
+            return CBOR.asBytes(
+                    List.of(
+                            message.kind().ordinal(),
+                            message.seq(),
+                            message.target(),
+                            message.digest(),
+                            list(message.sender()),
+                            news));
         } catch (IOException e) {
             throw new UncheckedIOException("a message cannot be written", e);
         }
     }
 
     private static List<Object> list(Member m) {
-        return List.of(m.name(), m.address(), m.life(), m.incarnation(), m.state().ordinal(), m.by());
+        return List.of(
+                m.name(), m.address(), m.life(), m.incarnation(), m.state().ordinal(), m.by());
     }
 
     /** What these bytes say, or a {@link BadInput}. */
@@ -51,8 +57,13 @@
         for (Object each : list(parts.get(5), MOST_NEWS)) {
             news.add(member(each));
         }
-        return new Message(Message.Kind.values()[index(parts.get(0), Message.Kind.values().length)],
-            number(parts.get(1)), text(parts.get(2)), number(parts.get(3)), member(parts.get(4)), news);
+        return new Message(
+                Message.Kind.values()[index(parts.get(0), Message.Kind.values().length)],
+                number(parts.get(1)),
+                text(parts.get(2)),
+                number(parts.get(3)),
+                member(parts.get(4)),
+                news);
     }
 
     private static Member member(Object value) {
@@ -60,9 +71,13 @@
         if (parts.size() < PARTS || text(parts.get(0)).isEmpty()) {
             throw new BadInput("a member in a message has too few parts");
         }
-        return new Member(text(parts.get(0)), text(parts.get(1)), number(parts.get(2)),
-            index(parts.get(3), Integer.MAX_VALUE), Member.State.values()[index(parts.get(4),
-                Member.State.values().length)], text(parts.get(5)));
+        return new Member(
+                text(parts.get(0)),
+                text(parts.get(1)),
+                number(parts.get(2)),
+                index(parts.get(3), Integer.MAX_VALUE),
+                Member.State.values()[index(parts.get(4), Member.State.values().length)],
+                text(parts.get(5)));
     }
 
     private static List<?> list(Object value, int most) {
--- a/src/main/java/holdproxy/peers/Peers.java
+++ b/src/main/java/holdproxy/peers/Peers.java
@@ -19,6 +19,7 @@
 public final class Peers {
     /** The kind of frame that membership's messages are. */
     static final int MEMBERSHIP = 1;
+
     private static final long LEAVE_MS = 200;
     private static final int COUNT_S = 10;
 
@@ -31,7 +32,11 @@
      * @param seeds addresses at which others may be found
      * @param routes where others are reached whose own addresses do not serve from here, by name
      */
-    public record Place(String name, String address, InetSocketAddress listen, List<String> seeds,
+    public record Place(
+            String name,
+            String address,
+            InetSocketAddress listen,
+            List<String> seeds,
             Map<String, InetSocketAddress> routes) {
         public Place {
             seeds = List.copyOf(seeds);
@@ -56,7 +61,8 @@
     /** The kind of frame that the council's and the duties' are. */
     public static final int COUNCIL = 2;
 
-    private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final EventLoop loop =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final Links links;
     private final Listener listener;
     private final long startNs = System.nanoTime();
@@ -73,17 +79,30 @@
      * Listens and begins to look for the others; {@code addresses} reads an address, with a {@link BadInput}
      * where it is none. A {@link BadInput} says why it cannot listen.
      */
-    public static Peers start(Place place, long life, Function<String, InetSocketAddress> addresses,
+    public static Peers start(
+            Place place,
+            long life,
+            Function<String, InetSocketAddress> addresses,
             Listener listener) {
         Peers peers = new Peers(place, addresses, listener);
         try {
             peers.loop.submit(() -> peers.begin(place, life)).get();
-            peers.loop.scheduleAtFixedRate(() -> listener.sent(peers.links.sentFrames(),
-                peers.links.sentBytes(), peers.links.dropped()), COUNT_S, COUNT_S, TimeUnit.SECONDS);
+            peers.loop.scheduleAtFixedRate(
+                    () ->
+                            listener.sent(
+                                    peers.links.sentFrames(),
+                                    peers.links.sentBytes(),
+                                    peers.links.dropped()),
+                    COUNT_S,
+                    COUNT_S,
+                    TimeUnit.SECONDS);
             ChannelFuture bound = peers.links.listen(place.listen()).await();
             if (!bound.isSuccess()) {
-                throw new BadInput("cannot listen for peers on " + place.listen() + ": "
-                    + bound.cause().getMessage());
+                throw new BadInput(
+                        "cannot listen for peers on "
+                                + place.listen()
+                                + ": "
+                                + bound.cause().getMessage());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -95,12 +114,22 @@
     }
 
     private void begin(Place place, long life) {
-        rules = new Membership(Membership.Settings.USUAL, place.name(), place.address(), life, place.seeds(),
-            new Random(), nowUs(), new Outward());
-        links.receive(MEMBERSHIP, frame -> {
-            rules.received(nowUs(), MessageCodec.message(frame));
-            wake();
-        });
+        rules =
+                new Membership(
+                        Membership.Settings.USUAL,
+                        place.name(),
+                        place.address(),
+                        life,
+                        place.seeds(),
+                        new Random(),
+                        nowUs(),
+                        new Outward());
+        links.receive(
+                MEMBERSHIP,
+                frame -> {
+                    rules.received(nowUs(), MessageCodec.message(frame));
+                    wake();
+                });
         wake();
     }
 
@@ -117,11 +146,15 @@
             timer.cancel(false);
         }
         timerUs = dueUs;
-        timer = loop.schedule(() -> {
-            timer = null;
-            rules.tick(nowUs());
-            wake();
-        }, Math.max(0, dueUs - nowUs()), TimeUnit.MICROSECONDS);
+        timer =
+                loop.schedule(
+                        () -> {
+                            timer = null;
+                            rules.tick(nowUs());
+                            wake();
+                        },
+                        Math.max(0, dueUs - nowUs()),
+                        TimeUnit.MICROSECONDS);
     }
 
     /** Who takes frames of a kind, on the event loop; to be said at once after the start. */
@@ -131,10 +164,11 @@
 
     /** Sends a frame to a process, where it is known how that is reached; on any thread. */
     public void send(String name, int kind, byte[] frame) {
-        loop.execute(() -> {
-            Member to = rules.other(name);
-            links.send(name, to == null ? "" : to.address(), kind, frame);
-        });
+        loop.execute(
+                () -> {
+                    Member to = rules.other(name);
+                    links.send(name, to == null ? "" : to.address(), kind, frame);
+                });
     }
 
     /** Tells others that this process ends, and waits a moment for that to go out. */
@@ -142,7 +176,7 @@
         try {
             loop.submit(() -> rules.leave()).get(LEAVE_MS, TimeUnit.MILLISECONDS);
             loop.schedule(links::close, LEAVE_MS / 4, TimeUnit.MILLISECONDS)
-                .get(LEAVE_MS, TimeUnit.MILLISECONDS);
+                    .get(LEAVE_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
--- a/src/main/java/holdproxy/peers/Rumours.java
+++ b/src/main/java/holdproxy/peers/Rumours.java
@@ -21,15 +21,21 @@
 
     /** To be passed on; what it replaces no longer is. */
     void add(Member word) {
-        all.values().removeIf(r -> r.word.name().equals(word.name()) && !r.word.sameWord(word)
-            && word.replaces(r.word));
+        all.values()
+                .removeIf(
+                        r ->
+                                r.word.name().equals(word.name())
+                                        && !r.word.sameWord(word)
+                                        && word.replaces(r.word));
         all.put(word.name() + " " + word.by() + " " + word.state(), new Rumour(word));
     }
 
     /** So many at most, the least passed on first, and before them what the receiver is to hear of itself. */
     List<Member> next(String receiver, int most, int rounds) {
         List<Rumour> least = new ArrayList<>(all.values());
-        least.sort(Comparator.comparingInt((Rumour r) -> r.word.name().equals(receiver) ? -1 : r.sent));
+        least.sort(
+                Comparator.comparingInt(
+                        (Rumour r) -> r.word.name().equals(receiver) ? -1 : r.sent));
         List<Member> words = new ArrayList<>();
         for (Rumour each : least.subList(0, Math.min(least.size(), most))) {
             words.add(each.word);
--- a/src/main/java/holdproxy/policy/Choice.java
+++ b/src/main/java/holdproxy/policy/Choice.java
@@ -12,15 +12,18 @@
  * their nodes. The comments name what departs from FAIR and when.
  */
 public final class Choice implements Router {
-    // About this part of all requests goes on to the origin; only the steps of its bucket depend on it.
+    // About this part of all requests goes on to the origin; only the steps of its bucket depend on
+    // it.
     static final double ORIGIN_PART = 0.1;
-    // The origin serves every proxy: its bucket balances at about a sixth of fetches failing, not at half.
+    // The origin serves every proxy: its bucket balances at about a sixth of fetches failing, not
+    // at half.
     static final double ORIGIN_WEIGHT = 3;
     // Further attempts and second copies are paid from a budget earned by requests.
     static final double BUDGET_EARN = 0.1;
     static final double BUDGET_MOST = 10;
     static final double BUDGET_FIRST = 1;
-    // A copy may turn out needless and costs its second cache a miss, so it is dearer than a further attempt.
+    // A copy may turn out needless and costs its second cache a miss, so it is dearer than a
+    // further attempt.
     static final double COPY_PRICE = 5;
     // Second copies go out between these shares of the aim, by the round-trip estimate in between.
     static final double COPY_SOONEST = 0.3;
@@ -28,13 +31,15 @@
     // Discovery: first calls spread over this part of the time in which an instance has to ask.
     static final double ASK_SPREAD = 0.8;
     static final double ASK_US_PER_ROUTER = 400_000;
-    // After a failure they are made again within what is left of that time, counted four times then.
+    // After a failure they are made again within what is left of that time, counted four times
+    // then.
     static final long ASK_RETRY_US = 2_000_000;
     static final double ASK_RETRY_PART = 0.4;
     static final double SILENT_SPREAD_US = 1_500_000;
     static final double SILENT_US_PER_ROUTER = 250_000;
     static final long PUSHED_RETRY_US = 100_000;
-    // Pushed lists count at once: pause, dial (at most half) and answer together stay within the grace.
+    // Pushed lists count at once: pause, dial (at most half) and answer together stay within the
+    // grace.
     static final double PUSHED_RETRY_PART = 0.2;
     static final long REPORT_EVERY_US = 20_000_000;
     static final int TIMER_ASK = 0;
@@ -42,6 +47,7 @@
 
     /** For people who count; nothing is decided by it. */
     public final Tally tally = new Tally();
+
     private Settings set;
     private final Random random;
     private final Demand demand;
@@ -69,7 +75,10 @@
         onSettings(nowUs, settings);
         if (settings.askForNodes) {
             // a thousand proxies starting together would swamp discovery: each takes its own moment
-            double spread = Math.min(ASK_SPREAD * settings.askWithinUs, ASK_US_PER_ROUTER * settings.routers);
+            double spread =
+                    Math.min(
+                            ASK_SPREAD * settings.askWithinUs,
+                            ASK_US_PER_ROUTER * settings.routers);
             out.timer((long) (random.unit() * spread), TIMER_ASK);
         }
     }
@@ -81,7 +90,9 @@
             idling = new Idling(settings.idleCloseUs);
         }
         set = settings;
-        leastWorth = Math.max(1e-6, Arrays.stream(set.classes).mapToDouble(c -> c.worth).min().orElse(1));
+        leastWorth =
+                Math.max(
+                        1e-6, Arrays.stream(set.classes).mapToDouble(c -> c.worth).min().orElse(1));
         demand.settings(settings);
         placement.settings(settings);
     }
@@ -111,7 +122,8 @@
     private double askAgainUs(ListKind kind) {
         if (!set.askForNodes) {
             askFailures++;
-            double within = set.drainGraceUs > 0 ? PUSHED_RETRY_PART * set.drainGraceUs : PUSHED_RETRY_US;
+            double within =
+                    set.drainGraceUs > 0 ? PUSHED_RETRY_PART * set.drainGraceUs : PUSHED_RETRY_US;
             return Math.min(PUSHED_RETRY_US, within) * (0.5 + random.unit());
         }
         if (kind == ListKind.SILENT) {
@@ -158,9 +170,16 @@
     private void report(long now, String what, Actions out) {
         if (now >= reportAt) {
             reportAt = now + REPORT_EVERY_US;
-            // joined and not formatted: a formatter's classes cost a starting proxy a tenth of a second
-            out.log(what + ": origin chance " + Math.round(100 * originChance.get(now)) / 100.0
-                    + ", " + door.seen() + ", list calls failed " + askFailures);
+            // joined and not formatted: a formatter's classes cost a starting proxy a tenth of a
+            // second
+            out.log(
+                    what
+                            + ": origin chance "
+                            + Math.round(100 * originChance.get(now)) / 100.0
+                            + ", "
+                            + door.seen()
+                            + ", list calls failed "
+                            + askFailures);
         }
     }
 
@@ -179,7 +198,8 @@
         }
         if (!r.done && set.secondCopies) {
             double aim = r.type.aimUs;
-            double wait = Math.max(COPY_SOONEST * aim, Math.min(COPY_LATEST * aim, meanUs + 4 * devUs));
+            double wait =
+                    Math.max(COPY_SOONEST * aim, Math.min(COPY_LATEST * aim, meanUs + 4 * devUs));
             out.timer((long) wait, r.id << 3 | TIMER_COPY);
         }
     }
@@ -198,15 +218,21 @@
 
     /** When waiting on stops being worth anything: the aim where late answers earn nothing, else when due. */
     private long giveUpAt(Open r) {
-        return r.type.lateWorth > 0 ? r.due : Math.min(r.due, r.arrived + r.type.aimUs - 2 * set.tickUs);
+        return r.type.lateWorth > 0
+                ? r.due
+                : Math.min(r.due, r.arrived + r.type.aimUs - 2 * set.tickUs);
     }
 
     private void send(Open r, Target t, long now, Actions out) {
         long left = giveUpAt(r) - now;
         if (t == null || left <= 0 || r.attempts >= r.attemptsMost) {
             if (r.out == 0) {
-                tally.add(left <= 0 ? Count.REFUSED_WITHOUT_TIME : r.attempts > 0 && budget < 1
-                        ? Count.REFUSED_WITHOUT_BUDGET : Count.REFUSED_WITHOUT_NODE);
+                tally.add(
+                        left <= 0
+                                ? Count.REFUSED_WITHOUT_TIME
+                                : r.attempts > 0 && budget < 1
+                                        ? Count.REFUSED_WITHOUT_BUDGET
+                                        : Count.REFUSED_WITHOUT_NODE);
                 finish(r, now, out); // else an attempt still out may bring the answer
             }
             return;
@@ -276,12 +302,15 @@
         if (r.out != 0 && budget < COPY_PRICE) {
             tally.add(Count.COPIES_WITHOUT_BUDGET);
         }
-        // what was never begun has cost no node anything: what follows is in effect the first attempt
+        // what was never begun has cost no node anything: what follows is in effect the first
+        // attempt
         boolean begun = r.last != Outcome.CONNECT_FAILED && r.last != Outcome.NOT_SENT;
         double price = r.out != 0 ? COPY_PRICE : begun ? 1 : 0;
         boolean may = budget >= price && giveUpAt(r) > now && (r.out == 0 || set.secondCopies);
-        Target t = !may || r.attempts >= r.attemptsMost ? null
-            : toOrigin ? origin() : placement.choose(r, now);
+        Target t =
+                !may || r.attempts >= r.attemptsMost
+                        ? null
+                        : toOrigin ? origin() : placement.choose(r, now);
         if (t == null || !r.mayGoTo(t, set, now)) {
             send(r, null, now, out);
             return;
@@ -322,8 +351,16 @@
     // ---- outcomes ----
 
     @Override
-    public void onOutcome(long now, long id, int attempt, Outcome o, long latency, boolean concluded,
-            CacheNote note, Report report, Actions out) {
+    public void onOutcome(
+            long now,
+            long id,
+            int attempt,
+            Outcome o,
+            long latency,
+            boolean concluded,
+            CacheNote note,
+            Report report,
+            Actions out) {
         Open r = open.get(id);
         if (r == null || !r.isOut(attempt)) {
             return;
@@ -332,7 +369,10 @@
         r.ended(attempt, o);
         if (o == Outcome.CONNECT_FAILED) {
             t.dialFailed(now);
-        } else if (o == Outcome.OK || o == Outcome.MISS || o == Outcome.ERROR || o == Outcome.OVERLOADED) {
+        } else if (o == Outcome.OK
+                || o == Outcome.MISS
+                || o == Outcome.ERROR
+                || o == Outcome.OVERLOADED) {
             t.up();
         }
         released(r, attempt, o, now, out);
@@ -345,7 +385,7 @@
             case TIMEOUT -> tally.add(Count.TIMEOUTS);
             case CONNECT_FAILED -> tally.add(Count.CONNECT_FAILED);
             case RESET -> tally.add(Count.RESETS);
-            default -> { }
+            default -> {}
         }
         if (o != Outcome.CANCELLED && o != Outcome.NOT_SENT) {
             learn(r, attempt, t, fromOrigin, o, note, latency, now);
@@ -361,13 +401,21 @@
         }
     }
 
-    private void learn(Open r, int attempt, Target t, boolean fromOrigin, Outcome o, CacheNote note,
-            long latency, long now) {
+    private void learn(
+            Open r,
+            int attempt,
+            Target t,
+            boolean fromOrigin,
+            Outcome o,
+            CacheNote note,
+            long latency,
+            long now) {
         boolean good = o == Outcome.OK || o == Outcome.MISS;
         // by what the answer took: what it lay unread is not in the latency
         boolean late = good && r.sentAt[attempt] + latency - r.arrived > r.type.aimUs;
         boolean fetched = !set.aside && !r.write && note != CacheNote.HIT && note != CacheNote.NONE;
-        double ofNode = t.chance.get(now); // as known before this outcome, which is one failure only
+        double ofNode =
+                t.chance.get(now); // as known before this outcome, which is one failure only
         if (fromOrigin || fetched) {
             boolean failed = !good || fetched && latency > r.type.aimUs;
             originFailed(failed, ORIGIN_WEIGHT, now);
@@ -388,9 +436,13 @@
             budget = Math.min(BUDGET_MOST, budget + BUDGET_EARN);
         }
         if (!r.done) {
-            boolean failed = late || o == Outcome.TIMEOUT || o == Outcome.OVERLOADED
-                    || o == Outcome.ERROR && !set.aside;
-            // blame: the origin's failures are its own first; so are a node's that fails more than others do,
+            boolean failed =
+                    late
+                            || o == Outcome.TIMEOUT
+                            || o == Outcome.OVERLOADED
+                            || o == Outcome.ERROR && !set.aside;
+            // blame: the origin's failures are its own first; so are a node's that fails more than
+            // others do,
             // but for tenants that run over their quota more than others do
             boolean over = demand.quotaRatio(r.tenant, now) > demand.meanRatio();
             double beyond = placement.learnUsual(ofNode);
@@ -442,14 +494,16 @@
             // a write still out tells of a slow origin before its time-out, which would be too late
             originFailed(true, ORIGIN_WEIGHT * Placement.SOFT, now);
         } else if (kind == TIMER_COPY && r.out != 0 && !r.atOrigin) {
-            // slow compared with others: without this a node whose copies win elsewhere would never be blamed
+            // slow compared with others: without this a node whose copies win elsewhere would never
+            // be blamed
             int first = Integer.numberOfTrailingZeros(r.out);
             Target slow = r.node[first];
             if (idling.silent(r.idledUs[first], now)) {
                 closeIdle(slow, out);
             }
             double waited = r.waited(now - r.arrived);
-            placement.evidence(slow, true, Placement.SOFT * Math.min(1, waited / COPY_SOONEST), now);
+            placement.evidence(
+                    slow, true, Placement.SOFT * Math.min(1, waited / COPY_SOONEST), now);
             slow.busy.set(Math.max(slow.busy.get(now), waited), now);
             retry(r, now, out);
         }
--- a/src/main/java/holdproxy/policy/Demand.java
+++ b/src/main/java/holdproxy/policy/Demand.java
@@ -39,8 +39,10 @@
         if (!repeat) {
             asked[tenant].count(now); // what clients repeat after a refusal is not more demand
         }
-        // the first ones count alike: begun from 1, the mean would for long be far from what any tenant sends
-        meanRatio += (quotaRatio(tenant, now) - meanRatio) * Math.max(RATIO_LEARN, 1.0 / ++requests);
+        // the first ones count alike: begun from 1, the mean would for long be far from what any
+        // tenant sends
+        meanRatio +=
+                (quotaRatio(tenant, now) - meanRatio) * Math.max(RATIO_LEARN, 1.0 / ++requests);
         all.count(now);
     }
 
@@ -61,7 +63,9 @@
 
     /** A second; after a start of the time that has passed, and never of less than one. */
     private double rate(Fading counted, long now) {
-        return counted.get(now) / (RATE_US * (1 - Math.exp((startedAt - now) / RATE_US)) + 1e6) * 1e6;
+        return counted.get(now)
+                / (RATE_US * (1 - Math.exp((startedAt - now) / RATE_US)) + 1e6)
+                * 1e6;
     }
 
     /** What is asked for over all quotas, which stand for what the fleet can do; 1 where none do. */
--- a/src/main/java/holdproxy/policy/Fleet.java
+++ b/src/main/java/holdproxy/policy/Fleet.java
@@ -13,8 +13,10 @@
     private final LongMap<Target> byId = new LongMap<>();
     private final boolean aside;
     private final int originKind;
+
     /** Nodes that operators have left out, in the list or not. */
     private final Set<Integer> leftOut = new HashSet<>();
+
     private Target[] known = new Target[16];
     private int knownCount;
     Target[] ready = new Target[0];
--- a/src/main/java/holdproxy/policy/Idling.java
+++ b/src/main/java/holdproxy/policy/Idling.java
@@ -2,16 +2,19 @@
 
 /** How long a connection may idle before it is no longer trusted, by what came of those that had idled. */
 final class Idling {
-    // Connections: a failure cuts the time that one may idle by e, a use of one that had idled wins it back.
+    // Connections: a failure cuts the time that one may idle by e, a use of one that had idled wins
+    // it back.
     static final double THRIFT_STEP = 1;
     static final double THRIFT_MOST = 12;
     static final double THRIFT_FADE_US = 60e6;
-    // Silence tells of idling only beyond so many times what others came back from in about this time.
+    // Silence tells of idling only beyond so many times what others came back from in about this
+    // time.
     static final double PROVEN_MARGIN = 2;
     static final double PROVEN_FADE_US = 10e6;
 
     private final long mostUs;
     private final Fading thrift = new Fading(THRIFT_FADE_US);
+
     /** The longest idling after which a connection served lately. */
     private final Fading proven = new Fading(PROVEN_FADE_US);
 
--- a/src/main/java/holdproxy/policy/Open.java
+++ b/src/main/java/holdproxy/policy/Open.java
@@ -18,14 +18,19 @@
     boolean done;
     boolean blamed;
     int attempts;
+
     /** How the attempt that ended last did so. */
     Router.Outcome last;
+
     /** Bits by attempt: still out, and not proven never to have run. */
     int out;
+
     int mayHaveRun;
     final Target[] node = new Target[ATTEMPTS_MOST];
+
     /** How long the connection had idled when the attempt was sent; -1: a new one. */
     final long[] idledUs = new long[ATTEMPTS_MOST];
+
     final long[] sentAt = new long[ATTEMPTS_MOST];
 
     Open(Router.Request q, Router.RequestClass type, int tenant, int attemptsMost, long now) {
@@ -99,7 +104,8 @@
 
     /** No repeated effect: a refusal promises that trying again is harmless. */
     boolean mayRefuse() {
-        return type.effect == Router.Effect.SAFE || mayHaveRun == 0
+        return type.effect == Router.Effect.SAFE
+                || mayHaveRun == 0
                 || type.effect == Router.Effect.KEYED && type.group == Router.Group.ALL;
     }
 }
