--- a/src/main/java/holdproxy/policy/Placement.java
+++ b/src/main/java/holdproxy/policy/Placement.java
@@ -12,27 +12,33 @@
     static final double BUSY_TIE = 0.2;
     // Without notes on hits the answers of reads tell how busy a node is, each by this much.
     static final double BUSY_LEARN = 0.3;
-    // A time-out or late answer says less of a node than a broken connection, an error or a full queue.
+    // A time-out or late answer says less of a node than a broken connection, an error or a full
+    // queue.
     static final double SOFT = 0.5;
     static final double NODE_PI = 0.1;
     static final double NODE_PI_MOST = 0.8;
     static final double NODE_EVIDENCE_S = 3;
     static final double NODE_PD_SHARE = 0.2;
-    // A quiet proxy comes by a node rarely: what it learnt there has to last for about this many visits.
+    // A quiet proxy comes by a node rarely: what it learnt there has to last for about this many
+    // visits.
     static final double NODE_FADE_VISITS = 2;
     static final double NODE_FADE_MOST_US = 60e6;
-    // What most nodes fail alike is no reason to pass one over: this part of the usual chance is let off.
+    // What most nodes fail alike is no reason to pass one over: this part of the usual chance is
+    // let off.
     static final double USUAL_PART = 0.7;
     static final double USUAL_LEARN = 1.0 / 64;
     // For people who count: passed over more often than not, a node is avoided.
     static final double AVOIDED_FROM = 0.5;
-    // A key is hot when seen before this lately and when it alone would fill this share of a node's part.
+    // A key is hot when seen before this lately and when it alone would fill this share of a node's
+    // part.
     static final double HOT_SEEN = 0.3;
     static final double HOT_SHARE = 0.5;
     static final double HEAT_US = 20e6;
     static final int HEAT_BUCKETS = 256;
-    // Part of a cold node's capacity that admitted keys may fill at first: each miss costs it extra work. The
-    // load says how many keys fill it; no less than this is believed, as a proxy just started knows no rates.
+    // Part of a cold node's capacity that admitted keys may fill at first: each miss costs it extra
+    // work. The
+    // load says how many keys fill it; no less than this is believed, as a proxy just started knows
+    // no rates.
     static final double LOAD_LEAST = 0.6;
     static final double COLD_PART = 0.75;
 
@@ -45,6 +51,7 @@
     private final Target[] top = new Target[RANKED];
     private final double[] topScore = new double[RANKED];
     private Router.Settings set;
+
     /** The median chance of the nodes that were sent to. */
     private double usualNode;
 
@@ -86,8 +93,11 @@
         int seen = 0;
         for (int i = 0; i < ranked.length && ranked[i] != null && seen < CHOICES; i++) {
             Target t = ranked[i];
-            if (!counted(Count.DOWN, t.down(now)) && !r.tried(t) && r.mayGoTo(t, set, now)
-                    && admits(t, r, key, now) && !passedOver(t, key, now)) {
+            if (!counted(Count.DOWN, t.down(now))
+                    && !r.tried(t)
+                    && r.mayGoTo(t, set, now)
+                    && admits(t, r, key, now)
+                    && !passedOver(t, key, now)) {
                 best = seen++ == 0 || lessBusy(t, best, now) ? t : best;
             }
         }
@@ -137,7 +147,8 @@
     /** Hot keys: only a key that alone would overfill its nodes is spread, over as many pairs as it needs. */
     private int hotCopies(long key, long now) {
         double all = heatCount.get(now);
-        double before = heat.min(key, now) - 1 - all / HEAT_BUCKETS; // less this one and chance collisions
+        double before =
+                heat.min(key, now) - 1 - all / HEAT_BUCKETS; // less this one and chance collisions
         double copies = before < HOT_SEEN ? 1 : 1 + before / all * fleet.readyCount / HOT_SHARE;
         return (int) Math.min(fleet.readyCount, copies);
     }
@@ -157,7 +168,8 @@
         double capacity = set.coldFrom + (1 - set.coldFrom) * warm;
         double part = COLD_PART + (1 - COLD_PART) * warm;
         double load = Math.max(LOAD_LEAST, Math.min(1, demand.overQuotas(now)));
-        boolean admitted = Random.unit(Random.mix(key + 31 * Random.mix(t.id))) < capacity * part / load;
+        boolean admitted =
+                Random.unit(Random.mix(key + 31 * Random.mix(t.id))) < capacity * part / load;
         tally.add(admitted ? Count.SENT_COLD : Count.HELD_FROM_COLD);
         return admitted;
     }
@@ -168,8 +180,9 @@
      */
     private boolean passedOver(Target t, long key, long now) {
         double chance = t.chance.get(now) - USUAL_PART * usualNode;
-        return counted(Count.PASSED_OVER,
-            chance > 0 && Random.unit(Random.mix(key - 31 * Random.mix(t.id))) < chance);
+        return counted(
+                Count.PASSED_OVER,
+                chance > 0 && Random.unit(Random.mix(key - 31 * Random.mix(t.id))) < chance);
     }
 
     /** Learns what is usual from the chance of a node that was sent to; returns how far that is beyond it. */
@@ -180,15 +193,23 @@
     }
 
     /** How busy a node is, by its report or, where there is none, by how long it took. */
-    void busy(Open r, Target t, Router.Outcome o, Router.CacheNote note, Router.Report report, long latency,
+    void busy(
+            Open r,
+            Target t,
+            Router.Outcome o,
+            Router.CacheNote note,
+            Router.Report report,
+            long latency,
             long now) {
         if (report.busy >= 0) {
             t.busy.set(report.busy, now);
         } else if (note == Router.CacheNote.HIT && o == Router.Outcome.OK) {
             t.busy.set(r.waited(latency), now); // no report: how long a hit took tells
-        } else if (note == Router.CacheNote.NONE && !r.write
+        } else if (note == Router.CacheNote.NONE
+                && !r.write
                 && (o == Router.Outcome.OK || o == Router.Outcome.TIMEOUT)) {
-            // nor which were hits: of several the mean, so that one fetch does not look like a queue
+            // nor which were hits: of several the mean, so that one fetch does not look like a
+            // queue
             double before = t.busy.get(now);
             t.busy.set(before + (Math.min(1, r.waited(latency)) - before) * BUSY_LEARN, now);
         }
@@ -198,12 +219,16 @@
     void evidence(Target t, boolean failure, double weight, long now) {
         double rate = demand.rate(now) / Math.max(1, fleet.readyCount);
         step(t.chance, failure, rate, weight, now);
-        t.chance.fadeIn(Math.max(Target.FADE_US, Math.min(NODE_FADE_MOST_US, NODE_FADE_VISITS / rate * 1e6)));
+        t.chance.fadeIn(
+                Math.max(
+                        Target.FADE_US,
+                        Math.min(NODE_FADE_MOST_US, NODE_FADE_VISITS / rate * 1e6)));
     }
 
     /** BLUE for a single bucket; quiet proxies take larger steps. */
     static void step(Fading chance, boolean failure, double rate, double weight, long now) {
-        double step = Math.max(NODE_PI, Math.min(NODE_PI_MOST, 1 / (rate * NODE_EVIDENCE_S + 1e-9)));
+        double step =
+                Math.max(NODE_PI, Math.min(NODE_PI_MOST, 1 / (rate * NODE_EVIDENCE_S + 1e-9)));
         chance.add(failure ? step * weight : -step * NODE_PD_SHARE, Blue.CHANCE_MOST, now);
     }
 }
--- a/src/main/java/holdproxy/policy/Router.java
+++ b/src/main/java/holdproxy/policy/Router.java
@@ -16,20 +16,45 @@
 public interface Router {
 
     /** What running a request twice would do. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** The nodes that discard repeats of a keyed request. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
-    enum NodeState { READY, DRAINING, GONE }
+    enum NodeState {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** SILENT: a watch that served says nothing any more, and is closed; a call for a list has FAILED. */
-    enum ListKind { DELTA, FULL, CACHED, FAILED, SILENT }
+    enum ListKind {
+        DELTA,
+        FULL,
+        CACHED,
+        FAILED,
+        SILENT
+    }
 
     /** How an attempt ended. {@link #neverRan}: the outcome proves that the node did no work on it. */
     enum Outcome {
-        OK(false), ERROR(false), OVERLOADED(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), NOT_SENT(true), MISS(true);
+        OK(false),
+        ERROR(false),
+        OVERLOADED(true),
+        TIMEOUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        NOT_SENT(true),
+        MISS(true);
 
         public final boolean neverRan;
 
@@ -39,26 +64,45 @@
     }
 
     /** What an outcome tells of the cache: nothing, a hit, a miss, or a miss with a fetch out already. */
-    enum CacheNote { NONE, HIT, MISS, MISS_FETCHING }
+    enum CacheNote {
+        NONE,
+        HIT,
+        MISS,
+        MISS_FETCHING
+    }
 
     /** What a node's weight is: nothing, its registered size, about its size, or its size less its load. */
-    enum Weights { NONE, NOMINAL, ROUGH, LIVE }
+    enum Weights {
+        NONE,
+        NOMINAL,
+        ROUGH,
+        LIVE
+    }
 
     /** Where load reports come: nowhere, with every answer, or with the results of probes alone. */
-    enum ReportSource { NONE, ANSWERS, PROBES }
+    enum ReportSource {
+        NONE,
+        ANSWERS,
+        PROBES
+    }
 
     /** A node's report on its load, late and noisy; NaN where a value is not reported. */
     final class Report {
         public double inFlight = Double.NaN;
         public double queue = Double.NaN;
+
         /** Share of its cores busy. */
         public double busy = Double.NaN;
+
         /** Service time lately, in microseconds. */
         public double latencyUs = Double.NaN;
+
         public double servedPerS = Double.NaN;
         public double errorsPerS = Double.NaN;
+
         /** Share of hits lately, from 0 to 1. */
         public double hitShare = Double.NaN;
+
         /** Fetches from the origin that are out. */
         public double fetchesOut = Double.NaN;
 
@@ -73,23 +117,31 @@
         public String name = "";
         public Effect effect = Effect.UNSAFE;
         public Group group = Group.ALL;
+
         /** Full worth is earned by an answer within this time of the request's arrival. */
         public long aimUs;
+
         /** The aim of a request grows by this multiple of its own work, up to the deadline. */
         public double aimStretch;
+
         public long deadlineUs;
+
         /** Keyed classes: how long repeats are discarded, from the sending of the first that may have run. */
         public long repeatWindowUs;
+
         /** Share of the worth that an answer after the aim still earns. */
         public double lateWorth;
+
         public double worth = 1;
         public boolean stream;
     }
 
     final class Tenant {
         public String name = "";
+
         /** Requests a second over all proxies that count as within its share; 0 where none is stated. */
         public double quotaPerS;
+
         public double share;
     }
 
@@ -100,12 +152,16 @@
         public int zone;
         public RequestClass[] classes = new RequestClass[0];
         public Tenant[] tenants = new Tenant[0];
+
         /** True: a miss is reported and the router sends to the origin; false: nodes fetch for themselves. */
         public boolean aside;
+
         /** Aside: the node kind that marks the origin; -1 where there is none. */
         public int originKind = -1;
+
         /** True: the node list comes only when subscribed to or fetched. */
         public boolean askForNodes;
+
         public boolean mayCancel;
         public boolean mayProbe;
         public boolean secondCopies;
@@ -114,57 +170,84 @@
         public int maxAttempts = 1;
         public int maxOpen = Integer.MAX_VALUE;
         public long tickUs;
+
         /** The proxy closes a connection after this long without use. */
         public long idleCloseUs = 5_000_000;
+
         /** An attempt whose connection is not open after this long fails as CONNECT_FAILED; 0: not stated. */
         public long dialTimeoutUs;
+
         /** Attempts that one connection carries at the same time. */
         public int streamsPerConnection = 1;
+
         public Weights weights = Weights.NOMINAL;
         public ReportSource reports = ReportSource.NONE;
+
         /** True: requests repeated by clients are marked. */
         public boolean clientsMarkRepeats;
+
         /** Whether {@link Actions#tell} may be used. */
         public boolean mayTell;
+
         /** True: worth counts for each unit of work; false: for each request. */
         public boolean countedByWork;
+
         /** Worth of a request beyond its tenant's quota, as a share of its class's worth. */
         public double overShareWorth = 1;
+
         /** Sent this multiple of its capacity for {@link #originFallUs}, the origin stops; 0: never. */
         public double originFallMultiple;
+
         public long originFallUs;
+
         /** A final answer counts until this long after the request is due. */
         public long answerGraceUs;
+
         /** CPU microseconds a request with its outcomes, and a second, may take; 0: not limited. */
         public double cpuUsPerRequest;
+
         public double cpuUsPerS;
+
         /** Share of the goal lost if all attempts crossed zones; the next likewise, each at its unit. */
         public double crossZonePrice;
+
         /** All work of nodes wasted. */
         public double wastePrice;
+
         /** All worth unserved after its aim. */
         public double latePrice;
+
         /** 100 list lines a request. */
         public double listPrice;
+
         /** 100 open connections a node. */
         public double connectionPrice;
+
         /** One probe a request. */
         public double probePrice;
+
         /** One message of 256 bytes a request. */
         public double tellPrice;
+
         /** One fetch from the origin a request. */
         public double originPrice;
+
         /** Weights of the goal's parts: the whole run, its worst 10 s, the worst class, the worst tenant. */
         public double wholeWeight = 1;
+
         public double worstWindowWeight;
         public double worstClassWeight;
         public double worstTenantWeight;
+
         /** Weight of answers while few miss their aim; 0 where the goal has no such part. */
         public double slowEndWeight;
+
         /** The share of requests that may miss its aim unpunished; those refused within it do not count. */
         public double missAllowed = 1;
+
         /** Share of the goal that a new connection for each request would cost; 0: no price. */
         public double handshakePrice;
+
         public long askWithinUs = 10_000_000;
         public double coldFrom = 1;
         public long coldUs;
@@ -180,8 +263,12 @@
             }
             reject(routers < 1, "routers must be at least 1, not " + routers);
             reject(maxAttempts < 1, "maxAttempts must be at least 1, not " + maxAttempts);
-            reject(aside && originKind < 0, "aside mode needs originKind, the kind of the origin's entry");
-            reject(!(coldFrom > 0 && coldFrom <= 1), "coldFrom must be above 0 and up to 1, not " + coldFrom);
+            reject(
+                    aside && originKind < 0,
+                    "aside mode needs originKind, the kind of the origin's entry");
+            reject(
+                    !(coldFrom > 0 && coldFrom <= 1),
+                    "coldFrom must be above 0 and up to 1, not " + coldFrom);
         }
 
         private static void reject(boolean bad, String message) {
@@ -196,9 +283,12 @@
         public int cell;
         public int zone;
         public int kind;
+
         /** Size compared with other nodes. */
         public double weight = 1;
+
         public NodeState state = NodeState.READY;
+
         /** Time of the latest start; {@link Long#MIN_VALUE} for long ago. */
         public long startedUs = Long.MIN_VALUE;
     }
@@ -206,16 +296,22 @@
     final class Request {
         /** Unique for the life of the router, at least 0 and below 2^52. */
         public long id;
+
         public int requestClass;
         public int tenant;
+
         /** 0: no key. */
         public long key;
+
         /** When the client gives this try up; its final answer is due by then. */
         public long dueUs;
+
         /** Expected work in microseconds on a standard core; 0 where unknown. */
         public double costUs;
+
         /** Size of the value in bytes; 0 where unknown. */
         public double sizeBytes;
+
         public boolean repeat;
         public boolean write;
     }
@@ -272,8 +368,16 @@
     void onRequest(long nowUs, Request request, Actions out);
 
     /** {@code concluded}: the client has its answer already, from this outcome or before it. */
-    void onOutcome(long nowUs, long request, int attempt, Outcome outcome, long latencyUs, boolean concluded,
-            CacheNote note, Report report, Actions out);
+    void onOutcome(
+            long nowUs,
+            long request,
+            int attempt,
+            Outcome outcome,
+            long latencyUs,
+            boolean concluded,
+            CacheNote note,
+            Report report,
+            Actions out);
 
     /** The answer of a streamed request has begun; its attempt belongs to the client from here. */
     void onStreaming(long nowUs, long request, int attempt, Actions out);
--- a/src/main/java/holdproxy/policy/Tally.java
+++ b/src/main/java/holdproxy/policy/Tally.java
@@ -7,10 +7,31 @@
 public final class Tally {
     /** What is counted; the names are those of the log. */
     public enum Count {
-        REQUESTS, REPEATS, REFUSED_BY_CHANCE, REFUSED_WITHOUT_BUDGET, REFUSED_WITHOUT_NODE,
-        REFUSED_WITHOUT_TIME, FAILED, ATTEMPTS, FURTHER, COPIES, COPIES_WITHOUT_BUDGET, SERVED, LATE, ERRORS,
-        OVERLOADED, TIMEOUTS, CONNECT_FAILED, RESETS, DOWN, HELD_FROM_COLD, PASSED_OVER, SENT_COLD,
-        IDLE_CLOSED, LISTS, LISTS_FAILED;
+        REQUESTS,
+        REPEATS,
+        REFUSED_BY_CHANCE,
+        REFUSED_WITHOUT_BUDGET,
+        REFUSED_WITHOUT_NODE,
+        REFUSED_WITHOUT_TIME,
+        FAILED,
+        ATTEMPTS,
+        FURTHER,
+        COPIES,
+        COPIES_WITHOUT_BUDGET,
+        SERVED,
+        LATE,
+        ERRORS,
+        OVERLOADED,
+        TIMEOUTS,
+        CONNECT_FAILED,
+        RESETS,
+        DOWN,
+        HELD_FROM_COLD,
+        PASSED_OVER,
+        SENT_COLD,
+        IDLE_CLOSED,
+        LISTS,
+        LISTS_FAILED;
 
         /** As the log has it. */
         public final String label = name().toLowerCase(java.util.Locale.ROOT);
--- a/src/main/java/holdproxy/policy/Target.java
+++ b/src/main/java/holdproxy/policy/Target.java
@@ -4,8 +4,10 @@
 final class Target {
     /** A chance of being passed over fades by 1/e in this time, in quiet proxies later. */
     static final double FADE_US = 5e6;
+
     /** After a failed dial the next trial waits so long, twice as long after each further one. */
     static final long DOWN_FIRST_US = 500_000;
+
     static final long DOWN_MOST_US = 4_000_000;
     static final double BUSY_FADE_US = 10e6;
 
@@ -16,17 +18,24 @@
     double weight;
     Router.NodeState state;
     long startedUs = Long.MIN_VALUE;
+
     /** Operators have left it out. */
     boolean leftOut;
+
     /** When operators used it again after having left it out; it may have been started anew meanwhile. */
     private long backAt = Long.MIN_VALUE;
+
     /** Dials that failed running, and when the next one may be tried. */
     private int failedDials;
+
     private long downUntil = Long.MIN_VALUE;
+
     /** Our own attempts out. */
     int inFlight;
+
     /** Its one BLUE bucket: the chance of being passed over. */
     final Fading chance = new Fading(FADE_US);
+
     /** Share of its cores busy, as last reported. */
     final Fading busy = new Fading(BUSY_FADE_US);
 
@@ -74,6 +83,7 @@
 
     /** For people: listed, but left out, down, or passed over by more than {@code most} beyond the usual. */
     boolean avoided(double usual, double most, long now) {
-        return state != Router.NodeState.GONE && (leftOut || down(now) || chance.get(now) - usual > most);
+        return state != Router.NodeState.GONE
+                && (leftOut || down(now) || chance.get(now) - usual > most);
     }
 }
--- a/src/main/java/holdproxy/rig/DaemonText.java
+++ b/src/main/java/holdproxy/rig/DaemonText.java
@@ -15,42 +15,72 @@
     /** Of the platform's settings, those that the program has no use for: unknown in this file. */
     private static final List<String> WITHOUT_USE = List.of("domainType");
 
-    private DaemonText() {
-    }
+    private DaemonText() {}
 
     /** What a process says that it did. {@code clockUs}: its own monotonic clock. */
-    record Said(String clockUs, String what) {
-    }
+    record Said(String clockUs, String what) {}
 
     /**
      * What a daemon has to do with the others: where it listens, where it looks, its way to each by name, who
      * votes, and its drills at a resource.
      */
-    record PeersText(String listen, List<String> seeds, Map<String, String> routes, List<String> voters,
-            int drills, int leaseMs, String resource) {
+    record PeersText(
+            String listen,
+            List<String> seeds,
+            Map<String, String> routes,
+            List<String> voters,
+            int drills,
+            int leaseMs,
+            String resource) {
         String toml() {
-            StringBuilder text = new StringBuilder("[peers]\nlisten = " + DaemonText.toml(listen)
-                + "\nseeds = " + DaemonText.toml(seeds) + "\nroutes = " + DaemonText.toml(routes) + "\n");
+            StringBuilder text =
+                    new StringBuilder(
+                            "[peers]\nlisten = "
+                                    + DaemonText.toml(listen)
+                                    + "\nseeds = "
+                                    + DaemonText.toml(seeds)
+                                    + "\nroutes = "
+                                    + DaemonText.toml(routes)
+                                    + "\n");
             if (!voters.isEmpty()) {
                 text.append("[council]\nvoters = ").append(DaemonText.toml(voters)).append('\n');
             }
             for (int i = 0; i < drills; i++) {
-                text.append("[[drill]]\nduty = \"drill-").append(i).append("\"\nlease_ms = ").append(leaseMs)
-                    .append("\nresource = ").append(DaemonText.toml(resource)).append('\n');
+                text.append("[[drill]]\nduty = \"drill-")
+                        .append(i)
+                        .append("\"\nlease_ms = ")
+                        .append(leaseMs)
+                        .append("\nresource = ")
+                        .append(DaemonText.toml(resource))
+                        .append('\n');
             }
             return text.toString();
         }
     }
 
     /** A daemon's file with the settings of the platform's, {@code json}. */
-    static String of(String name, String listen, String discovery, Path folder, PeersText peers,
+    static String of(
+            String name,
+            String listen,
+            String discovery,
+            Path folder,
+            PeersText peers,
             String json) {
         Map<String, Object> settings = map(object(json).get("settings"));
         WITHOUT_USE.forEach(settings::remove);
         map(settings.get("familyInfo")).remove("mode");
-        return "name = " + toml(name) + "\nlisten = " + toml(listen) + "\ndiscovery = " + toml(discovery)
-            + "\nfolder = " + toml(folder.toString()) + "\nsettings = " + toml(settings)
-            + "\n" + peers.toml();
+        return "name = "
+                + toml(name)
+                + "\nlisten = "
+                + toml(listen)
+                + "\ndiscovery = "
+                + toml(discovery)
+                + "\nfolder = "
+                + toml(folder.toString())
+                + "\nsettings = "
+                + toml(settings)
+                + "\n"
+                + peers.toml();
     }
 
     /** Of a line of its log, if it is an event and not a line of the proxy's in it. */
@@ -73,7 +103,9 @@
                 }
             }
         }
-        return clockUs.isEmpty() ? Optional.empty() : Optional.of(new Said(clockUs, what.toString()));
+        return clockUs.isEmpty()
+                ? Optional.empty()
+                : Optional.of(new Said(clockUs, what.toString()));
     }
 
     private static Map<String, Object> object(String json) {
@@ -92,8 +124,9 @@
     /** A value of JSON on one line of TOML. */
     private static String toml(Object value) {
         if (value instanceof Map<?, ?> map) {
-            return map.entrySet().stream().map(e -> toml(e.getKey()) + " = " + toml(e.getValue()))
-                .collect(Collectors.joining(", ", "{", "}"));
+            return map.entrySet().stream()
+                    .map(e -> toml(e.getKey()) + " = " + toml(e.getValue()))
+                    .collect(Collectors.joining(", ", "{", "}"));
         }
         if (value instanceof List<?> list) {
             return list.stream().map(DaemonText::toml).collect(Collectors.joining(", ", "[", "]"));
--- a/src/main/java/holdproxy/rig/DutyJudge.java
+++ b/src/main/java/holdproxy/rig/DutyJudge.java
@@ -14,8 +14,7 @@
 final class DutyJudge {
     private static final String ONE_HOLDER = "one holder";
 
-    private DutyJudge() {
-    }
+    private DutyJudge() {}
 
     static List<Auditors.Broken> broken(List<Event> events) {
         List<Auditors.Broken> found = new ArrayList<>();
@@ -25,21 +24,32 @@
             if (e.kind() == Event.Kind.ACTED) {
                 long token = Long.parseLong(e.word(1));
                 if (e.word(2).equals("taken") && token < highest.getOrDefault(e.word(0), 0L)) {
-                    found.add(new Auditors.Broken(ONE_HOLDER,
-                        "an act with a token under the highest was taken: " + e));
+                    found.add(
+                            new Auditors.Broken(
+                                    ONE_HOLDER,
+                                    "an act with a token under the highest was taken: " + e));
                 }
                 highest.merge(e.word(0), token, Math::max);
                 hold(holders, e.word(0) + " " + token, e.id(), e, found);
             } else if (e.kind() == Event.Kind.SAID && e.detail().startsWith("duty granted ")) {
                 // duty granted duty=D token=T
                 String duty = e.word(2).substring("duty=".length());
-                hold(holders, duty + " " + e.word(3).substring("token=".length()), e.where(), e, found);
+                hold(
+                        holders,
+                        duty + " " + e.word(3).substring("token=".length()),
+                        e.where(),
+                        e,
+                        found);
             }
         }
         return found;
     }
 
-    private static void hold(Map<String, String> holders, String grant, String who, Event e,
+    private static void hold(
+            Map<String, String> holders,
+            String grant,
+            String who,
+            Event e,
             List<Auditors.Broken> found) {
         String before = holders.putIfAbsent(grant, who);
         if (before != null && !before.equals(who)) {
--- a/src/main/java/holdproxy/rig/Expected.java
+++ b/src/main/java/holdproxy/rig/Expected.java
@@ -17,9 +17,17 @@
 record Expected(boolean any, String by, String said, double afterS, double withinS) {
     /** Whether it has come about in these processes. */
     boolean met(List<String> processes, List<Event> events, long startUs) {
-        Predicate<String> hasSaid = p -> events.stream().anyMatch(e -> e.us() >= startUs + afterS * 1e6
-            && (e.kind() == Event.Kind.SAID && e.where().equals(p)
-                || e.kind() == Event.Kind.ACTED && e.id().equals(p)) && e.detail().contains(said));
+        Predicate<String> hasSaid =
+                p ->
+                        events.stream()
+                                .anyMatch(
+                                        e ->
+                                                e.us() >= startUs + afterS * 1e6
+                                                        && (e.kind() == Event.Kind.SAID
+                                                                        && e.where().equals(p)
+                                                                || e.kind() == Event.Kind.ACTED
+                                                                        && e.id().equals(p))
+                                                        && e.detail().contains(said));
         List<String> meant = processes.stream().filter(p -> Links.matches(by, p)).toList();
         return any ? meant.stream().anyMatch(hasSaid) : meant.stream().allMatch(hasSaid);
     }
--- a/src/main/java/holdproxy/rig/GuardedResource.java
+++ b/src/main/java/holdproxy/rig/GuardedResource.java
@@ -37,8 +37,9 @@
     }
 
     void start(InetSocketAddress known) {
-        network.listen(known, () -> new ChannelHandler[] {
-            new LineBasedFrameDecoder(LONGEST_LINE), new Acts()});
+        network.listen(
+                known,
+                () -> new ChannelHandler[] {new LineBasedFrameDecoder(LONGEST_LINE), new Acts()});
     }
 
     private final class Acts extends SimpleChannelInboundHandler<ByteBuf> {
@@ -49,8 +50,12 @@
             long before = highest.getOrDefault(words[0], 0L);
             boolean taken = token >= before || !looks;
             highest.put(words[0], Math.max(token, before));
-            record.add(time.nowUs(), Event.Kind.ACTED, NAME, network.peer(ctx.channel()),
-                words[0] + " " + token + (taken ? " taken" : " refused"));
+            record.add(
+                    time.nowUs(),
+                    Event.Kind.ACTED,
+                    NAME,
+                    network.peer(ctx.channel()),
+                    words[0] + " " + token + (taken ? " taken" : " refused"));
         }
     }
 }
--- a/src/main/java/holdproxy/rig/Keeper.java
+++ b/src/main/java/holdproxy/rig/Keeper.java
@@ -28,8 +28,11 @@
 
     /** Starts one with this command line, which has to come to {@link #keep}. */
     static Keeper start(List<String> command) throws IOException {
-        return new Keeper(new ProcessBuilder(command).redirectOutput(ProcessBuilder.Redirect.DISCARD)
-            .redirectError(ProcessBuilder.Redirect.DISCARD).start());
+        return new Keeper(
+                new ProcessBuilder(command)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .redirectError(ProcessBuilder.Redirect.DISCARD)
+                        .start());
     }
 
     /** From now on this process ends with the rig. */
@@ -58,19 +61,22 @@
     /** The keeper's own life; returns at the end of its input. */
     static void keep(InputStream in) throws IOException {
         Map<Long, Long> startedMs = new LinkedHashMap<>();
-        BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
+        BufferedReader lines =
+                new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
         try {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 String[] words = line.split(" ");
                 startedMs.put(Long.parseLong(words[0]), Long.parseLong(words[1]));
             }
         } finally {
-            startedMs.forEach((pid, started) -> {
-                Optional<ProcessHandle> child = ProcessHandle.of(pid);
-                if (child.isPresent() && (started < 0 || startedMs(child.get()) == started)) {
-                    child.get().destroyForcibly();
-                }
-            });
+            startedMs.forEach(
+                    (pid, started) -> {
+                        Optional<ProcessHandle> child = ProcessHandle.of(pid);
+                        if (child.isPresent()
+                                && (started < 0 || startedMs(child.get()) == started)) {
+                            child.get().destroyForcibly();
+                        }
+                    });
         }
     }
 }
--- a/src/main/java/holdproxy/rig/LinkState.java
+++ b/src/main/java/holdproxy/rig/LinkState.java
@@ -12,10 +12,17 @@
  * @param bytesPerS how much gets through in a second; 0: as much as comes
  * @param tearAfter after so many bytes of a connection it is reset, whatever they belong to; 0: never
  */
-public record LinkState(boolean cut, boolean unread, int delayMs, int jitterMs, int growthMs, int bytesPerS,
+public record LinkState(
+        boolean cut,
+        boolean unread,
+        int delayMs,
+        int jitterMs,
+        int growthMs,
+        int bytesPerS,
         int tearAfter) {
     /** Nothing is wrong. */
     public static final LinkState SOUND = new LinkState(false, false, 0, 0, 0, 0, 0);
+
     public static final LinkState CUT = new LinkState(true, false, 0, 0, 0, 0, 0);
     public static final LinkState UNREAD = new LinkState(false, true, 0, 0, 0, 0, 0);
 
--- a/src/main/java/holdproxy/rig/Links.java
+++ b/src/main/java/holdproxy/rig/Links.java
@@ -36,20 +36,21 @@
 final class Links implements AutoCloseable {
     /** Below what systems give out by themselves, so that nobody else comes by a port between two binds. */
     private static final int FIRST_PORT = 20_000;
+
     private static final int LAST_PORT = 32_000;
 
     /** Of all rigs in this process; those of two processes begin at different places. */
     private static final AtomicInteger NEXT_PORT =
-        new AtomicInteger(Long.hashCode(ProcessHandle.current().pid() * 7919) & 0xffffff);
+            new AtomicInteger(Long.hashCode(ProcessHandle.current().pid() * 7919) & 0xffffff);
 
     /** Who calls, and who is called. */
-    record Pair(String from, String to) {
-    }
+    record Pair(String from, String to) {}
 
     private final EventLoop loop;
     private final long seed;
     private final Map<Pair, Relay> relays = new LinkedHashMap<>();
     private final Map<Integer, String> callers = new HashMap<>();
+
     Links(EventLoop loop, long seed) {
         this.loop = loop;
         this.seed = seed;
@@ -58,8 +59,10 @@
     /** A loopback address at which nobody listens. */
     InetSocketAddress free() {
         for (int tries = 0; tries < LAST_PORT - FIRST_PORT; tries++) {
-            int port = FIRST_PORT + Math.floorMod(NEXT_PORT.getAndIncrement(), LAST_PORT - FIRST_PORT);
-            InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+            int port =
+                    FIRST_PORT + Math.floorMod(NEXT_PORT.getAndIncrement(), LAST_PORT - FIRST_PORT);
+            InetSocketAddress address =
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             try (ServerSocket probe = new ServerSocket()) {
                 probe.setReuseAddress(true);
                 probe.bind(address);
@@ -68,8 +71,8 @@
                 continue; // somebody has it
             }
         }
-        throw new UncheckedIOException(new IOException("no port from " + FIRST_PORT + " to " + LAST_PORT
-            + " is free"));
+        throw new UncheckedIOException(
+                new IOException("no port from " + FIRST_PORT + " to " + LAST_PORT + " is free"));
     }
 
     /** A relay from one to another that listens at {@code target}; returns where the caller finds it. */
@@ -83,17 +86,20 @@
     /** Those whose ends match: a name, or * for all. */
     List<Relay> matching(String from, String to) {
         List<Relay> found = new ArrayList<>();
-        relays.forEach((pair, relay) -> {
-            if (matches(from, pair.from) && matches(to, pair.to)) {
-                found.add(relay);
-            }
-        });
+        relays.forEach(
+                (pair, relay) -> {
+                    if (matches(from, pair.from) && matches(to, pair.to)) {
+                        found.add(relay);
+                    }
+                });
         return found;
     }
 
     static boolean matches(String pattern, String name) {
-        return pattern.equals("*") || pattern.equals(name)
-            || pattern.endsWith("*") && name.startsWith(pattern.substring(0, pattern.length() - 1));
+        return pattern.equals("*")
+                || pattern.equals(name)
+                || pattern.endsWith("*")
+                        && name.startsWith(pattern.substring(0, pattern.length() - 1));
     }
 
     Relay between(String from, String to) {
@@ -126,33 +132,46 @@
 
         /** {@code address} is what the town knows the part by; the ports are those of its relays. */
         @Override
-        public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
+        public ChannelFuture listen(
+                InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
             List<Channel> all = new ArrayList<>();
             ChannelFuture last = null;
             for (Map.Entry<String, InetSocketAddress> each : ports.entrySet()) {
-                last = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                    .option(ChannelOption.SO_REUSEADDR, true)
-                    .childOption(ChannelOption.TCP_NODELAY, true)
-                    .childHandler(new ChannelInitializer<SocketChannel>() {
-                        @Override
-                        protected void initChannel(SocketChannel ch) {
-                            ch.pipeline().addLast(new Flushing()).addLast(handlers.get())
-                                .addLast(new Resets());
-                        }
-                    }).bind(each.getValue());
+                last =
+                        new ServerBootstrap()
+                                .group(loop, loop)
+                                .channel(NioServerSocketChannel.class)
+                                .option(ChannelOption.SO_REUSEADDR, true)
+                                .childOption(ChannelOption.TCP_NODELAY, true)
+                                .childHandler(
+                                        new ChannelInitializer<SocketChannel>() {
+                                            @Override
+                                            protected void initChannel(SocketChannel ch) {
+                                                ch.pipeline()
+                                                        .addLast(new Flushing())
+                                                        .addLast(handlers.get())
+                                                        .addLast(new Resets());
+                                            }
+                                        })
+                                .bind(each.getValue());
                 all.add(last.channel());
                 between(each.getKey(), name).refuse(false);
             }
             // who closes the one that is returned closes all, and calls are refused from then on
-            last.channel().closeFuture().addListener(f -> {
-                all.forEach(Channel::close);
-                ports.keySet().forEach(caller -> between(caller, name).refuse(true));
-            });
+            last.channel()
+                    .closeFuture()
+                    .addListener(
+                            f -> {
+                                all.forEach(Channel::close);
+                                ports.keySet()
+                                        .forEach(caller -> between(caller, name).refuse(true));
+                            });
             return last;
         }
 
         @Override
-        public ChannelFuture connect(InetSocketAddress to, int timeoutMs, ChannelHandler... handlers) {
+        public ChannelFuture connect(
+                InetSocketAddress to, int timeoutMs, ChannelHandler... handlers) {
             return dial(loop, to, timeoutMs, handlers);
         }
 
@@ -187,16 +206,20 @@
     }
 
     /** An ordinary connection. */
-    private static ChannelFuture dial(EventLoop loop, InetSocketAddress to, int timeoutMs,
-            ChannelHandler... handlers) {
-        return new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
-            .handler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel ch) {
-                    ch.pipeline().addLast(handlers).addLast(new Resets());
-                }
-            }).connect(to);
+    private static ChannelFuture dial(
+            EventLoop loop, InetSocketAddress to, int timeoutMs, ChannelHandler... handlers) {
+        return new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
+                .handler(
+                        new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel ch) {
+                                ch.pipeline().addLast(handlers).addLast(new Resets());
+                            }
+                        })
+                .connect(to);
     }
 }
--- a/src/main/java/holdproxy/rig/Relay.java
+++ b/src/main/java/holdproxy/rig/Relay.java
@@ -34,6 +34,7 @@
 public final class Relay implements AutoCloseable {
     /** Bytes that wait for their time, or for room, in one direction of one connection. */
     private static final int MOST_HELD = 1 << 20;
+
     /** A throttled direction gives out what it may in steps of this length. */
     private static final int STEP_MS = 20;
 
@@ -60,7 +61,8 @@
     }
 
     /** A relay that listens at {@code address}, goes on to {@code target} and draws its jitter by a seed. */
-    public static Relay open(EventLoop loop, InetSocketAddress address, InetSocketAddress target, long seed) {
+    public static Relay open(
+            EventLoop loop, InetSocketAddress address, InetSocketAddress target, long seed) {
         Relay relay = new Relay(loop, address, target, seed);
         ChannelFuture bound = relay.bind();
         if (!loop.inEventLoop()) {
@@ -85,12 +87,13 @@
 
     /** From now on this is wrong from the calling process to the target, and this from the target back. */
     public void state(LinkState thereNow, LinkState backNow) {
-        run(() -> {
-            there = thereNow;
-            back = backNow;
-            stateSinceNs = System.nanoTime();
-            List.copyOf(pairs).forEach(Pair::stateChanged);
-        });
+        run(
+                () -> {
+                    there = thereNow;
+                    back = backNow;
+                    stateSinceNs = System.nanoTime();
+                    List.copyOf(pairs).forEach(Pair::stateChanged);
+                });
     }
 
     /**
@@ -98,15 +101,16 @@
      * on the event loop it returns once that holds.
      */
     public void refuse(boolean now) {
-        run(() -> {
-            if (now != refusing && !closed) {
-                refusing = now;
-                changing = now ? listener.close() : bind();
-            }
-        });
+        run(
+                () -> {
+                    if (now != refusing && !closed) {
+                        refusing = now;
+                        changing = now ? listener.close() : bind();
+                    }
+                });
         if (!loop.inEventLoop() && changing != null) {
             changing.syncUninterruptibly();
-            run(() -> { }); // only the loop's next look for input lets go of a port that is closed
+            run(() -> {}); // only the loop's next look for input lets go of a port that is closed
         }
     }
 
@@ -117,11 +121,12 @@
 
     @Override
     public void close() {
-        run(() -> {
-            closed = true;
-            listener.close();
-            List.copyOf(pairs).forEach(Pair::reset);
-        });
+        run(
+                () -> {
+                    closed = true;
+                    listener.close();
+                    List.copyOf(pairs).forEach(Pair::reset);
+                });
     }
 
     private void run(Runnable change) {
@@ -133,23 +138,33 @@
     }
 
     private ChannelFuture bind() {
-        ChannelFuture bound = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.AUTO_READ, false)
-            .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel caller) {
-                    new Pair(caller).connect();
-                }
-            }).bind(address);
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childOption(ChannelOption.AUTO_READ, false)
+                        .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel caller) {
+                                        new Pair(caller).connect();
+                                    }
+                                })
+                        .bind(address);
         listener = bound.channel();
-        bound.addListener(f -> {
-            if (!f.isSuccess() && !closed) {
-                System.err.println("holdproxy: a relay cannot listen on " + address + ": " + f.cause());
-            }
-        });
+        bound.addListener(
+                f -> {
+                    if (!f.isSuccess() && !closed) {
+                        System.err.println(
+                                "holdproxy: a relay cannot listen on "
+                                        + address
+                                        + ": "
+                                        + f.cause());
+                    }
+                });
         return bound;
     }
 
@@ -160,6 +175,7 @@
         private final Way thereWay = new Way(true);
         private final Way backWay = new Way(false);
         private boolean over;
+
         Pair(SocketChannel caller) {
             this.caller = caller;
             pairs.add(this);
@@ -168,24 +184,31 @@
         }
 
         void connect() {
-            new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.AUTO_READ, false).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        callee = ch;
-                        ch.pipeline().addLast(backWay);
-                    }
-                }).connect(target).addListener(f -> {
-                    if (!f.isSuccess()) {
-                        reset();
-                        return;
-                    }
-                    callee.closeFuture().addListener(c -> reset());
-                    thereWay.start(caller, callee);
-                    backWay.start(callee, caller);
-                });
+            new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.AUTO_READ, false)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                    .handler(
+                            new ChannelInitializer<SocketChannel>() {
+                                @Override
+                                protected void initChannel(SocketChannel ch) {
+                                    callee = ch;
+                                    ch.pipeline().addLast(backWay);
+                                }
+                            })
+                    .connect(target)
+                    .addListener(
+                            f -> {
+                                if (!f.isSuccess()) {
+                                    reset();
+                                    return;
+                                }
+                                callee.closeFuture().addListener(c -> reset());
+                                thereWay.start(caller, callee);
+                                backWay.start(callee, caller);
+                            });
         }
 
         void stateChanged() {
@@ -223,8 +246,7 @@
 
         /** One direction of it. */
         private final class Way extends ChannelInboundHandlerAdapter {
-            private record Held(ByteBuf bytes, long dueNs) {
-            }
+            private record Held(ByteBuf bytes, long dueNs) {}
 
             private final boolean forth;
             private final ArrayDeque<Held> held = new ArrayDeque<>();
@@ -234,10 +256,13 @@
             private int heldBytes;
             private long passed;
             private int allowance;
+
             /** Something of it is gone: nothing may follow that, and once the link is sound it is reset. */
             private boolean holed;
+
             /** The sender has ended its sending; and this is passed on. */
             private boolean ended;
+
             private boolean finished;
             private boolean waiting;
 
@@ -260,8 +285,12 @@
                 if (!over) {
                     pass();
                     if (!over) {
-                        from.config().setAutoRead(!ended && !state().unread() && heldBytes < MOST_HELD
-                            && to.isWritable());
+                        from.config()
+                                .setAutoRead(
+                                        !ended
+                                                && !state().unread()
+                                                && heldBytes < MOST_HELD
+                                                && to.isWritable());
                     }
                 }
             }
@@ -276,8 +305,12 @@
                     bytes.release();
                     return;
                 }
-                long delayNs = TimeUnit.MILLISECONDS.toNanos(now.delayMs()
-                    + (now.jitterMs() > 0 ? random.nextInt(now.jitterMs() + 1) : 0));
+                long delayNs =
+                        TimeUnit.MILLISECONDS.toNanos(
+                                now.delayMs()
+                                        + (now.jitterMs() > 0
+                                                ? random.nextInt(now.jitterMs() + 1)
+                                                : 0));
                 long sinceS = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - stateSinceNs);
                 delayNs += TimeUnit.MILLISECONDS.toNanos(now.growthMs() * sinceS);
                 lastDueNs = Math.max(lastDueNs, System.nanoTime() + delayNs); // in order
@@ -364,11 +397,14 @@
             private void later(long ms) {
                 if (!waiting) {
                     waiting = true;
-                    loop.schedule(() -> {
-                        waiting = false;
-                        allowance = Math.max(1, state().bytesPerS() * STEP_MS / 1000);
-                        go();
-                    }, ms, TimeUnit.MILLISECONDS);
+                    loop.schedule(
+                            () -> {
+                                waiting = false;
+                                allowance = Math.max(1, state().bytesPerS() * STEP_MS / 1000);
+                                go();
+                            },
+                            ms,
+                            TimeUnit.MILLISECONDS);
                 }
             }
 
--- a/src/main/java/holdproxy/rig/RigCommand.java
+++ b/src/main/java/holdproxy/rig/RigCommand.java
@@ -21,29 +21,46 @@
  * {@code holdproxy rig}: real processes under faults, judged. Exit codes: 0 all rules kept, 1 a rule was
  * broken, 2 the command or a file of it was wrong.
  */
-@Command(name = "rig", description = "Starts real processes, causes faults between them and judges them.",
-    mixinStandardHelpOptions = true, subcommands = {RigCommand.Run.class, RigCommand.Hunt.class,
-        RigCommand.Replay.class, RigCommand.Keep.class})
+@Command(
+        name = "rig",
+        description = "Starts real processes, causes faults between them and judges them.",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            RigCommand.Run.class,
+            RigCommand.Hunt.class,
+            RigCommand.Replay.class,
+            RigCommand.Keep.class
+        })
 public final class RigCommand {
     private static final int SHOWN = 10;
 
-    private RigCommand() {
-    }
+    private RigCommand() {}
 
     /** Runs a command line; returns its exit code. */
     public static int run(String[] args) {
-        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE); // the JSON lines are the daemon's
+        InternalLoggerFactory.setDefaultFactory(
+                JdkLoggerFactory.INSTANCE); // the JSON lines are the daemon's
         return Commands.run(new RigCommand(), args);
     }
 
     /** This program with other words: the same Java, the same classes. */
     static List<String> self(String... words) {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        List<String> command = new ArrayList<>(List.of(java, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-            "-Xmx80m", "-Djava.net.preferIPv4Stack=true", "-Dio.netty.leakDetection.level=disabled", "-cp",
-            // where tests run in a jar that only names others, this names those
-            System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-            "holdproxy.Main"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                java,
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xmx80m",
+                                "-Djava.net.preferIPv4Stack=true",
+                                "-Dio.netty.leakDetection.level=disabled",
+                                "-cp",
+                                // where tests run in a jar that only names others, this names those
+                                System.getProperty(
+                                        "surefire.test.class.path",
+                                        System.getProperty("java.class.path")),
+                                "holdproxy.Main"));
         command.addAll(List.of(words));
         return command;
     }
@@ -56,8 +73,9 @@
     }
 
     private static int report(RigTown.Outcome outcome) {
-        outcome.late().stream().limit(SHOWN)
-            .forEach(b -> System.out.println("  in its time, not judged: " + b));
+        outcome.late().stream()
+                .limit(SHOWN)
+                .forEach(b -> System.out.println("  in its time, not judged: " + b));
         if (outcome.broken().isEmpty()) {
             System.out.println("all rules kept");
             return 0;
@@ -72,10 +90,14 @@
     }
 
     /** {@code rig run FILE}: one schedule, and how it went. */
-    @Command(name = "run", description = "Plays a schedule and reports.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "run",
+            description = "Plays a schedule and reports.",
+            mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "SCHEDULE.toml")
         private Path file;
+
         @Option(names = "--out", description = "a folder for configurations, logs and the history")
         private Path out;
 
@@ -84,9 +106,15 @@
             Schedule schedule = Schedule.read(file);
             Path folder = folder(out);
             RigTown.Outcome outcome = play(schedule, folder);
-            System.out.printf(Locale.ROOT,
-                "%s, seed %d: %.0f s of %d processes and %d nodes; history and logs in %s%n", schedule.name(),
-                schedule.seed(), schedule.seconds(), schedule.proxies(), schedule.nodes(), folder);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%s, seed %d: %.0f s of %d processes and %d nodes; history and logs in %s%n",
+                    schedule.name(),
+                    schedule.seed(),
+                    schedule.seconds(),
+                    schedule.proxies(),
+                    schedule.nodes(),
+                    folder);
             for (Map.Entry<String, Object> f : outcome.service().figures().entrySet()) {
                 System.out.printf(Locale.ROOT, "%-28s %s%n", f.getKey(), f.getValue());
             }
@@ -95,52 +123,98 @@
     }
 
     /** {@code rig hunt}: schedules drawn by seeds. */
-    @Command(name = "hunt", description = "Plays schedules drawn by seeds; ends at the first broken rule.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "hunt",
+            description = "Plays schedules drawn by seeds; ends at the first broken rule.",
+            mixinStandardHelpOptions = true)
     static final class Hunt implements Callable<Integer> {
         @Option(names = "--seeds", defaultValue = "10", description = "how many (${DEFAULT-VALUE})")
         private int seeds;
+
         @Option(names = "--from", defaultValue = "1", description = "the first (${DEFAULT-VALUE})")
         private long from;
-        @Option(names = "--proxies", defaultValue = "5", description = "processes (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--proxies",
+                defaultValue = "5",
+                description = "processes (${DEFAULT-VALUE})")
         private int proxies;
+
         @Option(names = "--daemons", description = "start them as daemon instead of serve")
         private boolean daemons;
+
         @Option(names = "--voters", defaultValue = "0", description = "that make a council: 3 or 5")
         private int voters;
-        @Option(names = "--drills", defaultValue = "0", description = "duties at a guarded resource")
+
+        @Option(
+                names = "--drills",
+                defaultValue = "0",
+                description = "duties at a guarded resource")
         private int drills;
-        @Option(names = "--lease-ms", defaultValue = "1000", description = "of those (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--lease-ms",
+                defaultValue = "1000",
+                description = "of those (${DEFAULT-VALUE})")
         private int leaseMs;
+
         @Option(names = "--quiet", description = "no client asks for anything")
         private boolean quiet;
-        @Option(names = "--nodes", defaultValue = "6", description = "cache nodes (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--nodes",
+                defaultValue = "6",
+                description = "cache nodes (${DEFAULT-VALUE})")
         private int nodes;
-        @Option(names = "--seconds", defaultValue = "10", description = "of each (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--seconds",
+                defaultValue = "10",
+                description = "of each (${DEFAULT-VALUE})")
         private double seconds;
+
         @Option(names = "--out", description = "a folder for what breaks a rule")
         private Path out;
 
         @Override
         public Integer call() throws Exception {
-            if (seeds < 1 || proxies < 1 || proxies > 40 || nodes < 1 || nodes > 100 || !(seconds > 1)) {
+            if (seeds < 1
+                    || proxies < 1
+                    || proxies > 40
+                    || nodes < 1
+                    || nodes > 100
+                    || !(seconds > 1)) {
                 throw new BadInput(
-                    "--seeds, --proxies (to 40) and --nodes (to 100) must be at least 1, --seconds above 1");
+                        "--seeds, --proxies (to 40) and --nodes (to 100) must be at least 1,"
+                                + " --seconds above 1");
             }
-            boolean possible = voters == 0 ? drills == 0 : (voters == 3 || voters == 5) && voters <= proxies;
+            boolean possible =
+                    voters == 0 ? drills == 0 : (voters == 3 || voters == 5) && voters <= proxies;
             if (!possible || drills < 0 || drills > 20 || leaseMs < 200) {
-                throw new BadInput("--voters are 3 or 5 of the processes, --drills (to 20) need them,"
-                    + " --lease-ms is at least 200");
+                throw new BadInput(
+                        "--voters are 3 or 5 of the processes, --drills (to 20) need them,"
+                                + " --lease-ms is at least 200");
             }
             Path folder = folder(out);
             for (long seed = from; seed < from + seeds; seed++) {
-                Schedule schedule = Schedule.drawn(seed, daemons || voters > 0,
-                    new Schedule.Fleet(voters, drills, leaseMs, quiet), proxies, nodes, seconds);
+                Schedule schedule =
+                        Schedule.drawn(
+                                seed,
+                                daemons || voters > 0,
+                                new Schedule.Fleet(voters, drills, leaseMs, quiet),
+                                proxies,
+                                nodes,
+                                seconds);
                 Path each = folder.resolve("seed-" + seed);
                 RigTown.Outcome outcome = play(schedule, each);
                 Files.writeString(each.resolve("schedule.toml"), schedule.toml());
-                System.out.printf(Locale.ROOT, "seed %d: %d faults, in time %.3f, %d broken%n", seed,
-                    schedule.faults().size(), outcome.service().share(), outcome.broken().size());
+                System.out.printf(
+                        Locale.ROOT,
+                        "seed %d: %d faults, in time %.3f, %d broken%n",
+                        seed,
+                        schedule.faults().size(),
+                        outcome.service().share(),
+                        outcome.broken().size());
                 if (!outcome.broken().isEmpty()) {
                     System.out.println("again with: rig replay " + each.resolve("schedule.toml"));
                     return RigCommand.report(outcome);
@@ -152,13 +226,17 @@
     }
 
     /** {@code rig replay FILE}: a schedule several times. */
-    @Command(name = "replay", description = "Plays a schedule several times and compares the verdicts.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "replay",
+            description = "Plays a schedule several times and compares the verdicts.",
+            mixinStandardHelpOptions = true)
     static final class Replay implements Callable<Integer> {
         @Parameters(paramLabel = "SCHEDULE.toml")
         private Path file;
+
         @Option(names = "--times", defaultValue = "3", description = "how often (${DEFAULT-VALUE})")
         private int times;
+
         @Option(names = "--out", description = "a folder for configurations, logs and histories")
         private Path out;
 
@@ -170,8 +248,16 @@
             for (int i = 1; i <= times; i++) {
                 RigTown.Outcome outcome = play(schedule, folder.resolve("play-" + i));
                 broken += outcome.broken().isEmpty() ? 0 : 1;
-                System.out.println("play " + i + ": " + (outcome.broken().isEmpty() ? "kept"
-                    : outcome.broken().stream().map(Auditors.Broken::rule).distinct().toList()));
+                System.out.println(
+                        "play "
+                                + i
+                                + ": "
+                                + (outcome.broken().isEmpty()
+                                        ? "kept"
+                                        : outcome.broken().stream()
+                                                .map(Auditors.Broken::rule)
+                                                .distinct()
+                                                .toList()));
             }
             System.out.println(broken + " of " + times + " broke a rule");
             return broken == 0 ? 0 : 1;
--- a/src/main/java/holdproxy/rig/RigFault.java
+++ b/src/main/java/holdproxy/rig/RigFault.java
@@ -17,8 +17,16 @@
  * @param there what is wrong from the caller to the called
  * @param back what is wrong the other way
  */
-record RigFault(Kind kind, double atS, double forS, double noticedS, int target, String from, String to,
-        LinkState there, LinkState back) {
+record RigFault(
+        Kind kind,
+        double atS,
+        double forS,
+        double noticedS,
+        int target,
+        String from,
+        String to,
+        LinkState there,
+        LinkState back) {
     enum Kind {
         /** A proxy is killed (SIGKILL), and started again after its time. */
         KILL,
@@ -58,10 +66,17 @@
     }
 
     static RigFault process(Kind kind, double atS, double forS, double noticedS, int target) {
-        return new RigFault(kind, atS, forS, noticedS, target, "", "", LinkState.SOUND, LinkState.SOUND);
+        return new RigFault(
+                kind, atS, forS, noticedS, target, "", "", LinkState.SOUND, LinkState.SOUND);
     }
 
-    static RigFault links(Kind kind, double atS, double forS, String from, String to, LinkState there,
+    static RigFault links(
+            Kind kind,
+            double atS,
+            double forS,
+            String from,
+            String to,
+            LinkState there,
             LinkState back) {
         return new RigFault(kind, atS, forS, 0, 0, from, to, there, back);
     }
--- a/src/main/java/holdproxy/rig/RigTown.java
+++ b/src/main/java/holdproxy/rig/RigTown.java
@@ -43,14 +43,19 @@
  */
 final class RigTown implements AutoCloseable {
     private static final long CALL_US = 30_000;
+
     /** Discovery lists a started node so long after. */
     private static final double ADDED_S = 1.5;
+
     /** After the last request, until the last of its tries is over. */
     private static final double LAST_TRIES_S = 12;
+
     /** A start, and an end after SIGTERM, takes a second or two; on a busy machine longer. */
     private static final long PATIENCE_S = 120;
+
     /** What is expected is looked for so often. */
     private static final long LOOK_MS = 100;
+
     private static final int MOST_SEEDS = 3;
     private static final int REGISTER_SLOTS = 40;
     private static final long REGISTER_US = 60_000;
@@ -66,7 +71,8 @@
     private final Path folder;
     private final Keeper keeper;
     private final Function<String[], List<String>> program;
-    private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final EventLoop loop =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final LoopTimeline time = new LoopTimeline(loop);
     private final PrintWriter history;
     private final TownRecord record;
@@ -75,16 +81,20 @@
     private final List<CacheNode> nodes = new ArrayList<>();
     private final Map<InetSocketAddress, String> nodeAt = new HashMap<>();
     private final List<ServeProcess> proxies = new ArrayList<>();
+
     /** Where each daemon listens for the others. */
     private final List<InetSocketAddress> meets = new ArrayList<>();
+
     /** What each process's end was brought about by, while it is: else it has crashed. */
     private final Map<ServeProcess, String> endsBy = new HashMap<>();
+
     private final Map<ServeProcess, CompletableFuture<Void>> ready = new HashMap<>();
     private final Map<ServeProcess, CompletableFuture<Void>> over = new HashMap<>();
     private final List<String> crashes = new ArrayList<>();
     private DiscoveryService discovery;
     private Clients clients;
     private boolean ending;
+
     /** When all listened, and faults began. */
     private long startUs;
 
@@ -104,8 +114,7 @@
     }
 
     /** How a schedule went. */
-    record Outcome(Service service, List<Auditors.Broken> broken, List<Auditors.Broken> late) {
-    }
+    record Outcome(Service service, List<Auditors.Broken> broken, List<Auditors.Broken> late) {}
 
     /** Plays it to its end. */
     Outcome play() throws InterruptedException, ExecutionException, TimeoutException {
@@ -114,15 +123,17 @@
             ready.get(p).get(PATIENCE_S, TimeUnit.SECONDS);
         }
         CompletableFuture<Void> asked = new CompletableFuture<>();
-        loop.execute(() -> {
-            startUs = time.nowUs();
-            schedule.faults().forEach(f -> after(f.atS(), () -> happen(f)));
-            if (!schedule.fleet().quiet()) {
-                clients.ask(time.nowUs() + (long) (schedule.seconds() * 1e6));
-            }
-            after(schedule.seconds() + (schedule.fleet().quiet() ? 0 : LAST_TRIES_S),
-                () -> asked.complete(null));
-        });
+        loop.execute(
+                () -> {
+                    startUs = time.nowUs();
+                    schedule.faults().forEach(f -> after(f.atS(), () -> happen(f)));
+                    if (!schedule.fleet().quiet()) {
+                        clients.ask(time.nowUs() + (long) (schedule.seconds() * 1e6));
+                    }
+                    after(
+                            schedule.seconds() + (schedule.fleet().quiet() ? 0 : LAST_TRIES_S),
+                            () -> asked.complete(null));
+                });
         asked.get();
         List<Expected> unmet = unmet();
         loop.submit(this::end).get();
@@ -137,10 +148,16 @@
         List<Expected> unmet = new ArrayList<>(schedule.expected());
         long fromUs = time.nowUs();
         while (true) {
-            loop.submit(() -> {
-                List<String> running = proxies.stream().filter(ServeProcess::runs).map(p -> p.name).toList();
-                unmet.removeIf(e -> e.met(running, record.events(), startUs));
-            }).get();
+            loop.submit(
+                            () -> {
+                                List<String> running =
+                                        proxies.stream()
+                                                .filter(ServeProcess::runs)
+                                                .map(p -> p.name)
+                                                .toList();
+                                unmet.removeIf(e -> e.met(running, record.events(), startUs));
+                            })
+                    .get();
             if (unmet.stream().allMatch(e -> time.nowUs() - fromUs > e.withinS() * 1e6)) {
                 return unmet;
             }
@@ -154,8 +171,12 @@
         List<Auditors.Broken> broken = Auditors.brokenWhateverTheTime(events);
         broken.addAll(DutyJudge.broken(events));
         crashes.forEach(c -> broken.add(new Auditors.Broken("no crash", c)));
-        unmet.forEach(e -> broken.add(new Auditors.Broken("progress", "not every one of " + e.by()
-            + " has said: " + e.said())));
+        unmet.forEach(
+                e ->
+                        broken.add(
+                                new Auditors.Broken(
+                                        "progress",
+                                        "not every one of " + e.by() + " has said: " + e.said())));
         List<Auditors.Broken> late = new ArrayList<>(Auditors.broken(events));
         late.removeAll(broken);
         return new Outcome(new Service(events), broken, late);
@@ -172,32 +193,67 @@
     // ---- the town ----
 
     private void build() {
-        List<String> names = IntStream.range(0, schedule.proxies()).mapToObj(i -> "proxy-" + i).toList();
-        discovery = new DiscoveryService(time, record, CALL_US, proxy -> false,
-            (proxy, node) -> links.between(proxy, nodeAt.get(node)).address());
+        List<String> names =
+                IntStream.range(0, schedule.proxies()).mapToObj(i -> "proxy-" + i).toList();
+        discovery =
+                new DiscoveryService(
+                        time,
+                        record,
+                        CALL_US,
+                        proxy -> false,
+                        (proxy, node) -> links.between(proxy, nodeAt.get(node)).address());
         discovery.start(links.part(DISCOVERY, names), known(1, 0));
-        MemberRegister register = new MemberRegister(time, record, REGISTER_SLOTS, REGISTER_US,
-            ProxyConfig.REPEATS_DROPPED_US);
+        MemberRegister register =
+                new MemberRegister(
+                        time, record, REGISTER_SLOTS, REGISTER_US, ProxyConfig.REPEATS_DROPPED_US);
         double workUs = schedule.load().workMs() * 1000;
-        CacheNode.Kind kind = new CacheNode.Kind("std-1c", 1, 1, 4, 20, workUs, COLD_FROM,
-            (long) (COLD_S * 1e6), KEYS_KEPT, 30_000_000, 700, 2_500);
+        CacheNode.Kind kind =
+                new CacheNode.Kind(
+                        "std-1c",
+                        1,
+                        1,
+                        4,
+                        20,
+                        workUs,
+                        COLD_FROM,
+                        (long) (COLD_S * 1e6),
+                        KEYS_KEPT,
+                        30_000_000,
+                        700,
+                        2_500);
         for (int i = 0; i < schedule.nodes(); i++) {
             InetSocketAddress address = known(2, i);
             String name = "s-" + i;
             nodeAt.put(address, name);
-            CacheNode node = new CacheNode(name, 0, address, kind, time, links.part(name, names), record,
-                register, stream(schedule.seed(), "node", i));
+            CacheNode node =
+                    new CacheNode(
+                            name,
+                            0,
+                            address,
+                            kind,
+                            time,
+                            links.part(name, names),
+                            record,
+                            register,
+                            stream(schedule.seed(), "node", i));
             nodes.add(node);
             node.startWarm(schedule.load().keys());
             list(node, "SERVING");
         }
         if (schedule.fleet().drills() > 0) {
             new GuardedResource(time, record, links.part(GuardedResource.NAME, names), true)
-                .start(known(3, 0));
+                    .start(known(3, 0));
         }
-        clients = new Clients(time, List.of(links.part(CLIENTS, List.of())), record,
-            stream(schedule.seed(), CLIENTS, 0), schedule.load(),
-            ProxyConfig.clubNames(schedule.load().clubs().size()), front, schedule.proxies());
+        clients =
+                new Clients(
+                        time,
+                        List.of(links.part(CLIENTS, List.of())),
+                        record,
+                        stream(schedule.seed(), CLIENTS, 0),
+                        schedule.load(),
+                        ProxyConfig.clubNames(schedule.load().clubs().size()),
+                        front,
+                        schedule.proxies());
         clients.takenWhenWritten();
         for (int i = 0; i < schedule.proxies(); i++) {
             meets.add(links.free());
@@ -215,16 +271,18 @@
         try {
             for (int i = 0; i < schedule.fleet().voters(); i++) {
                 String file = folder.resolve("proxy-" + i + ".toml").toString();
-                Process each = new ProcessBuilder(program.apply(new String[] {"daemon", "found", file}))
-                    .redirectErrorStream(true).redirectOutput(folder.resolve("found-" + i + ".log").toFile())
-                    .start();
+                Process each =
+                        new ProcessBuilder(program.apply(new String[] {"daemon", "found", file}))
+                                .redirectErrorStream(true)
+                                .redirectOutput(folder.resolve("found-" + i + ".log").toFile())
+                                .start();
                 keeper.keeps(each.toHandle());
                 founding.add(each);
             }
             for (Process each : founding) {
                 if (each.waitFor() != 0) {
-                    throw new IllegalStateException("the council cannot be founded: see found-*.log in "
-                        + folder);
+                    throw new IllegalStateException(
+                            "the council cannot be founded: see found-*.log in " + folder);
                 }
             }
         } catch (IOException e) {
@@ -246,30 +304,69 @@
 
     private void list(CacheNode node, String state) {
         long agoMs = (time.nowUs() - node.startedUs()) / 1000;
-        discovery.set(node.name, node.address, "room-north", node.kind.name(), state,
-            node.startedUs() == 0 ? 0 : System.currentTimeMillis() - agoMs);
+        discovery.set(
+                node.name,
+                node.address,
+                "room-north",
+                node.kind.name(),
+                state,
+                node.startedUs() == 0 ? 0 : System.currentTimeMillis() - agoMs);
     }
 
     private ServeProcess proxy(int i, String name) {
         InetSocketAddress listens = links.free();
         front.door(links.link(CLIENTS, name, listens), 0);
-        ProxyConfig config = new ProxyConfig(i, schedule.proxies(), 0, List.of("room-north"), COLD_FROM,
-            COLD_S, schedule.load().clubs(), schedule.nodes() / schedule.load().workMs() * 1000 * QUOTA_PART);
-        String platforms = config.json(name, stream(schedule.seed(), "proxy", i).nextLong(),
-            discovery.whole(name), ProxyConfig.ATTEMPTS);
+        ProxyConfig config =
+                new ProxyConfig(
+                        i,
+                        schedule.proxies(),
+                        0,
+                        List.of("room-north"),
+                        COLD_FROM,
+                        COLD_S,
+                        schedule.load().clubs(),
+                        schedule.nodes() / schedule.load().workMs() * 1000 * QUOTA_PART);
+        String platforms =
+                config.json(
+                        name,
+                        stream(schedule.seed(), "proxy", i).nextLong(),
+                        discovery.whole(name),
+                        ProxyConfig.ATTEMPTS);
         String discoveryAt = DiscoveryService.text(links.between(name, DISCOVERY).address());
         Path file = folder.resolve(name + (schedule.daemons() ? ".toml" : ".json"));
         try {
-            Files.writeString(file, !schedule.daemons() ? platforms : DaemonText.of(name,
-                DiscoveryService.text(listens), discoveryAt, folder.resolve(name), peers(i), platforms));
+            Files.writeString(
+                    file,
+                    !schedule.daemons()
+                            ? platforms
+                            : DaemonText.of(
+                                    name,
+                                    DiscoveryService.text(listens),
+                                    discoveryAt,
+                                    folder.resolve(name),
+                                    peers(i),
+                                    platforms));
         } catch (IOException e) {
-            throw new UncheckedIOException("the configuration of " + name + " cannot be written", e);
+            throw new UncheckedIOException(
+                    "the configuration of " + name + " cannot be written", e);
         }
-        Map<String, String> env = schedule.daemons() ? Map.of() : Map.of("LB_NAME", name,
-            "LB_LISTEN", DiscoveryService.text(listens), "LB_DISCOVERY", discoveryAt,
-            "LB_CONFIG", file.toString());
-        List<String> command = program.apply(schedule.daemons()
-            ? new String[] {"daemon", "--config", file.toString()} : new String[] {"serve"});
+        Map<String, String> env =
+                schedule.daemons()
+                        ? Map.of()
+                        : Map.of(
+                                "LB_NAME",
+                                name,
+                                "LB_LISTEN",
+                                DiscoveryService.text(listens),
+                                "LB_DISCOVERY",
+                                discoveryAt,
+                                "LB_CONFIG",
+                                file.toString());
+        List<String> command =
+                program.apply(
+                        schedule.daemons()
+                                ? new String[] {"daemon", "--config", file.toString()}
+                                : new String[] {"serve"});
         return new ServeProcess(name, command, env, folder.resolve(name + ".log"), keeper, loop);
     }
 
@@ -279,15 +376,25 @@
         for (int other = 0; other < schedule.proxies(); other++) {
             if (other != i) {
                 String name = "proxy-" + other;
-                routes.put(name, DiscoveryService.text(links.link("proxy-" + i, name, meets.get(other))));
+                routes.put(
+                        name,
+                        DiscoveryService.text(links.link("proxy-" + i, name, meets.get(other))));
             }
         }
         List<String> seeds = routes.values().stream().limit(MOST_SEEDS).toList();
-        String resource = schedule.fleet().drills() == 0 ? ""
-            : DiscoveryService.text(links.between("proxy-" + i, GuardedResource.NAME).address());
-        return new DaemonText.PeersText(DiscoveryService.text(meets.get(i)), seeds, routes,
-            IntStream.range(0, schedule.fleet().voters()).mapToObj(v -> "proxy-" + v).toList(),
-            schedule.fleet().drills(), schedule.fleet().leaseMs(), resource);
+        String resource =
+                schedule.fleet().drills() == 0
+                        ? ""
+                        : DiscoveryService.text(
+                                links.between("proxy-" + i, GuardedResource.NAME).address());
+        return new DaemonText.PeersText(
+                DiscoveryService.text(meets.get(i)),
+                seeds,
+                routes,
+                IntStream.range(0, schedule.fleet().voters()).mapToObj(v -> "proxy-" + v).toList(),
+                schedule.fleet().drills(),
+                schedule.fleet().leaseMs(),
+                resource);
     }
 
     // ---- processes ----
@@ -299,15 +406,24 @@
         ready.put(p, new CompletableFuture<>());
         over.put(p, new CompletableFuture<>());
         endsBy.remove(p);
-        p.start(line -> {
-            DaemonText.said(line).ifPresent(said -> record.add(time.nowUs(), Event.Kind.SAID, p.name,
-                said.clockUs(), said.what()));
-            if (line.contains(LISTENING) && !ready.get(p).isDone()) {
-                put(p, "started");
-                front.use(proxies.indexOf(p), true);
-                ready.get(p).complete(null);
-            }
-        }, code -> ended(p, code));
+        p.start(
+                line -> {
+                    DaemonText.said(line)
+                            .ifPresent(
+                                    said ->
+                                            record.add(
+                                                    time.nowUs(),
+                                                    Event.Kind.SAID,
+                                                    p.name,
+                                                    said.clockUs(),
+                                                    said.what()));
+                    if (line.contains(LISTENING) && !ready.get(p).isDone()) {
+                        put(p, "started");
+                        front.use(proxies.indexOf(p), true);
+                        ready.get(p).complete(null);
+                    }
+                },
+                code -> ended(p, code));
     }
 
     private void ended(ServeProcess p, int code) {
@@ -316,12 +432,18 @@
             put(p, by == null ? "ended by itself with " + code : by);
         }
         if (by == null || by.equals("ended") && code != 0) {
-            crashes.add(p.name + " ended " + (by == null ? "by itself" : "after SIGTERM") + " with " + code);
+            crashes.add(
+                    p.name
+                            + " ended "
+                            + (by == null ? "by itself" : "after SIGTERM")
+                            + " with "
+                            + code);
         }
         if (by == null || !by.equals("killed")) {
             front.use(proxies.indexOf(p), false);
         }
-        ready.get(p).complete(null); // nobody need wait for it any longer: that it ended is put down
+        ready.get(p)
+                .complete(null); // nobody need wait for it any longer: that it ended is put down
         over.get(p).complete(null);
     }
 
@@ -334,7 +456,7 @@
         ending = true;
         for (ServeProcess p : proxies) {
             p.resume();
-            tellToEnd(p, () -> { });
+            tellToEnd(p, () -> {});
         }
     }
 
@@ -346,12 +468,14 @@
         if (!p.runs()) {
             return;
         }
-        ready.get(p).thenRun(() -> {
-            if (p.runs() && endsBy.putIfAbsent(p, "ended") == null) {
-                p.end();
-                told.run();
-            }
-        });
+        ready.get(p)
+                .thenRun(
+                        () -> {
+                            if (p.runs() && endsBy.putIfAbsent(p, "ended") == null) {
+                                p.end();
+                                told.run();
+                            }
+                        });
     }
 
     // ---- faults ----
@@ -375,18 +499,24 @@
         put(p, "killed"); // from here on: its end is seen a moment later
         p.kill();
         CompletableFuture<Void> gone = over.get(p);
-        after(f.noticedS(), () -> {
-            if (!p.runs()) {
-                front.use(f.target(), false);
-            }
-        });
+        after(
+                f.noticedS(),
+                () -> {
+                    if (!p.runs()) {
+                        front.use(f.target(), false);
+                    }
+                });
         if (f.forS() > 0) {
-            after(f.forS(), () -> gone.thenRun(() -> {
-                if (f.kind() == RigFault.Kind.LOSE) {
-                    forget(p);
-                }
-                start(p);
-            }));
+            after(
+                    f.forS(),
+                    () ->
+                            gone.thenRun(
+                                    () -> {
+                                        if (f.kind() == RigFault.Kind.LOSE) {
+                                            forget(p);
+                                        }
+                                        start(p);
+                                    }));
         }
     }
 
@@ -413,51 +543,69 @@
 
     private void restart(RigFault f) {
         ServeProcess p = proxies.get(f.target());
-        tellToEnd(p, () -> {
-            put(p, "told to end");
-            front.use(f.target(), false);
-            over.get(p).thenRun(() -> after(f.forS(), () -> start(p)));
-        });
+        tellToEnd(
+                p,
+                () -> {
+                    put(p, "told to end");
+                    front.use(f.target(), false);
+                    over.get(p).thenRun(() -> after(f.forS(), () -> start(p)));
+                });
     }
 
     private void crash(RigFault f) {
         CacheNode node = nodes.get(f.target());
         node.end("crash");
-        after(f.noticedS(), () -> {
-            if (!node.up()) {
-                list(node, "DELETED");
-            }
-        });
+        after(
+                f.noticedS(),
+                () -> {
+                    if (!node.up()) {
+                        list(node, "DELETED");
+                    }
+                });
         if (f.forS() > 0) {
-            after(f.forS(), () -> {
-                if (!node.up()) {
-                    node.startCold();
-                    after(ADDED_S, () -> list(node, "SERVING"));
-                }
-            });
+            after(
+                    f.forS(),
+                    () -> {
+                        if (!node.up()) {
+                            node.startCold();
+                            after(ADDED_S, () -> list(node, "SERVING"));
+                        }
+                    });
         }
     }
 
     private void links(RigFault f) {
         List<Relay> met = links.matching(f.from(), f.to());
-        record.add(time.nowUs(), Event.Kind.FAULT, f.from() + ">" + f.to(), "", f.kind().word() + " "
-            + f.there() + " " + f.back());
+        record.add(
+                time.nowUs(),
+                Event.Kind.FAULT,
+                f.from() + ">" + f.to(),
+                "",
+                f.kind().word() + " " + f.there() + " " + f.back());
         switch (f.kind()) {
             case REFUSE -> met.forEach(r -> r.refuse(true));
             case RESET -> met.forEach(Relay::reset);
             default -> met.forEach(r -> r.state(f.there(), f.back()));
         }
         if (f.forS() > 0 && f.kind() != RigFault.Kind.RESET) {
-            after(f.forS(), () -> {
-                record.add(time.nowUs(), Event.Kind.FAULT, f.from() + ">" + f.to(), "", "sound");
-                met.forEach(r -> {
-                    if (f.kind() == RigFault.Kind.REFUSE) {
-                        r.refuse(false);
-                    } else {
-                        r.state(LinkState.SOUND, LinkState.SOUND);
-                    }
-                });
-            });
+            after(
+                    f.forS(),
+                    () -> {
+                        record.add(
+                                time.nowUs(),
+                                Event.Kind.FAULT,
+                                f.from() + ">" + f.to(),
+                                "",
+                                "sound");
+                        met.forEach(
+                                r -> {
+                                    if (f.kind() == RigFault.Kind.REFUSE) {
+                                        r.refuse(false);
+                                    } else {
+                                        r.state(LinkState.SOUND, LinkState.SOUND);
+                                    }
+                                });
+                    });
         }
     }
 
@@ -465,12 +613,14 @@
     @Override
     public void close() {
         try {
-            loop.submit(() -> {
-                ending = true;
-                proxies.forEach(ServeProcess::kill);
-                links.close();
-                history.close();
-            }).get();
+            loop.submit(
+                            () -> {
+                                ending = true;
+                                proxies.forEach(ServeProcess::kill);
+                                links.close();
+                                history.close();
+                            })
+                    .get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
--- a/src/main/java/holdproxy/rig/Schedule.java
+++ b/src/main/java/holdproxy/rig/Schedule.java
@@ -1,9 +1,9 @@
 package holdproxy.rig;
 
 import holdproxy.input.BadInput;
-import holdproxy.town.Load;
 import holdproxy.toml.TomlPart;
 import holdproxy.toml.TomlText;
+import holdproxy.town.Load;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -27,8 +27,17 @@
  * @param faults in any order
  * @param expected progress that is awaited at the end
  */
-record Schedule(String name, long seed, double seconds, boolean daemons, Fleet fleet, int proxies, int nodes,
-        Load load, List<RigFault> faults, List<Expected> expected) {
+record Schedule(
+        String name,
+        long seed,
+        double seconds,
+        boolean daemons,
+        Fleet fleet,
+        int proxies,
+        int nodes,
+        Load load,
+        List<RigFault> faults,
+        List<Expected> expected) {
     /**
      * What daemons have in common.
      *
@@ -56,7 +65,8 @@
         try {
             return read(file.getFileName().toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new BadInput("the schedule " + file + " cannot be read: " + e.getClass().getSimpleName());
+            throw new BadInput(
+                    "the schedule " + file + " cannot be read: " + e.getClass().getSimpleName());
         }
     }
 
@@ -69,13 +79,23 @@
         TomlPart town = top.part("town");
         boolean daemons = town.flag("daemons");
         int proxies = town.whole("proxies", 5, 1, 40);
-        Fleet fleet = new Fleet(town.whole("voters", 0, 0, 5), town.whole("drills", 0, 0, 20),
-            town.whole("lease_ms", 1_000, 200, MOST_MS), town.flag("quiet"));
-        boolean possible = fleet.voters == 0 ? fleet.drills == 0
-            : daemons && (fleet.voters == 3 || fleet.voters == 5) && fleet.voters <= proxies;
+        Fleet fleet =
+                new Fleet(
+                        town.whole("voters", 0, 0, 5),
+                        town.whole("drills", 0, 0, 20),
+                        town.whole("lease_ms", 1_000, 200, MOST_MS),
+                        town.flag("quiet"));
+        boolean possible =
+                fleet.voters == 0
+                        ? fleet.drills == 0
+                        : daemons
+                                && (fleet.voters == 3 || fleet.voters == 5)
+                                && fleet.voters <= proxies;
         if (!possible) {
-            throw town.bad(town.at("voters"), "voters are three or five of the proxies, which are daemons;"
-                + " drills need them");
+            throw town.bad(
+                    town.at("voters"),
+                    "voters are three or five of the proxies, which are daemons;"
+                            + " drills need them");
         }
         int nodes = town.whole("nodes", 6, 1, 100);
         town.done();
@@ -86,17 +106,23 @@
         }
         List<Expected> expected = new ArrayList<>();
         for (TomlPart each : top.parts("expect")) {
-            expected.add(new Expected(each.flag("any"), each.text("by", "*"), each.read("said", t -> t),
-                each.number("after_s", 0, 0, seconds), each.number("within_s", 60, 0, LONGEST_S)));
+            expected.add(
+                    new Expected(
+                            each.flag("any"),
+                            each.text("by", "*"),
+                            each.read("said", t -> t),
+                            each.number("after_s", 0, 0, seconds),
+                            each.number("within_s", 60, 0, LONGEST_S)));
             each.done();
         }
         top.done();
-        return new Schedule(name, seed, seconds, daemons, fleet, proxies, nodes, load, faults, expected);
+        return new Schedule(
+                name, seed, seconds, daemons, fleet, proxies, nodes, load, faults, expected);
     }
 
     private static RigFault fault(TomlPart p, int proxies, int nodes, double seconds) {
-        RigFault.Kind kind = RigFault.Kind.valueOf(
-            p.word("kind", RigFault.Kind.WORDS).toUpperCase(Locale.ROOT));
+        RigFault.Kind kind =
+                RigFault.Kind.valueOf(p.word("kind", RigFault.Kind.WORDS).toUpperCase(Locale.ROOT));
         double atS = p.needed("at_s", 0, seconds);
         double forS = kind == RigFault.Kind.RESET ? 0 : p.number("for_s", 0, 0, LONGEST_S);
         RigFault fault;
@@ -104,23 +130,42 @@
             String from = p.text("from", "*");
             String to = p.text("to", "*");
             boolean stated = kind == RigFault.Kind.LINK;
-            fault = RigFault.links(kind, atS, forS, from, to,
-                stated ? state(p.part("there")) : LinkState.SOUND,
-                stated ? state(p.part("back")) : LinkState.SOUND);
+            fault =
+                    RigFault.links(
+                            kind,
+                            atS,
+                            forS,
+                            from,
+                            to,
+                            stated ? state(p.part("there")) : LinkState.SOUND,
+                            stated ? state(p.part("back")) : LinkState.SOUND);
         } else {
-            int target = kind.ofProxy() ? (int) p.needed("proxy", 0, proxies - 1)
-                : (int) p.needed("node", 0, nodes - 1);
-            fault = RigFault.process(kind, atS, forS,
-                kind.noticed() ? p.number("noticed_s", 2, 0, LONGEST_S) : 0, target);
+            int target =
+                    kind.ofProxy()
+                            ? (int) p.needed("proxy", 0, proxies - 1)
+                            : (int) p.needed("node", 0, nodes - 1);
+            fault =
+                    RigFault.process(
+                            kind,
+                            atS,
+                            forS,
+                            kind.noticed() ? p.number("noticed_s", 2, 0, LONGEST_S) : 0,
+                            target);
         }
         p.done();
         return fault;
     }
 
     private static LinkState state(TomlPart p) {
-        LinkState state = new LinkState(p.flag("cut"), p.flag("unread"), p.whole("delay_ms", 0, 0, MOST_MS),
-            p.whole("jitter_ms", 0, 0, MOST_MS), p.whole("growth_ms", 0, 0, MOST_MS),
-            p.whole("bytes_per_s", 0, 0, MOST_BYTES), p.whole("tear_after", 0, 0, MOST_BYTES));
+        LinkState state =
+                new LinkState(
+                        p.flag("cut"),
+                        p.flag("unread"),
+                        p.whole("delay_ms", 0, 0, MOST_MS),
+                        p.whole("jitter_ms", 0, 0, MOST_MS),
+                        p.whole("growth_ms", 0, 0, MOST_MS),
+                        p.whole("bytes_per_s", 0, 0, MOST_BYTES),
+                        p.whole("tear_after", 0, 0, MOST_BYTES));
         p.done();
         return state;
     }
@@ -179,9 +224,21 @@
     }
 
     private static String state(LinkState s) {
-        return "{cut = " + s.cut() + ", unread = " + s.unread() + ", delay_ms = " + s.delayMs()
-            + ", jitter_ms = " + s.jitterMs() + ", growth_ms = " + s.growthMs()
-            + ", bytes_per_s = " + s.bytesPerS() + ", tear_after = " + s.tearAfter() + "}";
+        return "{cut = "
+                + s.cut()
+                + ", unread = "
+                + s.unread()
+                + ", delay_ms = "
+                + s.delayMs()
+                + ", jitter_ms = "
+                + s.jitterMs()
+                + ", growth_ms = "
+                + s.growthMs()
+                + ", bytes_per_s = "
+                + s.bytesPerS()
+                + ", tear_after = "
+                + s.tearAfter()
+                + "}";
     }
 
     private static void line(StringBuilder out, String key, Object value) {
@@ -189,45 +246,76 @@
     }
 
     /** A schedule of which a seed draws the faults, which may overlap. */
-    static Schedule drawn(long seed, boolean daemons, Fleet fleet, int proxies, int nodes, double seconds) {
+    static Schedule drawn(
+            long seed, boolean daemons, Fleet fleet, int proxies, int nodes, double seconds) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RigFault> faults = new ArrayList<>();
         for (int i = 1 + random.nextInt(MOST_FAULTS); i > 0; i--) {
-            faults.add(drawnFault(random, daemons, proxies, nodes,
-                random.nextDouble(FIRST_FAULT_S, seconds)));
+            faults.add(
+                    drawnFault(
+                            random,
+                            daemons,
+                            proxies,
+                            nodes,
+                            random.nextDouble(FIRST_FAULT_S, seconds)));
         }
-        return new Schedule("drawn-" + seed, seed, seconds, daemons, fleet, proxies, nodes, Load.PLAIN,
-            faults, List.of());
+        return new Schedule(
+                "drawn-" + seed,
+                seed,
+                seconds,
+                daemons,
+                fleet,
+                proxies,
+                nodes,
+                Load.PLAIN,
+                faults,
+                List.of());
     }
 
-    private static RigFault drawnFault(SplittableRandom random, boolean daemons, int proxies, int nodes,
-            double atS) {
+    private static RigFault drawnFault(
+            SplittableRandom random, boolean daemons, int proxies, int nodes, double atS) {
         RigFault.Kind[] kinds = RigFault.Kind.values();
         // the last is of daemons alone
         RigFault.Kind kind = kinds[random.nextInt(daemons ? kinds.length : kinds.length - 1)];
         double forS = random.nextDouble(0.2, 5);
         if (!kind.ofLinks()) {
             double noticedS = random.nextDouble(0.5, 3);
-            return RigFault.process(kind, atS, forS, kind.noticed() ? noticedS : 0,
-                random.nextInt(kind.ofProxy() ? proxies : nodes));
+            return RigFault.process(
+                    kind,
+                    atS,
+                    forS,
+                    kind.noticed() ? noticedS : 0,
+                    random.nextInt(kind.ofProxy() ? proxies : nodes));
         }
         String proxy = "proxy-" + random.nextInt(proxies);
         String node = random.nextBoolean() ? "s-*" : "s-" + random.nextInt(nodes);
         int way = random.nextInt(daemons ? 6 : 4);
         String from = way == 0 ? "clients" : proxy;
-        String to = way == 0 ? proxy : way == 1 ? "discovery" : way == 4 ? "proxy-*"
-            : way == 5 ? GuardedResource.NAME : node;
+        String to =
+                way == 0
+                        ? proxy
+                        : way == 1
+                                ? "discovery"
+                                : way == 4 ? "proxy-*" : way == 5 ? GuardedResource.NAME : node;
         LinkState wrong = kind == RigFault.Kind.LINK ? drawnState(random) : LinkState.SOUND;
         int direction = random.nextInt(3);
-        return RigFault.links(kind, atS, kind == RigFault.Kind.RESET ? 0 : forS, from, to,
-            direction == 1 ? LinkState.SOUND : wrong, direction == 0 ? LinkState.SOUND : wrong);
+        return RigFault.links(
+                kind,
+                atS,
+                kind == RigFault.Kind.RESET ? 0 : forS,
+                from,
+                to,
+                direction == 1 ? LinkState.SOUND : wrong,
+                direction == 0 ? LinkState.SOUND : wrong);
     }
 
     private static LinkState drawnState(SplittableRandom random) {
         return switch (random.nextInt(5)) {
             case 0 -> LinkState.CUT;
             case 1 -> LinkState.UNREAD;
-            case 2 -> LinkState.delayed(random.nextInt(300), random.nextInt(300), random.nextInt(100));
+            case 2 ->
+                    LinkState.delayed(
+                            random.nextInt(300), random.nextInt(300), random.nextInt(100));
             case 3 -> LinkState.throttled(500 + random.nextInt(20_000));
             default -> LinkState.torn(1 + random.nextInt(2_000));
         };
--- a/src/main/java/holdproxy/rig/ServeProcess.java
+++ b/src/main/java/holdproxy/rig/ServeProcess.java
@@ -32,7 +32,12 @@
     private int life;
 
     /** {@code log}: a file that all its lives write to, one after another. */
-    ServeProcess(String name, List<String> command, Map<String, String> env, Path log, Keeper keeper,
+    ServeProcess(
+            String name,
+            List<String> command,
+            Map<String, String> env,
+            Path log,
+            Keeper keeper,
             Executor loop) {
         this.name = name;
         this.command = command;
@@ -57,26 +62,37 @@
         }
         Process started = process;
         CompletableFuture<Void> allRead = new CompletableFuture<>();
-        Thread reading = new Thread(() -> {
-            read(started, line -> loop.execute(() -> said.accept(line)));
-            allRead.complete(null);
-        }, "output of " + name);
+        Thread reading =
+                new Thread(
+                        () -> {
+                            read(started, line -> loop.execute(() -> said.accept(line)));
+                            allRead.complete(null);
+                        },
+                        "output of " + name);
         reading.setDaemon(true);
         reading.start();
         // its last words come before its end
-        started.onExit().thenCombine(allRead, (p, read) -> p).thenAccept(p -> loop.execute(() -> {
-            if (life == mine) {
-                process = null;
-                ended.accept(p.exitValue());
-            }
-        }));
+        started.onExit()
+                .thenCombine(allRead, (p, read) -> p)
+                .thenAccept(
+                        p ->
+                                loop.execute(
+                                        () -> {
+                                            if (life == mine) {
+                                                process = null;
+                                                ended.accept(p.exitValue());
+                                            }
+                                        }));
     }
 
     private void read(Process from, Consumer<String> said) {
-        try (BufferedReader lines = new BufferedReader(
-                new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8));
-                Writer file = Files.newBufferedWriter(log, StandardOpenOption.CREATE,
-                    StandardOpenOption.APPEND)) {
+        try (BufferedReader lines =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        from.getInputStream(), StandardCharsets.UTF_8));
+                Writer file =
+                        Files.newBufferedWriter(
+                                log, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 file.write(line + "\n");
                 file.flush();
@@ -101,7 +117,8 @@
     /** SIGTERM. */
     void end() {
         if (runs()) {
-            // by its handle: the process itself would also close the pipe that its last words come by
+            // by its handle: the process itself would also close the pipe that its last words come
+            // by
             process.toHandle().destroy();
         }
     }
@@ -120,7 +137,9 @@
     private void signal(String signal) {
         if (runs()) {
             try {
-                new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
+                new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+                        .start()
+                        .waitFor();
             } catch (IOException e) {
                 throw new UncheckedIOException("the program kill cannot be run", e);
             } catch (InterruptedException e) {
--- a/src/main/java/holdproxy/sim/FrameReader.java
+++ b/src/main/java/holdproxy/sim/FrameReader.java
@@ -38,7 +38,8 @@
 
     private int advance(int n) {
         if (n < 0 || n > end - at) {
-            throw new BadInput(where + " is too short: " + n + " bytes wanted, " + (end - at) + " left");
+            throw new BadInput(
+                    where + " is too short: " + n + " bytes wanted, " + (end - at) + " left");
         }
         int from = at;
         at += n;
--- a/src/main/java/holdproxy/sim/SimHost.java
+++ b/src/main/java/holdproxy/sim/SimHost.java
@@ -29,11 +29,14 @@
     private static final int LONGEST_FRAME = 1 << 30;
 
     private static final Router.CacheNote[] NOTES = Router.CacheNote.values();
-    private static final Router.NodeState[] STATES =
-        {Router.NodeState.GONE, Router.NodeState.READY, Router.NodeState.DRAINING};
+    private static final Router.NodeState[] STATES = {
+        Router.NodeState.GONE, Router.NodeState.READY, Router.NodeState.DRAINING
+    };
+
     /** By their numbers there, which know no watch. */
-    private static final Router.ListKind[] KINDS = {Router.ListKind.DELTA, Router.ListKind.FULL,
-        Router.ListKind.CACHED, Router.ListKind.FAILED};
+    private static final Router.ListKind[] KINDS = {
+        Router.ListKind.DELTA, Router.ListKind.FULL, Router.ListKind.CACHED, Router.ListKind.FAILED
+    };
 
     private final InputStream in;
     private final OutputStream out;
@@ -59,7 +62,7 @@
     /** Runs until the clean end of input. */
     public void run() throws IOException {
         byte[] head = new byte[HEADER];
-        for (long batches = 0;; batches++) {
+        for (long batches = 0; ; batches++) {
             int got = in.readNBytes(head, 0, HEADER);
             if (got == 0) {
                 return;
@@ -75,8 +78,13 @@
                 throw new BadInput(name + " has an impossible length " + length);
             }
             if ((long) records * RECORD_HEAD > body) {
-                throw new BadInput(name + " has an impossible count: " + records + " records in "
-                        + body + " bytes");
+                throw new BadInput(
+                        name
+                                + " has an impossible count: "
+                                + records
+                                + " records in "
+                                + body
+                                + " bytes");
             }
             read(name, body);
             batch(name, body, records, now);
@@ -107,13 +115,15 @@
             int code = reader.u8();
             int end = reader.u31() + at + RECORD_HEAD;
             if (end < at || end > body) {
-                throw new BadInput(name + ", record " + i + " (code " + code + ") runs past the batch");
+                throw new BadInput(
+                        name + ", record " + i + " (code " + code + ") runs past the batch");
             }
             reader.range(frame, at + RECORD_HEAD, end, "it");
             try {
                 event(code, now);
             } catch (BadInput e) {
-                throw new BadInput(name + ", record " + i + " (code " + code + "): " + e.getMessage());
+                throw new BadInput(
+                        name + ", record " + i + " (code " + code + "): " + e.getMessage());
             }
             at = end;
         }
@@ -134,7 +144,8 @@
             return;
         }
         if (instance == null) {
-            throw new BadInput("event " + code + " for instance " + number + ", which was never started");
+            throw new BadInput(
+                    "event " + code + " for instance " + number + ", which was never started");
         }
         if (code == EXIT) {
             instance.router = null;
@@ -202,7 +213,7 @@
                 byte[] data = reader.bytes(reader.u16());
                 guard(() -> router.onTold(now, from, data, reply));
             }
-            default -> { } // between the known codes, and unknown
+            default -> {} // between the known codes, and unknown
         }
     }
 
@@ -216,8 +227,16 @@
         int note = reader.i32();
         Router.Report report = report(instance);
         try {
-            instance.router.onOutcome(now, id, attempt, result, latency, concluded,
-                    note > 0 && note < NOTES.length ? NOTES[note] : Router.CacheNote.NONE, report, reply);
+            instance.router.onOutcome(
+                    now,
+                    id,
+                    attempt,
+                    result,
+                    latency,
+                    concluded,
+                    note > 0 && note < NOTES.length ? NOTES[note] : Router.CacheNote.NONE,
+                    report,
+                    reply);
         } catch (RuntimeException e) {
             bug(e);
         }
--- a/src/main/java/holdproxy/toml/TomlPart.java
+++ b/src/main/java/holdproxy/toml/TomlPart.java
@@ -36,8 +36,12 @@
     public static TomlPart parse(String file, String what, String text) {
         TomlParseResult parsed = Toml.parse(text);
         if (parsed.hasErrors()) {
-            throw new BadInput(file + " line " + parsed.errors().get(0).position().line() + ": "
-                + parsed.errors().get(0).getMessage());
+            throw new BadInput(
+                    file
+                            + " line "
+                            + parsed.errors().get(0).position().line()
+                            + ": "
+                            + parsed.errors().get(0).getMessage());
         }
         return new TomlPart(file, what, parsed, null);
     }
@@ -83,7 +87,9 @@
         TomlArray array = array(key);
         for (int i = 0; array != null && i < array.size(); i++) {
             if (!(array.get(i) instanceof String text)) {
-                throw bad(array.inputPositionOf(i), key + " in " + what + " has an entry that is no text");
+                throw bad(
+                        array.inputPositionOf(i),
+                        key + " in " + what + " has an entry that is no text");
             }
             try {
                 reader.apply(text);
@@ -137,7 +143,8 @@
             if (inside instanceof TomlTable t && t.contains(List.of(step))) {
                 at = t.inputPositionOf(List.of(step));
                 inside = t.get(List.of(step));
-            } else if (inside instanceof TomlArray a && step.matches("\\d{1,6}")
+            } else if (inside instanceof TomlArray a
+                    && step.matches("\\d{1,6}")
                     && Integer.parseInt(step) < a.size()) {
                 at = a.inputPositionOf(Integer.parseInt(step));
                 inside = a.get(Integer.parseInt(step));
@@ -156,8 +163,17 @@
         if (value instanceof Number n && n.doubleValue() >= least && n.doubleValue() <= most) {
             return n.doubleValue();
         }
-        throw bad(at(key), key + " in " + what + " is not a number from " + least + " to " + most
-            + ": " + value);
+        throw bad(
+                at(key),
+                key
+                        + " in "
+                        + what
+                        + " is not a number from "
+                        + least
+                        + " to "
+                        + most
+                        + ": "
+                        + value);
     }
 
     public double needed(String key, double least, double most) {
@@ -188,8 +204,8 @@
         if (value != null && !(value instanceof TomlTable)) {
             throw bad(at(key), key + " is no table, [" + key + "]");
         }
-        return new TomlPart(file, "[" + key + "]", value == null ? Toml.parse("") : (TomlTable) value,
-            at(key));
+        return new TomlPart(
+                file, "[" + key + "]", value == null ? Toml.parse("") : (TomlTable) value, at(key));
     }
 
     /** A list of tables, {@code [[key]]}; none where there is none. */
@@ -198,7 +214,9 @@
         TomlArray array = array(key);
         for (int i = 0; array != null && i < array.size(); i++) {
             if (!(array.get(i) instanceof TomlTable each)) {
-                throw bad(array.inputPositionOf(i), key + " is not a list of tables, [[" + key + "]]");
+                throw bad(
+                        array.inputPositionOf(i),
+                        key + " is not a list of tables, [[" + key + "]]");
             }
             parts.add(new TomlPart(file, "[[" + key + "]]", each, array.inputPositionOf(i)));
         }
@@ -227,8 +245,9 @@
     public void done() {
         for (String key : table.keySet()) {
             if (!asked.contains(key)) {
-                throw bad(at(key), key + " is unknown in " + what + "; known are "
-                    + String.join(", ", asked));
+                throw bad(
+                        at(key),
+                        key + " is unknown in " + what + "; known are " + String.join(", ", asked));
             }
         }
     }
--- a/src/main/java/holdproxy/town/Auditors.java
+++ b/src/main/java/holdproxy/town/Auditors.java
@@ -17,16 +17,20 @@
 public final class Auditors {
     /** The figures of the rules; each time limit on sockets is 50 ms longer. */
     public static final int ATTEMPTS = 3;
+
     private static final long SLACK_US = 50_000;
     private static final long DRAIN_US = 500_000 + SLACK_US;
     private static final long REPEAT_US = 2_500_000 + SLACK_US;
     private static final double TIP = 4;
     private static final long TIP_US = 2_000_000;
+
     /** Of the work that pushed a node over, this part has to come from proxies that knew of its start. */
     private static final double TIP_KNOWN = 2.0 / 3;
 
-    private static final Map<String, Function<List<Event>, List<String>>> RULES = new LinkedHashMap<>();
-    private static final Map<String, Function<List<Event>, List<String>>> TIMELESS = new LinkedHashMap<>();
+    private static final Map<String, Function<List<Event>, List<String>>> RULES =
+            new LinkedHashMap<>();
+    private static final Map<String, Function<List<Event>, List<String>>> TIMELESS =
+            new LinkedHashMap<>();
 
     static {
         RULES.put("one answer", Auditors::oneAnswer);
@@ -53,8 +57,7 @@
         }
     }
 
-    private Auditors() {
-    }
+    private Auditors() {}
 
     /** What any of them found. */
     public static List<Broken> broken(List<Event> events) {
@@ -66,17 +69,21 @@
         return broken(TIMELESS, events);
     }
 
-    private static List<Broken> broken(Map<String, Function<List<Event>, List<String>>> rules,
-            List<Event> events) {
+    private static List<Broken> broken(
+            Map<String, Function<List<Event>, List<String>>> rules, List<Event> events) {
         List<Broken> found = new ArrayList<>();
-        rules.forEach((rule, auditor) -> auditor.apply(events).forEach(w -> found.add(new Broken(rule, w))));
+        rules.forEach(
+                (rule, auditor) ->
+                        auditor.apply(events).forEach(w -> found.add(new Broken(rule, w))));
         return found;
     }
 
     /** An answer comes to somebody who waits for one, whoever has left meanwhile. */
     static List<String> unasked(List<Event> events) {
-        return events.stream().filter(e -> e.kind() == Event.Kind.ANSWERED && e.id().isEmpty())
-            .map(e -> "an answer that nobody waits for: " + e).toList();
+        return events.stream()
+                .filter(e -> e.kind() == Event.Kind.ANSWERED && e.id().isEmpty())
+                .map(e -> "an answer that nobody waits for: " + e)
+                .toList();
     }
 
     /**
@@ -95,7 +102,9 @@
             switch (e.kind()) {
                 case FAULT -> {
                     if (e.detail().startsWith("held ")) {
-                        heldUntil.put(e.where(), e.us() + Long.parseLong(e.detail().substring(5)) + SLACK_US);
+                        heldUntil.put(
+                                e.where(),
+                                e.us() + Long.parseLong(e.detail().substring(5)) + SLACK_US);
                     } else if (e.detail().equals("killed")) {
                         killedAt.put(e.where(), e.us());
                     }
@@ -114,16 +123,19 @@
                 }
                 case LEFT, CUT -> {
                     long since = askedAt.get(e.id());
-                    boolean excused = heldUntil.getOrDefault(e.where(), -1L) >= since
-                        || killedAt.getOrDefault(e.where(), -1L) >= since
-                        || lostAt.getOrDefault(e.where(), -1L) >= since
-                        || e.kind() == Event.Kind.CUT && !taken.contains(e.id());
+                    boolean excused =
+                            heldUntil.getOrDefault(e.where(), -1L) >= since
+                                    || killedAt.getOrDefault(e.where(), -1L) >= since
+                                    || lostAt.getOrDefault(e.where(), -1L) >= since
+                                    || e.kind() == Event.Kind.CUT && !taken.contains(e.id());
                     if (!excused) {
-                        found.add(e.kind() == Event.Kind.LEFT ? "no answer while the client waited: " + e
-                            : "the connection ended without an answer: " + e);
+                        found.add(
+                                e.kind() == Event.Kind.LEFT
+                                        ? "no answer while the client waited: " + e
+                                        : "the connection ended without an answer: " + e);
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
         return found;
@@ -164,7 +176,8 @@
             } else if (e.kind() == Event.Kind.TAKEN) {
                 allowed.put(e.id(), allowedAt.getOrDefault(e.where(), ATTEMPTS));
             } else if (e.kind() == Event.Kind.ARRIVED
-                    && sent.merge(e.id(), 1, Integer::sum) > allowed.getOrDefault(e.id(), ATTEMPTS)) {
+                    && sent.merge(e.id(), 1, Integer::sum)
+                            > allowed.getOrDefault(e.id(), ATTEMPTS)) {
                 found.add("too many attempts: " + e);
             }
         }
@@ -186,7 +199,11 @@
             } else if (e.kind() == Event.Kind.ARRIVED) {
                 Long since = outSince.get(e.word(1) + " " + e.where());
                 if (since != null && e.us() - since > DRAIN_US) {
-                    found.add("sent " + (e.us() - since) / 1000 + " ms after the node was left out: " + e);
+                    found.add(
+                            "sent "
+                                    + (e.us() - since) / 1000
+                                    + " ms after the node was left out: "
+                                    + e);
                 }
             }
         }
@@ -238,15 +255,31 @@
                     long ok = Long.parseLong(e.word(0));
                     long shed = Long.parseLong(e.word(1));
                     long errors = Long.parseLong(e.word(2));
-                    boolean right = near(ok, served) && near(shed, busy) && near(errors, failed)
-                        && near(taken, ok + shed + errors + Long.parseLong(e.word(4)))
-                        && Long.parseLong(e.word(3)) >= arrived;
+                    boolean right =
+                            near(ok, served)
+                                    && near(shed, busy)
+                                    && near(errors, failed)
+                                    && near(taken, ok + shed + errors + Long.parseLong(e.word(4)))
+                                    && Long.parseLong(e.word(3)) >= arrived;
                     if (!right) {
-                        found.add("taken " + taken + ", served " + served + ", busy " + busy + ", failed "
-                            + failed + ", abandoned " + abandoned + ", arrived " + arrived + ": " + e);
+                        found.add(
+                                "taken "
+                                        + taken
+                                        + ", served "
+                                        + served
+                                        + ", busy "
+                                        + busy
+                                        + ", failed "
+                                        + failed
+                                        + ", abandoned "
+                                        + abandoned
+                                        + ", arrived "
+                                        + arrived
+                                        + ": "
+                                        + e);
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
 
@@ -283,7 +316,8 @@
             if (e.kind() == Event.Kind.ASKED) {
                 classOf.put(e.id(), e.word(0));
             } else if (e.kind() == Event.Kind.APPLIED) {
-                // a renewal's key may run again when its client tries again later; an enrolment's never
+                // a renewal's key may run again when its client tries again later; an enrolment's
+                // never
                 boolean once = "enrolment".equals(classOf.get(e.id()));
                 if (!applied.add(once ? e.detail() : e.id())) {
                     found.add("a write has run twice: " + e);
@@ -299,7 +333,8 @@
         Map<String, Map<String, Long>> toldAt = new HashMap<>();
         for (Event e : events) {
             if (e.kind() == Event.Kind.TOLD) {
-                Map<String, Long> told = toldAt.computeIfAbsent(e.where(), proxy -> new HashMap<>());
+                Map<String, Long> told =
+                        toldAt.computeIfAbsent(e.where(), proxy -> new HashMap<>());
                 if (e.detail().startsWith("SERVING")) {
                     told.remove(e.id());
                 } else {
@@ -310,7 +345,11 @@
             } else if (e.kind() == Event.Kind.ARRIVED) {
                 Long told = toldAt.getOrDefault(e.word(1), Map.of()).get(e.where());
                 if (told != null && e.us() - told > DRAIN_US) {
-                    found.add("sent " + (e.us() - told) / 1000 + " ms after the proxy was told: " + e);
+                    found.add(
+                            "sent "
+                                    + (e.us() - told) / 1000
+                                    + " ms after the proxy was told: "
+                                    + e);
                 }
             }
         }
@@ -318,7 +357,8 @@
     }
 
     private static boolean over(Event e) {
-        return e.kind() == Event.Kind.FAULT && (e.detail().equals("killed") || e.detail().equals("ended"));
+        return e.kind() == Event.Kind.FAULT
+                && (e.detail().equals("killed") || e.detail().equals("ended"));
     }
 
     /**
@@ -337,7 +377,8 @@
             }
         }
         for (Event e : events) {
-            boolean refused = e.kind() == Event.Kind.ANSWERED && e.detail().startsWith("SERVER_ERROR busy");
+            boolean refused =
+                    e.kind() == Event.Kind.ANSWERED && e.detail().startsWith("SERVER_ERROR busy");
             if (refused && enrolments.contains(e.id()) && ran.contains(e.id())) {
                 found.add("refused though it ran: " + e);
             }
@@ -347,8 +388,7 @@
 
     /** A started node, and the work that has come to it lately. */
     private static final class Started {
-        private record Work(long us, double workUs, boolean known) {
-        }
+        private record Work(long us, double workUs, boolean known) {}
 
         private final long upUs;
         private final double from;
--- a/src/main/java/holdproxy/town/CacheNode.java
+++ b/src/main/java/holdproxy/town/CacheNode.java
@@ -40,17 +40,29 @@
      * @param connections that it takes; on more it says busy
      * @param handshakeUs work of a new connection on a standard core, before its first request's
      */
-    public record Kind(String name, int cores, double speed, int slots, int queue, double workUs,
-            double coldFrom, long coldUs, int keys, long ttlUs, int connections, double handshakeUs) {
-    }
+    public record Kind(
+            String name,
+            int cores,
+            double speed,
+            int slots,
+            int queue,
+            double workUs,
+            double coldFrom,
+            long coldUs,
+            int keys,
+            long ttlUs,
+            int connections,
+            double handshakeUs) {}
 
     /** A command and the connection that is due its answer. */
     private final class Job {
         final MetaLines.Message command;
         final Connection connection;
         final String id;
+
         /** Of a write whose repeats are dropped, else null. */
         final String group;
+
         final long ofLife = life;
         double leftUs = -kind.workUs * Math.log(1 - random.nextDouble());
         String answer;
@@ -79,10 +91,13 @@
     private final List<Job> running = new ArrayList<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final Set<Channel> connections = new LinkedHashSet<>();
+
     /** Keys held, and until when. */
     private final Map<String, Long> memory;
+
     /** Work that came within the last {@code TIP_US}: when, and how much. */
     private final ArrayDeque<double[]> lately = new ArrayDeque<>();
+
     private double latelyUs;
     private Channel listener;
     private long startedUs = Long.MIN_VALUE;
@@ -93,8 +108,15 @@
     private long made;
     private int life;
 
-    public CacheNode(String name, int zone, InetSocketAddress address, Kind kind, Timeline loop,
-            TownNetwork process, TownRecord record, MemberRegister register,
+    public CacheNode(
+            String name,
+            int zone,
+            InetSocketAddress address,
+            Kind kind,
+            Timeline loop,
+            TownNetwork process,
+            TownRecord record,
+            MemberRegister register,
             SplittableRandom random) {
         this.name = name;
         this.zone = zone;
@@ -105,14 +127,15 @@
         this.record = record;
         this.register = register;
         this.random = random;
-        memory = new LinkedHashMap<>(16, 0.75f, true) {
-            private static final long serialVersionUID = 1;
-
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-                return size() > kind.keys;
-            }
-        };
+        memory =
+                new LinkedHashMap<>(16, 0.75f, true) {
+                    private static final long serialVersionUID = 1;
+
+                    @Override
+                    protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
+                        return size() > kind.keys;
+                    }
+                };
         register.knows(this);
     }
 
@@ -133,10 +156,18 @@
     private void listen(long started, double from) {
         startedUs = started;
         draining = false;
-        listener = process.listen(address, () -> new ChannelHandler[] {new MetaLines(), new Connection()})
-            .channel();
+        listener =
+                process.listen(
+                                address,
+                                () -> new ChannelHandler[] {new MetaLines(), new Connection()})
+                        .channel();
         double speed = kind.speed * kind.cores;
-        record.add(loop.nowUs(), Event.Kind.UP, name, "", speed * from + " " + speed + " " + kind.coldUs);
+        record.add(
+                loop.nowUs(),
+                Event.Kind.UP,
+                name,
+                "",
+                speed * from + " " + speed + " " + kind.coldUs);
     }
 
     public boolean up() {
@@ -189,11 +220,20 @@
 
     private void arrived(Job job) {
         String writeKey = job.command.field("k");
-        record.add(loop.nowUs(), Event.Kind.ARRIVED, name, job.id,
-            (writeKey.isEmpty() ? "-" : writeKey) + " " + job.connection.proxy + " " + (long) job.leftUs);
+        record.add(
+                loop.nowUs(),
+                Event.Kind.ARRIVED,
+                name,
+                job.id,
+                (writeKey.isEmpty() ? "-" : writeKey)
+                        + " "
+                        + job.connection.proxy
+                        + " "
+                        + (long) job.leftUs);
         if (tips(job.leftUs)) {
             end("falls over");
-        } else if (draining || connections.size() > kind.connections
+        } else if (draining
+                || connections.size() > kind.connections
                 || running.size() == kind.slots && waiting.size() == kind.queue) {
             finish(job, "SERVER_ERROR busy\r\n");
         } else if (running.size() == kind.slots) {
@@ -217,8 +257,12 @@
     }
 
     private double warm() {
-        return startedUs == Long.MIN_VALUE ? 1 : Math.min(1,
-            kind.coldFrom + (1 - kind.coldFrom) * (loop.nowUs() - startedUs) / kind.coldUs);
+        return startedUs == Long.MIN_VALUE
+                ? 1
+                : Math.min(
+                        1,
+                        kind.coldFrom
+                                + (1 - kind.coldFrom) * (loop.nowUs() - startedUs) / kind.coldUs);
     }
 
     private void run(Job job) {
@@ -245,11 +289,13 @@
             least = Math.min(least, j.leftUs);
         }
         if (!running.isEmpty()) {
-            loop.after((long) Math.ceil(Math.max(0, least) / rate()), () -> {
-                if (number == plan) {
-                    stepped();
-                }
-            });
+            loop.after(
+                    (long) Math.ceil(Math.max(0, least) / rate()),
+                    () -> {
+                        if (number == plan) {
+                            stepped();
+                        }
+                    });
         }
     }
 
@@ -273,15 +319,19 @@
     private void worked(Job job) {
         String key = job.command.word(1);
         if (job.command.line().startsWith("ms ")) {
-            register.write(job.id, key, job.command.field("k"), job.group,
-                receipt -> ran(job, receipt));
-        } else if (memory.getOrDefault(key, -1L) > loop.nowUs()) { // which also makes it the latest used
+            register.write(
+                    job.id, key, job.command.field("k"), job.group, receipt -> ran(job, receipt));
+        } else if (memory.getOrDefault(key, -1L)
+                > loop.nowUs()) { // which also makes it the latest used
             ran(job, null);
         } else {
-            register.fetch(job.id, key, version -> {
-                memory.put(key, loop.nowUs() + kind.ttlUs);
-                ran(job, null);
-            });
+            register.fetch(
+                    job.id,
+                    key,
+                    version -> {
+                        memory.put(key, loop.nowUs() + kind.ttlUs);
+                        ran(job, null);
+                    });
         }
     }
 
@@ -291,8 +341,11 @@
         }
         String value = receipt != null ? receipt : name + "." + ++made;
         record.add(loop.nowUs(), Event.Kind.RAN, name, job.id, value);
-        finish(job, receipt != null ? "HD O" + job.id + " c" + value + "\r\n"
-            : "VA " + value.length() + " O" + job.id + "\r\n" + value + "\r\n");
+        finish(
+                job,
+                receipt != null
+                        ? "HD O" + job.id + " c" + value + "\r\n"
+                        : "VA " + value.length() + " O" + job.id + "\r\n" + value + "\r\n");
     }
 
     private void finish(Job job, String answer) {
@@ -327,7 +380,8 @@
 
         void flushInOrder() {
             while (!line.isEmpty() && line.peek().answer != null) {
-                ByteBuf bytes = Unpooled.copiedBuffer(line.poll().answer, StandardCharsets.ISO_8859_1);
+                ByteBuf bytes =
+                        Unpooled.copiedBuffer(line.poll().answer, StandardCharsets.ISO_8859_1);
                 channel.pipeline().write(bytes);
             }
         }
--- a/src/main/java/holdproxy/town/Clients.java
+++ b/src/main/java/holdproxy/town/Clients.java
@@ -34,8 +34,10 @@
     private static final double MOST_PAUSE_MS = 160;
 
     private final Timeline loop;
+
     /** By zone. */
     private final List<? extends Transport> networks;
+
     private final TownRecord record;
     private final SplittableRandom random;
     private final Load load;
@@ -44,17 +46,27 @@
     private final double[] keyShares;
     private final double[] times;
     private final int proxies;
+
     /** By zone and proxy. */
     private final List<ArrayDeque<Connection>> free = new ArrayList<>();
+
     /** Tries whose last byte a proxy has read. */
     private final Set<String> taken = new HashSet<>();
+
     private boolean takenWhenWritten;
     private double hot;
     private long untilUs;
     private long wants;
 
-    public Clients(Timeline loop, List<? extends Transport> networks, TownRecord record,
-            SplittableRandom random, Load load, List<String> tenants, Front front, int proxies) {
+    public Clients(
+            Timeline loop,
+            List<? extends Transport> networks,
+            TownRecord record,
+            SplittableRandom random,
+            Load load,
+            List<String> tenants,
+            Front front,
+            int proxies) {
         this.loop = loop;
         this.networks = networks;
         this.record = record;
@@ -109,15 +121,19 @@
     public Transport atDoor(String proxy, Transport inner) {
         return new Transport() {
             @Override
-            public ChannelFuture connect(InetSocketAddress address, int timeoutMs,
-                    ChannelHandler... handlers) {
+            public ChannelFuture connect(
+                    InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
                 return inner.connect(address, timeoutMs, handlers);
             }
 
             @Override
-            public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
-                return inner.listen(address, () -> Stream.concat(Stream.of(door(proxy)),
-                    Stream.of(handlers.get())).toArray(ChannelHandler[]::new));
+            public ChannelFuture listen(
+                    InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
+                return inner.listen(
+                        address,
+                        () ->
+                                Stream.concat(Stream.of(door(proxy)), Stream.of(handlers.get()))
+                                        .toArray(ChannelHandler[]::new));
             }
 
             @Override
@@ -160,12 +176,15 @@
     }
 
     private void next() {
-        long gapUs = (long) (-Math.log(1 - random.nextDouble()) / (load.ratePerS() * weights()) * 1e6);
+        long gapUs =
+                (long) (-Math.log(1 - random.nextDouble()) / (load.ratePerS() * weights()) * 1e6);
         if (loop.nowUs() + gapUs < untilUs) {
-            loop.after(gapUs, () -> {
-                next();
-                new Want().ask();
-            });
+            loop.after(
+                    gapUs,
+                    () -> {
+                        next();
+                        new Want().ask();
+                    });
         }
     }
 
@@ -194,7 +213,7 @@
     private int drawKey() {
         double at = random.nextDouble() * keyShares[keyShares.length - 1];
         int low = 0;
-        for (int high = keyShares.length - 1; low < high;) {
+        for (int high = keyShares.length - 1; low < high; ) {
             int middle = (low + high) >>> 1;
             if (keyShares[middle] < at) {
                 low = middle + 1;
@@ -209,7 +228,8 @@
     private final class Want {
         private final RequestClass type = drawClass();
         private final String tenant = drawTenant();
-        private final String key = key(!type.write() && hot > 0 && random.nextDouble() < hot ? 0 : drawKey());
+        private final String key =
+                key(!type.write() && hot > 0 && random.nextDouble() < hot ? 0 : drawKey());
         private final int zone = networks.size() == 1 ? 0 : random.nextInt(networks.size());
         private final String number = Long.toHexString(0x100_0000L + ++wants);
         private int tries;
@@ -217,8 +237,12 @@
         private int waitMs;
 
         Want() {
-            record.add(loop.nowUs(), Event.Kind.WANTED, tenant, number,
-                networks.size() == 1 ? type.name() : type.name() + " " + zone);
+            record.add(
+                    loop.nowUs(),
+                    Event.Kind.WANTED,
+                    tenant,
+                    number,
+                    networks.size() == 1 ? type.name() : type.name() + " " + zone);
         }
 
         void ask() {
@@ -233,10 +257,19 @@
         }
 
         private String bytes() {
-            String fields = " O" + id() + " Pc=" + type.name() + ",t=" + tenant + ",d=" + waitMs
-                + (tries > 1 ? ",r=1" : "");
-            return type.write() ? "ms " + key + " 5" + fields + ",k=k" + number + "\r\nhello\r\n"
-                : "mg " + key + " v" + fields + "\r\n";
+            String fields =
+                    " O"
+                            + id()
+                            + " Pc="
+                            + type.name()
+                            + ",t="
+                            + tenant
+                            + ",d="
+                            + waitMs
+                            + (tries > 1 ? ",r=1" : "");
+            return type.write()
+                    ? "ms " + key + " 5" + fields + ",k=k" + number + "\r\nhello\r\n"
+                    : "mg " + key + " v" + fields + "\r\n";
         }
 
         private void send() {
@@ -248,21 +281,24 @@
             }
             Connection fresh = new Connection(proxy, zone);
             ChannelFuture connected =
-                networks.get(zone).connect(front.address(proxy), CONNECT_MS, new MetaLines(), fresh);
+                    networks.get(zone)
+                            .connect(front.address(proxy), CONNECT_MS, new MetaLines(), fresh);
             fresh.channel = connected.channel();
-            connected.addListener(f -> {
-                if (f.isSuccess()) {
-                    fresh.ask(this);
-                } else {
-                    again(0);
-                }
-            });
+            connected.addListener(
+                    f -> {
+                        if (f.isSuccess()) {
+                            fresh.ask(this);
+                        } else {
+                            again(0);
+                        }
+                    });
         }
 
         /** Another try after a pause, {@code adviceMs} at least, if there is one left. */
         private void again(long adviceMs) {
             if (tries <= load.retries()) {
-                double pauseMs = random.nextDouble(LEAST_PAUSE_MS, MOST_PAUSE_MS) * (1L << (tries - 1));
+                double pauseMs =
+                        random.nextDouble(LEAST_PAUSE_MS, MOST_PAUSE_MS) * (1L << (tries - 1));
                 loop.after((long) (1000 * Math.max(adviceMs, pauseMs)), this::ask);
             }
         }
@@ -323,8 +359,14 @@
                 taken.add(id);
                 add(Event.Kind.TAKEN, id, "");
             }
-            add(Event.Kind.ASKED, id, want.type.name() + " " + (want.type.write() ? "k" + want.number : "-")
-                + " " + want.waitMs);
+            add(
+                    Event.Kind.ASKED,
+                    id,
+                    want.type.name()
+                            + " "
+                            + (want.type.write() ? "k" + want.number : "-")
+                            + " "
+                            + want.waitMs);
             loop.after(want.waitMs * 1000L, () -> leave(want, id));
         }
 
@@ -341,8 +383,10 @@
         protected void channelRead0(ChannelHandlerContext ctx, MetaLines.Message answer) {
             Want served = waits;
             // an answer to nobody is put down too: it is for the auditors to judge
-            add(Event.Kind.ANSWERED, served == null ? "" : served.id(),
-                answer.block() == null ? answer.line() : answer.line() + " " + answer.block());
+            add(
+                    Event.Kind.ANSWERED,
+                    served == null ? "" : served.id(),
+                    answer.block() == null ? answer.line() : answer.line() + " " + answer.block());
             if (served != null) {
                 waits = null;
                 place.push(this);
--- a/src/main/java/holdproxy/town/DiscoveryService.java
+++ b/src/main/java/holdproxy/town/DiscoveryService.java
@@ -29,9 +29,14 @@
 public final class DiscoveryService {
     private static final long BEAT_US = 2_000_000;
 
-    private record Change(long version, String node, InetSocketAddress address, String zone, String kind,
-            String state, long startedMs) {
-    }
+    private record Change(
+            long version,
+            String node,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            String state,
+            long startedMs) {}
 
     private final Timeline loop;
     private final TownRecord record;
@@ -39,8 +44,10 @@
     private final Predicate<String> unheard;
     private final BiFunction<String, InetSocketAddress, InetSocketAddress> places;
     private final List<Change> changes = new ArrayList<>();
+
     /** Watches and the proxy behind each. */
     private final Map<Channel, String> watches = new LinkedHashMap<>();
+
     private final Map<String, Change> latest = new LinkedHashMap<>();
     private TownNetwork network;
     private long version;
@@ -51,7 +58,11 @@
      * Each call takes {@code callUs}; {@code unheard}: whether a proxy is not reached by what it is told;
      * {@code places}: where a proxy finds a node that is at this address.
      */
-    public DiscoveryService(Timeline loop, TownRecord record, long callUs, Predicate<String> unheard,
+    public DiscoveryService(
+            Timeline loop,
+            TownRecord record,
+            long callUs,
+            Predicate<String> unheard,
             BiFunction<String, InetSocketAddress, InetSocketAddress> places) {
         this.unheard = unheard;
         this.places = places;
@@ -77,7 +88,12 @@
     }
 
     /** A node's state is from now on: SERVING, DRAINING or DELETED. */
-    public void set(String node, InetSocketAddress address, String zone, String kind, String state,
+    public void set(
+            String node,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            String state,
             long startedMs) {
         Change change = new Change(++version, node, address, zone, kind, state, startedMs);
         changes.add(change);
@@ -86,10 +102,11 @@
         } else {
             latest.put(node, change);
         }
-        watches.forEach((watch, proxy) -> {
-            chunk(watch, list(proxy, false, List.of(change)));
-            told(proxy, change);
-        });
+        watches.forEach(
+                (watch, proxy) -> {
+                    chunk(watch, list(proxy, false, List.of(change)));
+                    told(proxy, change);
+                });
     }
 
     /** The whole list as it is now, told to a proxy that starts with it. */
@@ -99,22 +116,43 @@
     }
 
     private String list(String proxy, boolean full, List<Change> entries) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
-            + String.join(",", entries.stream().map(c -> entry(proxy, c)).toList()) + "]}";
+        return "{\"version\":"
+                + version
+                + ",\"full\":"
+                + full
+                + ",\"servers\":["
+                + String.join(",", entries.stream().map(c -> entry(proxy, c)).toList())
+                + "]}";
     }
 
     private String entry(String proxy, Change c) {
         String address = text(places.apply(proxy, c.address));
-        return "{\"id\":\"" + c.node + "\",\"addr\":\"" + address + "\",\"zone\":\"" + c.zone
-            + "\",\"kind\":\"" + c.kind + "\",\"cell\":0,\"state\":\"" + c.state + "\",\"weight\":1.0,"
-            + "\"started_ms\":" + c.startedMs + "}";
+        return "{\"id\":\""
+                + c.node
+                + "\",\"addr\":\""
+                + address
+                + "\",\"zone\":\""
+                + c.zone
+                + "\",\"kind\":\""
+                + c.kind
+                + "\",\"cell\":0,\"state\":\""
+                + c.state
+                + "\",\"weight\":1.0,"
+                + "\"started_ms\":"
+                + c.startedMs
+                + "}";
     }
 
     private void told(String proxy, Change change) {
         if (unheard.test(proxy)) {
             return; // it will have it from its next watch
         }
-        record.add(loop.nowUs(), Event.Kind.TOLD, proxy, change.node, change.state + " " + change.startedMs);
+        record.add(
+                loop.nowUs(),
+                Event.Kind.TOLD,
+                proxy,
+                change.node,
+                change.state + " " + change.startedMs);
     }
 
     public static String text(InetSocketAddress address) {
@@ -122,8 +160,8 @@
     }
 
     private static void chunk(Channel watch, String line) {
-        watch.writeAndFlush(new DefaultHttpContent(
-            Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8)));
+        watch.writeAndFlush(
+                new DefaultHttpContent(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8)));
     }
 
     private void beat() {
@@ -137,18 +175,21 @@
             if (message instanceof HttpRequest request) {
                 QueryStringDecoder asked = new QueryStringDecoder(request.uri());
                 freeAtUs = Math.max(freeAtUs, loop.nowUs()) + callUs;
-                loop.after(freeAtUs - loop.nowUs(), () -> answer(ctx.channel(), asked.parameters()));
+                loop.after(
+                        freeAtUs - loop.nowUs(), () -> answer(ctx.channel(), asked.parameters()));
             }
         }
 
         private void answer(Channel ch, Map<String, List<String>> asked) {
             if (down) {
-                ch.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.SERVICE_UNAVAILABLE));
+                ch.writeAndFlush(
+                        new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE));
                 ch.close();
                 return;
             }
-            DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            DefaultHttpResponse head =
+                    new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             ch.writeAndFlush(head);
             String proxy = network.peer(ch);
--- a/src/main/java/holdproxy/town/Load.java
+++ b/src/main/java/holdproxy/town/Load.java
@@ -15,7 +15,8 @@
  * @param retries how often a client tries again
  * @param clubs shares of the load, in the order of the settings
  */
-public record Load(double ratePerS, double workMs, int keys, double zipf, int retries, List<Double> clubs) {
+public record Load(
+        double ratePerS, double workMs, int keys, double zipf, int retries, List<Double> clubs) {
     public static final Load PLAIN = new Load(62, 40, 20_000, 0.9, 2, List.of(0.45, 0.37, 0.18));
 
     /** As scenario files have it; what is not stated is as {@link #PLAIN} has it. */
@@ -30,7 +31,9 @@
         TomlArray shares = p.array("clubs");
         for (int i = 0; shares != null && i < shares.size(); i++) {
             if (!(shares.get(i) instanceof Double share) || share <= 0 || share > 1) {
-                throw p.bad(shares.inputPositionOf(i), "clubs holds something else than shares from 0 to 1");
+                throw p.bad(
+                        shares.inputPositionOf(i),
+                        "clubs holds something else than shares from 0 to 1");
             }
             clubs.add(share);
         }
--- a/src/main/java/holdproxy/town/MemberRegister.java
+++ b/src/main/java/holdproxy/town/MemberRegister.java
@@ -11,8 +11,8 @@
 public final class MemberRegister {
     private static final String NAME = "register";
 
-    private record Work(String id, String key, String writeKey, String group, Consumer<String> done) {
-    }
+    private record Work(
+            String id, String key, String writeKey, String group, Consumer<String> done) {}
 
     private final Timeline loop;
     private final TownRecord record;
@@ -20,12 +20,16 @@
     private final long workUs;
     private final long dropRepeatsUs;
     private final ArrayDeque<Work> waiting = new ArrayDeque<>();
+
     /** When a key of a write first came to any node, for as long as repeats of it are dropped. */
     private final Map<String, Long> firstUs = new HashMap<>();
+
     private final Map<String, String> receipts = new HashMap<>();
     private final List<CacheNode> nodes = new ArrayList<>();
+
     /** What came in each second. */
     private final List<Integer> came = new ArrayList<>();
+
     private int running;
     private long versions;
 
@@ -33,7 +37,8 @@
      * {@code most} at once, each of {@code workUs}; a keyed write's repeat within {@code dropRepeatsUs}
      * of its coming to a node is dropped, at whichever node and however late it gets round to it.
      */
-    public MemberRegister(Timeline loop, TownRecord record, int most, long workUs, long dropRepeatsUs) {
+    public MemberRegister(
+            Timeline loop, TownRecord record, int most, long workUs, long dropRepeatsUs) {
         this.loop = loop;
         this.record = record;
         this.most = most;
@@ -91,13 +96,15 @@
             return;
         }
         running++;
-        loop.after(workUs, () -> {
-            running--;
-            w.done.accept(w.writeKey == null ? "m" + ++versions : apply(w));
-            if (!waiting.isEmpty()) {
-                start(waiting.poll());
-            }
-        });
+        loop.after(
+                workUs,
+                () -> {
+                    running--;
+                    w.done.accept(w.writeKey == null ? "m" + ++versions : apply(w));
+                    if (!waiting.isEmpty()) {
+                        start(waiting.poll());
+                    }
+                });
     }
 
     private String apply(Work w) {
--- a/src/main/java/holdproxy/town/MetaLines.java
+++ b/src/main/java/holdproxy/town/MetaLines.java
@@ -13,6 +13,7 @@
 public final class MetaLines extends ByteToMessageDecoder {
     /** How a refusal begins. */
     public static final String BUSY = "SERVER_ERROR busy";
+
     private static final int LONGEST = 70_000;
 
     /** Whether an answer that begins so has a value or a receipt. */
@@ -86,7 +87,10 @@
             out.add(new Message(line, null));
             line = null;
         } else if (in.readableBytes() >= length + 2) {
-            out.add(new Message(line, in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString()));
+            out.add(
+                    new Message(
+                            line,
+                            in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString()));
             in.skipBytes(2);
             line = null;
         }
--- a/src/main/java/holdproxy/town/RequestClass.java
+++ b/src/main/java/holdproxy/town/RequestClass.java
@@ -13,13 +13,20 @@
  * @param worth of one answered in its wanted time
  * @param effect as in the settings: pure, token (repeats are dropped for a time) or side_effect
  */
-public record RequestClass(String name, double share, int aimMs, int deadlineMs, double work, double worth,
+public record RequestClass(
+        String name,
+        double share,
+        int aimMs,
+        int deadlineMs,
+        double work,
+        double worth,
         String effect) {
-    public static final List<RequestClass> ALL = List.of(
-        new RequestClass("card-check", 0.58, 500, 1500, 0.82, 1, "pure"),
-        new RequestClass("member-record", 0.36, 600, 2000, 1.12, 2, "pure"),
-        new RequestClass("renewal", 0.033, 800, 4000, 1.6, 10, "token"),
-        new RequestClass("enrolment", 0.027, 1500, 3000, 2.6, 10, "side_effect"));
+    public static final List<RequestClass> ALL =
+            List.of(
+                    new RequestClass("card-check", 0.58, 500, 1500, 0.82, 1, "pure"),
+                    new RequestClass("member-record", 0.36, 600, 2000, 1.12, 2, "pure"),
+                    new RequestClass("renewal", 0.033, 800, 4000, 1.6, 10, "token"),
+                    new RequestClass("enrolment", 0.027, 1500, 3000, 2.6, 10, "side_effect"));
 
     public static RequestClass named(String name) {
         return ALL.stream().filter(c -> c.name.equals(name)).findFirst().orElseThrow();
--- a/src/main/java/holdproxy/town/Service.java
+++ b/src/main/java/holdproxy/town/Service.java
@@ -20,8 +20,7 @@
         public long attempts;
     }
 
-    private record Want(long us, RequestClass type, Second second, Second byClass) {
-    }
+    private record Want(long us, RequestClass type, Second second, Second byClass) {}
 
     private static final long LONGEST_MS = 60_000;
 
@@ -52,7 +51,7 @@
                     all.attempts++;
                     sentTo.merge(e.where(), 1L, Long::sum);
                 }
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -115,10 +114,12 @@
         double worst = share();
         for (int from = 0; from + 10 <= seconds.size(); from++) {
             Second ten = new Second();
-            seconds.subList(from, from + 10).forEach(s -> {
-                ten.worthWanted += s.worthWanted;
-                ten.worthInTime += s.worthInTime;
-            });
+            seconds.subList(from, from + 10)
+                    .forEach(
+                            s -> {
+                                ten.worthWanted += s.worthWanted;
+                                ten.worthInTime += s.worthInTime;
+                            });
             worst = Math.min(worst, share(ten));
         }
         return worst;
--- a/src/main/java/holdproxy/town/TownRecord.java
+++ b/src/main/java/holdproxy/town/TownRecord.java
@@ -15,7 +15,7 @@
     private final Consumer<Event> also;
 
     public TownRecord() {
-        this(e -> { });
+        this(e -> {});
     }
 
     /** {@code also} is told of each event as it is put down. */
--- a/src/main/java/holdproxy/town/ZoneReport.java
+++ b/src/main/java/holdproxy/town/ZoneReport.java
@@ -18,6 +18,7 @@
 public final class ZoneReport {
     /** Sent this multiple of what it can do within this time, a cold node falls over. */
     private static final double TIP = 4;
+
     private static final long TIP_US = 2_000_000;
 
     /** A zone that died or fell silent. */
@@ -88,18 +89,25 @@
                     s.worthWanted += type.worth();
                 }
                 case ANSWERED -> {
-                    if (!e.id().isEmpty() && MetaLines.served(e.detail()) && wantedAt.containsKey(e.want())) {
+                    if (!e.id().isEmpty()
+                            && MetaLines.served(e.detail())
+                            && wantedAt.containsKey(e.want())) {
                         RequestClass type = types.get(e.want());
-                        boolean inTime = (e.us() - wantedAt.remove(e.want())) / 1000 <= type.aimMs();
+                        boolean inTime =
+                                (e.us() - wantedAt.remove(e.want())) / 1000 <= type.aimMs();
                         zones.get(zoneOf.get(e.want())).worthInTime += inTime ? type.worth() : 0;
                     }
                 }
                 case FAULT -> fault(e);
                 case LOST -> lost(e);
                 case UP -> started.put(e.where(), new Cold(e));
-                case ARRIVED -> coldPeak = Math.max(coldPeak,
-                    started.get(e.where()).spent(e.us(), Double.parseDouble(e.word(2))));
-                default -> { }
+                case ARRIVED ->
+                        coldPeak =
+                                Math.max(
+                                        coldPeak,
+                                        started.get(e.where())
+                                                .spent(e.us(), Double.parseDouble(e.word(2))));
+                default -> {}
             }
         }
     }
@@ -108,15 +116,18 @@
         if (e.detail().equals("silent") && e.where().startsWith("zone-")) {
             losses.add(new Loss(e.where().substring(5), e.us()));
         } else if (e.detail().equals("back")) {
-            losses.stream().filter(l -> l.zone.equals(e.where().substring(e.where().indexOf('-') + 1)))
-                .forEach(l -> l.backUs = Math.min(l.backUs, e.us()));
+            losses.stream()
+                    .filter(l -> l.zone.equals(e.where().substring(e.where().indexOf('-') + 1)))
+                    .forEach(l -> l.backUs = Math.min(l.backUs, e.us()));
         }
     }
 
     /** A dial or message of a proxy outside that a silent zone did not take. */
     private void lost(Event e) {
         for (Loss l : losses) {
-            if (!e.word(1).equals("true") && l.zone.equals(e.word(2)) && e.us() < l.backUs
+            if (!e.word(1).equals("true")
+                    && l.zone.equals(e.word(2))
+                    && e.us() < l.backUs
                     && !e.where().startsWith("proxy-")) {
                 l.sends++;
                 l.lastUs = e.us();
@@ -132,7 +143,9 @@
             zones.forEach((zone, s) -> f.put("in_time_zone_" + zone, Service.share(s)));
         }
         for (Loss l : losses) {
-            f.put("last_send_into_zone_" + l.zone + "_s", l.lastUs < 0 ? 0.0 : (l.lastUs - l.atUs) / 1e6);
+            f.put(
+                    "last_send_into_zone_" + l.zone + "_s",
+                    l.lastUs < 0 ? 0.0 : (l.lastUs - l.atUs) / 1e6);
             f.put("sends_into_zone_" + l.zone, l.sends);
             f.put("proxies_that_sent_into_zone_" + l.zone, l.senders.size());
         }
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -13,107 +13,252 @@
 
 /** Which package may know which: the arrows go one way, towards the decisions. */
 class ArchitectureTest {
-    private static final JavaClasses MAIN = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("holdproxy");
+    private static final JavaClasses MAIN =
+            new ClassFileImporter()
+                    .withImportOption(new ImportOption.DoNotIncludeTests())
+                    .importPackages("holdproxy");
 
     @Test
     void theDecisionModuleKnowsNobodyAndDoesNoInput() {
-        classes().that().resideInAPackage("holdproxy.policy").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("holdproxy.policy", "java.lang", "java.util", "java.util.function", "java.util.stream")
+        classes()
+                .that()
+                .resideInAPackage("holdproxy.policy")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "holdproxy.policy",
+                        "java.lang",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream")
                 .check(MAIN);
     }
 
     @Test
     void theDecisionModuleReadsNoClock() {
-        noClasses().that().resideInAPackage("holdproxy.policy").should().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis").check(MAIN);
+        noClasses()
+                .that()
+                .resideInAPackage("holdproxy.policy")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(MAIN);
     }
 
     @Test
     void theSimulatorsWireAndTheSocketsDoNotKnowEachOther() {
-        classes().that().resideInAPackage("holdproxy.sim").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("holdproxy.sim", "holdproxy.input", "holdproxy.policy", "java..").check(MAIN);
-        noClasses().that().resideInAPackage("holdproxy.net..").should().dependOnClassesThat()
-                .resideInAnyPackage("holdproxy.sim..", "holdproxy.lab..", "holdproxy").check(MAIN);
+        classes()
+                .that()
+                .resideInAPackage("holdproxy.sim")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "holdproxy.sim", "holdproxy.input", "holdproxy.policy", "java..")
+                .check(MAIN);
+        noClasses()
+                .that()
+                .resideInAPackage("holdproxy.net..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("holdproxy.sim..", "holdproxy.lab..", "holdproxy")
+                .check(MAIN);
     }
 
     @Test
     void onlyTownsAndTheLabKnowTheLibrariesThatServiceDoesWithout() {
-        noClasses().that().resideOutsideOfPackages("holdproxy.lab..", "holdproxy.town..", "holdproxy.toml..", "holdproxy.rig..",
-                "holdproxy.command..", "holdproxy.daemon..").should().dependOnClassesThat()
-                .resideInAnyPackage("picocli..", "org.tomlj..", "org.HdrHistogram..", "org.jfree..").check(MAIN);
-        noClasses().that().resideOutsideOfPackages("holdproxy.daemon..").should().dependOnClassesThat()
-                .resideInAnyPackage("org.slf4j..", "ch.qos..").check(MAIN);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages(
+                        "holdproxy.lab..",
+                        "holdproxy.town..",
+                        "holdproxy.toml..",
+                        "holdproxy.rig..",
+                        "holdproxy.command..",
+                        "holdproxy.daemon..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("picocli..", "org.tomlj..", "org.HdrHistogram..", "org.jfree..")
+                .check(MAIN);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages("holdproxy.daemon..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("org.slf4j..", "ch.qos..")
+                .check(MAIN);
     }
 
     @Test
     void peersKnowNoProxy() {
-        noClasses().that().resideInAPackage("holdproxy.peers").should().dependOnClassesThat(
-                JavaClass.Predicates.resideInAnyPackage("holdproxy..").and(not(
-                        JavaClass.Predicates.resideInAnyPackage("holdproxy.peers", "holdproxy.input")))).check(MAIN);
+        noClasses()
+                .that()
+                .resideInAPackage("holdproxy.peers")
+                .should()
+                .dependOnClassesThat(
+                        JavaClass.Predicates.resideInAnyPackage("holdproxy..")
+                                .and(
+                                        not(
+                                                JavaClass.Predicates.resideInAnyPackage(
+                                                        "holdproxy.peers", "holdproxy.input"))))
+                .check(MAIN);
     }
 
     @Test
     void theRulesOfMembershipReadNoClockAndOpenNoSocket() {
-        classes().that().resideInAPackage("holdproxy.peers").and().haveSimpleNameStartingWith("Member")
-                .or().haveSimpleName("Rumours").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("holdproxy.peers", "java.lang", "java.util", "java.util.function", "java.util.stream",
-                        "java.util.zip", "java.nio.charset").check(MAIN);
-        noClasses().that().resideInAPackage("holdproxy.peers").and().haveSimpleName("Membership").should()
-                .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis").check(MAIN);
+        classes()
+                .that()
+                .resideInAPackage("holdproxy.peers")
+                .and()
+                .haveSimpleNameStartingWith("Member")
+                .or()
+                .haveSimpleName("Rumours")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "holdproxy.peers",
+                        "java.lang",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream",
+                        "java.util.zip",
+                        "java.nio.charset")
+                .check(MAIN);
+        noClasses()
+                .that()
+                .resideInAPackage("holdproxy.peers")
+                .and()
+                .haveSimpleName("Membership")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(MAIN);
     }
 
     @Test
     void agreementAndDutiesStandOnWhatIsHandedIn() {
-        classes().that().resideInAPackage("holdproxy.duties").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("holdproxy.duties", "holdproxy.council", "holdproxy.input", "java.lang", "java.util",
-                        "java.util.concurrent", "java.util.function").check(MAIN);
-        noClasses().that().resideInAPackage("holdproxy.council").should().dependOnClassesThat(
-                JavaClass.Predicates.resideInAnyPackage("holdproxy..").and(not(
-                        JavaClass.Predicates.resideInAnyPackage("holdproxy.council", "holdproxy.input")))).check(MAIN);
-        noClasses().that().resideInAnyPackage("holdproxy.duties", "holdproxy.council").should()
-                .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis").check(MAIN);
-        noClasses().that().resideOutsideOfPackage("holdproxy.council").should().dependOnClassesThat()
-                .resideInAPackage("io.microraft..").check(MAIN);
+        classes()
+                .that()
+                .resideInAPackage("holdproxy.duties")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "holdproxy.duties",
+                        "holdproxy.council",
+                        "holdproxy.input",
+                        "java.lang",
+                        "java.util",
+                        "java.util.concurrent",
+                        "java.util.function")
+                .check(MAIN);
+        noClasses()
+                .that()
+                .resideInAPackage("holdproxy.council")
+                .should()
+                .dependOnClassesThat(
+                        JavaClass.Predicates.resideInAnyPackage("holdproxy..")
+                                .and(
+                                        not(
+                                                JavaClass.Predicates.resideInAnyPackage(
+                                                        "holdproxy.council", "holdproxy.input"))))
+                .check(MAIN);
+        noClasses()
+                .that()
+                .resideInAnyPackage("holdproxy.duties", "holdproxy.council")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(MAIN);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("holdproxy.council")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("io.microraft..")
+                .check(MAIN);
     }
 
     @Test
     void onlyTheCommandLineKnowsTheDaemon() {
-        noClasses().that().resideOutsideOfPackages("holdproxy", "holdproxy.daemon..").should().dependOnClassesThat()
-                .resideInAPackage("holdproxy.daemon..").check(MAIN);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages("holdproxy", "holdproxy.daemon..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("holdproxy.daemon..")
+                .check(MAIN);
     }
 
     @Test
     void townsKnowOfTheProxyNothingButHowConnectionsAreMade() {
-        noClasses().that().resideInAPackage("holdproxy.town").should().dependOnClassesThat(
-                JavaClass.Predicates.resideInAnyPackage("holdproxy..").and(not(
-                        JavaClass.Predicates.resideInAnyPackage("holdproxy.town", "holdproxy.toml")
-                                .or(JavaClass.Predicates.simpleName("Transport"))))).check(MAIN);
+        noClasses()
+                .that()
+                .resideInAPackage("holdproxy.town")
+                .should()
+                .dependOnClassesThat(
+                        JavaClass.Predicates.resideInAnyPackage("holdproxy..")
+                                .and(
+                                        not(
+                                                JavaClass.Predicates.resideInAnyPackage(
+                                                                "holdproxy.town", "holdproxy.toml")
+                                                        .or(
+                                                                JavaClass.Predicates.simpleName(
+                                                                        "Transport")))))
+                .check(MAIN);
     }
 
     @Test
     void theRigKnowsOfTheProgramNoMoreThanItsTowns() {
-        noClasses().that().resideInAPackage("holdproxy.rig").should().dependOnClassesThat()
-                .resideInAnyPackage("holdproxy.net..", "holdproxy.policy..", "holdproxy.console..", "holdproxy.lab..",
-                        "holdproxy.sim..", "holdproxy.daemon..").check(MAIN);
+        noClasses()
+                .that()
+                .resideInAPackage("holdproxy.rig")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "holdproxy.net..",
+                        "holdproxy.policy..",
+                        "holdproxy.console..",
+                        "holdproxy.lab..",
+                        "holdproxy.sim..",
+                        "holdproxy.daemon..")
+                .check(MAIN);
     }
 
     @Test
     void auditorsShareNoCodeWithTheProxy() {
-        noClasses().that().haveSimpleName("Auditors").or().haveSimpleName("MetaLines").should()
-                .dependOnClassesThat().resideInAnyPackage("holdproxy.net..", "holdproxy.policy..").check(MAIN);
+        noClasses()
+                .that()
+                .haveSimpleName("Auditors")
+                .or()
+                .haveSimpleName("MetaLines")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("holdproxy.net..", "holdproxy.policy..")
+                .check(MAIN);
     }
 
     @Test
     void theConsoleKnowsNoOtherPackage() {
-        classes().that().resideInAPackage("holdproxy.console").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("holdproxy.console", "io.netty..", "java..").check(MAIN);
+        classes()
+                .that()
+                .resideInAPackage("holdproxy.console")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage("holdproxy.console", "io.netty..", "java..")
+                .check(MAIN);
     }
 
     @Test
     void settingsAreReadWithoutSocketsOrWire() {
-        classes().that().resideInAPackage("holdproxy.input").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("holdproxy.input", "holdproxy.policy", "java.lang", "java.util").check(MAIN);
+        classes()
+                .that()
+                .resideInAPackage("holdproxy.input")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage("holdproxy.input", "holdproxy.policy", "java.lang", "java.util")
+                .check(MAIN);
     }
 
     @Test
@@ -123,8 +268,15 @@
 
     @Test
     void timeEntersTheSocketsInOnePlace() {
-        noClasses().that().resideInAPackage("holdproxy.net..").and().doNotHaveSimpleName("Time")
-                .should().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis").check(MAIN);
+        noClasses()
+                .that()
+                .resideInAPackage("holdproxy.net..")
+                .and()
+                .doNotHaveSimpleName("Time")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(MAIN);
     }
 }
--- a/src/test/java/holdproxy/Awaiting.java
+++ b/src/test/java/holdproxy/Awaiting.java
@@ -6,8 +6,7 @@
 
 /** Waits for progress by its condition; the end is only for what never comes. */
 public final class Awaiting {
-    private Awaiting() {
-    }
+    private Awaiting() {}
 
     /** What is waited for. */
     public interface Condition {
--- a/src/test/java/holdproxy/ModuleLimitsTest.java
+++ b/src/test/java/holdproxy/ModuleLimitsTest.java
@@ -15,10 +15,17 @@
     private static final Path SOURCES = Path.of("src/main/java/holdproxy");
 
     @Test
-    void thePolicyFilesHoldAtMost1200LinesTogetherAndNameTheirInterfaceAtTheTop() throws IOException {
+    void thePolicyFilesHoldAtMost1200LinesTogetherAndNameTheirInterfaceAtTheTop()
+            throws IOException {
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
-        String listed = deploy.lines().filter(l -> l.startsWith("policy = ")).findFirst().orElseThrow();
-        List<String> policy = Pattern.compile("\"([^\"]+)\"").matcher(listed).results().map(m -> m.group(1)).toList();
+        String listed =
+                deploy.lines().filter(l -> l.startsWith("policy = ")).findFirst().orElseThrow();
+        List<String> policy =
+                Pattern.compile("\"([^\"]+)\"")
+                        .matcher(listed)
+                        .results()
+                        .map(m -> m.group(1))
+                        .toList();
         long count = 0;
         for (String file : policy) {
             count += Files.readAllLines(Path.of(file)).stream().filter(l -> !l.isBlank()).count();
@@ -31,13 +38,19 @@
     @Test
     void noSourceLineExceeds110Characters() throws IOException {
         try (Stream<Path> files = Files.walk(SOURCES)) {
-            List<String> tooLong = files.filter(Files::isRegularFile).flatMap(f -> {
-                try {
-                    return Files.readAllLines(f).stream().filter(l -> l.length() > 110).map(l -> f + ": " + l);
-                } catch (IOException e) {
-                    throw new java.io.UncheckedIOException(e);
-                }
-            }).toList();
+            List<String> tooLong =
+                    files.filter(Files::isRegularFile)
+                            .flatMap(
+                                    f -> {
+                                        try {
+                                            return Files.readAllLines(f).stream()
+                                                    .filter(l -> l.length() > 110)
+                                                    .map(l -> f + ": " + l);
+                                        } catch (IOException e) {
+                                            throw new java.io.UncheckedIOException(e);
+                                        }
+                                    })
+                            .toList();
             assertEquals(List.of(), tooLong);
         }
     }
--- a/src/test/java/holdproxy/console/ConsoleTest.java
+++ b/src/test/java/holdproxy/console/ConsoleTest.java
@@ -22,27 +22,33 @@
     private final List<String> asked = new ArrayList<>();
     private final List<Consumer<String>> answers = new ArrayList<>();
     private boolean taking = true;
-    private final Console console = new Console(null, new Operations() {
-        @Override
-        public boolean takesClients() {
-            return taking;
-        }
-
-        @Override
-        public Figures figures() {
-            return figures;
-        }
-
-        @Override
-        public void leaveOut(String node, boolean out, Consumer<String> answer) {
-            asked.add(node + " " + out);
-            answers.add(answer);
-        }
-    }, line -> { });
+    private final Console console =
+            new Console(
+                    null,
+                    new Operations() {
+                        @Override
+                        public boolean takesClients() {
+                            return taking;
+                        }
+
+                        @Override
+                        public Figures figures() {
+                            return figures;
+                        }
+
+                        @Override
+                        public void leaveOut(String node, boolean out, Consumer<String> answer) {
+                            asked.add(node + " " + out);
+                            answers.add(answer);
+                        }
+                    },
+                    line -> {});
 
     private EmbeddedChannel caller() {
-        EmbeddedChannel ch = new EmbeddedChannel(
-            new LineBasedFrameDecoder(Console.LONGEST_LINE, true, true), console.new Caller());
+        EmbeddedChannel ch =
+                new EmbeddedChannel(
+                        new LineBasedFrameDecoder(Console.LONGEST_LINE, true, true),
+                        console.new Caller());
         ch.freezeTime();
         return ch;
     }
@@ -89,21 +95,24 @@
         figures.poolSize.set(8);
         figures.poolEjected.set(1);
         figures.configApplied.add(2);
-        assertEquals("""
-            svc.responses.read.ok=812
-            svc.responses.read.shed=3
-            svc.responses.read.errors=0
-            svc.responses.write.ok=0
-            svc.responses.write.shed=0
-            svc.responses.write.errors=1
-            svc.tries=900
-            svc.active=14
-            svc.pool_size=8
-            svc.pool_ejected=1
-            svc.config_applied=2
-            svc.config_rejected=0
-            END
-            """.replace("\n", "\r\n"), call("vars\r\n"));
+        assertEquals(
+                """
+                svc.responses.read.ok=812
+                svc.responses.read.shed=3
+                svc.responses.read.errors=0
+                svc.responses.write.ok=0
+                svc.responses.write.shed=0
+                svc.responses.write.errors=1
+                svc.tries=900
+                svc.active=14
+                svc.pool_size=8
+                svc.pool_ejected=1
+                svc.config_applied=2
+                svc.config_rejected=0
+                END
+                """
+                        .replace("\n", "\r\n"),
+                call("vars\r\n"));
     }
 
     @Test
@@ -166,7 +175,8 @@
         for (int i = 0; i < 3 * Console.MOST_CALLERS; i++) {
             silent.add(caller());
         }
-        assertEquals(Console.MOST_CALLERS, silent.stream().filter(EmbeddedChannel::isActive).count());
+        assertEquals(
+                Console.MOST_CALLERS, silent.stream().filter(EmbeddedChannel::isActive).count());
         assertFalse(silent.get(0).isActive());
         assertEquals("OK\r\n", call("check\r\n"));
     }
--- a/src/test/java/holdproxy/council/RaftDiskTest.java
+++ b/src/test/java/holdproxy/council/RaftDiskTest.java
@@ -19,15 +19,19 @@
 
 /** What a voter must not forget, on a real file: kept, cut short, damaged, written anew. */
 class RaftDiskTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private Path file() {
         return folder.resolve("council");
     }
 
     private static LogEntry entry(long index, int term, Object operation) {
-        return RaftCodec.MODELS.createLogEntryBuilder().setIndex(index).setTerm(term).setOperation(operation).build();
+        return RaftCodec.MODELS
+                .createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(term)
+                .setOperation(operation)
+                .build();
     }
 
     private RaftDisk founded() throws IOException {
@@ -48,10 +52,18 @@
     @Test
     void whatWasKeptIsThereAgain() throws Exception {
         RaftDisk disk = founded();
-        disk.persistAndFlushTerm(RaftCodec.MODELS.createRaftTermPersistentStateBuilder().setTerm(7)
-            .setVotedFor(new Seat("b", 0)).build());
-        disk.persistLogEntries(List.of(entry(1, 7, null), entry(2, 7, Arrays.asList("x", 1, true, null)),
-            entry(3, 7, "y"), entry(4, 7, "z")));
+        disk.persistAndFlushTerm(
+                RaftCodec.MODELS
+                        .createRaftTermPersistentStateBuilder()
+                        .setTerm(7)
+                        .setVotedFor(new Seat("b", 0))
+                        .build());
+        disk.persistLogEntries(
+                List.of(
+                        entry(1, 7, null),
+                        entry(2, 7, Arrays.asList("x", 1, true, null)),
+                        entry(3, 7, "y"),
+                        entry(4, 7, "z")));
         disk.truncateLogEntriesFrom(4);
         disk.persistLogEntries(List.of(entry(4, 8, "other")));
         disk.flush();
@@ -61,7 +73,8 @@
         assertEquals(7, state.getTermPersistentState().getTerm());
         assertEquals(new Seat("b", 0), state.getTermPersistentState().getVotedFor());
         assertEquals(List.of(1L, 2L, 3L, 4L), indices(state));
-        assertEquals(Arrays.asList("x", 1, true, null), state.getLogEntries().get(1).getOperation());
+        assertEquals(
+                Arrays.asList("x", 1, true, null), state.getLogEntries().get(1).getOperation());
         assertEquals("other", state.getLogEntries().get(3).getOperation());
         assertEquals(8, state.getLogEntries().get(3).getTerm());
         assertNull(state.getSnapshotEntry());
@@ -83,7 +96,9 @@
             cut.flush();
             assertEquals(List.of(1L, 2L), indices(again()), length + " bytes");
         }
-        Files.write(file(), Arrays.copyOf(whole, whole.length + 4096)); // room that was never written to
+        Files.write(
+                file(),
+                Arrays.copyOf(whole, whole.length + 4096)); // room that was never written to
         assertEquals(List.of(1L, 2L), indices(again()));
     }
 
@@ -110,9 +125,16 @@
         for (long i = 1; i <= 20_000; i++) {
             disk.persistLogEntries(List.of(entry(i, 1, text)));
             if (i % 1000 == 0) {
-                disk.persistSnapshotChunk(RaftCodec.MODELS.createSnapshotChunkBuilder().setIndex(i).setTerm(1)
-                    .setOperation("all to " + i).setSnapshotChunkIndex(0).setSnapshotChunkCount(1)
-                    .setGroupMembersView(again().getInitialGroupMembers()).build());
+                disk.persistSnapshotChunk(
+                        RaftCodec.MODELS
+                                .createSnapshotChunkBuilder()
+                                .setIndex(i)
+                                .setTerm(1)
+                                .setOperation("all to " + i)
+                                .setSnapshotChunkIndex(0)
+                                .setSnapshotChunkCount(1)
+                                .setGroupMembersView(again().getInitialGroupMembers())
+                                .build());
                 disk.flush();
                 disk.deleteSnapshotChunks(i - 1000, 1);
                 disk.truncateLogEntriesUntil(i - 100);
@@ -122,9 +144,13 @@
         assertTrue(Files.size(file()) < 3 << 20, Files.size(file()) + " bytes");
         RestoredRaftState state = again();
         assertEquals(20_000, state.getSnapshotEntry().getIndex());
-        assertEquals("all to 20000", ((List<?>) state.getSnapshotEntry().getOperation()).size() == 1
-            ? ((io.microraft.model.log.SnapshotChunk) ((List<?>) state.getSnapshotEntry().getOperation()).get(0))
-                .getOperation() : null);
+        assertEquals(
+                "all to 20000",
+                ((List<?>) state.getSnapshotEntry().getOperation()).size() == 1
+                        ? ((io.microraft.model.log.SnapshotChunk)
+                                        ((List<?>) state.getSnapshotEntry().getOperation()).get(0))
+                                .getOperation()
+                        : null);
         assertEquals(List.of(), indices(state));
     }
 
@@ -133,37 +159,43 @@
         founded();
         FileDisk real = new FileDisk(file());
         boolean[] fails = {false};
-        RaftDisk disk = RaftDisk.open(new Disk() {
-            @Override
-            public byte[] read() throws IOException {
-                return real.read();
-            }
-
-            @Override
-            public void append(byte[] bytes) throws IOException {
-                real.append(fails[0] ? Arrays.copyOf(bytes, 5) : bytes);
-                if (fails[0]) {
-                    throw new IOException("no space left on device");
-                }
-            }
-
-            @Override
-            public void force() throws IOException {
-                real.force();
-            }
-
-            @Override
-            public void replace(byte[] bytes) throws IOException {
-                real.replace(bytes);
-            }
-        });
+        RaftDisk disk =
+                RaftDisk.open(
+                        new Disk() {
+                            @Override
+                            public byte[] read() throws IOException {
+                                return real.read();
+                            }
+
+                            @Override
+                            public void append(byte[] bytes) throws IOException {
+                                real.append(fails[0] ? Arrays.copyOf(bytes, 5) : bytes);
+                                if (fails[0]) {
+                                    throw new IOException("no space left on device");
+                                }
+                            }
+
+                            @Override
+                            public void force() throws IOException {
+                                real.force();
+                            }
+
+                            @Override
+                            public void replace(byte[] bytes) throws IOException {
+                                real.replace(bytes);
+                            }
+                        });
         disk.persistLogEntries(List.of(entry(1, 1, "one")));
         disk.flush();
         fails[0] = true;
         assertThrows(IOException.class, () -> disk.persistLogEntries(List.of(entry(2, 1, "two"))));
         fails[0] = false;
-        assertTrue(assertThrows(IOException.class, () -> disk.persistLogEntries(List.of(entry(2, 1, "two"))))
-            .getMessage().contains("after a failure"));
+        assertTrue(
+                assertThrows(
+                                IOException.class,
+                                () -> disk.persistLogEntries(List.of(entry(2, 1, "two"))))
+                        .getMessage()
+                        .contains("after a failure"));
         assertThrows(IOException.class, disk::flush);
         assertEquals(LongStream.of(1).boxed().toList(), indices(again()));
     }
@@ -172,12 +204,20 @@
     void aCouncilIsFoundedOnce() throws Exception {
         founded();
         try (FileDisk disk = new FileDisk(file())) {
-            assertTrue(assertThrows(BadInput.class, () -> Council.found(disk, "a", List.of("a", "b", "c"))).getMessage()
-                .contains("already"));
+            assertTrue(
+                    assertThrows(
+                                    BadInput.class,
+                                    () -> Council.found(disk, "a", List.of("a", "b", "c")))
+                            .getMessage()
+                            .contains("already"));
         }
         try (FileDisk disk = new FileDisk(folder.resolve("other"))) {
-            assertTrue(assertThrows(BadInput.class, () -> Council.found(disk, "d", List.of("a", "b", "c"))).getMessage()
-                .contains("not one of the first voters"));
+            assertTrue(
+                    assertThrows(
+                                    BadInput.class,
+                                    () -> Council.found(disk, "d", List.of("a", "b", "c")))
+                            .getMessage()
+                            .contains("not one of the first voters"));
         }
     }
 }
