--- a/src/test/java/holdproxy/daemon/DaemonTest.java
+++ b/src/test/java/holdproxy/daemon/DaemonTest.java
@@ -20,28 +20,33 @@
 /** A daemon's file and its mistakes, its log, and that serve has nothing of it. */
 class DaemonTest {
     private static final long END_S = 120;
-    private static final String SETTINGS = """
-        [settings]
-        index = 0
-        balancers = 1
-        registryMode = "subscribe"
-        localities = ["north"]
-        kinds = ["std-1c"]
-        [settings.caps]
-        maxAttempts = 3
-        [[settings.grades]]
-        name = "lookup"
-        effect = "pure"
-        targetMs = 100.0
-        deadlineMs = 400.0
-        """;
-
-    @TempDir
-    Path folder;
+    private static final String SETTINGS =
+            """
+            [settings]
+            index = 0
+            balancers = 1
+            registryMode = "subscribe"
+            localities = ["north"]
+            kinds = ["std-1c"]
+            [settings.caps]
+            maxAttempts = 3
+            [[settings.grades]]
+            name = "lookup"
+            effect = "pure"
+            targetMs = 100.0
+            deadlineMs = 400.0
+            """;
+
+    @TempDir Path folder;
 
     private String good() {
-        return "name = \"proxy-1\"\nlisten = \"127.0.0.1:0\"\ndiscovery = \"127.0.0.1:1\"\nfolder = \""
-            + folder.resolve("kept") + "\"\n" + SETTINGS;
+        return "name = \"proxy-1\"\n"
+                + "listen = \"127.0.0.1:0\"\n"
+                + "discovery = \"127.0.0.1:1\"\n"
+                + "folder = \""
+                + folder.resolve("kept")
+                + "\"\n"
+                + SETTINGS;
     }
 
     private Path file(String text) throws IOException {
@@ -58,41 +63,71 @@
     void mistakesAreNamedWithTheirLine() throws Exception {
         String good = good();
         assertEquals("proxy-1", DaemonFile.read(file(good), 1).name());
-        assertBad(good.replace("name = \"proxy-1\"", "name = \"a b\""), " line 1: name is not 1 to 64 letters");
-        assertBad(good.replace("127.0.0.1:0", "localhost:0"), " line 2: listen is not an address and port");
-        assertBad(good.replace("discovery = \"127.0.0.1:1\"\n", ""), ": discovery is missing from the file");
-        assertBad(good.replace("folder =", "sockets = 12\nfolder ="), " line 4: sockets in the file is not a number");
+        assertBad(
+                good.replace("name = \"proxy-1\"", "name = \"a b\""),
+                " line 1: name is not 1 to 64 letters");
+        assertBad(
+                good.replace("127.0.0.1:0", "localhost:0"),
+                " line 2: listen is not an address and port");
+        assertBad(
+                good.replace("discovery = \"127.0.0.1:1\"\n", ""),
+                ": discovery is missing from the file");
+        assertBad(
+                good.replace("folder =", "sockets = 12\nfolder ="),
+                " line 4: sockets in the file is not a number");
         assertBad(good.replace("folder =", "folders ="), ": folder is missing from the file");
         assertBad("socket = 1\n" + good, " line 1: socket is unknown in the file");
-        assertBad(good.replace("maxAttempts = 3", "maxAttempts = 0"), " line 12: setting caps.maxAttempts is not a");
-        assertBad(good.replace("maxAttempts", "mostAttempts"), " line 12: setting caps.mostAttempts is unknown");
-        assertBad(good.replace("\"pure\"", "\"none\""), " line 15: setting grades.0.effect is not one of pure");
+        assertBad(
+                good.replace("maxAttempts = 3", "maxAttempts = 0"),
+                " line 12: setting caps.maxAttempts is not a");
+        assertBad(
+                good.replace("maxAttempts", "mostAttempts"),
+                " line 12: setting caps.mostAttempts is unknown");
+        assertBad(
+                good.replace("\"pure\"", "\"none\""),
+                " line 15: setting grades.0.effect is not one of pure");
         assertBad(good.replace("index = 0", "index = "), " line 6: ");
-        assertTrue(assertThrows(BadInput.class, () -> DaemonFile.read(folder.resolve("none"), 1)).getMessage()
-            .contains("cannot be read"));
+        assertTrue(
+                assertThrows(BadInput.class, () -> DaemonFile.read(folder.resolve("none"), 1))
+                        .getMessage()
+                        .contains("cannot be read"));
     }
 
     @Test
     void whatOnlyAStartCanTakeHasToStay() throws Exception {
         DaemonFile inUse = DaemonFile.read(file(good()), 1);
         Path other = file(good().replace("proxy-1", "proxy-2"));
-        assertTrue(assertThrows(BadInput.class, () -> DaemonFile.again(other, inUse)).getMessage()
-            .contains("name cannot change while the process runs: it was proxy-1"));
+        assertTrue(
+                assertThrows(BadInput.class, () -> DaemonFile.again(other, inUse))
+                        .getMessage()
+                        .contains("name cannot change while the process runs: it was proxy-1"));
         Path fewer = file(good().replace("registryMode = \"subscribe\"\n", ""));
-        assertTrue(assertThrows(BadInput.class, () -> DaemonFile.again(fewer, inUse)).getMessage()
-            .contains("registryMode is missing"));
+        assertTrue(
+                assertThrows(BadInput.class, () -> DaemonFile.again(fewer, inUse))
+                        .getMessage()
+                        .contains("registryMode is missing"));
     }
 
     /** This program as a process; its output goes to {@code out.txt}. */
-    private Process start(List<String> flags, Map<String, String> env, String... words) throws IOException {
-        List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx80m"));
+    private Process start(List<String> flags, Map<String, String> env, String... words)
+            throws IOException {
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-Xmx80m"));
         command.addAll(flags);
-        command.addAll(List.of("-cp",
-            System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")), "holdproxy.Main"));
+        command.addAll(
+                List.of(
+                        "-cp",
+                        System.getProperty(
+                                "surefire.test.class.path", System.getProperty("java.class.path")),
+                        "holdproxy.Main"));
         command.addAll(List.of(words));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-            .redirectOutput(folder.resolve("out.txt").toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("out.txt").toFile());
         builder.environment().putAll(env);
         return builder.start();
     }
@@ -112,14 +147,20 @@
     @Test
     void theCommandEndsWithCode2AndTheLine() throws Exception {
         Path bad = file(good().replace("maxAttempts = 3", "maxAttempts = 0"));
-        for (String[] words : List.of(new String[] {"daemon", "check", bad.toString()},
-                new String[] {"daemon", "--config", bad.toString()})) {
+        for (String[] words :
+                List.of(
+                        new String[] {"daemon", "check", bad.toString()},
+                        new String[] {"daemon", "--config", bad.toString()})) {
             assertEquals(2, start(List.of(), Map.of(), words).waitFor());
-            assertTrue(out().startsWith("holdproxy: " + bad + " line 12: setting caps.maxAttempts"), out());
+            assertTrue(
+                    out().startsWith("holdproxy: " + bad + " line 12: setting caps.maxAttempts"),
+                    out());
         }
         assertEquals(2, start(List.of(), Map.of(), "daemon").waitFor());
         assertTrue(out().contains("--config FILE.toml is missing"), out());
-        assertEquals(0, start(List.of(), Map.of(), "daemon", "check", file(good()).toString()).waitFor());
+        assertEquals(
+                0,
+                start(List.of(), Map.of(), "daemon", "check", file(good()).toString()).waitFor());
         assertTrue(out().contains("proxy-1 can start with it"), out());
     }
 
@@ -152,13 +193,27 @@
     /** Whatever a start of serve loads, by the JVM's own list. */
     @Test
     void serveLoadsNothingOfTheDaemons() throws Exception {
-        Path config = Files.writeString(folder.resolve("c.json"), "{\"seed\":\"1\",\"limits\":{\"sockets\":1024},"
-            + "\"known\":{\"version\":0,\"full\":true,\"servers\":[]},\"settings\":{\"balancers\":1,"
-            + "\"caps\":{\"maxAttempts\":3},\"grades\":[{\"name\":\"lookup\",\"effect\":\"pure\",\"targetMs\":100.0,"
-            + "\"deadlineMs\":400.0}]}}");
+        Path config =
+                Files.writeString(
+                        folder.resolve("c.json"),
+                        "{\"seed\":\"1\",\"limits\":{\"sockets\":1024},"
+                            + "\"known\":{\"version\":0,\"full\":true,\"servers\":[]},\"settings\":{\"balancers\":1,"
+                            + "\"caps\":{\"maxAttempts\":3},\"grades\":[{\"name\":\"lookup\",\"effect\":\"pure\",\"targetMs\":100.0,"
+                            + "\"deadlineMs\":400.0}]}}");
         Path classes = folder.resolve("classes.txt");
-        Process serve = start(List.of("-Xlog:class+load:file=" + classes), Map.of("LB_NAME", "n0", "LB_LISTEN",
-            "127.0.0.1:0", "LB_DISCOVERY", "127.0.0.1:1", "LB_CONFIG", config.toString()), "serve");
+        Process serve =
+                start(
+                        List.of("-Xlog:class+load:file=" + classes),
+                        Map.of(
+                                "LB_NAME",
+                                "n0",
+                                "LB_LISTEN",
+                                "127.0.0.1:0",
+                                "LB_DISCOVERY",
+                                "127.0.0.1:1",
+                                "LB_CONFIG",
+                                config.toString()),
+                        "serve");
         try {
             await(serve, "listening on");
             serve.destroy();
@@ -168,10 +223,30 @@
         }
         String loaded = Files.readString(classes);
         assertTrue(loaded.contains("holdproxy.net.Proxy "), "the list has what serve does load");
-        Consumer<String> none = name -> assertEquals(List.of(),
-            loaded.lines().filter(Pattern.compile(" " + Pattern.quote(name)).asPredicate()).toList());
-        List.of("holdproxy.daemon.", "holdproxy.command.", "holdproxy.toml.", "holdproxy.lab.", "holdproxy.rig.",
-            "holdproxy.town.", "holdproxy.peers.",
-            "holdproxy.council.", "holdproxy.duties.", "io.microraft.", "org.slf4j.", "ch.qos.", "picocli.", "org.tomlj.").forEach(none);
+        Consumer<String> none =
+                name ->
+                        assertEquals(
+                                List.of(),
+                                loaded.lines()
+                                        .filter(
+                                                Pattern.compile(" " + Pattern.quote(name))
+                                                        .asPredicate())
+                                        .toList());
+        List.of(
+                        "holdproxy.daemon.",
+                        "holdproxy.command.",
+                        "holdproxy.toml.",
+                        "holdproxy.lab.",
+                        "holdproxy.rig.",
+                        "holdproxy.town.",
+                        "holdproxy.peers.",
+                        "holdproxy.council.",
+                        "holdproxy.duties.",
+                        "io.microraft.",
+                        "org.slf4j.",
+                        "ch.qos.",
+                        "picocli.",
+                        "org.tomlj.")
+                .forEach(none);
     }
 }
--- a/src/test/java/holdproxy/daemon/LifeFileTest.java
+++ b/src/test/java/holdproxy/daemon/LifeFileTest.java
@@ -11,8 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class LifeFileTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void itGrowsThoughTheWallClockGoesBack() {
@@ -27,6 +26,9 @@
         String said = assertThrows(BadInput.class, () -> LifeFile.next(folder, 1)).getMessage();
         assertTrue(said.contains(folder.resolve("life").toString()), said);
         Path none = folder.resolve("none");
-        assertTrue(assertThrows(BadInput.class, () -> LifeFile.next(none, 1)).getMessage().contains(none.toString()));
+        assertTrue(
+                assertThrows(BadInput.class, () -> LifeFile.next(none, 1))
+                        .getMessage()
+                        .contains(none.toString()));
     }
 }
--- a/src/test/java/holdproxy/duties/DutyTableTest.java
+++ b/src/test/java/holdproxy/duties/DutyTableTest.java
@@ -22,8 +22,14 @@
     void oneHoldsItAndTheNextHasAHigherToken() {
         assertEquals(List.of("HELD", 1L, 0L), apply(DutyTable.ask("d", "a", 5, 1000, 0)));
         assertEquals(List.of("TAKEN", 1L, "a"), apply(DutyTable.ask("d", "b", 9, 1000, 0)));
-        assertEquals(List.of("TAKEN", 1L, "a"), apply(DutyTable.ask("d", "a", 6, 1000, 0)), "another life is another");
-        assertEquals(List.of("HELD", 1L, 1L), apply(DutyTable.ask("d", "a", 5, 1000, 0)), "asked twice: a renewal");
+        assertEquals(
+                List.of("TAKEN", 1L, "a"),
+                apply(DutyTable.ask("d", "a", 6, 1000, 0)),
+                "another life is another");
+        assertEquals(
+                List.of("HELD", 1L, 1L),
+                apply(DutyTable.ask("d", "a", 5, 1000, 0)),
+                "asked twice: a renewal");
         assertEquals(List.of("HELD", 1L, 2L), apply(DutyTable.renew("d", 1)));
         assertEquals(List.of("HELD", 2L, 0L), apply(DutyTable.ask("e", "b", 9, 1000, 0)));
         assertEquals(List.of("ENDED"), apply(DutyTable.release("d", 1)));
@@ -35,13 +41,20 @@
         apply(DutyTable.ask("d", "a", 5, 1000, 0));
         Lease first = table.lease("d");
         apply(DutyTable.renew("d", 1));
-        assertEquals(List.of("UNCHANGED"), apply(DutyTable.expire(first)), "it was renewed meanwhile");
+        assertEquals(
+                List.of("UNCHANGED"), apply(DutyTable.expire(first)), "it was renewed meanwhile");
         assertEquals(List.of("ENDED"), apply(DutyTable.expire(table.lease("d"))));
         assertEquals(List.of("ENDED"), apply(DutyTable.renew("d", 1)), "a renewal after the end");
-        assertEquals(List.of("FREE", 1L), apply(DutyTable.ask("d", "a", 5, 1000, 0)), "an asking from before the end");
+        assertEquals(
+                List.of("FREE", 1L),
+                apply(DutyTable.ask("d", "a", 5, 1000, 0)),
+                "an asking from before the end");
         assertNull(table.lease("d"));
         assertEquals(List.of("HELD", 2L, 0L), apply(DutyTable.ask("d", "b", 9, 1000, 1)));
-        assertEquals(List.of("UNCHANGED"), apply(DutyTable.release("d", 1)), "the end of an earlier lease");
+        assertEquals(
+                List.of("UNCHANGED"),
+                apply(DutyTable.release("d", 1)),
+                "the end of an earlier lease");
         assertEquals("b", table.lease("d").holder());
     }
 
@@ -57,7 +70,10 @@
         other.restore(table.snapshot());
         assertEquals(table.leases(), other.leases());
         assertEquals(List.of("d", "e"), heard);
-        assertEquals(List.of("HELD", 3L, 0L), other.apply(9, DutyTable.ask("e", "c", 1, 1000, 2)), "tokens go on");
+        assertEquals(
+                List.of("HELD", 3L, 0L),
+                other.apply(9, DutyTable.ask("e", "c", 1, 1000, 2)),
+                "tokens go on");
     }
 
     @Test
--- a/src/test/java/holdproxy/lab/AuditorsTest.java
+++ b/src/test/java/holdproxy/lab/AuditorsTest.java
@@ -29,7 +29,8 @@
  * network.
  */
 class AuditorsTest {
-    private static final Scenario SMALL = new Scenario("small", 7, 5, Scenario.SMALL, Scenario.PLAIN, List.of());
+    private static final Scenario SMALL =
+            new Scenario("small", 7, 5, Scenario.SMALL, Scenario.PLAIN, List.of());
 
     /** What a fault does with bytes that the proxy writes; what it returns goes out. */
     private interface Plant {
@@ -49,24 +50,32 @@
         }
 
         private ChannelHandler[] with(ChannelHandler... handlers) {
-            ChannelHandler tap = new ChannelOutboundHandlerAdapter() {
-                @Override
-                public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-                    ByteBuf bytes = (ByteBuf) message;
-                    ctx.write(fault.written(bytes.toString(StandardCharsets.ISO_8859_1), bytes), promise);
-                }
-            };
-            return Stream.concat(Stream.of(tap), Stream.of(handlers)).toArray(ChannelHandler[]::new);
+            ChannelHandler tap =
+                    new ChannelOutboundHandlerAdapter() {
+                        @Override
+                        public void write(
+                                ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
+                            ByteBuf bytes = (ByteBuf) message;
+                            ctx.write(
+                                    fault.written(
+                                            bytes.toString(StandardCharsets.ISO_8859_1), bytes),
+                                    promise);
+                        }
+                    };
+            return Stream.concat(Stream.of(tap), Stream.of(handlers))
+                    .toArray(ChannelHandler[]::new);
         }
 
         @Override
-        public ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+        public ChannelFuture connect(
+                InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
             boolean node = address.getPort() == 11211;
             return network.connect(address, timeoutMs, atNodes && node ? with(handlers) : handlers);
         }
 
         @Override
-        public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
+        public ChannelFuture listen(
+                InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
             return network.listen(address, () -> atNodes ? handlers.get() : with(handlers.get()));
         }
 
@@ -91,8 +100,11 @@
     /** Sends what a proxy wrote to another node as well. */
     private static void sendToo(Transport network, int node, ByteBuf bytes, int times) {
         for (int i = 0; i < times; i++) {
-            ChannelFuture connected = network.connect(new InetSocketAddress("10.2.0." + node, 11211), 1000,
-                new ChannelInboundHandlerAdapter());
+            ChannelFuture connected =
+                    network.connect(
+                            new InetSocketAddress("10.2.0." + node, 11211),
+                            1000,
+                            new ChannelInboundHandlerAdapter());
             Channel ch = connected.channel();
             ByteBuf copy = bytes.copy();
             connected.addListener(f -> ch.writeAndFlush(copy));
@@ -101,53 +113,96 @@
 
     @Test
     void anAnswerGivenTwiceIsFound() {
-        assertFalse(Auditors.oneAnswer(play(false, n -> nth(50, (text, bytes) ->
-            Unpooled.copiedBuffer(text + text, StandardCharsets.ISO_8859_1)))).isEmpty());
+        assertFalse(
+                Auditors.oneAnswer(
+                                play(
+                                        false,
+                                        n ->
+                                                nth(
+                                                        50,
+                                                        (text, bytes) ->
+                                                                Unpooled.copiedBuffer(
+                                                                        text + text,
+                                                                        StandardCharsets
+                                                                                .ISO_8859_1))))
+                        .isEmpty());
     }
 
     @Test
     void anAnswerDroppedIsFound() {
-        assertFalse(Auditors.oneAnswer(play(false, n -> nth(50, (text, bytes) -> Unpooled.EMPTY_BUFFER)))
-            .isEmpty());
+        assertFalse(
+                Auditors.oneAnswer(
+                                play(false, n -> nth(50, (text, bytes) -> Unpooled.EMPTY_BUFFER)))
+                        .isEmpty());
     }
 
     @Test
     void answersSwappedAreFound() {
         ByteBuf[] held = new ByteBuf[1];
-        assertFalse(Auditors.honestValues(play(false, n -> (text, bytes) -> {
-            ByteBuf out = held[0] == null ? bytes : held[0];
-            held[0] = held[0] == null ? bytes.copy() : null;
-            return out;
-        })).isEmpty());
+        assertFalse(
+                Auditors.honestValues(
+                                play(
+                                        false,
+                                        n ->
+                                                (text, bytes) -> {
+                                                    ByteBuf out = held[0] == null ? bytes : held[0];
+                                                    held[0] = held[0] == null ? bytes.copy() : null;
+                                                    return out;
+                                                }))
+                        .isEmpty());
     }
 
     @Test
     void anEnrolmentSentToTwoNodesIsFound() {
-        assertFalse(Auditors.repeats(play(true, n -> (text, bytes) -> {
-            if (text.contains("c=enrolment")) {
-                sendToo(n, 5, bytes, 1);
-            }
-            return bytes;
-        })).isEmpty());
+        assertFalse(
+                Auditors.repeats(
+                                play(
+                                        true,
+                                        n ->
+                                                (text, bytes) -> {
+                                                    if (text.contains("c=enrolment")) {
+                                                        sendToo(n, 5, bytes, 1);
+                                                    }
+                                                    return bytes;
+                                                }))
+                        .isEmpty());
     }
 
     @Test
     void tooManyAttemptsAreFound() {
-        assertFalse(Auditors.attempts(play(true, n -> nth(50, (text, bytes) -> {
-            sendToo(n, 5, bytes, 3);
-            return bytes;
-        }))).isEmpty());
+        assertFalse(
+                Auditors.attempts(
+                                play(
+                                        true,
+                                        n ->
+                                                nth(
+                                                        50,
+                                                        (text, bytes) -> {
+                                                            sendToo(n, 5, bytes, 3);
+                                                            return bytes;
+                                                        })))
+                        .isEmpty());
     }
 
     @Test
     void aSendAfterADrainIsFound() {
         try (Town town = new Town(SMALL)) {
-            town.at(1, () -> {
-                town.nodes.get(4).drain();
-                town.relist(town.nodes.get(4));
-            });
-            town.at(2, () -> sendToo(town.network.process("proxy-0", town.loop, 0), 4, Unpooled.copiedBuffer(
-                "mg a1 v Off Pc=card-check,d=500\r\n", StandardCharsets.ISO_8859_1), 1));
+            town.at(
+                    1,
+                    () -> {
+                        town.nodes.get(4).drain();
+                        town.relist(town.nodes.get(4));
+                    });
+            town.at(
+                    2,
+                    () ->
+                            sendToo(
+                                    town.network.process("proxy-0", town.loop, 0),
+                                    4,
+                                    Unpooled.copiedBuffer(
+                                            "mg a1 v Off Pc=card-check,d=500\r\n",
+                                            StandardCharsets.ISO_8859_1),
+                                    1));
             town.play();
             assertFalse(Auditors.drains(town.record.events()).isEmpty());
         }
@@ -161,8 +216,16 @@
                 if (back) {
                     town.at(1.8, () -> town.proxies.get(0).leaveOut("s-4", false));
                 }
-                town.at(2, () -> sendToo(town.network.process("proxy-0", town.loop, 0), 4, Unpooled.copiedBuffer(
-                    "mg a1 v Off Pc=card-check,d=500\r\n", StandardCharsets.ISO_8859_1), 1));
+                town.at(
+                        2,
+                        () ->
+                                sendToo(
+                                        town.network.process("proxy-0", town.loop, 0),
+                                        4,
+                                        Unpooled.copiedBuffer(
+                                                "mg a1 v Off Pc=card-check,d=500\r\n",
+                                                StandardCharsets.ISO_8859_1),
+                                        1));
                 town.play();
                 assertEquals(back, Auditors.leftOut(town.record.events()).isEmpty());
             }
@@ -172,24 +235,55 @@
     @Test
     void figuresThatCountAnAnswerNoClientGotAreFound() {
         assertTrue(Auditors.figures(play(false, n -> (text, bytes) -> bytes)).isEmpty());
-        assertFalse(Auditors.figures(play(false, n -> nth(50, (text, bytes) -> text.startsWith("VA ")
-            ? Unpooled.copiedBuffer("SERVER_ERROR failed\r\n", StandardCharsets.ISO_8859_1) : bytes))).isEmpty());
+        assertFalse(
+                Auditors.figures(
+                                play(
+                                        false,
+                                        n ->
+                                                nth(
+                                                        50,
+                                                        (text, bytes) ->
+                                                                text.startsWith("VA ")
+                                                                        ? Unpooled.copiedBuffer(
+                                                                                "SERVER_ERROR"
+                                                                                    + " failed\r\n",
+                                                                                StandardCharsets
+                                                                                        .ISO_8859_1)
+                                                                        : bytes)))
+                        .isEmpty());
     }
 
     @Test
     void triesThatNodesGotAndTheProxyDoesNotCountAreFound() {
-        assertFalse(Auditors.figures(play(true, n -> nth(20, (text, bytes) -> {
-            sendToo(n, 5, bytes, 1);
-            return bytes;
-        }))).isEmpty());
+        assertFalse(
+                Auditors.figures(
+                                play(
+                                        true,
+                                        n ->
+                                                nth(
+                                                        20,
+                                                        (text, bytes) -> {
+                                                            sendToo(n, 5, bytes, 1);
+                                                            return bytes;
+                                                        })))
+                        .isEmpty());
     }
 
     @Test
     void anAttemptBeyondTheSettingsOfItsTimeIsFound() {
-        try (Town town = new Town(SMALL, n -> new Planted(n, true, nth(20, (text, bytes) -> {
-            sendToo(n, 5, bytes, 1);
-            return bytes;
-        })))) {
+        try (Town town =
+                new Town(
+                        SMALL,
+                        n ->
+                                new Planted(
+                                        n,
+                                        true,
+                                        nth(
+                                                20,
+                                                (text, bytes) -> {
+                                                    sendToo(n, 5, bytes, 1);
+                                                    return bytes;
+                                                })))) {
             town.at(1, () -> town.proxies.forEach(p -> p.retune(1)));
             town.play();
             assertFalse(Auditors.attempts(town.record.events()).isEmpty());
@@ -198,15 +292,24 @@
 
     /** A node starts cold, all know it, and each command goes to it so many times over. */
     private static List<String> rushed(int times) {
-        try (Town town = new Town(SMALL, n -> new Planted(n, true, (text, bytes) -> {
-            sendToo(n, 5, bytes, times);
-            return bytes;
-        }))) {
+        try (Town town =
+                new Town(
+                        SMALL,
+                        n ->
+                                new Planted(
+                                        n,
+                                        true,
+                                        (text, bytes) -> {
+                                            sendToo(n, 5, bytes, times);
+                                            return bytes;
+                                        }))) {
             town.at(0.5, () -> town.nodes.get(5).end("crash"));
-            town.at(1, () -> {
-                town.nodes.get(5).startCold();
-                town.relist(town.nodes.get(5));
-            });
+            town.at(
+                    1,
+                    () -> {
+                        town.nodes.get(5).startCold();
+                        town.relist(town.nodes.get(5));
+                    });
             town.play();
             return Auditors.coldNodes(town.record.events());
         }
@@ -220,7 +323,17 @@
 
     @Test
     void aRefusalOfAnEnrolmentThatRanIsFound() {
-        assertFalse(Auditors.harmlessRefusals(play(false, n -> (text, bytes) -> text.startsWith("HD ")
-            ? Unpooled.copiedBuffer("SERVER_ERROR busy\r\n", StandardCharsets.ISO_8859_1) : bytes)).isEmpty());
+        assertFalse(
+                Auditors.harmlessRefusals(
+                                play(
+                                        false,
+                                        n ->
+                                                (text, bytes) ->
+                                                        text.startsWith("HD ")
+                                                                ? Unpooled.copiedBuffer(
+                                                                        "SERVER_ERROR busy\r\n",
+                                                                        StandardCharsets.ISO_8859_1)
+                                                                : bytes))
+                        .isEmpty());
     }
 }
--- a/src/test/java/holdproxy/lab/CouncilTrialTest.java
+++ b/src/test/java/holdproxy/lab/CouncilTrialTest.java
@@ -23,7 +23,8 @@
         return CouncilTrial.play(seed, seed % 2 == 0 ? 3 : 5, 2, SECONDS, planted);
     }
 
-    private static DutiesTrial.Outcome duties(long seed, Set<Duties.Guard> guards, boolean checksTokens) {
+    private static DutiesTrial.Outcome duties(
+            long seed, Set<Duties.Guard> guards, boolean checksTokens) {
         return DutiesTrial.play(seed, seed % 2 == 0 ? 3 : 5, 2, SECONDS, guards, checksTokens);
     }
 
@@ -32,27 +33,46 @@
         Set<String> kinds = new TreeSet<>();
         int answered = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CouncilTrial.Outcome outcome = council(seed, EnumSet.noneOf(CouncilTrial.Planted.class));
+            CouncilTrial.Outcome outcome =
+                    council(seed, EnumSet.noneOf(CouncilTrial.Planted.class));
             assertEquals(List.of(), outcome.broken(), "seed " + seed + " " + outcome.kinds());
             kinds.addAll(outcome.kinds());
             answered += outcome.answered();
         }
-        assertTrue(kinds.containsAll(List.of("killed", "disk lost", "stopped", "cut off", "hears nobody",
-            "nobody hears it", "split", "slow", "disk full", "disk not forced", "restarted", "bit flipped")), kinds + "");
+        assertTrue(
+                kinds.containsAll(
+                        List.of(
+                                "killed",
+                                "disk lost",
+                                "stopped",
+                                "cut off",
+                                "hears nobody",
+                                "nobody hears it",
+                                "split",
+                                "slow",
+                                "disk full",
+                                "disk not forced",
+                                "restarted",
+                                "bit flipped")),
+                kinds + "");
         assertTrue(answered > SEEDS * 500, answered + " answered");
     }
 
     @Test
     void trialsGoTheSameWayEachTime() {
         assertEquals(council(3, Set.of()), council(3, Set.of()));
-        assertEquals(duties(3, EnumSet.allOf(Duties.Guard.class), true), duties(3, EnumSet.allOf(Duties.Guard.class), true));
+        assertEquals(
+                duties(3, EnumSet.allOf(Duties.Guard.class), true),
+                duties(3, EnumSet.allOf(Duties.Guard.class), true));
     }
 
     @ParameterizedTest
     @EnumSource
     void aPlantedFaultOfTheCouncilIsFound(CouncilTrial.Planted planted) {
-        assertTrue(LongStream.rangeClosed(1, SEEDS_TO_FIND).anyMatch(seed ->
-            !council(seed, EnumSet.of(planted)).broken().isEmpty()), "no seed finds " + planted);
+        assertTrue(
+                LongStream.rangeClosed(1, SEEDS_TO_FIND)
+                        .anyMatch(seed -> !council(seed, EnumSet.of(planted)).broken().isEmpty()),
+                "no seed finds " + planted);
     }
 
     @Test
@@ -72,13 +92,21 @@
     @EnumSource
     void withoutOneOfItsGuardsADutyHasTwoHolders(Duties.Guard without) {
         Set<Duties.Guard> rest = EnumSet.complementOf(EnumSet.of(without));
-        assertTrue(LongStream.rangeClosed(1, SEEDS_TO_FIND).anyMatch(seed ->
-            !duties(seed, rest, true).broken().isEmpty()), "no seed needs " + without);
+        assertTrue(
+                LongStream.rangeClosed(1, SEEDS_TO_FIND)
+                        .anyMatch(seed -> !duties(seed, rest, true).broken().isEmpty()),
+                "no seed needs " + without);
     }
 
     @Test
     void aResourceThatDoesNotLookAtTokensTakesAnOldHoldersAct() {
-        assertTrue(LongStream.rangeClosed(1, SEEDS_TO_FIND).anyMatch(seed -> duties(seed,
-            EnumSet.allOf(Duties.Guard.class), false).broken().stream().anyMatch(b -> b.startsWith("the resource"))));
+        assertTrue(
+                LongStream.rangeClosed(1, SEEDS_TO_FIND)
+                        .anyMatch(
+                                seed ->
+                                        duties(seed, EnumSet.allOf(Duties.Guard.class), false)
+                                                .broken()
+                                                .stream()
+                                                .anyMatch(b -> b.startsWith("the resource"))));
     }
 }
--- a/src/test/java/holdproxy/lab/CycleTest.java
+++ b/src/test/java/holdproxy/lab/CycleTest.java
@@ -16,9 +16,24 @@
         List<double[]> plays = new ArrayList<>();
         for (int play = 0; play < 3; play++) {
             double phase = random.nextDouble(2 * Math.PI);
-            plays.add(IntStream.range(0, 120).mapToDouble(i -> 120 * (1 + part
-                * Math.sin(phase + 2 * Math.PI * i * LoadSeries.BIN_S / periodS))
-                + Math.sqrt(120) * random.nextGaussian()).toArray());
+            plays.add(
+                    IntStream.range(0, 120)
+                            .mapToDouble(
+                                    i ->
+                                            120
+                                                            * (1
+                                                                    + part
+                                                                            * Math.sin(
+                                                                                    phase
+                                                                                            + 2
+                                                                                                    * Math
+                                                                                                            .PI
+                                                                                                    * i
+                                                                                                    * LoadSeries
+                                                                                                            .BIN_S
+                                                                                                    / periodS))
+                                                    + Math.sqrt(120) * random.nextGaussian())
+                            .toArray());
         }
         return plays;
     }
--- a/src/test/java/holdproxy/lab/HuntTest.java
+++ b/src/test/java/holdproxy/lab/HuntTest.java
@@ -9,8 +9,10 @@
 /** Towns drawn by seeds, faults overlapping: no rule is broken, and a seed always goes the same way. */
 class HuntTest {
     private static List<Play> hunt(long seeds) {
-        return LongStream.rangeClosed(1, seeds).parallel()
-            .mapToObj(seed -> Play.of(Scenario.drawn(seed, 10))).toList();
+        return LongStream.rangeClosed(1, seeds)
+                .parallel()
+                .mapToObj(seed -> Play.of(Scenario.drawn(seed, 10)))
+                .toList();
     }
 
     @Test
@@ -22,6 +24,8 @@
 
     @Test
     void aSecondHuntGoesTheSameWay() {
-        assertEquals(hunt(20).stream().map(Play::hash).toList(), hunt(20).stream().map(Play::hash).toList());
+        assertEquals(
+                hunt(20).stream().map(Play::hash).toList(),
+                hunt(20).stream().map(Play::hash).toList());
     }
 }
--- a/src/test/java/holdproxy/lab/LoadCommandsTest.java
+++ b/src/test/java/holdproxy/lab/LoadCommandsTest.java
@@ -33,10 +33,15 @@
     }
 
     @Test
-    void belowWhatTheNodesCanDoAllIsServedInTimeAndAPlotIsWritten(@TempDir Path dir) throws IOException {
+    void belowWhatTheNodesCanDoAllIsServedInTimeAndAPlotIsWritten(@TempDir Path dir)
+            throws IOException {
         Path plot = dir.resolve("plot.png");
-        Map<String, Object> report = report(("overload --loads 0.5 --seeds 2 --seconds 12 --warm-up 2 --json "
-            + "--greedy 0 --plot " + plot).split(" "));
+        Map<String, Object> report =
+                report(
+                        ("overload --loads 0.5 --seeds 2 --seconds 12 --warm-up 2 --json "
+                                        + "--greedy 0 --plot "
+                                        + plot)
+                                .split(" "));
         Object row = ((List<?>) report.get("loads")).get(0);
         assertEquals(0.5, figure(row, "share"), 0.06);
         assertTrue(figure(row, "least_s") <= figure(row, "mean_s"), row.toString());
@@ -45,8 +50,10 @@
 
     @Test
     void aStepIsSeenInWhatTheNodesAreSent() throws IOException {
-        Map<String, Object> report = report("step", "--seeds", "1", "--up-at", "11", "--for", "11", "--after", "6",
-            "--low", "0.2", "--high", "0.6", "--json");
+        Map<String, Object> report =
+                report(
+                        "step", "--seeds", "1", "--up-at", "11", "--for", "11", "--after", "6",
+                        "--low", "0.2", "--high", "0.6", "--json");
         assertEquals(0.6, figure(report, "up_attempts_level"), 0.1);
         assertTrue(figure(report, "up_settled_s") < 11, report.toString());
     }
--- a/src/test/java/holdproxy/lab/PeersTrialTest.java
+++ b/src/test/java/holdproxy/lab/PeersTrialTest.java
@@ -38,15 +38,19 @@
 
     @Test
     void aTrialGoesTheSameWayEachTime() {
-        assertEquals(play(5, EnumSet.allOf(Membership.Guard.class)), play(5, EnumSet.allOf(Membership.Guard.class)));
+        assertEquals(
+                play(5, EnumSet.allOf(Membership.Guard.class)),
+                play(5, EnumSet.allOf(Membership.Guard.class)));
     }
 
     @ParameterizedTest
     @EnumSource
     void withoutOneOfItsRulesMembershipBreaks(Membership.Guard without) {
         Set<Membership.Guard> rest = EnumSet.complementOf(EnumSet.of(without));
-        assertTrue(LongStream.rangeClosed(1, SEEDS).anyMatch(seed -> !play(seed, rest).broken().isEmpty()),
-            "no seed to " + SEEDS + " needs " + without);
+        assertTrue(
+                LongStream.rangeClosed(1, SEEDS)
+                        .anyMatch(seed -> !play(seed, rest).broken().isEmpty()),
+                "no seed to " + SEEDS + " needs " + without);
     }
 
     /** The rules' own cost: what each process sends does not grow with the fleet. */
--- a/src/test/java/holdproxy/lab/ScenarioFileTest.java
+++ b/src/test/java/holdproxy/lab/ScenarioFileTest.java
@@ -24,29 +24,46 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "seconds = 5;;[town];nodez = 3                          | line 4: nodez is unknown in [town]",
-        "seconds = 0                                            | line 1: seconds in the scenario is not a number from",
-        "[town];nodes = 2.5                                     | line 2: nodes in [town] is not a whole number",
-        "[town];nodes = \"ten\"                                 | line 2: nodes in [town] is not a number",
-        "town = 3                                               | line 1: town is no table",
-        "[load];clubs = [0.5, 0.6]                              | line 2: the shares of clubs make 1.1",
-        "[load];clubs = [0.5, \"x\"]                            | line 2: clubs holds something else",
-        "[[fault]];kind = \"flood\";at_s = 1                    | line 2: kind is not one of crash",
-        "[[fault]];kind = \"crash\"                             | line 1: at_s is missing from [[fault]]",
-        "[[fault]];kind = \"kill\";at_s = 1;proxy = 2           | line 4: proxy in [[fault]] is not a number from 0.0 to 1",
-        "[[fault]];kind = \"restart\";at_s = 1;proxy = 0;times = 2 | line 5: times is unknown in [[fault]]",
-        "seconds = 5;seconds = 6                                | line 2:",
-        "[town                                                  | line 1:"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "seconds = 5;;[town];nodez = 3                          | line 4: nodez is unknown"
+                        + " in [town]",
+                "seconds = 0                                            | line 1: seconds in the"
+                        + " scenario is not a number from",
+                "[town];nodes = 2.5                                     | line 2: nodes in [town]"
+                        + " is not a whole number",
+                "[town];nodes = \"ten\"                                 | line 2: nodes in [town]"
+                        + " is not a number",
+                "town = 3                                               | line 1: town is no table",
+                "[load];clubs = [0.5, 0.6]                              | line 2: the shares of"
+                        + " clubs make 1.1",
+                "[load];clubs = [0.5, \"x\"]                            | line 2: clubs holds"
+                        + " something else",
+                "[[fault]];kind = \"flood\";at_s = 1                    | line 2: kind is not one"
+                        + " of crash",
+                "[[fault]];kind = \"crash\"                             | line 1: at_s is missing"
+                        + " from [[fault]]",
+                "[[fault]];kind = \"kill\";at_s = 1;proxy = 2           | line 4: proxy in"
+                        + " [[fault]] is not a number from 0.0 to 1",
+                "[[fault]];kind = \"restart\";at_s = 1;proxy = 0;times = 2 | line 5: times is"
+                        + " unknown in [[fault]]",
+                "seconds = 5;seconds = 6                                | line 2:",
+                "[town                                                  | line 1:"
+            })
     void whatIsWrongIsNamedWithItsLine(String text, String error) {
-        BadInput e = assertThrows(BadInput.class, () -> ScenarioFile.read("x.toml", text.replace(';', '\n')));
+        BadInput e =
+                assertThrows(
+                        BadInput.class, () -> ScenarioFile.read("x.toml", text.replace(';', '\n')));
         assertTrue(e.getMessage().startsWith("x.toml " + error), e.getMessage());
     }
 
     @Test
     void theShippedScenariosAreRead() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("lab"))) {
-            List<Path> shipped = files.filter(f -> f.toString().endsWith(".toml")).sorted().toList();
+            List<Path> shipped =
+                    files.filter(f -> f.toString().endsWith(".toml")).sorted().toList();
             assertTrue(shipped.size() >= 12, shipped.size() + " scenarios");
             for (Path f : shipped) {
                 assertEquals(f.getFileName().toString(), ScenarioFile.read(f).name() + ".toml");
@@ -56,11 +73,20 @@
 
     @Test
     void shrinkingKeepsWhatBreaks() {
-        Scenario whole = TownTest.small(1, TownTest.fault(Fault.Kind.SLOW, 2, 1, 3),
-            TownTest.fault(Fault.Kind.CRASH, 3, 1, 1), TownTest.fault(Fault.Kind.HOLD, 9, 1, 0));
+        Scenario whole =
+                TownTest.small(
+                        1,
+                        TownTest.fault(Fault.Kind.SLOW, 2, 1, 3),
+                        TownTest.fault(Fault.Kind.CRASH, 3, 1, 1),
+                        TownTest.fault(Fault.Kind.HOLD, 9, 1, 0));
         // broken by the crash of a node above 0, with 2 proxies
-        Scenario least = Shrinker.shrink(whole, s -> s.town().proxies() == 2
-            && s.faults().stream().anyMatch(f -> f.kind() == Fault.Kind.CRASH));
+        Scenario least =
+                Shrinker.shrink(
+                        whole,
+                        s ->
+                                s.town().proxies() == 2
+                                        && s.faults().stream()
+                                                .anyMatch(f -> f.kind() == Fault.Kind.CRASH));
         assertEquals(List.of(whole.faults().get(1)), least.faults());
         assertEquals(3, least.seconds());
         assertEquals(2, least.town().nodes());
--- a/src/test/java/holdproxy/lab/TownTest.java
+++ b/src/test/java/holdproxy/lab/TownTest.java
@@ -21,9 +21,15 @@
     }
 
     private static Scenario troubled(long seed) {
-        return small(seed, fault(Fault.Kind.CRASH, 2, 3, 1), fault(Fault.Kind.SLOW, 4, 0, 2),
-            fault(Fault.Kind.SILENT, 5, 2, 3), fault(Fault.Kind.REPLACE, 6, 0, 4),
-            fault(Fault.Kind.RESTART, 7, 1, 0), fault(Fault.Kind.RESETS, 1, 6, 5), fault(Fault.Kind.KILL, 9, 1, 1));
+        return small(
+                seed,
+                fault(Fault.Kind.CRASH, 2, 3, 1),
+                fault(Fault.Kind.SLOW, 4, 0, 2),
+                fault(Fault.Kind.SILENT, 5, 2, 3),
+                fault(Fault.Kind.REPLACE, 6, 0, 4),
+                fault(Fault.Kind.RESTART, 7, 1, 0),
+                fault(Fault.Kind.RESETS, 1, 6, 5),
+                fault(Fault.Kind.KILL, 9, 1, 1));
     }
 
     private static void keepsTheRules(Play play, double servedInTime) {
@@ -43,8 +49,16 @@
 
     @Test
     void operatorsLeaveNodesOutAndRetuneWhileProxiesComeAndGo() {
-        keepsTheRules(Play.of(small(8, fault(Fault.Kind.LEAVE_OUT, 2, 4, 1), fault(Fault.Kind.LEAVE_OUT, 3, 5, 2),
-            fault(Fault.Kind.RETUNE, 4, 3, 0), fault(Fault.Kind.RESTART, 5, 1, 0), fault(Fault.Kind.KILL, 8, 1, 1))), 0.8);
+        keepsTheRules(
+                Play.of(
+                        small(
+                                8,
+                                fault(Fault.Kind.LEAVE_OUT, 2, 4, 1),
+                                fault(Fault.Kind.LEAVE_OUT, 3, 5, 2),
+                                fault(Fault.Kind.RETUNE, 4, 3, 0),
+                                fault(Fault.Kind.RESTART, 5, 1, 0),
+                                fault(Fault.Kind.KILL, 8, 1, 1))),
+                0.8);
     }
 
     @Test
@@ -58,7 +72,9 @@
     void aDyingProxyLosesWhatItHadAndItsClientsComeAgain() {
         Town town = new Town(small(4, fault(Fault.Kind.KILL, 4, 2, 0)));
         town.play();
-        assertTrue(town.record.events().stream().anyMatch(e -> e.kind() == Event.Kind.CUT), "nothing was cut");
+        assertTrue(
+                town.record.events().stream().anyMatch(e -> e.kind() == Event.Kind.CUT),
+                "nothing was cut");
         assertEquals(List.of(), Auditors.broken(town.record.events()));
         assertTrue(new Service(town.record.events()).share() > 0.8);
         town.close();
--- a/src/test/java/holdproxy/lab/ZonesTest.java
+++ b/src/test/java/holdproxy/lab/ZonesTest.java
@@ -22,14 +22,23 @@
 
     /** Three zones of two proxies and four nodes each; zone 1 is met. */
     private static Scenario town(Fault.Kind kind, double forS, double delayMs) {
-        return new Scenario("zones", 5, 14, Scenario.SMALL, Scenario.PLAIN, kind == null ? List.of()
-            : List.of(new Fault(kind, LOST_AT_S, forS, 2, 1, 0, 3, 0.2)), new Scenario.Rooms(3, List.of(delayMs)))
-            .withTown(6, 12);
+        return new Scenario(
+                        "zones",
+                        5,
+                        14,
+                        Scenario.SMALL,
+                        Scenario.PLAIN,
+                        kind == null
+                                ? List.of()
+                                : List.of(new Fault(kind, LOST_AT_S, forS, 2, 1, 0, 3, 0.2)),
+                        new Scenario.Rooms(3, List.of(delayMs)))
+                .withTown(6, 12);
     }
 
     private static long lost(Town town, String what) {
         return town.record.events().stream()
-            .filter(e -> e.kind() == Event.Kind.LOST && e.word(0).equals(what)).count();
+                .filter(e -> e.kind() == Event.Kind.LOST && e.word(0).equals(what))
+                .count();
     }
 
     @ParameterizedTest
@@ -48,9 +57,14 @@
         Play play = Play.of(town(Fault.Kind.ZONE_SILENT, 6, 1));
         double lastSendS = (double) play.figures().get("last_send_into_zone_1_s");
         assertTrue(lastSendS > 0 && lastSendS < 6, "last send into it after " + lastSendS + " s");
-        assertEquals(4, play.figures().get("proxies_that_sent_into_zone_1"), "those of the two other zones");
+        assertEquals(
+                4,
+                play.figures().get("proxies_that_sent_into_zone_1"),
+                "those of the two other zones");
         double worst = (double) play.figures().get("in_time_zone_1");
-        assertTrue(worst < (double) play.figures().get("in_time_zone_0") && worst > 0.5, play.figures().toString());
+        assertTrue(
+                worst < (double) play.figures().get("in_time_zone_0") && worst > 0.5,
+                play.figures().toString());
     }
 
     @Test
@@ -63,13 +77,28 @@
                 lostOf[i] = lost(town, "message") + lost(town, "dial");
                 assertTrue(lostOf[i] > 0);
                 // its own nodes go on for its own proxies
-                assertTrue(town.record.events().stream().anyMatch(e -> e.kind() == Event.Kind.ARRIVED
-                    && e.us() > 5_000_000 && e.us() < 7_000_000 && node(e.where()) % 3 == 1
-                    && node(e.word(1)) % 3 == 1), "nothing is served within the zone");
-                // of the others nothing gets in where that is cut, and something does where only the way back is
-                long in = town.record.events().stream().filter(e -> e.kind() == Event.Kind.ARRIVED
-                    && e.us() > 3_100_000 && e.us() < 7_000_000 && node(e.where()) % 3 == 1
-                    && node(e.word(1)) % 3 != 1).count();
+                assertTrue(
+                        town.record.events().stream()
+                                .anyMatch(
+                                        e ->
+                                                e.kind() == Event.Kind.ARRIVED
+                                                        && e.us() > 5_000_000
+                                                        && e.us() < 7_000_000
+                                                        && node(e.where()) % 3 == 1
+                                                        && node(e.word(1)) % 3 == 1),
+                        "nothing is served within the zone");
+                // of the others nothing gets in where that is cut, and something does where only
+                // the way back is
+                long in =
+                        town.record.events().stream()
+                                .filter(
+                                        e ->
+                                                e.kind() == Event.Kind.ARRIVED
+                                                        && e.us() > 3_100_000
+                                                        && e.us() < 7_000_000
+                                                        && node(e.where()) % 3 == 1
+                                                        && node(e.word(1)) % 3 != 1)
+                                .count();
                 assertEquals(kinds[i] == Fault.Kind.ZONE_CUT_OUT, in > 0, in + " got in");
             }
         }
@@ -94,7 +123,8 @@
             town.play();
             List<Event> events = town.record.events();
             assertEquals(List.of(), Auditors.oneAnswer(events));
-            List<Event> unexcused = events.stream().filter(e -> e.kind() != Event.Kind.LOST).toList();
+            List<Event> unexcused =
+                    events.stream().filter(e -> e.kind() != Event.Kind.LOST).toList();
             assertNotEquals(List.of(), Auditors.oneAnswer(unexcused));
         }
     }
@@ -103,7 +133,9 @@
     void theWayBetweenZonesTakesItsTime() {
         long near = (long) Play.of(town(null, 0, 0)).figures().get("served_p50_ms");
         long far = (long) Play.of(town(null, 0, 10)).figures().get("served_p50_ms");
-        assertTrue(far >= near + 8, "median " + far + " ms after " + near); // 20 there and back, two of three times
+        assertTrue(
+                far >= near + 8,
+                "median " + far + " ms after " + near); // 20 there and back, two of three times
         Zones zones = new Zones(3, List.of(1.0, 2.0, 3.0), new SplittableRandom(1));
         assertEquals(2_000, zones.addedUs(0, 2, 500));
         assertEquals(3_000, zones.addedUs(2, 1, 500));
@@ -131,14 +163,19 @@
 
     @Test
     void aScenarioWithZonesIsWrittenAsItIsReadAndMistakesAreNamedWithTheirLine() {
-        Scenario town = town(null, 0, 1.5).withFaults(
-            List.of(new Fault(Fault.Kind.ZONE_GRAY, 3, 4, 0, 1, 0, 3, 0.2),
-                new Fault(Fault.Kind.ZONE_LOST, 3, 4, 2, 2, 0, 0, 0)));
+        Scenario town =
+                town(null, 0, 1.5)
+                        .withFaults(
+                                List.of(
+                                        new Fault(Fault.Kind.ZONE_GRAY, 3, 4, 0, 1, 0, 3, 0.2),
+                                        new Fault(Fault.Kind.ZONE_LOST, 3, 4, 2, 2, 0, 0, 0)));
         assertEquals(town, ScenarioFile.read("f", ScenarioFile.write(town)));
         assertBad("[town]\nzones = 3\nzone_ms = [1.0, 2.0]", "f line 3: zone_ms holds 2 figures");
         assertBad("[town]\nzones = 2\nzone_ms = [-1]", "f line 3: zone_ms holds something else");
         assertBad("[town]\nzones = 9", "f line 2: zones in [town] is not a number from 1.0 to 8.0");
-        assertBad("[town]\nzones = 2\n[[fault]]\nkind = \"zone_cut\"\nat_s = 1\nzone = 2", "f line 6: zone in");
+        assertBad(
+                "[town]\nzones = 2\n[[fault]]\nkind = \"zone_cut\"\nat_s = 1\nzone = 2",
+                "f line 6: zone in");
         assertBad("[[fault]]\nkind = \"zone_lost\"\nat_s = 1", "f line 1: zone is missing");
     }
 
--- a/src/test/java/holdproxy/net/ClientSessionTest.java
+++ b/src/test/java/holdproxy/net/ClientSessionTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import holdproxy.policy.Router;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelOutboundHandlerAdapter;
 import io.netty.channel.ChannelPromise;
 import io.netty.channel.embedded.EmbeddedChannel;
-import holdproxy.policy.Router;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -25,8 +25,7 @@
 
 /** Peers that send no proper request, on a clock that the test moves. */
 class ClientSessionTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final EmbeddedNodes nodes = new EmbeddedNodes();
     private Proxy proxy;
 
@@ -60,7 +59,8 @@
 
     @Test
     void oneThatSendsNoWholeCommandIsToldSoAndEnds() {
-        for (String sends : new String[] {"", "mg 7f", "ms 7f 64 Oa Pc=submit,t=acme,d=900\r\nhello"}) {
+        for (String sends :
+                new String[] {"", "mg 7f", "ms 7f 64 Oa Pc=submit,t=acme,d=900\r\nhello"}) {
             EmbeddedChannel peer = peer(sends);
             pass(peer, 2000);
             assertTrue(peer.isActive());
@@ -83,21 +83,32 @@
     @Test
     void aCommandThatCrossesTheErrorIsNotSentOn() {
         List<ChannelPromise> held = new ArrayList<>();
-        EmbeddedChannel peer = new EmbeddedChannel(new ChannelOutboundHandlerAdapter() {
-            @Override
-            public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-                held.add(promise); // the socket takes nothing for now
-                ctx.write(message);
-            }
-        });
-        proxy.nodes(Router.ListKind.CACHED, List.of(new Discovery.Entry(new Router.Node(), "s-0",
-            new InetSocketAddress("127.0.0.1", 100))));
+        EmbeddedChannel peer =
+                new EmbeddedChannel(
+                        new ChannelOutboundHandlerAdapter() {
+                            @Override
+                            public void write(
+                                    ChannelHandlerContext ctx,
+                                    Object message,
+                                    ChannelPromise promise) {
+                                held.add(promise); // the socket takes nothing for now
+                                ctx.write(message);
+                            }
+                        });
+        proxy.nodes(
+                Router.ListKind.CACHED,
+                List.of(
+                        new Discovery.Entry(
+                                new Router.Node(),
+                                "s-0",
+                                new InetSocketAddress("127.0.0.1", 100))));
         peer.pipeline().addLast(proxy.handlers());
         peer.freezeTime();
         peer.pipeline().fireChannelActive(); // it came up before there was anyone to tell
         pass(peer, 2999);
         assertTrue(said(peer).startsWith("CLIENT_ERROR "));
-        peer.writeInbound(Unpooled.copiedBuffer(Fixture.read("a1", 900), StandardCharsets.ISO_8859_1));
+        peer.writeInbound(
+                Unpooled.copiedBuffer(Fixture.read("a1", 900), StandardCharsets.ISO_8859_1));
         assertEquals(0, nodes.all.size());
         assertEquals(0, proxy.figures().active.get());
         held.forEach(ChannelPromise::trySuccess);
@@ -108,8 +119,13 @@
     /** Each is answered, in order, however many come on top; what is held of those is a count. */
     @Test
     void whatComesOnTopOfWhatOneConnectionMayHaveWaitingIsRefusedInItsTurn() {
-        proxy.nodes(Router.ListKind.CACHED, List.of(new Discovery.Entry(new Router.Node(), "s-0",
-            new InetSocketAddress("127.0.0.1", 100))));
+        proxy.nodes(
+                Router.ListKind.CACHED,
+                List.of(
+                        new Discovery.Entry(
+                                new Router.Node(),
+                                "s-0",
+                                new InetSocketAddress("127.0.0.1", 100))));
         EmbeddedChannel peer = peer("");
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 40_000; i++) {
@@ -119,9 +135,13 @@
         int taken = (int) proxy.figures().active.get();
         assertTrue(taken <= 128, taken + " are taken");
         for (EmbeddedChannel node : List.copyOf(nodes.all)) {
-            for (String text = Rehearsal.text(node); text.contains(" O"); text = Rehearsal.text(node)) {
+            for (String text = Rehearsal.text(node);
+                    text.contains(" O");
+                    text = Rehearsal.text(node)) {
                 int at = text.indexOf(" O") + 1;
-                node.writeInbound(Rehearsal.bytes("VA 1 " + text.substring(at, text.indexOf(' ', at)) + "\r\n1\r\n"));
+                node.writeInbound(
+                        Rehearsal.bytes(
+                                "VA 1 " + text.substring(at, text.indexOf(' ', at)) + "\r\n1\r\n"));
             }
         }
         String[] lines = Rehearsal.text(peer).split("\r\n");
@@ -140,12 +160,17 @@
 
     /** A client whose socket takes nothing, behind so many requests for large values. */
     private EmbeddedChannel hog(int requests, String value) {
-        EmbeddedChannel hog = new EmbeddedChannel(new ChannelOutboundHandlerAdapter() {
-            @Override
-            public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-                ctx.write(message);
-            }
-        });
+        EmbeddedChannel hog =
+                new EmbeddedChannel(
+                        new ChannelOutboundHandlerAdapter() {
+                            @Override
+                            public void write(
+                                    ChannelHandlerContext ctx,
+                                    Object message,
+                                    ChannelPromise promise) {
+                                ctx.write(message);
+                            }
+                        });
         hog.pipeline().addLast(proxy.handlers());
         hog.pipeline().fireChannelActive();
         for (int i = 0; i < requests; i++) {
@@ -158,15 +183,22 @@
     private void served(String id, String value) {
         for (EmbeddedChannel node : List.copyOf(nodes.all)) {
             if (Rehearsal.text(node).contains("O" + id + " ")) {
-                node.writeInbound(Rehearsal.bytes("VA " + value.length() + " O" + id + "\r\n" + value + "\r\n"));
+                node.writeInbound(
+                        Rehearsal.bytes(
+                                "VA " + value.length() + " O" + id + "\r\n" + value + "\r\n"));
             }
         }
     }
 
     @Test
     void whatOthersDoNotTakeCostsNoClientItsConnectionOrItsAnswer() {
-        proxy.nodes(Router.ListKind.CACHED, List.of(new Discovery.Entry(new Router.Node(), "s-0",
-            new InetSocketAddress("127.0.0.1", 100))));
+        proxy.nodes(
+                Router.ListKind.CACHED,
+                List.of(
+                        new Discovery.Entry(
+                                new Router.Node(),
+                                "s-0",
+                                new InetSocketAddress("127.0.0.1", 100))));
         String value = "x".repeat(65_000);
         List<EmbeddedChannel> hogs = List.of(hog(100, value), hog(100, value), hog(5, value));
         EmbeddedChannel client = peer(Fixture.read("a1", 4000));
@@ -183,7 +215,10 @@
         EmbeddedChannel peer = peer("mn\r\n");
         peer.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         peer.runPendingTasks();
-        peer.writeInbound(Rehearsal.bytes("mn\r\nms k 3 Od Pc=charge,t=acme,d=900,k=1\r\nabcdefg\r\n")); // framing lost
+        peer.writeInbound(
+                Rehearsal.bytes(
+                        "mn\r\nms k 3 Od Pc=charge,t=acme,d=900,k=1\r\nabcdefg\r\n")); // framing
+        // lost
         pass(peer, 9_000);
         assertTrue(peer.isActive());
         pass(peer, 1_001);
--- a/src/test/java/holdproxy/net/ConfigTest.java
+++ b/src/test/java/holdproxy/net/ConfigTest.java
@@ -21,8 +21,7 @@
 class ConfigTest {
     private static final String KNOWN = Fixture.list(41, true);
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private Map<String, String> env(String json) throws Exception {
         Path file = folder.resolve("config.json");
@@ -66,17 +65,33 @@
         assertTrue(rejected(file).contains("LB_CONFIG"));
         assertTrue(rejected(env("{\"name\":")).contains("JSON"));
         assertTrue(rejected(env("[]")).contains("JSON"));
-        assertTrue(rejected(env(good.replace("\"settings\"", "\"sittings\""))).contains("settings"));
+        assertTrue(
+                rejected(env(good.replace("\"settings\"", "\"sittings\""))).contains("settings"));
         assertTrue(rejected(env(good.replace("8c1f30d27a5be964", "seed"))).contains("seed"));
-        assertTrue(rejected(env(good.replace("\"sockets\":1024", "\"sockets\":3"))).contains("sockets"));
-        assertTrue(rejected(env(good.replace("\"maxAttempts\":4", "\"maxAttempts\":\"x\""))).contains("maxAttempts"));
+        assertTrue(
+                rejected(env(good.replace("\"sockets\":1024", "\"sockets\":3")))
+                        .contains("sockets"));
+        assertTrue(
+                rejected(env(good.replace("\"maxAttempts\":4", "\"maxAttempts\":\"x\"")))
+                        .contains("maxAttempts"));
     }
 
     @Test
     void theProgramEndsWithOneLineAndCode2() throws Exception {
-        ProcessBuilder b = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-cp", System.getProperty("java.class.path"), "holdproxy.Main", "serve");
-        b.environment().putAll(env(Fixture.json("{\"version\":1,\"servers\":[{}]}", Fixture.SETTINGS, 1024)));
+        ProcessBuilder b =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "holdproxy.Main",
+                        "serve");
+        b.environment()
+                .putAll(
+                        env(
+                                Fixture.json(
+                                        "{\"version\":1,\"servers\":[{}]}",
+                                        Fixture.SETTINGS,
+                                        1024)));
         Process p = b.start();
         String err = new String(p.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(2, p.waitFor());
@@ -88,8 +103,11 @@
     @Test
     void whereNoTimeForDialsIsStatedWhatTheyMayTakeIsReckonedWith() {
         for (String dial : new String[] {"", "caps.dialTimeoutMs=0\n"}) {
-            assertEquals(1_000_000, new SettingsText(dial + "grades.count=0\n").settings().dialTimeoutUs);
+            assertEquals(
+                    1_000_000,
+                    new SettingsText(dial + "grades.count=0\n").settings().dialTimeoutUs);
         }
-        assertEquals(200_000, new SettingsText("caps.dialTimeoutMs=200\n").settings().dialTimeoutUs);
+        assertEquals(
+                200_000, new SettingsText("caps.dialTimeoutMs=200\n").settings().dialTimeoutUs);
     }
 }
--- a/src/test/java/holdproxy/net/CrossingsTest.java
+++ b/src/test/java/holdproxy/net/CrossingsTest.java
@@ -66,12 +66,16 @@
     @Test
     void behindAnAnswerWithoutAnIdNoWriteIsBegun() throws Exception {
         MockTicker clock = Ticker.newMockTicker();
-        try (Fixture f = new Fixture(1, s -> s.replace("\"maxAttempts\":4", "\"maxAttempts\":1"), 1024, clock)) {
+        try (Fixture f =
+                new Fixture(
+                        1, s -> s.replace("\"maxAttempts\":4", "\"maxAttempts\":1"), 1024, clock)) {
             Peer client = f.client();
             client.send(Fixture.read("a1", 4000));
             Peer first = f.nodes.get(0).next();
             assertTrue(first.line().contains("Oa1 "));
-            first.send("SERVER_ERROR busy\r\n"); // it may be of what was asked before, and a1's is to come
+            first.send(
+                    "SERVER_ERROR busy\r\n"); // it may be of what was asked before, and a1's is to
+            // come
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
             pass(f, clock, 1_000);
             client.send(Fixture.write("charge", "c1", 4000));
@@ -125,8 +129,13 @@
             Peer old = f.nodes.get(0).next();
             assertTrue(old.line().contains("Oa1 "));
             try (Peer.Listener now = new Peer.Listener()) {
-                Fixture.chunk(watch, Fixture.list(2, false, f.entry(0, "SERVING").replace(
-                    f.nodes.get(0).address(), now.address())));
+                Fixture.chunk(
+                        watch,
+                        Fixture.list(
+                                2,
+                                false,
+                                f.entry(0, "SERVING")
+                                        .replace(f.nodes.get(0).address(), now.address())));
                 f.turn();
                 old.send("VA 1 Oa1\r\n1\r\n");
                 client.expect("VA 1 Oa1", "1");
@@ -142,13 +151,15 @@
         try (Fixture f = new Fixture(1)) {
             f.nodes.add(new Peer.Listener());
             Peer watch = f.watch();
-            Fixture.chunk(watch, Fixture.list(7, true, f.entry(0, "DRAINING"), f.entry(1, "SERVING")));
+            Fixture.chunk(
+                    watch, Fixture.list(7, true, f.entry(0, "DRAINING"), f.entry(1, "SERVING")));
             Fixture.chunk(watch, Fixture.list(6, true, f.entry(0, "SERVING")));
             f.turn();
             Peer client = f.client();
             client.send(Fixture.read("a1", 4000));
             served(client, f.nodes.get(1).next(), "a1");
-            Fixture.chunk(watch, Fixture.list(8, false, f.entry(0, "SERVING"), f.entry(1, "DRAINING")));
+            Fixture.chunk(
+                    watch, Fixture.list(8, false, f.entry(0, "SERVING"), f.entry(1, "DRAINING")));
             f.turn();
             client.send(Fixture.read("a2", 4000));
             served(client, f.nodes.get(0).next(), "a2");
@@ -158,22 +169,23 @@
     /** Holds the loop while all of it comes, in this order: one turn reads it then, as after a standstill. */
     private static void inOneTurn(Fixture f, Coming all) throws Exception {
         f.turn(); // else what was read last would be looked at first
-        held(f, () -> { }, all);
+        held(f, () -> {}, all);
     }
 
     /** Holds the loop, which has begun with {@code first}, while all of it comes. */
     private static void held(Fixture f, Runnable first, Coming all) throws Exception {
         CountDownLatch stands = new CountDownLatch(1);
         CountDownLatch goesOn = new CountDownLatch(1);
-        f.loop.execute(() -> {
-            first.run();
-            stands.countDown();
-            try {
-                goesOn.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        f.loop.execute(
+                () -> {
+                    first.run();
+                    stands.countDown();
+                    try {
+                        goesOn.await();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
         stands.await();
         all.come();
         goesOn.countDown();
@@ -193,10 +205,15 @@
             client.send(Fixture.read("a1", 4000));
             Peer drains = f.nodes.get(0).next();
             served(client, drains, "a1");
-            inOneTurn(f, () -> {
-                client.send(Fixture.read("a2", 4000));
-                Fixture.chunk(watch, Fixture.list(2, false, f.entry(0, "DRAINING"), f.entry(1, "SERVING")));
-            });
+            inOneTurn(
+                    f,
+                    () -> {
+                        client.send(Fixture.read("a2", 4000));
+                        Fixture.chunk(
+                                watch,
+                                Fixture.list(
+                                        2, false, f.entry(0, "DRAINING"), f.entry(1, "SERVING")));
+                    });
             served(client, f.nodes.get(1).next(), "a2");
             drains.expectEnd();
         }
@@ -212,7 +229,10 @@
             Peer second = f.client();
             client.send(Fixture.read("a1", 4000));
             Peer one = f.next();
-            second.send(Fixture.read("a2", 4000)); // the less busy of the two is taken: each has a connection then
+            second.send(
+                    Fixture.read(
+                            "a2",
+                            4000)); // the less busy of the two is taken: each has a connection then
             Peer two = f.next();
             served(client, one, "a1");
             served(second, two, "a2");
@@ -222,11 +242,20 @@
             Peer refuses = first ? one : two;
             Peer drains = first ? two : one;
             assertTrue(refuses.line().contains("Oa3 "));
-            int node = f.nodes.get(0).address().endsWith(":" + drains.socket.getLocalPort()) ? 0 : 1;
-            inOneTurn(f, () -> {
-                refuses.send("SERVER_ERROR busy\r\n");
-                Fixture.chunk(watch, Fixture.list(2, false, f.entry(node, "DRAINING"), f.entry(2, "SERVING")));
-            });
+            int node =
+                    f.nodes.get(0).address().endsWith(":" + drains.socket.getLocalPort()) ? 0 : 1;
+            inOneTurn(
+                    f,
+                    () -> {
+                        refuses.send("SERVER_ERROR busy\r\n");
+                        Fixture.chunk(
+                                watch,
+                                Fixture.list(
+                                        2,
+                                        false,
+                                        f.entry(node, "DRAINING"),
+                                        f.entry(2, "SERVING")));
+                    });
             served(client, f.nodes.get(2).next(), "a3");
             drains.expectEnd();
         }
@@ -241,10 +270,12 @@
             Peer old = f.nodes.get(0).next();
             served(client, old, "a1");
             pass(f, clock, 1_000); // a write may go on it
-            inOneTurn(f, () -> {
-                client.send(Fixture.write("charge", "c1", 4000));
-                old.close();
-            });
+            inOneTurn(
+                    f,
+                    () -> {
+                        client.send(Fixture.write("charge", "c1", 4000));
+                        old.close();
+                    });
             Peer fresh = f.nodes.get(0).next();
             assertTrue(fresh.line().contains("Oc1 "));
             fresh.expect("hello");
@@ -258,11 +289,24 @@
         try (Fixture f = new Fixture(1)) {
             f.nodes.add(new Peer.Listener());
             Peer watch = f.watch();
-            String list = Fixture.list(7, true, f.entry(0, "DRAINING").replace("\"east\"", "\"ea}\\\"{st\""),
-                f.entry(1, "SERVING"));
-            String indented = list.replace("{\"", "{\n    \"").replace(",\"", ",\r\n\t\"").replace("}]", "\n}\n]");
-            for (String piece : new String[] {"\n", indented.substring(0, 60), indented.substring(60),
-                "\n\n", Fixture.list(8, false)}) {
+            String list =
+                    Fixture.list(
+                            7,
+                            true,
+                            f.entry(0, "DRAINING").replace("\"east\"", "\"ea}\\\"{st\""),
+                            f.entry(1, "SERVING"));
+            String indented =
+                    list.replace("{\"", "{\n    \"")
+                            .replace(",\"", ",\r\n\t\"")
+                            .replace("}]", "\n}\n]");
+            for (String piece :
+                    new String[] {
+                        "\n",
+                        indented.substring(0, 60),
+                        indented.substring(60),
+                        "\n\n",
+                        Fixture.list(8, false)
+                    }) {
                 watch.send(Integer.toHexString(piece.length()) + "\r\n" + piece + "\r\n");
                 f.turn();
             }
@@ -278,53 +322,83 @@
      * would put down which it is.
      */
     @Test
-    void toldToEndAsSoonAsItListensItGoesOnWhileConnectionsCome(@TempDir Path folder) throws Exception {
+    void toldToEndAsSoonAsItListensItGoesOnWhileConnectionsCome(@TempDir Path folder)
+            throws Exception {
         EventLoop loop = Service.loop(new Turns());
-        try (Peer.Listener node = new Peer.Listener(); Peer.Listener discovery = new Peer.Listener()) {
+        try (Peer.Listener node = new Peer.Listener();
+                Peer.Listener discovery = new Peer.Listener()) {
             Path file = folder.resolve("config.json");
-            Files.writeString(file, Fixture.json(Fixture.list(1, true, "{\"id\":\"s-0\",\"addr\":\"" + node.address()
-                + "\",\"state\":\"SERVING\"}"), Fixture.SETTINGS, 1024));
+            Files.writeString(
+                    file,
+                    Fixture.json(
+                            Fixture.list(
+                                    1,
+                                    true,
+                                    "{\"id\":\"s-0\",\"addr\":\""
+                                            + node.address()
+                                            + "\",\"state\":\"SERVING\"}"),
+                            Fixture.SETTINGS,
+                            1024));
             Config config = Config.load(Fixture.env(file, discovery.address()));
             Sockets sockets = new Sockets(loop, null);
             AtomicReference<Proxy> proxy = new AtomicReference<>();
             List<Boolean> endedAtOnce = new ArrayList<>();
-            Told told = address -> {
-                Future<Void> ended;
-                try (Peer client = Peer.to(address)) {
-                    client.send("mn\r\n");
-                    client.expect("MN");
-                    client.send(Fixture.read("a1", 4000));
-                    Peer at = node.next();
-                    ended = proxy.get().end(60_000);
-                    served(client, at, "a1");
-                }
-                for (int i = 0; i < 5; i++) {
-                    loop.schedule(() -> { }, 1, TimeUnit.MILLISECONDS).get();
-                }
-                endedAtOnce.add(ended.isDone());
-            };
-            Transport transport = new Transport() {
-                @Override
-                public ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
-                    return sockets.connect(address, timeoutMs, handlers);
-                }
+            Told told =
+                    address -> {
+                        Future<Void> ended;
+                        try (Peer client = Peer.to(address)) {
+                            client.send("mn\r\n");
+                            client.expect("MN");
+                            client.send(Fixture.read("a1", 4000));
+                            Peer at = node.next();
+                            ended = proxy.get().end(60_000);
+                            served(client, at, "a1");
+                        }
+                        for (int i = 0; i < 5; i++) {
+                            loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).get();
+                        }
+                        endedAtOnce.add(ended.isDone());
+                    };
+            Transport transport =
+                    new Transport() {
+                        @Override
+                        public ChannelFuture connect(
+                                InetSocketAddress address,
+                                int timeoutMs,
+                                ChannelHandler... handlers) {
+                            return sockets.connect(address, timeoutMs, handlers);
+                        }
 
-                @Override
-                public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
-                    ChannelFuture bound = sockets.listen(address, handlers);
-                    if (!loop.inEventLoop()) {
-                        told.toEnd((InetSocketAddress) bound.syncUninterruptibly().channel().localAddress());
-                    }
-                    return bound;
-                }
+                        @Override
+                        public ChannelFuture listen(
+                                InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
+                            ChannelFuture bound = sockets.listen(address, handlers);
+                            if (!loop.inEventLoop()) {
+                                told.toEnd(
+                                        (InetSocketAddress)
+                                                bound.syncUninterruptibly()
+                                                        .channel()
+                                                        .localAddress());
+                            }
+                            return bound;
+                        }
 
-                @Override
-                public void endSending(Channel channel) {
-                    sockets.endSending(channel);
-                }
-            };
+                        @Override
+                        public void endSending(Channel channel) {
+                            sockets.endSending(channel);
+                        }
+                    };
             Time time = Time.system();
-            proxy.set(loop.submit(() -> new Proxy(config, loop, time, transport, new Log(time, line -> { }))).get());
+            proxy.set(
+                    loop.submit(
+                                    () ->
+                                            new Proxy(
+                                                    config,
+                                                    loop,
+                                                    time,
+                                                    transport,
+                                                    new Log(time, line -> {})))
+                            .get());
             loop.submit(proxy.get()::begin).get();
             Service.listen(proxy.get(), config, loop, false);
             if (endedAtOnce.isEmpty()) {
@@ -357,11 +431,13 @@
             client.send(Fixture.read("a1", 4000));
             served(client, f.nodes.get(0).next(), "a1");
             pass(f, clock, 10);
-            inOneTurn(f, () -> {
-                client.send(Fixture.read("a2", 4000));
-                client.close();
-                clock.advance(400, TimeUnit.MILLISECONDS); // it left so long ago
-            });
+            inOneTurn(
+                    f,
+                    () -> {
+                        client.send(Fixture.read("a2", 4000));
+                        client.close();
+                        clock.advance(400, TimeUnit.MILLISECONDS); // it left so long ago
+                    });
             assertEquals(0, f.active());
             assertEquals(1, f.proxy.figures().tries.get());
         }
@@ -373,13 +449,16 @@
         try (Fixture f = new Fixture(1)) {
             List<Peer> late = new ArrayList<>();
             f.turn();
-            held(f, () -> f.proxy.end(0), () -> {
-                for (int i = 0; i < 60; i++) {
-                    Peer p = f.client();
-                    p.send("mn\r\n");
-                    late.add(p);
-                }
-            });
+            held(
+                    f,
+                    () -> f.proxy.end(0),
+                    () -> {
+                        for (int i = 0; i < 60; i++) {
+                            Peer p = f.client();
+                            p.send("mn\r\n");
+                            late.add(p);
+                        }
+                    });
             for (Peer p : late) {
                 p.expect("MN");
                 p.expectEnd();
@@ -389,18 +468,28 @@
 
     /** What is pushed counts from the process's first moment on, and its own list may be older. */
     @Test
-    void wherePushedListsCountFromTheStartNobodyIsTakenBeforeTheFirst(@TempDir Path folder) throws Exception {
+    void wherePushedListsCountFromTheStartNobodyIsTakenBeforeTheFirst(@TempDir Path folder)
+            throws Exception {
         EventLoop loop = Service.loop(new Turns());
-        try (Peer.Listener drains = new Peer.Listener(); Peer.Listener serves = new Peer.Listener();
+        try (Peer.Listener drains = new Peer.Listener();
+                Peer.Listener serves = new Peer.Listener();
                 Peer.Listener discovery = new Peer.Listener()) {
-            String old = "{\"id\":\"s-0\",\"addr\":\"" + drains.address() + "\",\"state\":\"SERVING\"}";
-            String fresh = "{\"id\":\"s-1\",\"addr\":\"" + serves.address() + "\",\"state\":\"SERVING\"}";
+            String old =
+                    "{\"id\":\"s-0\",\"addr\":\"" + drains.address() + "\",\"state\":\"SERVING\"}";
+            String fresh =
+                    "{\"id\":\"s-1\",\"addr\":\"" + serves.address() + "\",\"state\":\"SERVING\"}";
             Path file = folder.resolve("config.json");
-            Files.writeString(file, Fixture.json(Fixture.list(1, true, old),
-                Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\""), 1024));
+            Files.writeString(
+                    file,
+                    Fixture.json(
+                            Fixture.list(1, true, old),
+                            Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\""),
+                            1024));
             CompletableFuture<Proxy> started = new CompletableFuture<>();
             Config config = Config.load(Fixture.env(file, discovery.address()));
-            Thread starting = new Thread(() -> started.complete(Service.start(config, loop, null, null, null)));
+            Thread starting =
+                    new Thread(
+                            () -> started.complete(Service.start(config, loop, null, null, null)));
             starting.start();
             Peer watch = discovery.next();
             for (String line = watch.line(); !line.isEmpty(); line = watch.line()) {
@@ -408,7 +497,9 @@
             }
             boolean waits = false;
             while (starting.isAlive() && !waits) {
-                waits = Arrays.stream(starting.getStackTrace()).anyMatch(e -> e.getMethodName().equals("awaitFirstList"));
+                waits =
+                        Arrays.stream(starting.getStackTrace())
+                                .anyMatch(e -> e.getMethodName().equals("awaitFirstList"));
             }
             assertTrue(waits, "it listens and has no list yet");
             watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -429,8 +520,15 @@
     /** Each of these ends the watch, and what is held stays. */
     @Test
     void whatIsNoListEndsTheWatchAlone() throws Exception {
-        for (String bad : new String[] {"nothing", "[]", "{\"version\":2}", "{]}", "x".repeat(70_000),
-            "{\"a\":\"" + "x".repeat(1 << 20) + "\"}"}) {
+        for (String bad :
+                new String[] {
+                    "nothing",
+                    "[]",
+                    "{\"version\":2}",
+                    "{]}",
+                    "x".repeat(70_000),
+                    "{\"a\":\"" + "x".repeat(1 << 20) + "\"}"
+                }) {
             try (Fixture f = new Fixture(1)) {
                 Peer watch = f.watch();
                 try {
--- a/src/test/java/holdproxy/net/DepartureTest.java
+++ b/src/test/java/holdproxy/net/DepartureTest.java
@@ -13,13 +13,17 @@
 /** A client leaves while its request waits: it is given up at once, in whatever state it waits, and not sent on. */
 @Timeout(60)
 class DepartureTest {
-    private static final Function<String, String> NO_CANCELLING = s -> s.replace("\"mayCancel\":true",
-        "\"mayCancel\":false");
+    private static final Function<String, String> NO_CANCELLING =
+            s -> s.replace("\"mayCancel\":true", "\"mayCancel\":false");
+
     /** A dial has time: the test says when it is taken. */
-    private static final Function<String, String> PATIENT = s -> NO_CANCELLING.apply(s)
-        .replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":20000.0")
-        .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":60000.0")
-        .replace("\"deadlineMs\":5000.0", "\"deadlineMs\":30000.0");
+    private static final Function<String, String> PATIENT =
+            s ->
+                    NO_CANCELLING
+                            .apply(s)
+                            .replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":20000.0")
+                            .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":60000.0")
+                            .replace("\"deadlineMs\":5000.0", "\"deadlineMs\":30000.0");
 
     /** What the requests of a departed client wait for fails now: nothing may follow from that. */
     private static void nothingFollows(Fixture f, Peer node, int attempts) throws Exception {
@@ -80,13 +84,15 @@
             second.line();
             Peer of1 = line.contains("Oa1") ? first : second;
             of1.send("VA 4000000 Oa1\r\n");
-            Thread feeding = new Thread(() -> {
-                try {
-                    of1.send("x".repeat(4_000_000));
-                } catch (java.io.IOException e) {
-                    // given up, as it should be
-                }
-            });
+            Thread feeding =
+                    new Thread(
+                            () -> {
+                                try {
+                                    of1.send("x".repeat(4_000_000));
+                                } catch (java.io.IOException e) {
+                                    // given up, as it should be
+                                }
+                            });
             feeding.start();
             // the value waits for the client once the proxy no longer reads its node
             while (f.loop.submit(f.proxy.relays::held).get() == 0) {
@@ -100,7 +106,8 @@
 
     @Test
     void whileItsConnectionToTheNodeIsDialed() throws Exception {
-        try (Peer.Deaf deaf = new Peer.Deaf(); Fixture f = new Fixture(0, PATIENT, 1024)) {
+        try (Peer.Deaf deaf = new Peer.Deaf();
+                Fixture f = new Fixture(0, PATIENT, 1024)) {
             Peer watch = f.watch();
             Fixture.chunk(watch, Fixture.list(2, true, node("s-0", deaf.address(), "SERVING")));
             listed(f, 1);
@@ -122,7 +129,9 @@
 
     /** Has whichever connection brings a command answer it; returns that command. */
     private static String answered(Peer one, Peer two) throws Exception {
-        for (long end = System.nanoTime() + 10_000_000_000L; System.nanoTime() < end; Thread.onSpinWait()) {
+        for (long end = System.nanoTime() + 10_000_000_000L;
+                System.nanoTime() < end;
+                Thread.onSpinWait()) {
             for (Peer p : new Peer[] {one, two}) {
                 if (p.socket.getInputStream().available() > 0) {
                     String line = p.line();
@@ -137,14 +146,21 @@
 
     @Test
     void whatWaitsForADialToANodeThatIsToldToDrainGoesElsewhere() throws Exception {
-        try (Peer.Deaf deaf = new Peer.Deaf(); Fixture f = new Fixture(1, PATIENT, 1024)) {
+        try (Peer.Deaf deaf = new Peer.Deaf();
+                Fixture f = new Fixture(1, PATIENT, 1024)) {
             Peer watch = f.watch();
             Fixture.chunk(watch, Fixture.list(2, true, node("s-9", deaf.address(), "SERVING")));
             listed(f, 1);
             Peer client = f.client();
             client.send(Fixture.write("charge", "c1", 20000));
             f.turn();
-            Fixture.chunk(watch, Fixture.list(3, false, node("s-9", deaf.address(), "DRAINING"), f.entry(0, "SERVING")));
+            Fixture.chunk(
+                    watch,
+                    Fixture.list(
+                            3,
+                            false,
+                            node("s-9", deaf.address(), "DRAINING"),
+                            f.entry(0, "SERVING")));
             listed(f, 2);
             Peer node = f.nodes.get(0).next();
             assertTrue(node.line().contains("Oc1"));
@@ -158,7 +174,8 @@
     @Test
     void whatHasWaitedLongerThanADialMayTakeIsNotBegun() throws Exception {
         MockTicker clock = Ticker.newMockTicker();
-        try (Peer.Deaf deaf = new Peer.Deaf(); Fixture f = new Fixture(0, PATIENT, 1024, clock)) {
+        try (Peer.Deaf deaf = new Peer.Deaf();
+                Fixture f = new Fixture(0, PATIENT, 1024, clock)) {
             Peer watch = f.watch();
             Fixture.chunk(watch, Fixture.list(2, true, node("s-0", deaf.address(), "SERVING")));
             listed(f, 1);
@@ -181,7 +198,13 @@
     }
 
     private static String node(String id, String address, String state) {
-        return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"east\",\"kind\":\"full\",\"cell\":1,"
-            + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
+        return "{\"id\":\""
+                + id
+                + "\",\"addr\":\""
+                + address
+                + "\",\"zone\":\"east\",\"kind\":\"full\",\"cell\":1,"
+                + "\"state\":\""
+                + state
+                + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 }
--- a/src/test/java/holdproxy/net/DiscoveryTest.java
+++ b/src/test/java/holdproxy/net/DiscoveryTest.java
@@ -16,7 +16,8 @@
 class DiscoveryTest {
 
     /** Has a request served by a node on a connection that came or was open already. */
-    private static Peer serve(Fixture f, Peer client, String id, int node, Peer open) throws Exception {
+    private static Peer serve(Fixture f, Peer client, String id, int node, Peer open)
+            throws Exception {
         client.send(Fixture.read(id, 4000));
         Peer p = open != null ? open : f.nodes.get(node).next();
         assertTrue(p.line().startsWith("mg 7f3a9c21e0b4d655 v O" + id + " "));
@@ -36,7 +37,9 @@
     @Test
     void theWatchAsksForWhatChangedAfterTheKnownList() throws Exception {
         try (Fixture f = new Fixture(1)) {
-            assertEquals("GET /registry/instances?stream=1&index=1 HTTP/1.1", callLine(f.discovery.next()));
+            assertEquals(
+                    "GET /registry/instances?stream=1&index=1 HTTP/1.1",
+                    callLine(f.discovery.next()));
         }
     }
 
@@ -48,7 +51,8 @@
             Peer old = serve(f, client, "a1", 0, null);
             Peer watch = f.watch();
             Fixture.chunk(watch, "");
-            Fixture.chunk(watch, Fixture.list(2, false, f.entry(0, "DRAINING"), f.entry(1, "SERVING")));
+            Fixture.chunk(
+                    watch, Fixture.list(2, false, f.entry(0, "DRAINING"), f.entry(1, "SERVING")));
             old.expectEnd();
             Peer open = serve(f, client, "a2", 1, null);
             serve(f, client, "a3", 1, open);
@@ -79,10 +83,14 @@
         try (Fixture f = new Fixture(1)) {
             Peer watch = f.watch();
             Fixture.chunk(watch, Fixture.list(5, true, f.entry(0, "SERVING")));
-            Fixture.chunk(watch, Fixture.list(6, true, f.entry(0, "DRAINING").replace("127.0.0.1", "nowhere")));
+            Fixture.chunk(
+                    watch,
+                    Fixture.list(6, true, f.entry(0, "DRAINING").replace("127.0.0.1", "nowhere")));
             watch.expectEnd();
             serve(f, f.client(), "a1", 0, null);
-            assertEquals("GET /registry/instances?stream=1&index=5 HTTP/1.1", callLine(f.discovery.next()));
+            assertEquals(
+                    "GET /registry/instances?stream=1&index=5 HTTP/1.1",
+                    callLine(f.discovery.next()));
         }
     }
 
@@ -100,7 +108,8 @@
 
     @Test
     void theWatchGoesOnWhereTheConfigurationReadAgainSays(@TempDir Path folder) throws Exception {
-        try (Fixture f = new Fixture(1); Peer.Listener other = new Peer.Listener()) {
+        try (Fixture f = new Fixture(1);
+                Peer.Listener other = new Peer.Listener()) {
             Peer open = serve(f, f.client(), "a1", 0, null);
             Peer watch = f.watch();
             Fixture.chunk(watch, Fixture.list(5, true));
@@ -110,9 +119,11 @@
             Files.writeString(file, "{\"discovery\":");
             Service.reload(f.config, f.proxy, f.loop, null, env); // kept as it was
             String json = Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 1024);
-            Files.writeString(file, "{\"discovery\":\"" + other.address() + "\"," + json.substring(1));
+            Files.writeString(
+                    file, "{\"discovery\":\"" + other.address() + "\"," + json.substring(1));
             Service.reload(f.config, f.proxy, f.loop, null, env);
-            assertEquals("GET /registry/instances?stream=1&index=5 HTTP/1.1", callLine(other.next()));
+            assertEquals(
+                    "GET /registry/instances?stream=1&index=5 HTTP/1.1", callLine(other.next()));
             watch.expectEnd();
         }
     }
@@ -120,7 +131,9 @@
     @Test
     void whereListsArePushedTheWatchBeginsWithTheProxy() throws Exception {
         try (Fixture f = new Fixture(1, s -> s.replace("\"subscribe\"", "\"automatic\""), 1024)) {
-            assertEquals("GET /registry/instances?stream=1&index=1 HTTP/1.1", callLine(f.discovery.next()));
+            assertEquals(
+                    "GET /registry/instances?stream=1&index=1 HTTP/1.1",
+                    callLine(f.discovery.next()));
         }
     }
 }
--- a/src/test/java/holdproxy/net/EmbeddedNodes.java
+++ b/src/test/java/holdproxy/net/EmbeddedNodes.java
@@ -22,7 +22,8 @@
     }
 
     @Override
-    public ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+    public ChannelFuture connect(
+            InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
         EmbeddedChannel channel = new EmbeddedChannel(handlers);
         if (address.getPort() != DISCOVERY_PORT) {
             all.add(channel);
--- a/src/test/java/holdproxy/net/FiguresTest.java
+++ b/src/test/java/holdproxy/net/FiguresTest.java
@@ -15,13 +15,28 @@
 
     private static String figures(Fixture f) throws Exception {
         // counted before the client is answered, on the loop; a turn of it later all of it is there
-        return f.loop.submit(() -> {
-            Figures.Outcomes read = f.proxy.figures().of("lookup");
-            Figures.Outcomes write = f.proxy.figures().of("charge");
-            return "lookup " + read.ok.get() + " " + read.shed.get() + " " + read.errors.get()
-                + " charge " + write.ok.get() + " " + write.shed.get() + " " + write.errors.get()
-                + " tries " + f.proxy.figures().tries.get() + " active " + f.proxy.figures().active.get();
-        }).get();
+        return f.loop.submit(
+                        () -> {
+                            Figures.Outcomes read = f.proxy.figures().of("lookup");
+                            Figures.Outcomes write = f.proxy.figures().of("charge");
+                            return "lookup "
+                                    + read.ok.get()
+                                    + " "
+                                    + read.shed.get()
+                                    + " "
+                                    + read.errors.get()
+                                    + " charge "
+                                    + write.ok.get()
+                                    + " "
+                                    + write.shed.get()
+                                    + " "
+                                    + write.errors.get()
+                                    + " tries "
+                                    + f.proxy.figures().tries.get()
+                                    + " active "
+                                    + f.proxy.figures().active.get();
+                        })
+                .get();
     }
 
     @Test
--- a/src/test/java/holdproxy/net/Fixture.java
+++ b/src/test/java/holdproxy/net/Fixture.java
@@ -16,24 +16,25 @@
 
 /** A proxy on an ephemeral loopback port, with scripted cache nodes and a scripted discovery. */
 final class Fixture implements Closeable {
-    static final String SETTINGS = """
-        {"index":0,"balancers":1,"az":0,"domainType":"cache","familyInfo":{"mode":"through","originKind":-1},
-         "caps":{"dialTimeoutMs":400.0,"idleCloseMs":30000.0,"maxAttempts":4,"maxRetryAfterMs":2000.0,
-          "mayCancel":true,"multiplex":1,"openCap":20000,"peers":false,"probing":true,"retryAfter":true,
-          "secondCopies":false},
-         "grades":[
-          {"name":"lookup","effect":"pure","group":"all","targetMs":750.0,"deadlineMs":5000.0,"lateWorth":0.5,
-           "repeatWindowMs":5000.0,"stream":false,"value":1.0},
-          {"name":"charge","effect":"side_effect","group":"all","targetMs":750.0,"deadlineMs":5000.0,
-           "lateWorth":0.5,"repeatWindowMs":5000.0,"stream":false,"value":1.0},
-          {"name":"submit","effect":"token","group":"all","targetMs":750.0,"deadlineMs":5000.0,
-           "lateWorth":0.5,"repeatWindowMs":5000.0,"stream":false,"value":1.0}],
-         "kinds":["full"],"localities":["east","west"],"registryMode":"subscribe",
-         "reporting":{"fields":["busy"],"source":"inline"},
-         "rules":{"askWithinMs":100.0,"coldFrom":0.17,"coldMs":24000.0,"drainGraceMs":1000.0,"fallMs":2000.0,
-          "graceToAnswerMs":20.0,"tipMultiple":4.0},
-         "tenants":[{"name":"acme","quotaPerS":50.0,"share":1.0}],"tickMs":5.0,"weights":"rough"}
-        """;
+    static final String SETTINGS =
+            """
+{"index":0,"balancers":1,"az":0,"domainType":"cache","familyInfo":{"mode":"through","originKind":-1},
+ "caps":{"dialTimeoutMs":400.0,"idleCloseMs":30000.0,"maxAttempts":4,"maxRetryAfterMs":2000.0,
+  "mayCancel":true,"multiplex":1,"openCap":20000,"peers":false,"probing":true,"retryAfter":true,
+  "secondCopies":false},
+ "grades":[
+  {"name":"lookup","effect":"pure","group":"all","targetMs":750.0,"deadlineMs":5000.0,"lateWorth":0.5,
+   "repeatWindowMs":5000.0,"stream":false,"value":1.0},
+  {"name":"charge","effect":"side_effect","group":"all","targetMs":750.0,"deadlineMs":5000.0,
+   "lateWorth":0.5,"repeatWindowMs":5000.0,"stream":false,"value":1.0},
+  {"name":"submit","effect":"token","group":"all","targetMs":750.0,"deadlineMs":5000.0,
+   "lateWorth":0.5,"repeatWindowMs":5000.0,"stream":false,"value":1.0}],
+ "kinds":["full"],"localities":["east","west"],"registryMode":"subscribe",
+ "reporting":{"fields":["busy"],"source":"inline"},
+ "rules":{"askWithinMs":100.0,"coldFrom":0.17,"coldMs":24000.0,"drainGraceMs":1000.0,"fallMs":2000.0,
+  "graceToAnswerMs":20.0,"tipMultiple":4.0},
+ "tenants":[{"name":"acme","quotaPerS":50.0,"share":1.0}],"tickMs":5.0,"weights":"rough"}
+""";
 
     final Peer.Listener discovery = new Peer.Listener();
     final List<Peer.Listener> nodes = new ArrayList<>();
@@ -51,14 +52,20 @@
     }
 
     /** {@code clock}: the module's, in the test's hands; timers of the loop go by the system's. */
-    Fixture(int nodeCount, Function<String, String> change, int sockets, Ticker clock) throws IOException {
+    Fixture(int nodeCount, Function<String, String> change, int sockets, Ticker clock)
+            throws IOException {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(new Peer.Listener());
             entries.add(entry(i, "SERVING"));
         }
         Path file = Files.createTempFile("config", ".json");
-        Files.writeString(file, json(list(1, true, entries.toArray(String[]::new)), change.apply(SETTINGS), sockets));
+        Files.writeString(
+                file,
+                json(
+                        list(1, true, entries.toArray(String[]::new)),
+                        change.apply(SETTINGS),
+                        sockets));
         loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         config = Config.load(env(file, discovery.address()));
         proxy = clock == null ? Service.start(config, loop, null, null, null) : started(clock);
@@ -66,8 +73,17 @@
     }
 
     private Proxy started(Ticker clock) {
-        Proxy p = loop.submit(() -> Proxy.start(config, loop, new Time(clock, () -> 0), new Sockets(loop, null),
-            line -> { })).syncUninterruptibly().getNow();
+        Proxy p =
+                loop.submit(
+                                () ->
+                                        Proxy.start(
+                                                config,
+                                                loop,
+                                                new Time(clock, () -> 0),
+                                                new Sockets(loop, null),
+                                                line -> {}))
+                        .syncUninterruptibly()
+                        .getNow();
         turn();
         return p;
     }
@@ -78,7 +94,7 @@
      */
     void turn() {
         for (int i = 0; i < 5; i++) {
-            loop.schedule(() -> { }, 1, TimeUnit.MILLISECONDS).syncUninterruptibly();
+            loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
     }
 
@@ -89,23 +105,46 @@
     }
 
     static Map<String, String> env(Path file, String discovery) {
-        return Map.of("LB_NAME", "n0", "LB_LISTEN", "127.0.0.1:0", "LB_DISCOVERY", discovery,
-            "LB_CONFIG", file.toString());
+        return Map.of(
+                "LB_NAME",
+                "n0",
+                "LB_LISTEN",
+                "127.0.0.1:0",
+                "LB_DISCOVERY",
+                discovery,
+                "LB_CONFIG",
+                file.toString());
     }
 
     static String json(String known, String settings, int sockets) {
-        return "{\"name\":\"n0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + "},\"known\":"
-            + known + ",\"settings\":" + settings + "}";
+        return "{\"name\":\"n0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
+                + sockets
+                + "},\"known\":"
+                + known
+                + ",\"settings\":"
+                + settings
+                + "}";
     }
 
     String entry(int node, String state) {
-        return "{\"id\":\"s-" + node + "\",\"addr\":\"" + nodes.get(node).address() + "\",\"zone\":\"east\","
-            + "\"kind\":\"full\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
+        return "{\"id\":\"s-"
+                + node
+                + "\",\"addr\":\""
+                + nodes.get(node).address()
+                + "\",\"zone\":\"east\","
+                + "\"kind\":\"full\",\"cell\":1,\"state\":\""
+                + state
+                + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
     static String list(int version, boolean full, String... entries) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries)
-            + "]}";
+        return "{\"version\":"
+                + version
+                + ",\"full\":"
+                + full
+                + ",\"servers\":["
+                + String.join(",", entries)
+                + "]}";
     }
 
     Peer client() throws IOException {
@@ -116,7 +155,9 @@
 
     /** The next connection that comes to any of the nodes. */
     Peer next() throws InterruptedException {
-        for (long end = System.nanoTime() + 10_000_000_000L; System.nanoTime() < end; Thread.onSpinWait()) {
+        for (long end = System.nanoTime() + 10_000_000_000L;
+                System.nanoTime() < end;
+                Thread.onSpinWait()) {
             for (Peer.Listener n : nodes) {
                 Peer p = n.poll();
                 if (p != null) {
@@ -146,7 +187,13 @@
     }
 
     static String write(String cls, String id, int waitMs) {
-        return "ms 7f3a9c21e0b4d655 5 O" + id + " Pc=" + cls + ",t=acme,d=" + waitMs + ",k=5c0f\r\nhello\r\n";
+        return "ms 7f3a9c21e0b4d655 5 O"
+                + id
+                + " Pc="
+                + cls
+                + ",t=acme,d="
+                + waitMs
+                + ",k=5c0f\r\nhello\r\n";
     }
 
     @Override
--- a/src/test/java/holdproxy/net/HangupTest.java
+++ b/src/test/java/holdproxy/net/HangupTest.java
@@ -13,7 +13,9 @@
     void theSignalRunsTheAction() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         Hangup.handle(told::countDown);
-        new ProcessBuilder("sh", "-c", "kill -HUP " + ProcessHandle.current().pid()).start().waitFor();
+        new ProcessBuilder("sh", "-c", "kill -HUP " + ProcessHandle.current().pid())
+                .start()
+                .waitFor();
         assertTrue(told.await(20, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/holdproxy/net/KeptOutTest.java
+++ b/src/test/java/holdproxy/net/KeptOutTest.java
@@ -17,8 +17,7 @@
 
 /** What operators' calls leave behind for the next process, and for the other one of two. */
 class KeptOutTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final MockTicker ticker = Ticker.newMockTicker();
     private final Time time = new Time(ticker, () -> 1_000_000);
     private final List<String> changes = new ArrayList<>();
@@ -46,9 +45,11 @@
         first.keep("s-3", false);
         first.keep("s-4", false);
         // the file system's clock is not the test's: the return came just now by the latter
-        Files.setLastModifiedTime(folder.resolve("left-out/back-s-3"), FileTime.fromMillis(time.unixMs()));
+        Files.setLastModifiedTime(
+                folder.resolve("left-out/back-s-3"), FileTime.fromMillis(time.unixMs()));
         process().all(this::change);
-        assertEquals(List.of("s-1 out", "s-2/.. out", "s-3 back"), told().stream().sorted().toList());
+        assertEquals(
+                List.of("s-1 out", "s-2/.. out", "s-3 back"), told().stream().sorted().toList());
         ticker.advance(1, TimeUnit.HOURS);
         process().all(this::change);
         assertEquals(List.of("s-1 out", "s-2/.. out"), told().stream().sorted().toList());
@@ -59,7 +60,8 @@
         KeptOut first = process();
         first.keep("s-1", true);
         first.keep("s-1", false);
-        Files.setLastModifiedTime(folder.resolve("left-out/back-s-1"), FileTime.fromMillis(999_000));
+        Files.setLastModifiedTime(
+                folder.resolve("left-out/back-s-1"), FileTime.fromMillis(999_000));
         List<Long> at = new ArrayList<>();
         process().all((node, out, when) -> at.add(when));
         assertEquals(List.of(999_000L), at);
--- a/src/test/java/holdproxy/net/LargeWriteTest.java
+++ b/src/test/java/holdproxy/net/LargeWriteTest.java
@@ -58,35 +58,52 @@
         Files.writeString(file, Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 1024));
         Config config = Config.load(Fixture.env(file, "127.0.0.1:1"));
         List<EmbeddedChannel> nodes = new ArrayList<>();
-        Transport transport = new Transport() {
-            @Override
-            public ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
-                EmbeddedChannel node = new EmbeddedChannel(Stream.concat(Stream.of(new RoomAtOnce()), Stream.of(handlers))
-                    .toArray(ChannelHandler[]::new));
-                nodes.add(node);
-                return node.newSucceededFuture();
-            }
+        Transport transport =
+                new Transport() {
+                    @Override
+                    public ChannelFuture connect(
+                            InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+                        EmbeddedChannel node =
+                                new EmbeddedChannel(
+                                        Stream.concat(
+                                                        Stream.of(new RoomAtOnce()),
+                                                        Stream.of(handlers))
+                                                .toArray(ChannelHandler[]::new));
+                        nodes.add(node);
+                        return node.newSucceededFuture();
+                    }
 
-            @Override
-            public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
-                throw new UnsupportedOperationException();
-            }
+                    @Override
+                    public ChannelFuture listen(
+                            InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
+                        throw new UnsupportedOperationException();
+                    }
 
-            @Override
-            public void endSending(Channel channel) {
-                channel.close();
-            }
-        };
+                    @Override
+                    public void endSending(Channel channel) {
+                        channel.close();
+                    }
+                };
         Time time = Time.system();
-        Proxy proxy = new Proxy(config, new EmbeddedChannel().eventLoop(), time, transport, new Log(time, line -> { }));
-        proxy.nodes(Router.ListKind.CACHED, List.of(new Discovery.Entry(new Router.Node(), "s-0", config.listen)));
+        Proxy proxy =
+                new Proxy(
+                        config,
+                        new EmbeddedChannel().eventLoop(),
+                        time,
+                        transport,
+                        new Log(time, line -> {}));
+        proxy.nodes(
+                Router.ListKind.CACHED,
+                List.of(new Discovery.Entry(new Router.Node(), "s-0", config.listen)));
         EmbeddedChannel client = new EmbeddedChannel(proxy.handlers());
         byte[] value = new byte[300_000];
         for (int i = 0; i < value.length; i++) {
             value[i] = (byte) (i / 32_768 + i * 7);
         }
-        client.writeInbound(Rehearsal.bytes(write(value.length)), Unpooled.wrappedBuffer(value),
-            Rehearsal.bytes("\r\n"));
+        client.writeInbound(
+                Rehearsal.bytes(write(value.length)),
+                Unpooled.wrappedBuffer(value),
+                Rehearsal.bytes("\r\n"));
         EmbeddedChannel node = nodes.get(nodes.size() - 1);
         ByteArrayOutputStream came = new ByteArrayOutputStream();
         ByteBuf head = node.readOutbound();
@@ -136,9 +153,19 @@
     @Test
     void aRepeatWhoseLastByteWouldComeBehindItsWindowIsBrokenOff() throws Exception {
         Moving clock = new Moving();
-        try (Fixture f = new Fixture(2, s -> s.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":60000.0")
-                .replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":2000.0")
-                .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":60000.0"), 1024, clock)) {
+        try (Fixture f =
+                new Fixture(
+                        2,
+                        s ->
+                                s.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":60000.0")
+                                        .replace(
+                                                "\"dialTimeoutMs\":400.0",
+                                                "\"dialTimeoutMs\":2000.0")
+                                        .replace(
+                                                "\"drainGraceMs\":1000.0",
+                                                "\"drainGraceMs\":60000.0"),
+                        1024,
+                        clock)) {
             Peer client = f.client();
             String value = "x".repeat(BYTES);
             client.send(write(BYTES) + value + "\r\n");
--- a/src/test/java/holdproxy/net/LastWordTest.java
+++ b/src/test/java/holdproxy/net/LastWordTest.java
@@ -40,17 +40,17 @@
 class LastWordTest {
     private static final int SEEDS = 300;
     private static final int STEPS = 60;
+
     /** What the proxy adds to the time that a client waits before it says the last word itself. */
     private static final long GUARD_US = 15_000;
+
     /** A value that has begun and goes no further ends its connection after 5 s, looked at each half second. */
     private static final long RELAY_US = 5_500_000;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     /** A request that was read, and when it has to have its end, unless those before it have none. */
-    private record Owed(String id, long byUs) {
-    }
+    private record Owed(String id, long byUs) {}
 
     /** One proxy, its clients and nodes, by one seed. */
     private final class Town implements Transport {
@@ -70,22 +70,31 @@
             random = new SplittableRandom(seed);
             this.planted = planted;
             Path file = folder.resolve("config.json");
-            Files.writeString(file, Fixture.json(Fixture.list(1, true), Fixture.SETTINGS.replace(
-                "\"secondCopies\":false", "\"secondCopies\":" + random.nextBoolean()), 1024));
+            Files.writeString(
+                    file,
+                    Fixture.json(
+                            Fixture.list(1, true),
+                            Fixture.SETTINGS.replace(
+                                    "\"secondCopies\":false",
+                                    "\"secondCopies\":" + random.nextBoolean()),
+                            1024));
             Config config = Config.load(Fixture.env(file, "127.0.0.1:1"));
-            proxy = new Proxy(config, timers.eventLoop(), time, this, new Log(time, line -> { }));
+            proxy = new Proxy(config, timers.eventLoop(), time, this, new Log(time, line -> {}));
             List<Discovery.Entry> entries = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 Router.Node node = new Router.Node();
                 node.id = i + 1;
-                entries.add(new Discovery.Entry(node, "node-" + i, new InetSocketAddress("127.0.0.1", 100 + i)));
+                entries.add(
+                        new Discovery.Entry(
+                                node, "node-" + i, new InetSocketAddress("127.0.0.1", 100 + i)));
             }
             proxy.nodes(Router.ListKind.CACHED, entries);
             proxy.listen();
         }
 
         @Override
-        public ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+        public ChannelFuture connect(
+                InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
             int how = random.nextInt(10);
             if (how < 7) {
                 EmbeddedChannel channel = new EmbeddedChannel(handlers);
@@ -102,13 +111,17 @@
                 return dead.newFailedFuture(new ConnectException("refused"));
             }
             ChannelPromise never = dead.newPromise();
-            timers.eventLoop().schedule(() -> never.tryFailure(new ConnectTimeoutException("silent")), timeoutMs,
-                TimeUnit.MILLISECONDS);
+            timers.eventLoop()
+                    .schedule(
+                            () -> never.tryFailure(new ConnectTimeoutException("silent")),
+                            timeoutMs,
+                            TimeUnit.MILLISECONDS);
             return never;
         }
 
         @Override
-        public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
+        public ChannelFuture listen(
+                InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
             return new EmbeddedChannel().newSucceededFuture();
         }
 
@@ -131,7 +144,8 @@
                         answer(node);
                     }
                 }
-                // mostly on time; now and then the loop stands still, with input waiting and timers due
+                // mostly on time; now and then the loop stands still, with input waiting and timers
+                // due
                 boolean still = random.nextInt(12) == 0;
                 pass(step >= STEPS - 20 ? 700 : random.nextInt(still ? 3_000 : 60));
                 clients.forEach(Client::judge);
@@ -173,23 +187,30 @@
                 case 3 -> node.writeInbound(bytes("VA 5 O" + id + "\r\nhel")); // and nothing more
                 case 4 -> node.writeInbound(bytes("VA 70000 O" + id + "\r\n" + "x".repeat(1000)));
                 case 5 -> node.writeInbound(bytes("what is this\r\n"));
-                case 6 -> { } // silent for ever
-                default -> node.writeInbound(bytes(read ? "VA 5 O" + id + "\r\nhello\r\n"
-                    : "HD O" + id + " c1\r\n"));
+                case 6 -> {} // silent for ever
+                default ->
+                        node.writeInbound(
+                                bytes(
+                                        read
+                                                ? "VA 5 O" + id + "\r\nhello\r\n"
+                                                : "HD O" + id + " c1\r\n"));
             }
         }
 
         /** A connection that asks without waiting, and what it is owed, in order. */
         private final class Client {
-            private final EmbeddedChannel channel = EmbeddedChannel.builder().ticker(ticker).build();
+            private final EmbeddedChannel channel =
+                    EmbeddedChannel.builder().ticker(ticker).build();
             private final ArrayDeque<Owed> owed = new ArrayDeque<>();
             private long begunUs = -1;
             private String said = "";
 
             Client() {
-                channel.pipeline().addLast(planted == null ? new ChannelOutboundHandlerAdapter() : planted);
+                channel.pipeline()
+                        .addLast(planted == null ? new ChannelOutboundHandlerAdapter() : planted);
                 channel.pipeline().addLast(proxy.handlers());
-                channel.pipeline().fireChannelActive(); // it came up before there was anyone to tell
+                channel.pipeline()
+                        .fireChannelActive(); // it came up before there was anyone to tell
             }
 
             void ask() {
@@ -199,8 +220,11 @@
                 String id = "r" + asked++;
                 int waitMs = 50 + random.nextInt(2_000);
                 String cls = new String[] {"lookup", "charge", "submit"}[random.nextInt(3)];
-                channel.writeInbound(bytes(cls.equals("lookup") ? Fixture.read(id, waitMs)
-                    : Fixture.write(cls, id, waitMs)));
+                channel.writeInbound(
+                        bytes(
+                                cls.equals("lookup")
+                                        ? Fixture.read(id, waitMs)
+                                        : Fixture.write(cls, id, waitMs)));
                 owed.add(new Owed(id, time.us() + waitMs * 1000L + GUARD_US));
             }
 
@@ -214,7 +238,8 @@
                     // the next one
                 }
                 if (!channel.isActive()) {
-                    // a connection may end under a value that broke off, and between requests; not else
+                    // a connection may end under a value that broke off, and between requests; not
+                    // else
                     if (!owed.isEmpty() && begunUs < 0) {
                         broken.add("ended without an answer to " + owed);
                     }
@@ -223,8 +248,17 @@
                     said = "";
                 }
                 Owed first = owed.peek();
-                if (first != null && time.us() > Math.max(first.byUs, begunUs < 0 ? 0 : begunUs + RELAY_US)) {
-                    broken.add("no end at " + time.us() + ": " + first + " of " + owed + ", said " + said);
+                if (first != null
+                        && time.us() > Math.max(first.byUs, begunUs < 0 ? 0 : begunUs + RELAY_US)) {
+                    broken.add(
+                            "no end at "
+                                    + time.us()
+                                    + ": "
+                                    + first
+                                    + " of "
+                                    + owed
+                                    + ", said "
+                                    + said);
                 }
             }
 
@@ -294,6 +328,8 @@
         for (long seed = 1; seed <= 20; seed++) {
             found += played(seed, new Losing()).broken.isEmpty() ? 0 : 1;
         }
-        assertTrue(found >= 18, found + " of 20"); // the third answer may be one that no other comes behind
+        assertTrue(
+                found >= 18,
+                found + " of 20"); // the third answer may be one that no other comes behind
     }
 }
--- a/src/test/java/holdproxy/net/LatenessTest.java
+++ b/src/test/java/holdproxy/net/LatenessTest.java
@@ -34,8 +34,9 @@
         Config config = Config.load(Fixture.env(file, "127.0.0.1:1"));
         Time time = new Time(ticker, () -> 0);
         proxy = new Proxy(config, timers.eventLoop(), time, transport, new Log(time));
-        proxy.nodes(Router.ListKind.CACHED,
-            List.of(new Discovery.Entry(new Router.Node(), "node", config.listen)));
+        proxy.nodes(
+                Router.ListKind.CACHED,
+                List.of(new Discovery.Entry(new Router.Node(), "node", config.listen)));
         client = new EmbeddedChannel(proxy.handlers());
     }
 
@@ -55,7 +56,8 @@
         assertEquals(300 * MS, lateness.justNowUs(320 * MS));
         assertEquals(300 * MS, lateness.totalUs(320 * MS));
         lateness.ticked(320 * MS);
-        assertEquals(300 * MS, lateness.justNowUs(321 * MS), "input read right after it waited as long");
+        assertEquals(
+                300 * MS, lateness.justNowUs(321 * MS), "input read right after it waited as long");
         assertEquals(0, lateness.justNowUs(330 * MS));
         assertEquals(300 * MS, lateness.totalUs(330 * MS));
         lateness.ticked(340 * MS);
--- a/src/test/java/holdproxy/net/NettyLogTest.java
+++ b/src/test/java/holdproxy/net/NettyLogTest.java
@@ -9,8 +9,9 @@
     @Test
     void argumentsTakeTheirPlacesAndAThrowableLeftOverIsTheCause() {
         Exception cause = new IllegalStateException("closed");
-        assertEquals("a 1 b null c: java.lang.IllegalStateException: closed",
-            NettyLog.text("a {} b {} c", 1, null, cause));
+        assertEquals(
+                "a 1 b null c: java.lang.IllegalStateException: closed",
+                NettyLog.text("a {} b {} c", 1, null, cause));
         assertEquals("a java.lang.IllegalStateException: closed", NettyLog.text("a {}", cause));
         assertEquals("a 1 {}", NettyLog.text("a {} {}", 1));
         assertEquals("no $1 \\ {", NettyLog.text("no $1 \\ {", "unused"));
--- a/src/test/java/holdproxy/net/OneDialTest.java
+++ b/src/test/java/holdproxy/net/OneDialTest.java
@@ -23,20 +23,25 @@
 /** Two that wait for one dial, as no descriptor is left for a second one: the first has a large value. */
 class OneDialTest implements Transport {
     private static final int MIB = 1 << 20;
+
     /** Of 128 descriptors so many are for nodes. */
     private static final int NODES = 24;
-    @TempDir
-    Path folder;
+
+    @TempDir Path folder;
     private final List<EmbeddedChannel> channels = new ArrayList<>();
+
     /** Next to the wire of the first one. */
     private ChannelHandler wire = new TakingTheHeadAlone();
 
     /** The first is not up yet, all others are. */
     @Override
-    public ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+    public ChannelFuture connect(
+            InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
         boolean first = channels.isEmpty();
-        EmbeddedChannel channel = first ? new EmbeddedChannel(false, false, behind(wire, handlers))
-            : new EmbeddedChannel(handlers);
+        EmbeddedChannel channel =
+                first
+                        ? new EmbeddedChannel(false, false, behind(wire, handlers))
+                        : new EmbeddedChannel(handlers);
         channels.add(channel);
         return first ? channel.newPromise() : channel.newSucceededFuture();
     }
@@ -67,15 +72,37 @@
     /** Returns the first connection, on which a large value waits, and a read behind it. */
     private EmbeddedChannel waiting() throws Exception {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Fixture.json(Fixture.list(1, true), Fixture.SETTINGS.replace("\"multiplex\":1",
-            "\"multiplex\":4").replace("\"secondCopies\":false", "\"secondCopies\":true"), 128));
+        Files.writeString(
+                file,
+                Fixture.json(
+                        Fixture.list(1, true),
+                        Fixture.SETTINGS
+                                .replace("\"multiplex\":1", "\"multiplex\":4")
+                                .replace("\"secondCopies\":false", "\"secondCopies\":true"),
+                        128));
         Time time = Time.system();
-        Proxy proxy = new Proxy(Config.load(Fixture.env(file, "127.0.0.1:1")), new EmbeddedChannel().eventLoop(), time,
-            this, new Log(time, line -> { }));
-        proxy.nodes(Router.ListKind.CACHED, List.of(new Discovery.Entry(new Router.Node(), "s-0",
-            new InetSocketAddress("127.0.0.1", 100))));
+        Proxy proxy =
+                new Proxy(
+                        Config.load(Fixture.env(file, "127.0.0.1:1")),
+                        new EmbeddedChannel().eventLoop(),
+                        time,
+                        this,
+                        new Log(time, line -> {}));
+        proxy.nodes(
+                Router.ListKind.CACHED,
+                List.of(
+                        new Discovery.Entry(
+                                new Router.Node(),
+                                "s-0",
+                                new InetSocketAddress("127.0.0.1", 100))));
         EmbeddedChannel client = new EmbeddedChannel(proxy.handlers());
-        client.writeInbound(Rehearsal.bytes("ms 7f " + MIB + " Ow1 Pc=lookup,t=acme,d=4000\r\n" + "x".repeat(MIB) + "\r\n"));
+        client.writeInbound(
+                Rehearsal.bytes(
+                        "ms 7f "
+                                + MIB
+                                + " Ow1 Pc=lookup,t=acme,d=4000\r\n"
+                                + "x".repeat(MIB)
+                                + "\r\n"));
         for (int i = 1; i < NODES; i++) {
             client.writeInbound(Rehearsal.bytes(Fixture.read("a" + i, 4000)));
         }
@@ -105,7 +132,9 @@
         dialed.register();
         String all = Rehearsal.text(dialed);
         int value = all.indexOf("\r\n") + 2;
-        assertEquals("x".repeat(MIB) + "\r\n", all.substring(value, Math.min(all.length(), value + MIB + 2)));
+        assertEquals(
+                "x".repeat(MIB) + "\r\n",
+                all.substring(value, Math.min(all.length(), value + MIB + 2)));
         assertTrue(all.substring(value + MIB + 2).contains("Olast"));
     }
 }
--- a/src/test/java/holdproxy/net/Peer.java
+++ b/src/test/java/holdproxy/net/Peer.java
@@ -136,7 +136,8 @@
 
     /** A listening socket whose queue is full: a further connection to it never comes up. */
     static final class Deaf implements Closeable {
-        private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        private final ServerSocket server =
+                new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<Socket> queued = new CopyOnWriteArrayList<>();
 
         Deaf() throws IOException {
--- a/src/test/java/holdproxy/net/RelayTest.java
+++ b/src/test/java/holdproxy/net/RelayTest.java
@@ -37,11 +37,15 @@
     @BeforeEach
     void start(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Fixture.json(Fixture.list(1, true),
-            Fixture.SETTINGS.replace("\"secondCopies\":false", "\"secondCopies\":true"), 1024));
+        Files.writeString(
+                file,
+                Fixture.json(
+                        Fixture.list(1, true),
+                        Fixture.SETTINGS.replace("\"secondCopies\":false", "\"secondCopies\":true"),
+                        1024));
         Config config = Config.load(Fixture.env(file, "127.0.0.1:1"));
         Time time = new Time(ticker, () -> 0);
-        proxy = new Proxy(config, timers.eventLoop(), time, transport, new Log(time, line -> { }));
+        proxy = new Proxy(config, timers.eventLoop(), time, transport, new Log(time, line -> {}));
         for (int i = 0; i < 4; i++) {
             Router.Node n = new Router.Node();
             n.id = i + 1;
@@ -85,7 +89,8 @@
 
     private static byte[] answer(String id, byte[] value) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(("VA " + value.length + " " + id + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        all.writeBytes(
+                ("VA " + value.length + " " + id + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         all.writeBytes(value);
         all.writeBytes(new byte[] {'\r', '\n'});
         return all.toByteArray();
@@ -106,8 +111,13 @@
 
     private String counts() {
         var f = proxy.figures();
-        return f.of("lookup").ok.get() + "/" + f.of("lookup").shed.get() + "/" + f.of("lookup").errors.get()
-            + " active " + f.active.get();
+        return f.of("lookup").ok.get()
+                + "/"
+                + f.of("lookup").shed.get()
+                + "/"
+                + f.of("lookup").errors.get()
+                + " active "
+                + f.active.get();
     }
 
     @Test
@@ -117,7 +127,8 @@
             EmbeddedChannel node = begun("a" + piece, value.length);
             ByteArrayOutputStream got = new ByteArrayOutputStream();
             for (int at = 0; at < value.length; at += piece) {
-                node.writeInbound(Unpooled.wrappedBuffer(value, at, Math.min(piece, value.length - at)));
+                node.writeInbound(
+                        Unpooled.wrappedBuffer(value, at, Math.min(piece, value.length - at)));
                 got.writeBytes(taken(client));
             }
             node.writeInbound(bytes("\r"));
@@ -183,7 +194,8 @@
     void oneThatIsWholeBeforeItsTurnWaitsForItHoweverLongThatTakes() {
         EmbeddedChannel first = begun("a1", MIB);
         EmbeddedChannel second = begun("a2", 70_000);
-        second.writeInbound(Unpooled.wrappedBuffer(new byte[70_000]), bytes("\r\n")); // read at once
+        second.writeInbound(
+                Unpooled.wrappedBuffer(new byte[70_000]), bytes("\r\n")); // read at once
         for (int i = 0; i < 15; i++) {
             pass(1000);
             first.writeInbound(Unpooled.wrappedBuffer(new byte[1000]));
@@ -191,7 +203,9 @@
         assertTrue(client.isActive());
         assertTrue(second.isActive(), "its connection may serve others already");
         first.writeInbound(Unpooled.wrappedBuffer(new byte[MIB - 15_000]), bytes("\r\n"));
-        assertEquals("VA 1048576 Oa1\r\nVA 70000 Oa2\r\n".length() + MIB + 70_000 + 4, taken(client).length);
+        assertEquals(
+                "VA 1048576 Oa1\r\nVA 70000 Oa2\r\n".length() + MIB + 70_000 + 4,
+                taken(client).length);
         assertEquals("2/0/0 active 0", counts());
     }
 
@@ -254,7 +268,10 @@
         node.writeInbound(Unpooled.wrappedBuffer(value(MIB)), bytes("no"));
         assertFalse(node.isActive());
         assertFalse(client.isActive());
-        assertEquals(MIB + "VA 1048576 Oa2\r\n".length(), taken(client).length, "nothing that says it is whole");
+        assertEquals(
+                MIB + "VA 1048576 Oa2\r\n".length(),
+                taken(client).length,
+                "nothing that says it is whole");
         assertEquals("0/0/2 active 0", counts());
         assertEquals(0, proxy.open());
     }
@@ -272,7 +289,8 @@
     @Test
     void onceItHasBegunNoOtherAttemptMayAnswer() {
         for (int i = 0; i < 60; i++) { // what these earn pays for a second copy
-            begun("e" + i, 70_000).writeInbound(Unpooled.wrappedBuffer(new byte[70_000]), bytes("\r\n"));
+            begun("e" + i, 70_000)
+                    .writeInbound(Unpooled.wrappedBuffer(new byte[70_000]), bytes("\r\n"));
             taken(client);
         }
         int before = nodes.size();
@@ -299,7 +317,8 @@
         byte[] sent = taken(nodes.get(0));
         String head = new String(sent, 0, 80, StandardCharsets.ISO_8859_1).split("\r\n")[0];
         assertTrue(head.startsWith("ms 7f " + value.length + " Ow1 Pc=charge,t=acme,d="), head);
-        assertArrayEquals(value, java.util.Arrays.copyOfRange(sent, head.length() + 2, sent.length - 2));
+        assertArrayEquals(
+                value, java.util.Arrays.copyOfRange(sent, head.length() + 2, sent.length - 2));
         assertEquals(1, proxy.figures().tries.get());
         nodes.get(0).writeInbound(bytes("HD Ow1 c1\r\n"));
         assertEquals("HD Ow1 c1\r\n", new String(taken(client), StandardCharsets.ISO_8859_1));
@@ -313,7 +332,8 @@
         EmbeddedChannel node = asked(); // of the same key: its connection will be used again
         node.writeInbound(bytes("VA 1 Oa1\r\n1\r\n"));
         taken(client);
-        ticker.advance(100, TimeUnit.MILLISECONDS); // a write goes on it once no second answer can come
+        ticker.advance(
+                100, TimeUnit.MILLISECONDS); // a write goes on it once no second answer can come
         proxy.tick();
         proxy.tick();
         client.writeInbound(bytes(write), Unpooled.wrappedBuffer(new byte[MIB]));
@@ -349,8 +369,10 @@
     @Test
     void aClientAtWorkOnALargeValueHasLongerThanOneThatSendsNothing() {
         String head = "ms 7f " + MIB + " Ow Pc=charge,t=acme,d=4000\r\n";
-        EmbeddedChannel idle = EmbeddedChannel.builder().ticker(ticker).handlers(proxy.handlers()).build();
-        EmbeddedChannel busy = EmbeddedChannel.builder().ticker(ticker).handlers(proxy.handlers()).build();
+        EmbeddedChannel idle =
+                EmbeddedChannel.builder().ticker(ticker).handlers(proxy.handlers()).build();
+        EmbeddedChannel busy =
+                EmbeddedChannel.builder().ticker(ticker).handlers(proxy.handlers()).build();
         idle.writeInbound(bytes(head), Unpooled.wrappedBuffer(new byte[100]));
         busy.writeInbound(bytes(head));
         for (int ms = 0; ms < 6_000; ms += 100) {
--- a/src/test/java/holdproxy/net/RetuningTest.java
+++ b/src/test/java/holdproxy/net/RetuningTest.java
@@ -17,12 +17,13 @@
 @Timeout(60)
 class RetuningTest {
     private static final String SETTINGS = Fixture.SETTINGS;
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static String file(Fixture f, String settings) {
-        return "{\"discovery\":\"" + f.discovery.address() + "\","
-            + Fixture.json(Fixture.list(1, true), settings, 1024).substring(1);
+        return "{\"discovery\":\""
+                + f.discovery.address()
+                + "\","
+                + Fixture.json(Fixture.list(1, true), settings, 1024).substring(1);
     }
 
     /** Has the proxy read this at SIGHUP; returns how many files it has taken and turned down so far. */
@@ -30,8 +31,12 @@
         Path file = folder.resolve("config.json");
         Files.writeString(file, text);
         Service.reload(f.config, f.proxy, f.loop, null, Fixture.env(file, f.discovery.address()));
-        return f.loop.submit(() -> f.proxy.figures().configApplied.get() + "/"
-            + f.proxy.figures().configRejected.get()).get();
+        return f.loop.submit(
+                        () ->
+                                f.proxy.figures().configApplied.get()
+                                        + "/"
+                                        + f.proxy.figures().configRejected.get())
+                .get();
     }
 
     private static void sent(Peer node) throws IOException {
@@ -42,7 +47,14 @@
     @Test
     void anAddedClassIsServedAndADroppedOneFirstByItsOldRulesAndThenNoLonger() throws Exception {
         try (Fixture f = new Fixture(1)) {
-            assertEquals("1/0", reload(f, file(f, SETTINGS.replace("\"name\":\"charge\"", "\"name\":\"renew\""))));
+            assertEquals(
+                    "1/0",
+                    reload(
+                            f,
+                            file(
+                                    f,
+                                    SETTINGS.replace(
+                                            "\"name\":\"charge\"", "\"name\":\"renew\""))));
             Peer client = f.client();
             client.send(Fixture.write("renew", "r1", 4000));
             Peer node = f.nodes.get(0).next();
@@ -59,10 +71,15 @@
             f.loop.submit(() -> f.proxy.forgetDropped()).get();
             client.send(Fixture.write("charge", "c2", 4000));
             client.expect("CLIENT_ERROR c, t or d is not known here");
-            f.loop.submit(() -> {
-                assertEquals(1, f.proxy.figures().of("renew").ok.get());
-                assertEquals(1, f.proxy.figures().of("charge").errors.get(), "it keeps its counts");
-            }).get();
+            f.loop.submit(
+                            () -> {
+                                assertEquals(1, f.proxy.figures().of("renew").ok.get());
+                                assertEquals(
+                                        1,
+                                        f.proxy.figures().of("charge").errors.get(),
+                                        "it keeps its counts");
+                            })
+                    .get();
         }
     }
 
@@ -70,11 +87,20 @@
     void anOpenRequestKeepsItsEffectAndItsAttemptsAndTheNextOneHasTheNewOnes() throws Exception {
         try (Fixture f = new Fixture(2)) {
             Peer client = f.client();
-            client.send(Fixture.write("submit", "s1", 4000)); // keyed, 4 attempts: may be sent again
+            client.send(
+                    Fixture.write("submit", "s1", 4000)); // keyed, 4 attempts: may be sent again
             Peer node = f.next();
             sent(node);
-            assertEquals("1/0", reload(f, file(f, SETTINGS.replace("\"effect\":\"token\"", "\"effect\":\"side_effect\"")
-                .replace("\"maxAttempts\":4", "\"maxAttempts\":1"))));
+            assertEquals(
+                    "1/0",
+                    reload(
+                            f,
+                            file(
+                                    f,
+                                    SETTINGS.replace(
+                                                    "\"effect\":\"token\"",
+                                                    "\"effect\":\"side_effect\"")
+                                            .replace("\"maxAttempts\":4", "\"maxAttempts\":1"))));
             node.reset();
             Peer again = f.next();
             sent(again);
@@ -86,7 +112,8 @@
             again = f.next();
             sent(again);
             again.reset();
-            client.expect("SERVER_ERROR failed"); // not refused: that would promise that it never ran
+            client.expect(
+                    "SERVER_ERROR failed"); // not refused: that would promise that it never ran
         }
     }
 
@@ -94,25 +121,33 @@
     void nothingIsTakenOfABrokenFileAndTheLastGoodOneCounts() throws Exception {
         try (Fixture f = new Fixture(1)) {
             String good = file(f, SETTINGS.replace("\"name\":\"charge\"", "\"name\":\"renew\""));
-            List<String> broken = List.of("", "{", good.substring(0, good.length() - 30), "[]", "null",
-                good.replace("\"discovery\"", "\"discover\""),
-                good.replace("\"settings\"", "\"sittings\""),
-                good.replace("\"grades\"", "\"grade\""),
-                good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":0"),
-                good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":-5"),
-                good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":\"soon\""),
-                good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":\"5000\""),
-                good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":null"),
-                good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":[]"),
-                good.replace("\"deadlineMs\":5000.0,\"lateWorth\"", "\"lateWorth\""),
-                good.replace("\"maxAttempts\":4", "\"maxAttempts\":0"),
-                good.replace("\"maxAttempts\":4", "\"maxAttempts\":1.5"),
-                good.replace("\"maxAttempts\":4", "\"maxAttempts\":true"),
-                good.replace("\"maxAttempts\":4,", ""),
-                good.replace("\"name\":\"renew\"", "\"name\":\"lookup\""),
-                good.replace("\"tenants\":[", "\"tenants\":7,\"x\":["),
-                good.replace("\"mode\":\"through\"", "\"mode\":\"aside\""),
-                good.replace("\"registryMode\":\"subscribe\"", "\"registryMode\":\"automatic\""));
+            List<String> broken =
+                    List.of(
+                            "",
+                            "{",
+                            good.substring(0, good.length() - 30),
+                            "[]",
+                            "null",
+                            good.replace("\"discovery\"", "\"discover\""),
+                            good.replace("\"settings\"", "\"sittings\""),
+                            good.replace("\"grades\"", "\"grade\""),
+                            good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":0"),
+                            good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":-5"),
+                            good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":\"soon\""),
+                            good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":\"5000\""),
+                            good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":null"),
+                            good.replace("\"deadlineMs\":5000.0", "\"deadlineMs\":[]"),
+                            good.replace("\"deadlineMs\":5000.0,\"lateWorth\"", "\"lateWorth\""),
+                            good.replace("\"maxAttempts\":4", "\"maxAttempts\":0"),
+                            good.replace("\"maxAttempts\":4", "\"maxAttempts\":1.5"),
+                            good.replace("\"maxAttempts\":4", "\"maxAttempts\":true"),
+                            good.replace("\"maxAttempts\":4,", ""),
+                            good.replace("\"name\":\"renew\"", "\"name\":\"lookup\""),
+                            good.replace("\"tenants\":[", "\"tenants\":7,\"x\":["),
+                            good.replace("\"mode\":\"through\"", "\"mode\":\"aside\""),
+                            good.replace(
+                                    "\"registryMode\":\"subscribe\"",
+                                    "\"registryMode\":\"automatic\""));
             for (int i = 0; i < broken.size(); i++) {
                 assertEquals("0/" + (i + 1), reload(f, broken.get(i)), broken.get(i));
             }
@@ -128,10 +163,17 @@
     @Test
     void aTenantKeepsItsPlaceAndANewOneTakesThatOfOneThatLeft() {
         Router.Tenant[] before = {tenant("a", 1), tenant("b", 2), tenant("c", 3)};
-        Router.Tenant[] after = Retuning.tenants(before, new Router.Tenant[] {tenant("c", 30), tenant("a", 10)});
+        Router.Tenant[] after =
+                Retuning.tenants(before, new Router.Tenant[] {tenant("c", 30), tenant("a", 10)});
         assertEquals(List.of("a 10.0", " 0.0", "c 30.0"), told(after));
-        assertEquals(List.of("a 10.0", "d 4.0", "c 30.0", "e 5.0"), told(Retuning.tenants(after, new Router.Tenant[] {
-            tenant("a", 10), tenant("c", 30), tenant("d", 4), tenant("e", 5)})));
+        assertEquals(
+                List.of("a 10.0", "d 4.0", "c 30.0", "e 5.0"),
+                told(
+                        Retuning.tenants(
+                                after,
+                                new Router.Tenant[] {
+                                    tenant("a", 10), tenant("c", 30), tenant("d", 4), tenant("e", 5)
+                                })));
     }
 
     private static Router.Tenant tenant(String name, double quota) {
@@ -149,11 +191,16 @@
     void theMessageNamesTheKey() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Path file = folder.resolve("config.json");
-            Files.writeString(file, file(f, SETTINGS).replace("\"deadlineMs\":5000.0,\"lateWorth\"", "\"lateWorth\""));
+            Files.writeString(
+                    file,
+                    file(f, SETTINGS)
+                            .replace("\"deadlineMs\":5000.0,\"lateWorth\"", "\"lateWorth\""));
             try {
                 f.config.reload(Fixture.env(file, f.discovery.address()));
             } catch (holdproxy.input.BadInput e) {
-                assertTrue(e.getMessage().contains("settings.grades.0.deadlineMs is missing"), e.getMessage());
+                assertTrue(
+                        e.getMessage().contains("settings.grades.0.deadlineMs is missing"),
+                        e.getMessage());
                 return;
             }
             throw new AssertionError("it was taken");
@@ -164,11 +211,14 @@
     @Test
     void whatOnlySomeClassesHaveNoOtherOneNeeds() throws Exception {
         int charge = SETTINGS.indexOf("\"charge\"");
-        String uneven = SETTINGS.substring(0, charge) + SETTINGS.substring(charge).replaceFirst(
-            "\"repeatWindowMs\":5000.0,", "");
+        String uneven =
+                SETTINGS.substring(0, charge)
+                        + SETTINGS.substring(charge).replaceFirst("\"repeatWindowMs\":5000.0,", "");
         try (Fixture f = new Fixture(1, s -> uneven, 1024)) {
             assertEquals("1/0", reload(f, file(f, uneven)));
-            assertEquals("1/1", reload(f, file(f, uneven.replace("\"deadlineMs\":5000.0", "\"deadline\":1"))));
+            assertEquals(
+                    "1/1",
+                    reload(f, file(f, uneven.replace("\"deadlineMs\":5000.0", "\"deadline\":1"))));
         }
     }
 
@@ -181,7 +231,14 @@
             node.line();
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
-            assertEquals("1/0", reload(f, file(f, SETTINGS.replace("\"idleCloseMs\":30000.0", "\"idleCloseMs\":100.0"))));
+            assertEquals(
+                    "1/0",
+                    reload(
+                            f,
+                            file(
+                                    f,
+                                    SETTINGS.replace(
+                                            "\"idleCloseMs\":30000.0", "\"idleCloseMs\":100.0"))));
             node.expectEnd();
         }
     }
--- a/src/test/java/holdproxy/net/ServingTest.java
+++ b/src/test/java/holdproxy/net/ServingTest.java
@@ -37,7 +37,9 @@
             Peer client = f.client();
             client.send("mg 7f3a9c21e0b4d655 v Oa1 Pc=lookup,t=acme,d=4000,r=1,size=12\r\n");
             Peer node = f.nodes.get(0).next();
-            assertEquals("mg 7f3a9c21e0b4d655 v Oa1 Pc=lookup,t=acme,d=,r=1,size=12", command(node, 4000));
+            assertEquals(
+                    "mg 7f3a9c21e0b4d655 v Oa1 Pc=lookup,t=acme,d=,r=1,size=12",
+                    command(node, 4000));
             node.send("VA 5 Oa1 h1 Lbusy=0.61\r\nhel\nl\r\n");
             client.expect("VA 5 Oa1", "hel", "l");
         }
@@ -49,7 +51,8 @@
             Peer client = f.client();
             client.send(Fixture.write("submit", "b2", 4000));
             Peer node = f.nodes.get(0).next();
-            assertEquals("ms 7f3a9c21e0b4d655 5 Ob2 Pc=submit,t=acme,d=,k=5c0f", command(node, 4000));
+            assertEquals(
+                    "ms 7f3a9c21e0b4d655 5 Ob2 Pc=submit,t=acme,d=,k=5c0f", command(node, 4000));
             node.expect("hello");
             node.send("HD Ob2 c77\r\n");
             client.expect("HD Ob2 c77");
@@ -67,7 +70,8 @@
             command(second, 4000);
             (swapped ? first : second).send("VA 1 Oa2\r\n2\r\n");
             (swapped ? second : first).send("VA 1 Oa1\r\n1\r\n");
-            client.expect("VA 1 Oa1", "1", "VA 1 Oa2", "2", "MN", "CLIENT_ERROR O and P are needed");
+            client.expect(
+                    "VA 1 Oa1", "1", "VA 1 Oa2", "2", "MN", "CLIENT_ERROR O and P are needed");
         }
     }
 
@@ -89,12 +93,21 @@
     }
 
     @Test
-    void whatCannotBeReadGetsAnErrorLineAndTheConnectionEndsOnlyWhereFramingIsLost() throws Exception {
+    void whatCannotBeReadGetsAnErrorLineAndTheConnectionEndsOnlyWhereFramingIsLost()
+            throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
-            client.send("get x\r\nmg k v Oa Pc=nobody,t=acme,d=9\r\nms k 3 Ob Pc=charge,t=acme,d=x\r\nabc\r\nmn\r\n");
-            client.expect("ERROR", "CLIENT_ERROR c, t or d is not known here",
-                "CLIENT_ERROR c, t or d is not known here", "MN");
+            client.send(
+                    "get x\r\n"
+                            + "mg k v Oa Pc=nobody,t=acme,d=9\r\n"
+                            + "ms k 3 Ob Pc=charge,t=acme,d=x\r\n"
+                            + "abc\r\n"
+                            + "mn\r\n");
+            client.expect(
+                    "ERROR",
+                    "CLIENT_ERROR c, t or d is not known here",
+                    "CLIENT_ERROR c, t or d is not known here",
+                    "MN");
             client.send("ms k 4194305 Oc Pc=charge,t=acme,d=900,k=1\r\n");
             client.expect("CLIENT_ERROR object too large");
             client.expectEnd();
@@ -114,7 +127,8 @@
     }
 
     @Test
-    void anUnsafeRequestWhoseConnectionBreaksAfterItWasWrittenHasFailedAndIsNotSentAgain() throws Exception {
+    void anUnsafeRequestWhoseConnectionBreaksAfterItWasWrittenHasFailedAndIsNotSentAgain()
+            throws Exception {
         try (Fixture f = new Fixture(2)) {
             Peer client = f.client();
             client.send(Fixture.write("charge", "c1", 4000));
@@ -164,7 +178,8 @@
             node.expect("hello");
             node.send("SERVER_ERROR busy Lbusy=1.0\r\n");
             Peer second = other(f, 1);
-            assertEquals("ms 7f3a9c21e0b4d655 5 Oc1 Pc=charge,t=acme,d=,k=5c0f", command(second, 4000));
+            assertEquals(
+                    "ms 7f3a9c21e0b4d655 5 Oc1 Pc=charge,t=acme,d=,k=5c0f", command(second, 4000));
             second.expect("hello");
             second.send("HD Oc1 c9\r\n");
             client.expect("HD Oc1 c9");
@@ -173,7 +188,8 @@
 
     @Test
     void anUnsafeRequestWhoseConnectionNeverComesUpIsRefusedAndNotWrittenLater() throws Exception {
-        try (Fixture f = new Fixture(1); Peer.Deaf deaf = new Peer.Deaf()) {
+        try (Fixture f = new Fixture(1);
+                Peer.Deaf deaf = new Peer.Deaf()) {
             onlyNode(f, deaf);
             Peer client = f.client();
             client.send(Fixture.write("charge", "c1", 200));
@@ -182,20 +198,35 @@
     }
 
     @Test
-    void anAttemptGivenUpBeforeItsConnectionIsUpIsNotWrittenWhenItComesUpForAnother() throws Exception {
-        try (Fixture f = new Fixture(1, s -> s.replace("\"multiplex\":1", "\"multiplex\":4")
-                .replace("\"secondCopies\":false", "\"secondCopies\":true")
-                .replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":9000.0")
-                .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":18000.0"), 1024);
+    void anAttemptGivenUpBeforeItsConnectionIsUpIsNotWrittenWhenItComesUpForAnother()
+            throws Exception {
+        try (Fixture f =
+                        new Fixture(
+                                1,
+                                s ->
+                                        s.replace("\"multiplex\":1", "\"multiplex\":4")
+                                                .replace(
+                                                        "\"secondCopies\":false",
+                                                        "\"secondCopies\":true")
+                                                .replace(
+                                                        "\"dialTimeoutMs\":400.0",
+                                                        "\"dialTimeoutMs\":9000.0")
+                                                .replace(
+                                                        "\"drainGraceMs\":1000.0",
+                                                        "\"drainGraceMs\":18000.0"),
+                                1024);
                 Peer.Deaf deaf = new Peer.Deaf()) {
             onlyNode(f, deaf);
             Peer client = f.client();
             Peer patient = f.client();
             client.send(Fixture.write("charge", "c1", 400));
             patient.send(Fixture.write("charge", "c2", 4900));
-            assertTrue(client.line().startsWith("SERVER_ERROR busy ")); // which promises that it never ran
+            assertTrue(
+                    client.line()
+                            .startsWith("SERVER_ERROR busy ")); // which promises that it never ran
             Peer node = deaf.hear();
-            assertEquals("ms 7f3a9c21e0b4d655 5 Oc2 Pc=charge,t=acme,d=,k=5c0f", command(node, 4900));
+            assertEquals(
+                    "ms 7f3a9c21e0b4d655 5 Oc2 Pc=charge,t=acme,d=,k=5c0f", command(node, 4900));
             node.expect("hello");
             node.send("HD Oc2 c2\r\n");
             patient.expect("HD Oc2 c2");
@@ -205,9 +236,13 @@
     /** Has the proxy told of a node in place of all others, and waits until it knows. */
     private static void onlyNode(Fixture f, Peer.Deaf node) throws Exception {
         Peer watch = f.watch();
-        String entry = f.entry(0, "SERVING").replace("s-0", "s-9").replace(f.nodes.get(0).address(), node.address());
+        String entry =
+                f.entry(0, "SERVING")
+                        .replace("s-0", "s-9")
+                        .replace(f.nodes.get(0).address(), node.address());
         Fixture.chunk(watch, Fixture.list(2, true, entry));
-        Fixture.chunk(watch, "{}"); // no list: it ends the watch, after the one before it was taken in
+        Fixture.chunk(
+                watch, "{}"); // no list: it ends the watch, after the one before it was taken in
         watch.expectEnd();
     }
 
@@ -243,12 +278,13 @@
             client.expect("MN");
             CountDownLatch still = new CountDownLatch(1);
             CompletableFuture<Long> until = new CompletableFuture<>();
-            f.loop.execute(() -> {
-                still.countDown();
-                for (long end = until.join(); System.nanoTime() < end;) {
-                    Thread.onSpinWait();
-                }
-            });
+            f.loop.execute(
+                    () -> {
+                        still.countDown();
+                        for (long end = until.join(); System.nanoTime() < end; ) {
+                            Thread.onSpinWait();
+                        }
+                    });
             still.await();
             client.send(Fixture.write("charge", "c1", 300));
             until.complete(System.nanoTime() + 500_000_000L);
@@ -259,8 +295,13 @@
 
     @Test
     void aQuickAnswerDoesNotWaitBehindASlowOneWhileThereAreDescriptors() throws Exception {
-        try (Fixture f = new Fixture(1, s -> s.replace("\"multiplex\":1", "\"multiplex\":4")
-                .replace("\"secondCopies\":false", "\"secondCopies\":true"), 1024)) {
+        try (Fixture f =
+                new Fixture(
+                        1,
+                        s ->
+                                s.replace("\"multiplex\":1", "\"multiplex\":4")
+                                        .replace("\"secondCopies\":false", "\"secondCopies\":true"),
+                        1024)) {
             Peer slow = f.client();
             Peer quick = f.client();
             slow.send(Fixture.write("charge", "c1", 4900));
@@ -275,8 +316,13 @@
 
     @Test
     void aLateAnswerOnASharedConnectionIsNotTakenForTheNextOne() throws Exception {
-        try (Fixture f = new Fixture(1, s -> s.replace("\"multiplex\":1", "\"multiplex\":4")
-                .replace("\"secondCopies\":false", "\"secondCopies\":true"), 128)) { // 24 are for nodes
+        try (Fixture f =
+                new Fixture(
+                        1,
+                        s ->
+                                s.replace("\"multiplex\":1", "\"multiplex\":4")
+                                        .replace("\"secondCopies\":false", "\"secondCopies\":true"),
+                        128)) { // 24 are for nodes
             Peer client = f.client();
             Peer patient = f.client();
             client.send(Fixture.write("charge", "c1", 2000));
@@ -312,8 +358,10 @@
 
     @Test
     void answersThatCannotBeReadSayNothingOfCapacityAndTheirTenantIsNotRefused() throws Exception {
-        // without a quota each capacity failure counts in full; more nodes than requests, so that one is left
-        try (Fixture f = new Fixture(6, s -> s.replace("\"quotaPerS\":50.0", "\"quotaPerS\":0.0"), 1024)) {
+        // without a quota each capacity failure counts in full; more nodes than requests, so that
+        // one is left
+        try (Fixture f =
+                new Fixture(6, s -> s.replace("\"quotaPerS\":50.0", "\"quotaPerS\":0.0"), 1024)) {
             Peer client = f.client();
             for (int i = 0; i < 5; i++) {
                 client.send(Fixture.write("charge", "c" + i, 4000));
@@ -356,8 +404,13 @@
 
     @Test
     void overTheBoundWithEveryConnectionBusyANewOneIsToldSoAndEnds() throws Exception {
-        try (Fixture f = new Fixture(1, s -> s.replace("\"multiplex\":1", "\"multiplex\":64")
-                .replace("\"secondCopies\":false", "\"secondCopies\":true"), 128)) {
+        try (Fixture f =
+                new Fixture(
+                        1,
+                        s ->
+                                s.replace("\"multiplex\":1", "\"multiplex\":64")
+                                        .replace("\"secondCopies\":false", "\"secondCopies\":true"),
+                        128)) {
             List<Peer> nodes = new ArrayList<>();
             for (int i = 0; i < 40; i++) { // 40 are for clients, and 24 for nodes
                 f.client().send(Fixture.read("a" + i, 4900));
@@ -397,7 +450,8 @@
             idle.close();
             waiting.close();
             assertTrue(end.await(3000));
-            ConnectException refused = assertThrows(ConnectException.class, () -> Peer.to(address).close());
+            ConnectException refused =
+                    assertThrows(ConnectException.class, () -> Peer.to(address).close());
             assertTrue(refused.getMessage().contains("refused"));
         }
     }
--- a/src/test/java/holdproxy/net/SignalTest.java
+++ b/src/test/java/holdproxy/net/SignalTest.java
@@ -21,13 +21,11 @@
 class SignalTest {
     private final Peer.Listener node = new Peer.Listener();
     private final Peer.Listener discovery = new Peer.Listener();
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private Process process;
     private BufferedReader log;
 
-    SignalTest() throws Exception {
-    }
+    SignalTest() throws Exception {}
 
     @AfterEach
     void close() throws Exception {
@@ -42,8 +40,14 @@
         Path file = folder.resolve("config.json");
         String entry = "{\"id\":\"s-0\",\"addr\":\"" + node.address() + "\",\"state\":\"SERVING\"}";
         Files.writeString(file, Fixture.json(Fixture.list(1, true, entry), Fixture.SETTINGS, 1024));
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "holdproxy.Main", "serve");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "holdproxy.Main",
+                        "serve");
         builder.environment().putAll(Fixture.env(file, discovery.address()));
         builder.environment().put("LB_LISTEN", listen);
         process = builder.redirectErrorStream(true).start();
@@ -59,11 +63,16 @@
             }
             before.append(line).append('\n');
         }
-        throw new AssertionError("it ended with " + process.waitFor() + " before it said: " + part + "\n" + before);
+        throw new AssertionError(
+                "it ended with " + process.waitFor() + " before it said: " + part + "\n" + before);
     }
 
     private void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid())
+                        .start()
+                        .waitFor());
     }
 
     @Test
@@ -75,7 +84,10 @@
         line("the old configuration is kept");
         held.close();
         line("listening on ");
-        try (Peer client = Peer.to(new InetSocketAddress(InetAddress.getLoopbackAddress(), held.getLocalPort()))) {
+        try (Peer client =
+                Peer.to(
+                        new InetSocketAddress(
+                                InetAddress.getLoopbackAddress(), held.getLocalPort()))) {
             client.send("mn\r\n");
             client.expect("MN");
         }
--- a/src/test/java/holdproxy/net/TurnsTest.java
+++ b/src/test/java/holdproxy/net/TurnsTest.java
@@ -20,6 +20,7 @@
 
 class TurnsTest {
     private static final int TIMERS = 300;
+
     /** One that the timer wakes, and room for what else may wake a loop. */
     private static final int TURNS_A_TIMER = 4;
 
@@ -113,10 +114,16 @@
     /** How often a real loop looked for input until a chain of timers at odd intervals was through. */
     private static int turnsTaken(UnaryOperator<IoHandlerFactory> around) throws Exception {
         AtomicInteger taken = new AtomicInteger();
-        IoHandlerFactory sockets = NioIoHandler.newFactory(SelectorProvider.provider(), () -> (select, tasks) -> {
-            taken.incrementAndGet();
-            return tasks ? select.get() : -1; // as Netty's own: wait where there are no tasks
-        });
+        IoHandlerFactory sockets =
+                NioIoHandler.newFactory(
+                        SelectorProvider.provider(),
+                        () ->
+                                (select, tasks) -> {
+                                    taken.incrementAndGet();
+                                    return tasks
+                                            ? select.get()
+                                            : -1; // as Netty's own: wait where there are no tasks
+                                });
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, around.apply(sockets)).next();
         try {
             CompletableFuture<Void> done = new CompletableFuture<>();
@@ -132,7 +139,10 @@
         if (left == 0) {
             done.complete(null);
         } else {
-            loop.schedule(() -> next(loop, left - 1, done), 1_000 + left % 10 * 100, TimeUnit.MICROSECONDS);
+            loop.schedule(
+                    () -> next(loop, left - 1, done),
+                    1_000 + left % 10 * 100,
+                    TimeUnit.MICROSECONDS);
         }
     }
 }
--- a/src/test/java/holdproxy/net/UpgradeTest.java
+++ b/src/test/java/holdproxy/net/UpgradeTest.java
@@ -32,12 +32,13 @@
     private Path file;
     private String entry;
 
-    UpgradeTest() throws Exception {
-    }
+    UpgradeTest() throws Exception {}
 
     @BeforeEach
     void listen(@TempDir Path folder) throws Exception {
-        socket = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 512);
+        socket =
+                ServerSocketChannel.open()
+                        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 512);
         file = folder.resolve("config.json");
         entry = "{\"id\":\"s-0\",\"addr\":\"" + node.address() + "\",\"state\":\"SERVING\"}";
         Files.writeString(file, Fixture.json(Fixture.list(1, true, entry), Fixture.SETTINGS, 1024));
@@ -75,7 +76,8 @@
     private Proxy process() throws Exception {
         EventLoop loop = Service.loop(new Turns());
         loops.add(loop);
-        return Service.start(Config.load(Fixture.env(file, discovery.address())), loop, socket, null, null);
+        return Service.start(
+                Config.load(Fixture.env(file, discovery.address())), loop, socket, null, null);
     }
 
     private Peer client() throws Exception {
@@ -90,7 +92,8 @@
     }
 
     @Test
-    void theOldOneTakesNothingNewAnswersWhatItTookAndEndsEachConnectionBehindAnAnswer() throws Exception {
+    void theOldOneTakesNothingNewAnswersWhatItTookAndEndsEachConnectionBehindAnAnswer()
+            throws Exception {
         Proxy old = process();
         Peer waiting = greeted();
         Peer used = greeted();
@@ -101,7 +104,7 @@
         Proxy fresh = process();
         assertTrue(fresh.takesClients());
         Future<Void> end = old.end(1000);
-        loops.get(0).submit(() -> { }).sync();
+        loops.get(0).submit(() -> {}).sync();
         assertFalse(old.takesClients());
         for (int i = 0; i < 20; i++) {
             Peer p = greeted(); // each by the new one: the old one would end it behind its answer
@@ -133,7 +136,7 @@
         first.end(10);
         second.end(10);
         for (int i : new int[] {0, 1}) {
-            loops.get(i).submit(() -> { }).sync();
+            loops.get(i).submit(() -> {}).sync();
         }
         Peer p = greeted();
         p.send("mn\r\n");
@@ -153,11 +156,16 @@
     void twoProcessesTogetherStayWithinTheBoundOnDescriptors() {
         for (int most : new int[] {256, 384, 512, 1024}) {
             Descriptors each = Descriptors.of(most, true);
-            assertTrue(each.clients() + Descriptors.REFUSING + 2 * each.nodes() + 2 * 48 <= most, most + ": " + each);
+            assertTrue(
+                    each.clients() + Descriptors.REFUSING + 2 * each.nodes() + 2 * 48 <= most,
+                    most + ": " + each);
             assertTrue(each.nodes() >= 16, most + ": " + each);
             assertNotEquals(each, Descriptors.of(most, false));
-            assertEquals(most - 48, Descriptors.of(most, false).clients() + Descriptors.of(most, false).nodes()
-                + Descriptors.REFUSING);
+            assertEquals(
+                    most - 48,
+                    Descriptors.of(most, false).clients()
+                            + Descriptors.of(most, false).nodes()
+                            + Descriptors.REFUSING);
         }
     }
 }
--- a/src/test/java/holdproxy/net/WatchTimesTest.java
+++ b/src/test/java/holdproxy/net/WatchTimesTest.java
@@ -25,13 +25,14 @@
 /** When discovery is called again, on a clock that the test moves: before what was missed counts as told. */
 class WatchTimesTest {
     private static final int SEEDS = 200;
+
     /** What a silent watch misses counts so long after it fell silent; an answer takes up to 1 s of it. */
     private static final int SILENT_TOLD_MS = 6_000;
+
     private static final int ANSWER_MS = 1_000;
     private static final int STEP_MS = 10;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     /** A proxy whose only peer is discovery. */
     private final class Town implements Transport {
@@ -43,6 +44,7 @@
         private final Config config;
         private final Proxy proxy;
         private boolean down;
+
         /** Of the latest dial. */
         private int timeoutMs;
 
@@ -50,21 +52,29 @@
             write("127.0.0.1:1", settings, seed);
             config = Config.load(Fixture.env(file, "127.0.0.1:1"));
             Time time = new Time(ticker, () -> 0);
-            proxy = new Proxy(config, timers.eventLoop(), time, this, new Log(time, line -> { }));
+            proxy = new Proxy(config, timers.eventLoop(), time, this, new Log(time, line -> {}));
             proxy.begin();
             passUntilCall(1, 10_000);
         }
 
         private void write(String discovery, String settings, long seed) throws Exception {
-            Files.writeString(file, "{\"discovery\":\"" + discovery + "\"," + Fixture.json(Fixture.list(1, true), settings, 1024)
-                .replace("8c1f30d27a5be964", Long.toHexString(seed)).substring(1));
+            Files.writeString(
+                    file,
+                    "{\"discovery\":\""
+                            + discovery
+                            + "\","
+                            + Fixture.json(Fixture.list(1, true), settings, 1024)
+                                    .replace("8c1f30d27a5be964", Long.toHexString(seed))
+                                    .substring(1));
         }
 
         @Override
-        public ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+        public ChannelFuture connect(
+                InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
             called.add(address);
             this.timeoutMs = timeoutMs;
-            EmbeddedChannel channel = EmbeddedChannel.builder().ticker(ticker).handlers(handlers).build();
+            EmbeddedChannel channel =
+                    EmbeddedChannel.builder().ticker(ticker).handlers(handlers).build();
             calls.add(channel);
             if (down) {
                 ChannelPromise refused = channel.newPromise();
@@ -74,7 +84,8 @@
         }
 
         @Override
-        public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
+        public ChannelFuture listen(
+                InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
             throw new UnsupportedOperationException();
         }
 
@@ -88,8 +99,13 @@
         }
 
         void say(EmbeddedChannel call, String list) {
-            call.writeInbound(Rehearsal.bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n"));
+            call.writeInbound(
+                    Rehearsal.bytes(
+                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                    + Integer.toHexString(list.length())
+                                    + "\r\n"
+                                    + list
+                                    + "\r\n"));
         }
 
         void pass(int ms) {
@@ -110,8 +126,9 @@
     }
 
     private static String asking(int withinMs, int routers) {
-        return Fixture.SETTINGS.replace("\"askWithinMs\":100.0", "\"askWithinMs\":" + withinMs)
-            .replace("\"balancers\":1", "\"balancers\":" + routers);
+        return Fixture.SETTINGS
+                .replace("\"askWithinMs\":100.0", "\"askWithinMs\":" + withinMs)
+                .replace("\"balancers\":1", "\"balancers\":" + routers);
     }
 
     @Test
@@ -122,7 +139,9 @@
                 town.say(town.latest(), Fixture.list(2, true) + "\n");
                 int before = town.calls.size();
                 int took = town.passUntilCall(before + 1, 60_000);
-                assertTrue(took <= SILENT_TOLD_MS - ANSWER_MS, "seed " + seed + " of " + routers + ": " + took + " ms");
+                assertTrue(
+                        took <= SILENT_TOLD_MS - ANSWER_MS,
+                        "seed " + seed + " of " + routers + ": " + took + " ms");
             }
         }
     }
@@ -149,7 +168,9 @@
             town.latest().close();
             for (int i = 0; i < 10; i++) {
                 int took = town.passUntilCall(town.calls.size() + 1, 60_000);
-                assertTrue(took <= 700, took + " ms"); // the agent's lists count while no watch is open
+                assertTrue(
+                        took <= 700,
+                        took + " ms"); // the agent's lists count while no watch is open
             }
         }
     }
@@ -159,13 +180,21 @@
     void wherePushedListsStopTheNextDialIsUpWithinTheGraceOfItsReturn() throws Exception {
         for (int grace : new int[] {100, 300, 1_000}) {
             for (long seed = 1; seed <= SEEDS; seed++) {
-                Town town = new Town(seed, Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\"")
-                    .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":" + grace));
+                Town town =
+                        new Town(
+                                seed,
+                                Fixture.SETTINGS
+                                        .replace("\"subscribe\"", "\"automatic\"")
+                                        .replace(
+                                                "\"drainGraceMs\":1000.0",
+                                                "\"drainGraceMs\":" + grace));
                 town.down = true;
                 town.latest().close();
                 for (int i = 0; i < 6; i++) {
                     int took = town.passUntilCall(town.calls.size() + 1, 60_000);
-                    assertTrue(took + town.timeoutMs < grace, took + " and " + town.timeoutMs + " ms of " + grace);
+                    assertTrue(
+                            took + town.timeoutMs < grace,
+                            took + " and " + town.timeoutMs + " ms of " + grace);
                 }
             }
         }
--- a/src/test/java/holdproxy/net/WatchdogTest.java
+++ b/src/test/java/holdproxy/net/WatchdogTest.java
@@ -21,7 +21,9 @@
             dog.look(now);
         }
         assertEquals(2, lines.size(), lines.toString());
-        assertTrue(lines.get(0).startsWith("the request loop stands still since 800 ms in "), lines.get(0));
+        assertTrue(
+                lines.get(0).startsWith("the request loop stands still since 800 ms in "),
+                lines.get(0));
         assertTrue(lines.get(0).contains("WatchdogTest.aLoopThatStandsStill"), lines.get(0));
     }
 
--- a/src/test/java/holdproxy/peers/LinksTest.java
+++ b/src/test/java/holdproxy/peers/LinksTest.java
@@ -28,7 +28,8 @@
 class LinksTest {
     private static final long END_S = 60;
 
-    private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final EventLoop loop =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final BlockingQueue<byte[]> frames = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
 
@@ -38,15 +39,22 @@
     }
 
     private Links links(Map<String, InetSocketAddress> routes) throws Exception {
-        Links links = new Links(loop, routes, text -> {
-            throw new BadInput("no address: " + text);
-        }, lines::add);
-        links.receive(1, frame -> {
-            if (frame.length == 1) {
-                throw new BadInput("one byte is nothing");
-            }
-            frames.add(frame);
-        });
+        Links links =
+                new Links(
+                        loop,
+                        routes,
+                        text -> {
+                            throw new BadInput("no address: " + text);
+                        },
+                        lines::add);
+        links.receive(
+                1,
+                frame -> {
+                    if (frame.length == 1) {
+                        throw new BadInput("one byte is nothing");
+                    }
+                    frames.add(frame);
+                });
         return links;
     }
 
@@ -100,17 +108,21 @@
         send(from, "b", new byte[2]);
         await(END_S, () -> from.dropped() > 0);
         listen(links(Map.of()), at);
-        await(END_S, () -> {
-            send(from, "b", new byte[2]);
-            return !frames.isEmpty();
-        });
+        await(
+                END_S,
+                () -> {
+                    send(from, "b", new byte[2]);
+                    return !frames.isEmpty();
+                });
     }
 
     @Test
     void otherVersionsAndWhatTheReceiverCannotReadEndTheirConnectionAlone() throws Exception {
         Links to = links(Map.of());
         InetSocketAddress at = listen(to, any());
-        byte[][] bad = {{0, 0, 0, 3, 2, 1, 9}, {0, 0, 0, 1, 1}, {0, 0, 0, 3, 1, 1, 9}, {127, 0, 0, 0, 1, 1}};
+        byte[][] bad = {
+            {0, 0, 0, 3, 2, 1, 9}, {0, 0, 0, 1, 1}, {0, 0, 0, 3, 1, 1, 9}, {127, 0, 0, 0, 1, 1}
+        };
         for (byte[] each : bad) {
             try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
                 socket.getOutputStream().write(each);
@@ -124,9 +136,16 @@
     }
 
     private static Message message() {
-        Member sender = new Member("proxy-1", "10.0.0.1:7000", 1_764_000_000_123L, 3, State.ALIVE, "proxy-1");
-        return new Message(Message.Kind.PING_REQUEST, Long.MAX_VALUE, "proxy-2", Long.MIN_VALUE, sender,
-            List.of(sender, new Member("proxy-2", "", -1, 0, State.DEAD, "proxy-1")));
+        Member sender =
+                new Member(
+                        "proxy-1", "10.0.0.1:7000", 1_764_000_000_123L, 3, State.ALIVE, "proxy-1");
+        return new Message(
+                Message.Kind.PING_REQUEST,
+                Long.MAX_VALUE,
+                "proxy-2",
+                Long.MIN_VALUE,
+                sender,
+                List.of(sender, new Member("proxy-2", "", -1, 0, State.DEAD, "proxy-1")));
     }
 
     @Test
@@ -141,7 +160,10 @@
         byte[] good = MessageCodec.bytes(message());
         int bad = 0;
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = i % 3 == 0 ? new byte[random.nextInt(60)] : Arrays.copyOf(good, random.nextInt(good.length));
+            byte[] bytes =
+                    i % 3 == 0
+                            ? new byte[random.nextInt(60)]
+                            : Arrays.copyOf(good, random.nextInt(good.length));
             if (i % 3 == 0) {
                 random.nextBytes(bytes);
             } else if (i % 3 == 1) {
--- a/src/test/java/holdproxy/policy/BalanceTest.java
+++ b/src/test/java/holdproxy/policy/BalanceTest.java
@@ -26,13 +26,18 @@
 
     /** Requests at even intervals, each attempt ending as the world says. */
     private static final class Loop {
-        private record Due(long at, long order, long id, int attempt, Router.Outcome outcome, long latency) { }
+        private record Due(
+                long at, long order, long id, int attempt, Router.Outcome outcome, long latency) {}
 
         private final Fixture out = new Fixture();
         private final Choice module;
         private final Random random;
-        private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) ->
-                a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+        private final PriorityQueue<Due> due =
+                new PriorityQueue<>(
+                        (a, b) ->
+                                a.at != b.at
+                                        ? Long.compare(a.at, b.at)
+                                        : Long.compare(a.order, b.order));
         private final int[] attemptsOf = new int[1 << 20];
         private final double perSecond;
         private long next;
@@ -57,7 +62,8 @@
                 now = at;
                 long id = next++;
                 int sent = out.sent.size();
-                module.onRequest(now, Fixture.request(id, 1 + random.next() % 500, now + 600 * MS), out);
+                module.onRequest(
+                        now, Fixture.request(id, 1 + random.next() % 500, now + 600 * MS), out);
                 if (end - now <= lastUs) {
                     asked++;
                     refused += out.sent.size() == sent ? 1 : 0;
@@ -72,8 +78,16 @@
                 Due d = due.poll();
                 now = d.at;
                 boolean ok = d.outcome == Router.Outcome.OK;
-                module.onOutcome(now, d.id, d.attempt, d.outcome, d.latency, ok, Router.CacheNote.NONE,
-                        new Router.Report(), out);
+                module.onOutcome(
+                        now,
+                        d.id,
+                        d.attempt,
+                        d.outcome,
+                        d.latency,
+                        ok,
+                        Router.CacheNote.NONE,
+                        new Router.Report(),
+                        out);
                 follow(world);
             }
         }
@@ -82,10 +96,19 @@
             for (; seen < out.sent.size(); seen++) {
                 Fixture.Sent s = out.sent.get(seen);
                 long answer = world.answerUs(s.node(), now, random);
-                Router.Outcome o = answer < 0 ? Router.Outcome.TIMEOUT
-                        : answer == 0 ? Router.Outcome.OVERLOADED : Router.Outcome.OK;
+                Router.Outcome o =
+                        answer < 0
+                                ? Router.Outcome.TIMEOUT
+                                : answer == 0 ? Router.Outcome.OVERLOADED : Router.Outcome.OK;
                 long after = answer < 0 ? s.timeoutUs() : answer;
-                due.add(new Due(now + after, seen, s.request(), attemptsOf[(int) s.request()]++, o, after));
+                due.add(
+                        new Due(
+                                now + after,
+                                seen,
+                                s.request(),
+                                attemptsOf[(int) s.request()]++,
+                                o,
+                                after));
             }
             out.timers.clear();
             out.all.clear();
@@ -94,7 +117,8 @@
 
     /** Nodes turn this share away, all of them alike, and the others wait in queues. */
     private static World overloaded(double share) {
-        return (node, now, random) -> random.unit() < share ? 0 : (long) ((0.2 + 0.7 * random.unit()) * 300 * MS);
+        return (node, now, random) ->
+                random.unit() < share ? 0 : (long) ((0.2 + 0.7 * random.unit()) * 300 * MS);
     }
 
     private static World quick() {
@@ -112,18 +136,29 @@
 
     @Test
     void theSameShareOfFailuresSettlesAtTheSameChanceWhateverTheRate() {
-        StringBuilder table = new StringBuilder("share of failures: refused at 1, 10, 100, 1000 requests a second\n");
+        StringBuilder table =
+                new StringBuilder(
+                        "share of failures: refused at 1, 10, 100, 1000 requests a second\n");
         for (double share : new double[] {0.02, 0.05, 0.1, 0.2, 0.4}) {
             double[] refused = new double[4];
             for (int i = 0; i < refused.length; i++) {
                 refused[i] = settled(Math.pow(10, i), overloaded(share));
             }
-            table.append(String.format(Locale.ROOT, "%.2f: %.2f %.2f %.2f %.2f%n", share, refused[0], refused[1],
-                    refused[2], refused[3]));
+            table.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%.2f: %.2f %.2f %.2f %.2f%n",
+                            share,
+                            refused[0],
+                            refused[1],
+                            refused[2],
+                            refused[3]));
             assertEquals(refused[2], refused[1], 0.2, table.toString());
             assertEquals(refused[2], refused[3], 0.2, table.toString());
             // a tenant tried once in some seconds: each of its steps is at its bound
-            assertTrue(refused[0] > 0.4 * refused[2] && refused[0] < refused[2] + 0.1, table.toString());
+            assertTrue(
+                    refused[0] > 0.4 * refused[2] && refused[0] < refused[2] + 0.1,
+                    table.toString());
         }
         System.out.println(table);
     }
@@ -144,8 +179,11 @@
     @ParameterizedTest
     @ValueSource(doubles = {10, 100, 1000})
     void silenceWhileOthersAnswerQuicklyDoesNotShutTheDoor(double perSecond) {
-        World lossy = (node, now, random) -> node != 1 && random.unit() < 0.25 ? -1
-                : (long) ((0.05 + 0.2 * random.unit()) * 300 * MS);
+        World lossy =
+                (node, now, random) ->
+                        node != 1 && random.unit() < 0.25
+                                ? -1
+                                : (long) ((0.05 + 0.2 * random.unit()) * 300 * MS);
         double refused = settled(perSecond, lossy);
         assertTrue(refused < 0.05, "nodes with time to spare: " + refused);
     }
@@ -155,7 +193,8 @@
     @ValueSource(doubles = {10, 100, 1000})
     void whatOneNodeFailsDoesNotShutTheDoor(double perSecond) {
         World dead = (node, now, random) -> node == 3 ? -1 : quick().answerUs(node, now, random);
-        World slow = (node, now, random) -> (node == 3 ? 10 : 1) * quick().answerUs(node, now, random);
+        World slow =
+                (node, now, random) -> (node == 3 ? 10 : 1) * quick().answerUs(node, now, random);
         World full = (node, now, random) -> node == 3 ? 0 : quick().answerUs(node, now, random);
         assertTrue(settled(perSecond, dead) < 0.03, "dead: " + settled(perSecond, dead));
         assertTrue(settled(perSecond, slow) < 0.03, "slow: " + settled(perSecond, slow));
--- a/src/test/java/holdproxy/policy/EmbeddingExampleTest.java
+++ b/src/test/java/holdproxy/policy/EmbeddingExampleTest.java
@@ -31,8 +31,18 @@
             while (!attempts.isEmpty()) {
                 long id = attempts.remove();
                 nowUs += 2_000;
-                answers.add(id + " served"); // the first success is the client's answer: deliver it, then say so
-                router.onOutcome(nowUs, id, 0, Router.Outcome.OK, 2_000, true, Router.CacheNote.HIT, new Router.Report(), this);
+                answers.add(id + " served"); // the first success is the client's answer: deliver
+                // it, then say so
+                router.onOutcome(
+                        nowUs,
+                        id,
+                        0,
+                        Router.Outcome.OK,
+                        2_000,
+                        true,
+                        Router.CacheNote.HIT,
+                        new Router.Report(),
+                        this);
             }
         }
 
--- a/src/test/java/holdproxy/policy/Fixture.java
+++ b/src/test/java/holdproxy/policy/Fixture.java
@@ -8,7 +8,7 @@
     static final long MS = 1000;
     static final long S = 1_000_000;
 
-    record Sent(long request, int node, long timeoutUs) { }
+    record Sent(long request, int node, long timeoutUs) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
@@ -73,7 +73,16 @@
 
     /** Reports how the request's attempt ended, as the caller does; an OK concludes. */
     void outcome(Choice p, long now, long id, int attempt, Router.Outcome o) {
-        p.onOutcome(now, id, attempt, o, 10 * MS, o == Router.Outcome.OK, Router.CacheNote.NONE, new Router.Report(), this);
+        p.onOutcome(
+                now,
+                id,
+                attempt,
+                o,
+                10 * MS,
+                o == Router.Outcome.OK,
+                Router.CacheNote.NONE,
+                new Router.Report(),
+                this);
     }
 
     int lastNode() {
--- a/src/test/java/holdproxy/policy/FleetTest.java
+++ b/src/test/java/holdproxy/policy/FleetTest.java
@@ -18,7 +18,9 @@
     void nodesThatAreGoneAreForgottenOverMonthsOfChurn() {
         Fleet fleet = new Fleet(Fixture.settings(Router.Effect.SAFE));
         for (int i = 0; i < 200_000; i++) {
-            Router.Node[] change = {node(i, Router.NodeState.READY), node(i - 10, Router.NodeState.GONE)};
+            Router.Node[] change = {
+                node(i, Router.NodeState.READY), node(i - 10, Router.NodeState.GONE)
+            };
             fleet.apply(Router.ListKind.DELTA, change, 2);
             assertTrue(fleet.known() <= 10, "known " + fleet.known());
         }
