--- a/src/test/java/holdproxy/policy/HostileEventsTest.java
+++ b/src/test/java/holdproxy/policy/HostileEventsTest.java
@@ -18,7 +18,7 @@
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
 
-    private record Attempt(long request, int number, int node, long sentAt, long endsAt) { }
+    private record Attempt(long request, int number, int node, long sentAt, long endsAt) {}
 
     private static final class Life {
         Router.Request request;
@@ -45,8 +45,12 @@
 
         Proxy(long seed, boolean aside) {
             dice = new SplitMix(seed);
-            settings = Fixture.settings(Router.Effect.SAFE, Router.Effect.KEYED, Router.Effect.UNSAFE,
-                    Router.Effect.KEYED);
+            settings =
+                    Fixture.settings(
+                            Router.Effect.SAFE,
+                            Router.Effect.KEYED,
+                            Router.Effect.UNSAFE,
+                            Router.Effect.KEYED);
             settings.classes[3].group = dice.below(2) == 0 ? Router.Group.ZONE : Router.Group.CELL;
             settings.classes[0].lateWorth = dice.below(2) / 2.0;
             settings.secondCopies = dice.below(4) > 0;
@@ -152,14 +156,27 @@
             Life life = lives.get(a.request);
             life.out--;
             boolean timedOut = a.endsAt >= life.request.dueUs;
-            Router.Outcome o = timedOut ? Router.Outcome.TIMEOUT
-                    : dice.below(3) > 0 ? Router.Outcome.OK : Router.Outcome.values()[dice.below(9)];
+            Router.Outcome o =
+                    timedOut
+                            ? Router.Outcome.TIMEOUT
+                            : dice.below(3) > 0
+                                    ? Router.Outcome.OK
+                                    : Router.Outcome.values()[dice.below(9)];
             if (o.neverRan) {
                 life.mayHaveRun.remove(a);
             }
             life.concluded |= o == Router.Outcome.OK;
             Router.CacheNote note = Router.CacheNote.values()[dice.below(4)];
-            choice.onOutcome(now, a.request, a.number, o, now - a.sentAt, life.concluded, note, new Router.Report(), this);
+            choice.onOutcome(
+                    now,
+                    a.request,
+                    a.number,
+                    o,
+                    now - a.sentAt,
+                    life.concluded,
+                    note,
+                    new Router.Report(),
+                    this);
             if (timedOut && life.out == 0) {
                 assertTrue(life.concluded, "no answer at the due time of request " + a.request);
             }
@@ -179,16 +196,24 @@
                 assertTrue(!life.request.write, "aside writes go to the origin");
             }
             if (!life.mayHaveRun.isEmpty() && life.type.effect != Router.Effect.SAFE) {
-                assertEquals(Router.Effect.KEYED, life.type.effect, "an unsafe request that may have run");
+                assertEquals(
+                        Router.Effect.KEYED,
+                        life.type.effect,
+                        "an unsafe request that may have run");
                 Attempt first = life.mayHaveRun.get(0);
                 assertTrue(now - first.sentAt < life.type.repeatWindowUs, "within the window");
                 Router.Node ran = nodes.get(first.node);
                 Router.Node next = nodes.get(node);
-                assertTrue(life.type.group == Router.Group.ALL
-                        || life.type.group == Router.Group.ZONE && ran.zone == next.zone
-                        || life.type.group == Router.Group.CELL && ran.cell == next.cell, "within the group");
+                assertTrue(
+                        life.type.group == Router.Group.ALL
+                                || life.type.group == Router.Group.ZONE && ran.zone == next.zone
+                                || life.type.group == Router.Group.CELL && ran.cell == next.cell,
+                        "within the group");
             }
-            long limit = timeoutUs > 0 ? Math.min(now + timeoutUs, life.request.dueUs) : life.request.dueUs;
+            long limit =
+                    timeoutUs > 0
+                            ? Math.min(now + timeoutUs, life.request.dueUs)
+                            : life.request.dueUs;
             long endsAt = dice.below(12) == 0 ? limit : Math.min(limit, now + dice.below(300) * MS);
             Attempt a = new Attempt(request, life.attempts.size(), node, now, endsAt);
             life.attempts.add(a);
@@ -200,7 +225,9 @@
         private void conclude(long request) {
             Life life = lives.get(request);
             assertTrue(!life.concluded, "one final answer only");
-            assertTrue(now <= life.request.dueUs + 70 * MS, "in time, but for this caller's own steps");
+            assertTrue(
+                    now <= life.request.dueUs + 70 * MS,
+                    "in time, but for this caller's own steps");
             life.concluded = true;
             answered++;
         }
@@ -208,8 +235,11 @@
         @Override
         public void refuse(long request, long retryAfterUs) {
             Life life = lives.get(request);
-            assertTrue(life.mayHaveRun.isEmpty() || life.type.effect == Router.Effect.SAFE
-                    || life.type.effect == Router.Effect.KEYED && life.type.group == Router.Group.ALL,
+            assertTrue(
+                    life.mayHaveRun.isEmpty()
+                            || life.type.effect == Router.Effect.SAFE
+                            || life.type.effect == Router.Effect.KEYED
+                                    && life.type.group == Router.Group.ALL,
                     "a refusal promises that a further try is harmless");
             assertTrue(retryAfterUs <= settings.maxRetryAfterUs);
             conclude(request);
@@ -222,7 +252,9 @@
 
         @Override
         public void cancel(long request, int attempt) {
-            assertTrue(attempt < lives.get(request).attempts.size(), "only attempts made can be cancelled");
+            assertTrue(
+                    attempt < lives.get(request).attempts.size(),
+                    "only attempts made can be cancelled");
         }
 
         @Override
@@ -296,6 +328,8 @@
             answered += proxy.answered;
             sends += proxy.sends;
         }
-        assertTrue(answered > 1000 && sends > 3000, "the run must have met the rules: " + answered + ", " + sends);
+        assertTrue(
+                answered > 1000 && sends > 3000,
+                "the run must have met the rules: " + answered + ", " + sends);
     }
 }
--- a/src/test/java/holdproxy/policy/LeftOutTest.java
+++ b/src/test/java/holdproxy/policy/LeftOutTest.java
@@ -120,7 +120,12 @@
             p.onRequest(0, Fixture.request(id, Random.mix(key), 600 * MS), f);
             boolean bad = f.lastNode() == OUT;
             f.outcome(p, MS, id, 0, bad ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
-            for (int a = 1; bad && !f.sent.isEmpty() && f.sent.get(f.sent.size() - 1).request() == id && a < 2; a++) {
+            for (int a = 1;
+                    bad
+                            && !f.sent.isEmpty()
+                            && f.sent.get(f.sent.size() - 1).request() == id
+                            && a < 2;
+                    a++) {
                 f.outcome(p, MS, id, a, Router.Outcome.OK);
             }
         }
--- a/src/test/java/holdproxy/policy/MechanismTest.java
+++ b/src/test/java/holdproxy/policy/MechanismTest.java
@@ -92,12 +92,23 @@
             int sentBefore = out.sent.size();
             p.onRequest(now, q, out);
             if (out.sent.size() > sentBefore) {
-                p.onOutcome(now, i, 0, i % 10 < 2 ? Router.Outcome.TIMEOUT : Router.Outcome.OK, MS, i % 10 >= 2,
-                        Router.CacheNote.HIT, new Router.Report(), out);
+                p.onOutcome(
+                        now,
+                        i,
+                        0,
+                        i % 10 < 2 ? Router.Outcome.TIMEOUT : Router.Outcome.OK,
+                        MS,
+                        i % 10 >= 2,
+                        Router.CacheNote.HIT,
+                        new Router.Report(),
+                        out);
             }
-            refusals[q.tenant] += out.refused.size() > refusedBefore && out.sent.size() == sentBefore ? 1 : 0;
+            refusals[q.tenant] +=
+                    out.refused.size() > refusedBefore && out.sent.size() == sentBefore ? 1 : 0;
         }
-        assertTrue(refusals[0] > 3 * (refusals[1] + 1), refusals[0] + " beyond, " + refusals[1] + " within");
+        assertTrue(
+                refusals[0] > 3 * (refusals[1] + 1),
+                refusals[0] + " beyond, " + refusals[1] + " within");
     }
 
     @Test
@@ -141,7 +152,9 @@
             (key == 42 ? hot : key == 43 ? cold : new HashSet<Integer>()).add(out.lastNode());
             out.outcome(p, now, i, 0, Router.Outcome.OK);
         }
-        assertTrue(hot.size() > 4, "a quarter of the traffic needs more than two of 20: " + hot.size());
+        assertTrue(
+                hot.size() > 4,
+                "a quarter of the traffic needs more than two of 20: " + hot.size());
         assertTrue(cold.size() <= 4, "a key of 1 in 40 needs few: " + cold.size());
     }
 
@@ -157,7 +170,8 @@
             p.onRequest(now, Fixture.request(i, 42, now + S), out);
             int at = out.lastNode();
             toFirst += at == first ? 1 : 0;
-            out.outcome(p, now, i, 0, at == first ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
+            out.outcome(
+                    p, now, i, 0, at == first ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
             if (at == first) {
                 out.outcome(p, now, i, 1, Router.Outcome.OK);
             }
@@ -246,7 +260,9 @@
                 out.outcome(p, now + 161 * MS, i, 0, Router.Outcome.CANCELLED);
             }
         }
-        assertTrue(there < 25, "slow each time, so mostly passed over: " + there + " of 200, 50 its due");
+        assertTrue(
+                there < 25,
+                "slow each time, so mostly passed over: " + there + " of 200, 50 its due");
     }
 
     /** A slow origin: the tenants' buckets must not refuse the hits on top of what the origin's bucket refuses. */
@@ -262,15 +278,26 @@
                 int sentBefore = f.sent.size();
                 p.onRequest(now, Fixture.request(i, hit ? 42 : 1000 + i, now + S), f);
                 if (f.sent.size() > sentBefore) {
-                    p.onOutcome(now, i, 0, hit ? Router.Outcome.OK : Router.Outcome.ERROR, MS, hit,
-                            hit ? Router.CacheNote.HIT : fetch == 1 ? Router.CacheNote.MISS : Router.CacheNote.NONE,
-                            new Router.Report(), f);
+                    p.onOutcome(
+                            now,
+                            i,
+                            0,
+                            hit ? Router.Outcome.OK : Router.Outcome.ERROR,
+                            MS,
+                            hit,
+                            hit
+                                    ? Router.CacheNote.HIT
+                                    : fetch == 1 ? Router.CacheNote.MISS : Router.CacheNote.NONE,
+                            new Router.Report(),
+                            f);
                 } else if (hit) {
                     refused[fetch]++;
                 }
             }
         }
-        assertTrue(2 * refused[1] < refused[0], refused[1] + " hits refused for the origin, " + refused[0]);
+        assertTrue(
+                2 * refused[1] < refused[0],
+                refused[1] + " hits refused for the origin, " + refused[0]);
     }
 
     /** milano-turni big-2: connections dropped unseen while idle; what was sent on one got no answer. */
@@ -297,7 +324,9 @@
             }
             out.outcome(p, now + 200 * MS, i, 0, dead ? Router.Outcome.TIMEOUT : Router.Outcome.OK);
         }
-        assertTrue(silent > 0 && silent < 12, "learnt after a few silences, and tried again: " + silent);
+        assertTrue(
+                silent > 0 && silent < 12,
+                "learnt after a few silences, and tried again: " + silent);
     }
 
     /** On a busy proxy none idles for long, so that nothing could win back what slow answers took. */
@@ -315,7 +344,9 @@
             }
             out.outcome(p, now + 200 * MS, i, 0, Router.Outcome.OK);
         }
-        assertTrue(out.all.stream().noneMatch(a -> a.startsWith("close")), "closed though it was never silent");
+        assertTrue(
+                out.all.stream().noneMatch(a -> a.startsWith("close")),
+                "closed though it was never silent");
     }
 
     /** bole-campus big-1: nodes' connection tables held by idle connections, half of all attempts turned away. */
@@ -327,10 +358,13 @@
         for (int i = 0; i < 40; i++) {
             long now = i * 500 * MS;
             p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
-            Router.Outcome o = i >= 10 && i < 20 ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK;
+            Router.Outcome o =
+                    i >= 10 && i < 20 ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK;
             out.outcome(p, now + MS, i, 0, o);
             if (i < 10) {
-                assertTrue(out.all.stream().noneMatch(a -> a.startsWith("close")), "none closed without need");
+                assertTrue(
+                        out.all.stream().noneMatch(a -> a.startsWith("close")),
+                        "none closed without need");
             } else if (o == Router.Outcome.OK) {
                 assertTrue(out.all.get(out.all.size() - 1).startsWith("close"), "closed after use");
             }
@@ -353,13 +387,16 @@
             }
             boolean dead = out.lastNode() <= 3;
             down += dead ? 1 : 0;
-            out.outcome(p, now + MS, i, 0, dead ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
+            out.outcome(
+                    p, now + MS, i, 0, dead ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
             if (dead && out.sent.get(out.sent.size() - 1).request() == i) {
                 out.outcome(p, now + 2 * MS, i, 1, Router.Outcome.OK);
             }
         }
         assertTrue(down > 10, "the dead nodes were met: " + down);
-        assertTrue(out.all.stream().noneMatch(a -> a.startsWith("close")), "closed though its node is sound");
+        assertTrue(
+                out.all.stream().noneMatch(a -> a.startsWith("close")),
+                "closed though its node is sound");
     }
 
     /** zone+vast: 14 proxies dialled 26 dead nodes 700 times a second, until the list told of them 3 s later. */
@@ -372,17 +409,25 @@
             long now = i * 50 * MS;
             boolean down = now < 10 * S;
             p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
-            for (int attempt = 0; attempt < 3 && out.sent.get(out.sent.size() - 1).request() == i; attempt++) {
+            for (int attempt = 0;
+                    attempt < 3 && out.sent.get(out.sent.size() - 1).request() == i;
+                    attempt++) {
                 boolean refuses = down && out.lastNode() <= 5;
                 dead += refuses ? 1 : 0;
                 first = !down && first < 0 && out.lastNode() == 1 ? i : first;
-                out.outcome(p, now, i, attempt, refuses ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
+                out.outcome(
+                        p,
+                        now,
+                        i,
+                        attempt,
+                        refuses ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
                 if (!refuses) {
                     break;
                 }
             }
         }
-        // trials after 0.5 s, 1 s, 2 s and every 4 s make six a node in 10 s, where 200 requests came
+        // trials after 0.5 s, 1 s, 2 s and every 4 s make six a node in 10 s, where 200 requests
+        // came
         assertTrue(dead >= 5 && dead <= 6 * 5, "attempts at five dead nodes in 10 s: " + dead);
         assertTrue(first > 0 && first < 200 + 5 * 20, "back in use within 5 s: request " + first);
     }
@@ -398,7 +443,9 @@
             out.outcome(p, MS, i, 0, Router.Outcome.CONNECT_FAILED);
         }
         long again = out.sent.stream().skip(60).map(Fixture.Sent::request).distinct().count();
-        assertTrue(again >= 12 && again == 60 - out.refused.size(), "sent on after a failed dial: " + again);
+        assertTrue(
+                again >= 12 && again == 60 - out.refused.size(),
+                "sent on after a failed dial: " + again);
     }
 
     /** join+vast: 36 of 60 nodes cold at a quarter of the fleet's load; nine of ten keys were held from them. */
@@ -408,7 +455,11 @@
         double less = coldShare(0.7);
         double little = coldShare(0.01);
         assertEquals(1 / 0.7, less / full, 0.2);
-        assertEquals(1 / Placement.LOAD_LEAST, little / full, 0.3, "a rate that is not known yet is not believed");
+        assertEquals(
+                1 / Placement.LOAD_LEAST,
+                little / full,
+                0.3,
+                "a rate that is not known yet is not believed");
     }
 
     /** The share of requests that a cold node among eight gets while this share of all quotas is asked for. */
@@ -440,8 +491,16 @@
             boolean toSlow = out.lastNode() == 1;
             slow += toSlow ? 1 : 0;
             // within its aim of 300 ms all the same: no failure that a chance would tell of
-            p.onOutcome(now, i, 0, Router.Outcome.OK, toSlow ? 250 * MS : 10 * MS, true, Router.CacheNote.NONE,
-                new Router.Report(), out);
+            p.onOutcome(
+                    now,
+                    i,
+                    0,
+                    Router.Outcome.OK,
+                    toSlow ? 250 * MS : 10 * MS,
+                    true,
+                    Router.CacheNote.NONE,
+                    new Router.Report(),
+                    out);
         }
         assertTrue(slow > 0 && slow < 2000 / 8 / 3, "of an even 250 the slow one got " + slow);
     }
@@ -452,7 +511,9 @@
         double little = refusedWhereAQuarterFails(0.25);
         double full = refusedWhereAQuarterFails(1);
         assertTrue(full > 0.3, "refused at full demand: " + full);
-        assertTrue(little < full / 2, "refused at a quarter of it: " + little + ", at full demand " + full);
+        assertTrue(
+                little < full / 2,
+                "refused at a quarter of it: " + little + ", at full demand " + full);
     }
 
     private static double refusedWhereAQuarterFails(double demand) {
@@ -466,7 +527,8 @@
         for (int i = 0; i < 1500; i++) {
             long now = i * 20 * MS;
             p.onRequest(now, Fixture.request(i, 1 + i, now + S), f);
-            Router.Outcome o = random.nextInt(4) == 0 ? Router.Outcome.OVERLOADED : Router.Outcome.OK;
+            Router.Outcome o =
+                    random.nextInt(4) == 0 ? Router.Outcome.OVERLOADED : Router.Outcome.OK;
             f.outcome(p, now, i, 0, o);
         }
         return 1 - f.sent.size() / 1500.0;
@@ -480,10 +542,17 @@
         for (int i = 0; i < 1200; i++) {
             long now = i * MS;
             p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
-            for (int attempt = 0; attempt < 3 && out.sent.get(out.sent.size() - 1).request() == i; attempt++) {
+            for (int attempt = 0;
+                    attempt < 3 && out.sent.get(out.sent.size() - 1).request() == i;
+                    attempt++) {
                 boolean down = out.lastNode() <= 36;
                 served += down || i < 200 ? 0 : 1;
-                out.outcome(p, now, i, attempt, down ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
+                out.outcome(
+                        p,
+                        now,
+                        i,
+                        attempt,
+                        down ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
                 if (!down) {
                     break;
                 }
@@ -513,7 +582,9 @@
                 }
             }
         }
-        assertTrue(refused[0] < refused[1] / 2, refused[0] + " refused for two bad nodes, " + refused[1]);
+        assertTrue(
+                refused[0] < refused[1] / 2,
+                refused[0] + " refused for two bad nodes, " + refused[1]);
     }
 
     @Test
@@ -534,7 +605,10 @@
         Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         failMany(p, 60, 0);
         offer(p, 1000, 200, 0, 2 * S);
-        long lines = out.all.stream().filter(a -> a.startsWith("log refusing requests: origin chance")).count();
+        long lines =
+                out.all.stream()
+                        .filter(a -> a.startsWith("log refusing requests: origin chance"))
+                        .count();
         assertEquals(1, lines, "one line in 20 s however many refusals");
     }
 
--- a/src/test/java/holdproxy/policy/RulesTest.java
+++ b/src/test/java/holdproxy/policy/RulesTest.java
@@ -43,8 +43,13 @@
 
     @Test
     void unsafeIsFailedNotRefusedNorResentOnceItMayHaveRun() {
-        for (Router.Outcome o : new Router.Outcome[] {Router.Outcome.ERROR, Router.Outcome.TIMEOUT,
-            Router.Outcome.RESET, Router.Outcome.CANCELLED}) {
+        for (Router.Outcome o :
+                new Router.Outcome[] {
+                    Router.Outcome.ERROR,
+                    Router.Outcome.TIMEOUT,
+                    Router.Outcome.RESET,
+                    Router.Outcome.CANCELLED
+                }) {
             Fixture f = new Fixture();
             Choice p = f.choice(Fixture.settings(Router.Effect.UNSAFE), 1, Fixture.nodes(6));
             p.onRequest(0, Fixture.request(1, 42, 600 * MS), f);
@@ -63,7 +68,8 @@
         out.outcome(p, MS, 1, 0, Router.Outcome.OVERLOADED);
         assertEquals(2, out.sent.size());
         out.outcome(p, 2 * MS, 1, 1, Router.Outcome.CONNECT_FAILED);
-        assertEquals(1, out.refused.size() + out.sent.size() - 2, "never ran: resent again or refused");
+        assertEquals(
+                1, out.refused.size() + out.sent.size() - 2, "never ran: resent again or refused");
     }
 
     @Test
@@ -184,7 +190,16 @@
         p.onStreaming(MS, 1, 0, out);
         out.fire(p, 150 * MS);
         assertEquals(1, out.sent.size());
-        p.onOutcome(900 * MS, 1, 0, Router.Outcome.RESET, 900 * MS, true, Router.CacheNote.NONE, new Router.Report(), out);
+        p.onOutcome(
+                900 * MS,
+                1,
+                0,
+                Router.Outcome.RESET,
+                900 * MS,
+                true,
+                Router.CacheNote.NONE,
+                new Router.Report(),
+                out);
         assertEquals(0, out.refused.size() + out.failed.size());
     }
 
@@ -226,7 +241,8 @@
                 }
             }
         }
-        assertTrue(part[0] < 30 && part[0] > 0 && part[1] > part[0] && part[2] > part[1],
+        assertTrue(
+                part[0] < 30 && part[0] > 0 && part[1] > part[0] && part[2] > part[1],
                 part[0] + ", " + part[1] + ", " + part[2] + " of 400 keys, 100 due when warm");
     }
 
@@ -244,7 +260,16 @@
         Choice p = aside(Router.Effect.SAFE);
         request(p);
         assertTrue(out.lastNode() < 7, "the origin is no cache");
-        p.onOutcome(MS, 1, 0, Router.Outcome.MISS, MS, false, Router.CacheNote.MISS, new Router.Report(), out);
+        p.onOutcome(
+                MS,
+                1,
+                0,
+                Router.Outcome.MISS,
+                MS,
+                false,
+                Router.CacheNote.MISS,
+                new Router.Report(),
+                out);
         assertEquals(7, out.lastNode());
         Router.Request w = Fixture.request(2, 42, S);
         w.write = true;
@@ -285,14 +310,24 @@
                     int before = f.refused.size();
                     p.onRequest(2 * S, q, f);
                     if (kind == 0 && f.refused.size() == before) {
-                        p.onOutcome(2 * S, id, 0, Router.Outcome.MISS, MS, false, Router.CacheNote.MISS,
-                                new Router.Report(), f);
+                        p.onOutcome(
+                                2 * S,
+                                id,
+                                0,
+                                Router.Outcome.MISS,
+                                MS,
+                                false,
+                                Router.CacheNote.MISS,
+                                new Router.Report(),
+                                f);
                     }
                     refused[kind] += f.refused.size() - before;
                 }
             }
         }
-        assertTrue(refused[1] > 20 && refused[1] < refused[0], refused[0] + " reads, " + refused[1] + " writes");
+        assertTrue(
+                refused[1] > 20 && refused[1] < refused[0],
+                refused[0] + " reads, " + refused[1] + " writes");
     }
 
     /** Found by reading: after an attempt that may have run, a miss elsewhere must not take the group's bounds off. */
@@ -309,7 +344,16 @@
         request(p);
         out.outcome(p, MS, 1, 0, Router.Outcome.ERROR);
         assertEquals(2, out.sent.size(), "tried again within its zone");
-        p.onOutcome(2 * MS, 1, 1, Router.Outcome.MISS, MS, false, Router.CacheNote.MISS, new Router.Report(), out);
+        p.onOutcome(
+                2 * MS,
+                1,
+                1,
+                Router.Outcome.MISS,
+                MS,
+                false,
+                Router.CacheNote.MISS,
+                new Router.Report(),
+                out);
         assertEquals(2, out.sent.size(), "the origin stands in another zone");
         assertEquals(1, out.failed.size());
     }
@@ -325,7 +369,16 @@
             if (out.sent.isEmpty() || out.sent.get(out.sent.size() - 1).request() != i) {
                 continue; // refused for its tenant
             }
-            p.onOutcome(i * MS, i, 0, Router.Outcome.MISS, MS, false, Router.CacheNote.MISS, new Router.Report(), out);
+            p.onOutcome(
+                    i * MS,
+                    i,
+                    0,
+                    Router.Outcome.MISS,
+                    MS,
+                    false,
+                    Router.CacheNote.MISS,
+                    new Router.Report(),
+                    out);
             if (out.lastNode() == 7 && out.sent.get(out.sent.size() - 1).request() == i) {
                 reached++;
                 out.outcome(p, i * MS, i, 1, Router.Outcome.OVERLOADED);
--- a/src/test/java/holdproxy/policy/SettingsTextTest.java
+++ b/src/test/java/holdproxy/policy/SettingsTextTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 class SettingsTextTest {
-    private static final String TEXT = """
+    private static final String TEXT =
+            """
             az=2
             balancers=26
             caps.maxAttempts=6
@@ -95,14 +96,26 @@
 
     @Test
     void aMissingEffectIsTakenAsUnsafe() {
-        assertEquals(Router.Effect.UNSAFE, new SettingsText("grades.count=1\n").settings().classes[0].effect);
+        assertEquals(
+                Router.Effect.UNSAFE,
+                new SettingsText("grades.count=1\n").settings().classes[0].effect);
     }
 
     @Test
     void badValuesAreNamedOnOneLine() {
-        for (String bad : new String[] {"balancers=many", "balancers=0", "balancers=1.5", "grades.count=-1",
-            "grades.count=99999999", "rules.coldFrom=NaN", "caps.mayCancel=perhaps", "registryMode=rumour",
-            "familyInfo.mode=sideways", "tickMs=-1"}) {
+        for (String bad :
+                new String[] {
+                    "balancers=many",
+                    "balancers=0",
+                    "balancers=1.5",
+                    "grades.count=-1",
+                    "grades.count=99999999",
+                    "rules.coldFrom=NaN",
+                    "caps.mayCancel=perhaps",
+                    "registryMode=rumour",
+                    "familyInfo.mode=sideways",
+                    "tickMs=-1"
+                }) {
             BadInput e = assertThrows(BadInput.class, () -> new SettingsText(bad).settings(), bad);
             assertTrue(e.getMessage().contains(bad.substring(0, bad.indexOf('='))), e.getMessage());
         }
@@ -113,12 +126,21 @@
     void settingsNoRouterCouldWorkWithAreRejectedByName() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.coldFrom = 0;
-        assertTrue(assertThrows(IllegalArgumentException.class, s::check).getMessage().contains("coldFrom"));
+        assertTrue(
+                assertThrows(IllegalArgumentException.class, s::check)
+                        .getMessage()
+                        .contains("coldFrom"));
         s.coldFrom = 1;
         s.aside = true;
-        assertTrue(assertThrows(IllegalArgumentException.class, s::check).getMessage().contains("originKind"));
+        assertTrue(
+                assertThrows(IllegalArgumentException.class, s::check)
+                        .getMessage()
+                        .contains("originKind"));
         s.aside = false;
         s.maxAttempts = 0;
-        assertTrue(assertThrows(IllegalArgumentException.class, s::check).getMessage().contains("maxAttempts"));
+        assertTrue(
+                assertThrows(IllegalArgumentException.class, s::check)
+                        .getMessage()
+                        .contains("maxAttempts"));
     }
 }
--- a/src/test/java/holdproxy/rig/DutySchedulesTest.java
+++ b/src/test/java/holdproxy/rig/DutySchedulesTest.java
@@ -22,8 +22,7 @@
 class DutySchedulesTest {
     private static final int AT_ONCE = 4;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void aDutyHasOneHolderWhateverTheSchedule() throws Exception {
@@ -55,8 +54,12 @@
 
     private RigTown.Outcome play(Path file) throws Exception {
         try (Keeper keeper = Keeper.start(RigCommand.self("rig", "keep"));
-                RigTown town = new RigTown(Schedule.read(file), folder.resolve(file.getFileName()), keeper,
-                    RigCommand::self)) {
+                RigTown town =
+                        new RigTown(
+                                Schedule.read(file),
+                                folder.resolve(file.getFileName()),
+                                keeper,
+                                RigCommand::self)) {
             return town.play();
         }
     }
--- a/src/test/java/holdproxy/rig/RelayTest.java
+++ b/src/test/java/holdproxy/rig/RelayTest.java
@@ -25,7 +25,8 @@
 class RelayTest {
     private static final int END_MS = 30_000;
 
-    private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final EventLoop loop =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private ServerSocket server;
     private Relay relay;
     private Socket caller;
@@ -83,13 +84,15 @@
     }
 
     private void passes(Socket from, Socket to, byte[] bytes) throws IOException {
-        Thread sending = new Thread(() -> {
-            try {
-                from.getOutputStream().write(bytes);
-            } catch (IOException e) {
-                // the reader will say what is missing
-            }
-        });
+        Thread sending =
+                new Thread(
+                        () -> {
+                            try {
+                                from.getOutputStream().write(bytes);
+                            } catch (IOException e) {
+                                // the reader will say what is missing
+                            }
+                        });
         sending.start();
         assertArrayEquals(bytes, to.getInputStream().readNBytes(bytes.length));
     }
@@ -123,7 +126,8 @@
         relay.state(LinkState.SOUND, LinkState.SOUND);
         ended(caller);
         ended(callee);
-        try (Socket again = call(); Socket there = taken()) {
+        try (Socket again = call();
+                Socket there = taken()) {
             passes(again, there, bytes(100));
         }
     }
@@ -152,7 +156,8 @@
         assertThrows(ConnectException.class, this::call);
         passes(caller, callee, bytes(100));
         relay.refuse(false);
-        try (Socket again = call(); Socket there = taken()) {
+        try (Socket again = call();
+                Socket there = taken()) {
             passes(there, again, bytes(100));
         }
     }
@@ -181,7 +186,9 @@
             caller.getOutputStream().write(b);
         }
         assertEquals(bytes[0], (byte) callee.getInputStream().read());
-        assertTrue(System.nanoTime() - startNs >= TimeUnit.MILLISECONDS.toNanos(120), "it came too early");
+        assertTrue(
+                System.nanoTime() - startNs >= TimeUnit.MILLISECONDS.toNanos(120),
+                "it came too early");
         for (int i = 1; i < bytes.length; i++) {
             assertEquals(bytes[i], (byte) callee.getInputStream().read());
         }
@@ -192,7 +199,9 @@
         relay.state(LinkState.throttled(50_000), LinkState.SOUND);
         long startNs = System.nanoTime();
         passes(caller, callee, bytes(20_000)); // 0.4 s, less the first step
-        assertTrue(System.nanoTime() - startNs >= TimeUnit.MILLISECONDS.toNanos(300), "it came too early");
+        assertTrue(
+                System.nanoTime() - startNs >= TimeUnit.MILLISECONDS.toNanos(300),
+                "it came too early");
     }
 
     @Test
@@ -208,13 +217,15 @@
     @Test
     void whatWaitsForASlowReaderIsBounded() throws IOException {
         byte[] bytes = bytes(16 << 20);
-        Thread sending = new Thread(() -> {
-            try {
-                caller.getOutputStream().write(bytes);
-            } catch (IOException e) {
-                // the reader will say what is missing
-            }
-        });
+        Thread sending =
+                new Thread(
+                        () -> {
+                            try {
+                                caller.getOutputStream().write(bytes);
+                            } catch (IOException e) {
+                                // the reader will say what is missing
+                            }
+                        });
         sending.start();
         relay.state(LinkState.delayed(50, 0, 0), LinkState.SOUND);
         assertArrayEquals(bytes, callee.getInputStream().readNBytes(bytes.length));
--- a/src/test/java/holdproxy/rig/RigTest.java
+++ b/src/test/java/holdproxy/rig/RigTest.java
@@ -25,21 +25,32 @@
 /** Real processes of this program, what is done to them, and what becomes of them when the rig is killed. */
 class RigTest {
     private static final long END_S = 120;
+
     /** Longer than any test: what still runs then was not ended by its rig. */
     private static final double LONG_S = 600;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static Schedule schedule(double seconds, int proxies, RigFault... faults) {
-        return new Schedule("test", 1, seconds, false, Schedule.Fleet.NONE, proxies, 4, Load.PLAIN, List.of(faults), List.of());
+        return new Schedule(
+                "test",
+                1,
+                seconds,
+                false,
+                Schedule.Fleet.NONE,
+                proxies,
+                4,
+                Load.PLAIN,
+                List.of(faults),
+                List.of());
     }
 
     private static RigFault process(RigFault.Kind kind, double atS, double forS, int target) {
         return RigFault.process(kind, atS, forS, 0.5, target);
     }
 
-    private RigTown.Outcome play(Schedule schedule, Function<String[], List<String>> program) throws Exception {
+    private RigTown.Outcome play(Schedule schedule, Function<String[], List<String>> program)
+            throws Exception {
         try (Keeper keeper = Keeper.start(RigCommand.self("rig", "keep"));
                 RigTown town = new RigTown(schedule, folder, keeper, program)) {
             return town.play();
@@ -52,65 +63,194 @@
 
     @Test
     void proxiesThatAreKilledStoppedAndRestartedWhileLinksFailKeepTheRules() throws Exception {
-        RigTown.Outcome outcome = play(schedule(6, 3, process(RigFault.Kind.KILL, 1, 1, 0),
-            process(RigFault.Kind.HOLD, 2, 1.5, 1), process(RigFault.Kind.RESTART, 3.5, 0.2, 2),
-            process(RigFault.Kind.CRASH, 2, 2, 0),
-            RigFault.links(RigFault.Kind.LINK, 2.5, 2, "proxy-2", "s-*", LinkState.CUT, LinkState.SOUND),
-            RigFault.links(RigFault.Kind.LINK, 1, 3, "proxy-1", "s-1", LinkState.SOUND, LinkState.torn(40)),
-            RigFault.links(RigFault.Kind.REFUSE, 3, 1, "proxy-*", "s-2", LinkState.SOUND, LinkState.SOUND),
-            RigFault.links(RigFault.Kind.RESET, 4, 0, "clients", "proxy-1", LinkState.SOUND, LinkState.SOUND)),
-            RigCommand::self);
+        RigTown.Outcome outcome =
+                play(
+                        schedule(
+                                6,
+                                3,
+                                process(RigFault.Kind.KILL, 1, 1, 0),
+                                process(RigFault.Kind.HOLD, 2, 1.5, 1),
+                                process(RigFault.Kind.RESTART, 3.5, 0.2, 2),
+                                process(RigFault.Kind.CRASH, 2, 2, 0),
+                                RigFault.links(
+                                        RigFault.Kind.LINK,
+                                        2.5,
+                                        2,
+                                        "proxy-2",
+                                        "s-*",
+                                        LinkState.CUT,
+                                        LinkState.SOUND),
+                                RigFault.links(
+                                        RigFault.Kind.LINK,
+                                        1,
+                                        3,
+                                        "proxy-1",
+                                        "s-1",
+                                        LinkState.SOUND,
+                                        LinkState.torn(40)),
+                                RigFault.links(
+                                        RigFault.Kind.REFUSE,
+                                        3,
+                                        1,
+                                        "proxy-*",
+                                        "s-2",
+                                        LinkState.SOUND,
+                                        LinkState.SOUND),
+                                RigFault.links(
+                                        RigFault.Kind.RESET,
+                                        4,
+                                        0,
+                                        "clients",
+                                        "proxy-1",
+                                        LinkState.SOUND,
+                                        LinkState.SOUND)),
+                        RigCommand::self);
         assertEquals(List.of(), outcome.broken());
         assertTrue(outcome.service().served() > 50, outcome.service().figures().toString());
         String history = history();
-        for (String happened : List.of("proxy-0  killed", "proxy-1  held 1500000", "proxy-2  told to end",
-                "proxy-2  ended", "s-0  crash", "proxy-2>s-*  link", "proxy-*>s-2  refuse", "clients>proxy-1  reset")) {
+        for (String happened :
+                List.of(
+                        "proxy-0  killed",
+                        "proxy-1  held 1500000",
+                        "proxy-2  told to end",
+                        "proxy-2  ended",
+                        "s-0  crash",
+                        "proxy-2>s-*  link",
+                        "proxy-*>s-2  refuse",
+                        "clients>proxy-1  reset")) {
             assertTrue(history.contains("FAULT " + happened), happened + " is not in the history");
         }
-        assertEquals(2, history.lines().filter(l -> l.contains("FAULT proxy-0  started")).count(), "two lives");
+        assertEquals(
+                2,
+                history.lines().filter(l -> l.contains("FAULT proxy-0  started")).count(),
+                "two lives");
     }
 
     @Test
     void daemonsKeepTheRulesAndSayWhatTheyDo() throws Exception {
-        Schedule schedule = new Schedule("test", 1, 14, true, new Schedule.Fleet(3, 2, 1_000, false), 3, 4, Load.PLAIN,
-            List.of(process(RigFault.Kind.KILL, 1, 12, 0), process(RigFault.Kind.RESTART, 2, 0.2, 1)),
-            List.of(new Expected(false, "proxy-2", "peer peer=proxy-1 state=LEFT before=", 0, END_S),
-                new Expected(false, "proxy-2", "peer peer=proxy-0 state=DEAD before=SUSPECT", 0, END_S),
-                new Expected(false, "proxy-2", "peer peer=proxy-0 state=ALIVE before=DEAD", 0, END_S),
-                new Expected(false, "proxy-*", "peer peer=proxy-", 0, END_S),
-                new Expected(true, "*", "duty granted duty=drill-0", 0, END_S),
-                new Expected(true, "*", "duty granted duty=drill-1", 0, END_S),
-                new Expected(false, "proxy-2", "peer peer=proxy-9", 0, 0)));
+        Schedule schedule =
+                new Schedule(
+                        "test",
+                        1,
+                        14,
+                        true,
+                        new Schedule.Fleet(3, 2, 1_000, false),
+                        3,
+                        4,
+                        Load.PLAIN,
+                        List.of(
+                                process(RigFault.Kind.KILL, 1, 12, 0),
+                                process(RigFault.Kind.RESTART, 2, 0.2, 1)),
+                        List.of(
+                                new Expected(
+                                        false,
+                                        "proxy-2",
+                                        "peer peer=proxy-1 state=LEFT before=",
+                                        0,
+                                        END_S),
+                                new Expected(
+                                        false,
+                                        "proxy-2",
+                                        "peer peer=proxy-0 state=DEAD before=SUSPECT",
+                                        0,
+                                        END_S),
+                                new Expected(
+                                        false,
+                                        "proxy-2",
+                                        "peer peer=proxy-0 state=ALIVE before=DEAD",
+                                        0,
+                                        END_S),
+                                new Expected(false, "proxy-*", "peer peer=proxy-", 0, END_S),
+                                new Expected(true, "*", "duty granted duty=drill-0", 0, END_S),
+                                new Expected(true, "*", "duty granted duty=drill-1", 0, END_S),
+                                new Expected(false, "proxy-2", "peer peer=proxy-9", 0, 0)));
         RigTown.Outcome outcome = play(schedule, RigCommand::self);
         // the last of them cannot come about: it is what shows that the others were looked for
-        assertEquals(List.of(new Auditors.Broken("progress", "not every one of proxy-2 has said: peer peer=proxy-9")),
-            outcome.broken());
+        assertEquals(
+                List.of(
+                        new Auditors.Broken(
+                                "progress",
+                                "not every one of proxy-2 has said: peer peer=proxy-9")),
+                outcome.broken());
         assertTrue(outcome.service().served() > 20, outcome.service().figures().toString());
         String history = history();
-        assertEquals(5, history.lines().filter(l -> l.matches("\\d+ SAID proxy-\\d \\d+ started name=.*")).count());
-        assertEquals(4, history.lines().filter(l -> l.matches("\\d+ SAID proxy-\\d \\d+ ended name=.*")).count(),
-            "one of five lives was killed");
+        assertEquals(
+                5,
+                history.lines()
+                        .filter(l -> l.matches("\\d+ SAID proxy-\\d \\d+ started name=.*"))
+                        .count());
+        assertEquals(
+                4,
+                history.lines()
+                        .filter(l -> l.matches("\\d+ SAID proxy-\\d \\d+ ended name=.*"))
+                        .count(),
+                "one of five lives was killed");
     }
 
     /** The end comes while a process starts: sooner than any Java program can have a handler of SIGTERM. */
     @Test
     void aProcessThatStillStartsAtTheEndIsAwaitedAndThenTold() throws Exception {
-        RigTown.Outcome outcome = play(new Schedule("test", 1, 3, false, new Schedule.Fleet(0, 0, 1_000, true), 1, 1,
-            Load.PLAIN, List.of(process(RigFault.Kind.KILL, 0.1, 2.85, 0)), List.of()), RigCommand::self);
+        RigTown.Outcome outcome =
+                play(
+                        new Schedule(
+                                "test",
+                                1,
+                                3,
+                                false,
+                                new Schedule.Fleet(0, 0, 1_000, true),
+                                1,
+                                1,
+                                Load.PLAIN,
+                                List.of(process(RigFault.Kind.KILL, 0.1, 2.85, 0)),
+                                List.of()),
+                        RigCommand::self);
         assertEquals(List.of(), outcome.broken());
-        assertEquals(List.of("started", "killed", "started", "ended"), history().lines()
-            .filter(l -> l.contains(" FAULT proxy-0  ")).map(l -> l.substring(l.lastIndexOf(' ') + 1)).toList());
+        assertEquals(
+                List.of("started", "killed", "started", "ended"),
+                history()
+                        .lines()
+                        .filter(l -> l.contains(" FAULT proxy-0  "))
+                        .map(l -> l.substring(l.lastIndexOf(' ') + 1))
+                        .toList());
     }
 
     @Test
     void twoHoldersAreFound() {
-        assertEquals(List.of(), DutyJudge.broken(List.of(acted("proxy-0", "d 1 taken"), acted("proxy-1", "d 2 taken"),
-            acted("proxy-0", "d 1 refused"), acted("proxy-0", "e 1 taken"))));
-        assertEquals(1, DutyJudge.broken(List.of(acted("proxy-0", "d 1 taken"), acted("proxy-1", "d 2 taken"),
-            acted("proxy-0", "d 1 taken"))).size());
-        assertEquals(1, DutyJudge.broken(List.of(acted("proxy-0", "d 1 taken"), acted("proxy-1", "d 1 taken"))).size());
-        assertEquals(1, DutyJudge.broken(List.of(acted("proxy-0", "d 1 taken"),
-            new Event(2, Event.Kind.SAID, "proxy-1", "5", "duty granted duty=d token=1"))).size());
+        assertEquals(
+                List.of(),
+                DutyJudge.broken(
+                        List.of(
+                                acted("proxy-0", "d 1 taken"),
+                                acted("proxy-1", "d 2 taken"),
+                                acted("proxy-0", "d 1 refused"),
+                                acted("proxy-0", "e 1 taken"))));
+        assertEquals(
+                1,
+                DutyJudge.broken(
+                                List.of(
+                                        acted("proxy-0", "d 1 taken"),
+                                        acted("proxy-1", "d 2 taken"),
+                                        acted("proxy-0", "d 1 taken")))
+                        .size());
+        assertEquals(
+                1,
+                DutyJudge.broken(
+                                List.of(
+                                        acted("proxy-0", "d 1 taken"),
+                                        acted("proxy-1", "d 1 taken")))
+                        .size());
+        assertEquals(
+                1,
+                DutyJudge.broken(
+                                List.of(
+                                        acted("proxy-0", "d 1 taken"),
+                                        new Event(
+                                                2,
+                                                Event.Kind.SAID,
+                                                "proxy-1",
+                                                "5",
+                                                "duty granted duty=d token=1")))
+                        .size());
     }
 
     private static Event acted(String who, String what) {
@@ -122,17 +262,20 @@
     void aProcessThatEndsByItselfIsACrash() throws Exception {
         List<String> ends = List.of("sh", "-c", "echo 'listening on nothing'; exit 3");
         RigTown.Outcome outcome = play(schedule(1, 1), words -> ends);
-        assertEquals(List.of("no crash"), outcome.broken().stream().map(Auditors.Broken::rule).toList());
+        assertEquals(
+                List.of("no crash"), outcome.broken().stream().map(Auditors.Broken::rule).toList());
         assertTrue(outcome.broken().get(0).what().endsWith("with 3"), outcome.broken().toString());
     }
 
     @Test
     void whatIsBrokenWhateverTheTimeIsFound() {
-        List<Event> events = List.of(new Event(1, Event.Kind.ASKED, "proxy-0", "a1", "enrolment ka 2000"),
-            new Event(2, Event.Kind.APPLIED, "register", "a1", "ka"),
-            new Event(3, Event.Kind.ANSWERED, "proxy-0", "a1", "SERVER_ERROR busy"),
-            new Event(4, Event.Kind.ANSWERED, "proxy-0", "", "HD Oa1 cr1"),
-            new Event(5, Event.Kind.APPLIED, "register", "a2", "ka"));
+        List<Event> events =
+                List.of(
+                        new Event(1, Event.Kind.ASKED, "proxy-0", "a1", "enrolment ka 2000"),
+                        new Event(2, Event.Kind.APPLIED, "register", "a1", "ka"),
+                        new Event(3, Event.Kind.ANSWERED, "proxy-0", "a1", "SERVER_ERROR busy"),
+                        new Event(4, Event.Kind.ANSWERED, "proxy-0", "", "HD Oa1 cr1"),
+                        new Event(5, Event.Kind.APPLIED, "register", "a2", "ka"));
         assertEquals(List.of("unasked answers", "harmless refusals"), rules(events));
         List<Event> again = new ArrayList<>(events);
         again.add(4, new Event(4, Event.Kind.ASKED, "proxy-0", "a2", "enrolment ka 2000"));
@@ -147,11 +290,20 @@
     void aRigThatIsKilledTakesItsProcessesAlong() throws Exception {
         Path file = folder.resolve("long.toml");
         Files.writeString(file, schedule(LONG_S, 2, process(RigFault.Kind.HOLD, 0, 0, 1)).toml());
-        Process rig = new ProcessBuilder(RigCommand.self("rig", "run", file.toString(), "--out", folder.toString()))
-            .redirectErrorStream(true).redirectOutput(folder.resolve("out.txt").toFile()).start();
+        Process rig =
+                new ProcessBuilder(
+                                RigCommand.self(
+                                        "rig", "run", file.toString(), "--out", folder.toString()))
+                        .redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("out.txt").toFile())
+                        .start();
         try {
-            await(END_S, () -> Files.exists(folder.resolve("history.txt")) && ofRig().size() == 2
-                && IntStream.range(0, 2).allMatch(this::listens));
+            await(
+                    END_S,
+                    () ->
+                            Files.exists(folder.resolve("history.txt"))
+                                    && ofRig().size() == 2
+                                    && IntStream.range(0, 2).allMatch(this::listens));
             Set<ProcessHandle> started = ofRig();
             assertEquals(2, started.size());
             rig.destroyForcibly().waitFor();
@@ -172,29 +324,49 @@
 
     /** Processes whose configuration is in this test's folder: their environment says so, where it can be read. */
     private Set<ProcessHandle> ofRig() {
-        return ProcessHandle.allProcesses().filter(p -> {
-            try {
-                return Files.readString(Path.of("/proc/" + p.pid() + "/environ")).contains("LB_CONFIG=" + folder);
-            } catch (IOException e) {
-                return false;
-            }
-        }).collect(Collectors.toSet());
+        return ProcessHandle.allProcesses()
+                .filter(
+                        p -> {
+                            try {
+                                return Files.readString(Path.of("/proc/" + p.pid() + "/environ"))
+                                        .contains("LB_CONFIG=" + folder);
+                            } catch (IOException e) {
+                                return false;
+                            }
+                        })
+                .collect(Collectors.toSet());
     }
 
     @Test
     void aScheduleIsWrittenAsItIsReadAndMistakesAreNamedWithTheirLine() {
         for (long seed = 1; seed <= 50; seed++) {
-            Schedule drawn = Schedule.drawn(seed, seed % 2 == 0,
-                seed % 2 == 0 ? new Schedule.Fleet(5, 1, 1_000, true) : Schedule.Fleet.NONE, 5, 6, 10);
+            Schedule drawn =
+                    Schedule.drawn(
+                            seed,
+                            seed % 2 == 0,
+                            seed % 2 == 0
+                                    ? new Schedule.Fleet(5, 1, 1_000, true)
+                                    : Schedule.Fleet.NONE,
+                            5,
+                            6,
+                            10);
             assertEquals(drawn, Schedule.read("f", drawn.toml()), "seed " + seed);
         }
-        assertBad("[town]\nproxies = 41", "f line 2: proxies in [town] is not a number from 1.0 to 40.0");
-        assertBad("[[fault]]\nkind = \"kill\"\nat_s = 1\nproxy = 7", "f line 4: proxy in [[fault]]");
+        assertBad(
+                "[town]\nproxies = 41",
+                "f line 2: proxies in [town] is not a number from 1.0 to 40.0");
+        assertBad(
+                "[[fault]]\nkind = \"kill\"\nat_s = 1\nproxy = 7", "f line 4: proxy in [[fault]]");
         assertBad("[[fault]]\nat_s = 1", "f line 1: kind in [[fault]] is not one of kill, hold");
-        assertBad("[[fault]]\nkind = \"link\"\nat_s = 1\nthere = {cut = 1}", "f line 4: cut in [there] is neither");
-        assertBad("[[fault]]\nkind = \"reset\"\nat_s = 1\nproxy = 0", "f line 4: proxy is unknown in [[fault]]");
-        assertFalse(Schedule.drawn(1, false, Schedule.Fleet.NONE, 5, 6, 10)
-            .equals(Schedule.drawn(2, false, Schedule.Fleet.NONE, 5, 6, 10)));
+        assertBad(
+                "[[fault]]\nkind = \"link\"\nat_s = 1\nthere = {cut = 1}",
+                "f line 4: cut in [there] is neither");
+        assertBad(
+                "[[fault]]\nkind = \"reset\"\nat_s = 1\nproxy = 0",
+                "f line 4: proxy is unknown in [[fault]]");
+        assertFalse(
+                Schedule.drawn(1, false, Schedule.Fleet.NONE, 5, 6, 10)
+                        .equals(Schedule.drawn(2, false, Schedule.Fleet.NONE, 5, 6, 10)));
     }
 
     private static void assertBad(String text, String why) {
--- a/src/test/java/holdproxy/sim/WireTest.java
+++ b/src/test/java/holdproxy/sim/WireTest.java
@@ -17,13 +17,16 @@
 
 /** The codec and the batch loop, with the byte examples of the wire's page. */
 class WireTest {
-    private static final String SETTINGS = "grades.count=1\ngrades.0.effect=pure\ngrades.0.targetMs=300.0\n"
-            + "grades.0.deadlineMs=600.0\ncaps.maxAttempts=3\nunheardOf=1\n";
-    private static final String NODES = "15 00000039 00000003 00000029 02 00000002"
-            + "0000 01 03124a07 3f800000 00 0000 0000000000000000"
-            + "0000 01 2c9011f2 3fc00000 00 0001 40b7d40000000000";
-    private static final String REQUEST = "12 0000002f 00000003 0008e32b5d3a91c4 0000 00000000 91f03b7c55d20a64"
-            + "40d0e62000000000 4028000000000000 44e10000 01";
+    private static final String SETTINGS =
+            "grades.count=1\ngrades.0.effect=pure\ngrades.0.targetMs=300.0\n"
+                    + "grades.0.deadlineMs=600.0\ncaps.maxAttempts=3\nunheardOf=1\n";
+    private static final String NODES =
+            "15 00000039 00000003 00000029 02 00000002"
+                    + "0000 01 03124a07 3f800000 00 0000 0000000000000000"
+                    + "0000 01 2c9011f2 3fc00000 00 0001 40b7d40000000000";
+    private static final String REQUEST =
+            "12 0000002f 00000003 0008e32b5d3a91c4 0000 00000000 91f03b7c55d20a64"
+                    + "40d0e62000000000 4028000000000000 44e10000 01";
 
     private static byte[] hex(String text) {
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
@@ -39,14 +42,26 @@
 
     private static byte[] batch(int number, byte[]... records) {
         byte[] body = join(records);
-        return join(ByteBuffer.allocate(20).putInt(number).putInt(12 + body.length).putDouble(241).putInt(records.length)
-                .array(), body);
+        return join(
+                ByteBuffer.allocate(20)
+                        .putInt(number)
+                        .putInt(12 + body.length)
+                        .putDouble(241)
+                        .putInt(records.length)
+                        .array(),
+                body);
     }
 
     private static byte[] hello(int instance, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(21 + text.length).put((byte) 25).putInt(16 + text.length).putInt(instance)
-                .putLong(99).putInt(text.length).put(text).array();
+        return ByteBuffer.allocate(21 + text.length)
+                .put((byte) 25)
+                .putInt(16 + text.length)
+                .putInt(instance)
+                .putLong(99)
+                .putInt(text.length)
+                .put(text)
+                .array();
     }
 
     private static byte[] run(byte[] input) throws IOException {
@@ -57,7 +72,10 @@
 
     private static String rejected(byte[] input, int repliesBefore) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        BadInput e = assertThrows(BadInput.class, () -> new SimHost(new ByteArrayInputStream(input), out).run());
+        BadInput e =
+                assertThrows(
+                        BadInput.class,
+                        () -> new SimHost(new ByteArrayInputStream(input), out).run());
         assertEquals(12 * repliesBefore, out.size(), "nothing half-written");
         assertTrue(!e.getMessage().contains("\n"), "one line");
         return e.getMessage();
@@ -65,7 +83,9 @@
 
     @Test
     void anEmptyBatchIsAnsweredByteForByte() throws IOException {
-        assertArrayEquals(hex("00000001 00000000 00000000"), run(hex("00000001 0000000c 40c06e2000000000 00000000")));
+        assertArrayEquals(
+                hex("00000001 00000000 00000000"),
+                run(hex("00000001 0000000c 40c06e2000000000 00000000")));
     }
 
     @Test
@@ -83,10 +103,13 @@
         w.log("two servers known");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         w.flush(12, out);
-        assertArrayEquals(hex("0000000c 00000003 00000052"
-                + "50 00000018 00000003 0008e32b5d3a91c4 03124a07 4054000000000000"
-                + "54 00000014 00000003 407f400000000000 000000000000004d"
-                + "58 00000017 00000005 0011 74776f2073657276657273206b6e6f776e"), out.toByteArray());
+        assertArrayEquals(
+                hex(
+                        "0000000c 00000003 00000052"
+                                + "50 00000018 00000003 0008e32b5d3a91c4 03124a07 4054000000000000"
+                                + "54 00000014 00000003 407f400000000000 000000000000004d"
+                                + "58 00000017 00000005 0011 74776f2073657276657273206b6e6f776e"),
+                out.toByteArray());
     }
 
     @Test
@@ -104,16 +127,19 @@
         w.bug("x");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         w.flush(1, out);
-        assertArrayEquals(hex("00000001 00000009 00000086"
-                + "51 00000014 00000001 0000000000000002 3ff0000000000000"
-                + "52 0000000c 00000001 0000000000000002"
-                + "53 0000000d 00000001 0000000000000002 01"
-                + "55 00000008 00000001 00000007"
-                + "56 00000008 00000001 00000007"
-                + "5a 00000005 00000001 01"
-                + "5b 00000004 00000001"
-                + "57 0000000c 00000001 ffff 0004 68692037"
-                + "59 00000007 00000001 0001 78"), out.toByteArray());
+        assertArrayEquals(
+                hex(
+                        "00000001 00000009 00000086"
+                                + "51 00000014 00000001 0000000000000002 3ff0000000000000"
+                                + "52 0000000c 00000001 0000000000000002"
+                                + "53 0000000d 00000001 0000000000000002 01"
+                                + "55 00000008 00000001 00000007"
+                                + "56 00000008 00000001 00000007"
+                                + "5a 00000005 00000001 01"
+                                + "5b 00000004 00000001"
+                                + "57 0000000c 00000001 ffff 0004 68692037"
+                                + "59 00000007 00000001 0001 78"),
+                out.toByteArray());
     }
 
     @Test
@@ -134,7 +160,16 @@
     @Test
     void anInstanceMayStopAndStartWithinOneBatch() throws IOException {
         byte[] exit = hex("13 00000004 00000003");
-        byte[] reply = run(batch(1, hello(3, SETTINGS), hex(NODES), exit, hello(3, SETTINGS), hex(NODES), hex(REQUEST)));
+        byte[] reply =
+                run(
+                        batch(
+                                1,
+                                hello(3, SETTINGS),
+                                hex(NODES),
+                                exit,
+                                hello(3, SETTINGS),
+                                hex(NODES),
+                                hex(REQUEST)));
         assertEquals(1, ByteBuffer.wrap(reply).getInt(4), "only the new life's attempt");
         byte[] stopped = run(batch(1, hello(3, SETTINGS), hex(NODES), exit, hex(REQUEST)));
         assertEquals(0, ByteBuffer.wrap(stopped).getInt(4), "a stopped instance does not act");
@@ -143,8 +178,15 @@
     @Test
     void otherInstancesDoNotChangeWhatOneDoes() throws IOException {
         byte[] alone = run(batch(1, hello(3, SETTINGS), hex(NODES), hex(REQUEST)));
-        byte[] hosted = run(batch(1, hello(8, SETTINGS), hello(3, SETTINGS), hex(NODES), hello(9, SETTINGS),
-                hex(REQUEST)));
+        byte[] hosted =
+                run(
+                        batch(
+                                1,
+                                hello(8, SETTINGS),
+                                hello(3, SETTINGS),
+                                hex(NODES),
+                                hello(9, SETTINGS),
+                                hex(REQUEST)));
         assertArrayEquals(alone, hosted);
     }
 
@@ -180,38 +222,74 @@
     @Test
     void badInputIsNamed() {
         byte[] good = batch(1, hello(3, SETTINGS), hex(NODES));
-        assertTrue(rejected(java.util.Arrays.copyOf(good, good.length - 4), 0).contains("truncated"));
+        assertTrue(
+                rejected(java.util.Arrays.copyOf(good, good.length - 4), 0).contains("truncated"));
         assertTrue(rejected(java.util.Arrays.copyOf(good, 11), 0).contains("header"));
-        assertTrue(rejected(hex("00000001 ffffffff 40c06e2000000000 00000000"), 0).contains("number"));
-        assertTrue(rejected(hex("00000001 0000000c 40c06e2000000000 00000009"), 0).contains("count"));
+        assertTrue(
+                rejected(hex("00000001 ffffffff 40c06e2000000000 00000000"), 0).contains("number"));
+        assertTrue(
+                rejected(hex("00000001 0000000c 40c06e2000000000 00000009"), 0).contains("count"));
         assertTrue(rejected(batch(1, hex("12 00ffffff 00000003")), 0).contains("runs past"));
         assertTrue(rejected(batch(1, hex("14 00000004 00000003")), 0).contains("never started"));
-        assertTrue(rejected(batch(1, hello(3, SETTINGS), hex("14 00000004 00000003")), 0).contains("too short"));
-        assertTrue(rejected(batch(1, hello(3, SETTINGS), hex("15 0000000d 00000003 00000001 01 00ffffff")), 0)
-                .contains("impossible count"));
+        assertTrue(
+                rejected(batch(1, hello(3, SETTINGS), hex("14 00000004 00000003")), 0)
+                        .contains("too short"));
+        assertTrue(
+                rejected(
+                                batch(
+                                        1,
+                                        hello(3, SETTINGS),
+                                        hex("15 0000000d 00000003 00000001 01 00ffffff")),
+                                0)
+                        .contains("impossible count"));
         assertTrue(rejected(batch(1, hello(3, "tickMs=soon")), 0).contains("tickMs"));
         assertTrue(rejected(batch(1, hello(3, "grades.count=0")), 0).contains("class"));
-        String phase = rejected(batch(1, hello(3, SETTINGS), hex(NODES.replace("0000 01 03124a07", "0000 07 03124a07"))), 0);
+        String phase =
+                rejected(
+                        batch(
+                                1,
+                                hello(3, SETTINGS),
+                                hex(NODES.replace("0000 01 03124a07", "0000 07 03124a07"))),
+                        0);
         assertEquals("batch 0, record 1 (code 21): node entry of unknown phase 7", phase);
-        assertTrue(rejected(hex("00000001 3ffffff0 40c06e2000000000 00000001 7b"), 0).contains("truncated: 1 of"));
-        assertTrue(rejected(join(batch(1), batch(2, hex("12 00ffffff 00000003"))), 1).contains("batch 1"));
+        assertTrue(
+                rejected(hex("00000001 3ffffff0 40c06e2000000000 00000001 7b"), 0)
+                        .contains("truncated: 1 of"));
+        assertTrue(
+                rejected(join(batch(1), batch(2, hex("12 00ffffff 00000003"))), 1)
+                        .contains("batch 1"));
     }
 
     /** A message from a peer and a probe's result with a report: passed on, answered by nothing, extra bytes skipped. */
     @Test
     void messagesAndProbeResultsAreTaken() throws IOException {
         byte[] memo = hex("16 0000000e 00000003 00000002 0004 68692037");
-        byte[] checked = hex("11 0000001c 00000003 03124a07 00c8 4032800000000000 02 3f000000 40000000 ff");
-        byte[] reply = run(batch(1, hello(3, SETTINGS + "reporting.fields=busy,q\n"), hex(NODES), memo, checked));
+        byte[] checked =
+                hex("11 0000001c 00000003 03124a07 00c8 4032800000000000 02 3f000000 40000000 ff");
+        byte[] reply =
+                run(
+                        batch(
+                                1,
+                                hello(3, SETTINGS + "reporting.fields=busy,q\n"),
+                                hex(NODES),
+                                memo,
+                                checked));
         assertEquals(0, ByteBuffer.wrap(reply).getInt(4));
-        assertTrue(rejected(batch(1, hello(3, SETTINGS), hex("16 0000000c 00000003 00000002 0004 6869")), 0)
-                .contains("too short"));
+        assertTrue(
+                rejected(
+                                batch(
+                                        1,
+                                        hello(3, SETTINGS),
+                                        hex("16 0000000c 00000003 00000002 0004 6869")),
+                                0)
+                        .contains("too short"));
     }
 
     @Test
     void aLoadReportIsReadByTheNamesInTheSettings() {
         FrameReader r = new FrameReader();
-        byte[] b = hex("08 3f800000 40000000 3f000000 41200000 40800000 40a00000 3e800000 40c00000");
+        byte[] b =
+                hex("08 3f800000 40000000 3f000000 41200000 40800000 40a00000 3e800000 40c00000");
         r.range(b, 0, b.length, "test");
         Router.Report report = new Router.Report();
         SimHost.readReport(r, "rif,q,busy,lat_ms,rate,fail_rate,x0,x1".split(","), report);
@@ -225,13 +303,18 @@
         assertEquals(6, report.fetchesOut);
         r.range(hex("00"), 0, 1, "test");
         SimHost.readReport(r, new String[] {"busy"}, report);
-        assertTrue(Double.isNaN(report.busy) && Double.isNaN(report.queue), "nothing is left of the last one");
+        assertTrue(
+                Double.isNaN(report.busy) && Double.isNaN(report.queue),
+                "nothing is left of the last one");
     }
 
     @Test
     void aRequestIsReadWithItsSizeHintAndFlags() {
         FrameReader r = new FrameReader();
-        byte[] b = hex("0008e32b5d3a91c4 0002 00000005 91f03b7c55d20a64 40c0e62000000000 4028000000000000 44e10000 07");
+        byte[] b =
+                hex(
+                        "0008e32b5d3a91c4 0002 00000005 91f03b7c55d20a64 40c0e62000000000"
+                                + " 4028000000000000 44e10000 07");
         r.range(b, 0, b.length, "test");
         Router.Request q = new Router.Request();
         SimHost.readRequest(r, q);
