--- a/src/main/java/holdproxy/daemon/CouncilPart.java
+++ b/src/main/java/holdproxy/daemon/CouncilPart.java
@@ -5,7 +5,7 @@
 import holdproxy.duties.Duties;
 import holdproxy.duties.DutyTable;
 import holdproxy.input.BadInput;
-import holdproxy.peers.Peers;
+import holdproxy.membership.MembershipService;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -43,12 +43,12 @@
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final long startNs = System.nanoTime();
-    private final Peers peers;
+    private final MembershipService peers;
     private final Council council;
     private final Duties duties;
     private final String name;
 
-    private CouncilPart(DaemonFile file, long life, Peers peers) {
+    private CouncilPart(DaemonFile file, long life, MembershipService peers) {
         this.peers = peers;
         name = file.name();
         DutyTable table = new DutyTable();
@@ -58,9 +58,10 @@
     }
 
     /** Takes up this process's vote, if it has one, and asks for the duties that the file names. */
-    static CouncilPart start(DaemonFile file, long life, Peers peers) {
+    static CouncilPart start(DaemonFile file, long life, MembershipService peers) {
         CouncilPart part = new CouncilPart(file, life, peers);
-        peers.receive(Peers.COUNCIL, frame -> part.loop.execute(() -> part.received(frame)));
+        peers.receive(
+                MembershipService.COUNCIL, frame -> part.loop.execute(() -> part.received(frame)));
         part.run(
                 () -> {
                     part.council.begin(new FileDisk(disk(file)));
@@ -151,7 +152,7 @@
         public void send(String to, byte[] frame) {
             peers.send(
                     to,
-                    Peers.COUNCIL,
+                    MembershipService.COUNCIL,
                     ByteBuffer.allocate(1 + frame.length).put(OF_COUNCIL).put(frame).array());
         }
 
@@ -179,7 +180,7 @@
             byte[] text = duty.getBytes(StandardCharsets.UTF_8);
             peers.send(
                     to,
-                    Peers.COUNCIL,
+                    MembershipService.COUNCIL,
                     ByteBuffer.allocate(1 + Long.BYTES + text.length)
                             .put(FREE)
                             .putLong(token)
--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -1,11 +1,11 @@
 package holdproxy.daemon;
 
 import holdproxy.input.BadInput;
+import holdproxy.membership.Change;
+import holdproxy.membership.Member;
+import holdproxy.membership.MembershipService;
 import holdproxy.net.Config;
 import holdproxy.net.Service;
-import holdproxy.peers.Change;
-import holdproxy.peers.Member;
-import holdproxy.peers.Peers;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,7 +20,7 @@
 
     private final Path file;
     private DaemonFile inUse;
-    private Peers peers;
+    private MembershipService peers;
     private CouncilPart council;
 
     private Daemon(Path file, DaemonFile inUse) {
@@ -44,7 +44,7 @@
         if (inUse.peers() != null) {
             long life = LifeFile.next(inUse.folder(), System.currentTimeMillis());
             peers =
-                    Peers.start(
+                    MembershipService.start(
                             inUse.peers(),
                             life,
                             text -> Config.address(text, "an address"),
@@ -103,7 +103,7 @@
     }
 
     /** What becomes known of others, as events. */
-    private static final class Told implements Peers.Listener {
+    private static final class Told implements MembershipService.Listener {
         @Override
         public void changed(Change change) {
             EventLog.event(
--- a/src/main/java/holdproxy/daemon/DaemonFile.java
+++ b/src/main/java/holdproxy/daemon/DaemonFile.java
@@ -1,8 +1,8 @@
 package holdproxy.daemon;
 
 import holdproxy.input.BadInput;
+import holdproxy.membership.MembershipService;
 import holdproxy.net.Config;
-import holdproxy.peers.Peers;
 import holdproxy.toml.TomlPart;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -35,7 +35,7 @@
         InetSocketAddress listen,
         InetSocketAddress console,
         Config proxy,
-        Peers.Place peers,
+        MembershipService.Place peers,
         List<String> voters,
         List<Drill> drills) {
     private static final int LEAST_SOCKETS = 128;
@@ -86,7 +86,8 @@
         Path folder = top.read("folder", DaemonFile::folder);
         int sockets = top.whole("sockets", SOCKETS, LEAST_SOCKETS, MOST_SOCKETS);
         Map<String, Object> settings = top.map("settings");
-        Peers.Place peers = top.at("peers") == null ? null : peers(name, top.part("peers"));
+        MembershipService.Place peers =
+                top.at("peers") == null ? null : peers(name, top.part("peers"));
         List<String> voters = voters(top);
         List<Drill> drills = new ArrayList<>();
         for (TomlPart each : top.parts("drill")) {
@@ -153,7 +154,7 @@
         return voters;
     }
 
-    private static Peers.Place peers(String name, TomlPart part) {
+    private static MembershipService.Place peers(String name, TomlPart part) {
         InetSocketAddress listen = part.read("listen", t -> Config.address(t, "listen"));
         String address =
                 part.text("address", listen.getAddress().getHostAddress() + ":" + listen.getPort());
@@ -165,7 +166,7 @@
         }
         stated.done();
         part.done();
-        return new Peers.Place(name, address, listen, seeds, routes);
+        return new MembershipService.Place(name, address, listen, seeds, routes);
     }
 
     private static void same(TomlPart top, String key, Object was, Object now) {
--- a/src/main/java/holdproxy/lab/PeersCommand.java
+++ b/src/main/java/holdproxy/lab/PeersCommand.java
@@ -1,7 +1,7 @@
 package holdproxy.lab;
 
 import holdproxy.input.BadInput;
-import holdproxy.peers.Membership;
+import holdproxy.membership.Membership;
 import java.util.EnumSet;
 import java.util.Locale;
 import java.util.Set;
--- a/src/main/java/holdproxy/lab/PeersTrial.java
+++ b/src/main/java/holdproxy/lab/PeersTrial.java
@@ -1,9 +1,9 @@
 package holdproxy.lab;
 
-import holdproxy.peers.Change;
-import holdproxy.peers.Member;
-import holdproxy.peers.Membership;
-import holdproxy.peers.Message;
+import holdproxy.membership.Change;
+import holdproxy.membership.Member;
+import holdproxy.membership.Membership;
+import holdproxy.membership.Message;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.HashMap;
--- a/src/main/java/holdproxy/peers/Change.java
+++ b/src/main/java/holdproxy/membership/Change.java
@@ -1,4 +1,4 @@
-package holdproxy.peers;
+package holdproxy.membership;
 
 /**
  * That a process is held for something else than before.
--- a/src/main/java/holdproxy/peers/Rumours.java
+++ b/src/main/java/holdproxy/membership/Gossip.java
@@ -1,4 +1,4 @@
-package holdproxy.peers;
+package holdproxy.membership;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,17 +7,17 @@
 import java.util.Map;
 
 /** Words of others that have not gone round yet, each passed on so often and then no more. */
-final class Rumours {
-    private static final class Rumour {
+final class Gossip {
+    private static final class Update {
         final Member word;
         int sent;
 
-        Rumour(Member word) {
+        Update(Member word) {
             this.word = word;
         }
     }
 
-    private final Map<String, Rumour> all = new LinkedHashMap<>();
+    private final Map<String, Update> all = new LinkedHashMap<>();
 
     /** To be passed on; what it replaces no longer is. */
     void add(Member word) {
@@ -27,17 +27,17 @@
                                 r.word.name().equals(word.name())
                                         && !r.word.sameWord(word)
                                         && word.replaces(r.word));
-        all.put(word.name() + " " + word.by() + " " + word.state(), new Rumour(word));
+        all.put(word.name() + " " + word.by() + " " + word.state(), new Update(word));
     }
 
     /** So many at most, the least passed on first, and before them what the receiver is to hear of itself. */
     List<Member> next(String receiver, int most, int rounds) {
-        List<Rumour> least = new ArrayList<>(all.values());
+        List<Update> least = new ArrayList<>(all.values());
         least.sort(
                 Comparator.comparingInt(
-                        (Rumour r) -> r.word.name().equals(receiver) ? -1 : r.sent));
+                        (Update r) -> r.word.name().equals(receiver) ? -1 : r.sent));
         List<Member> words = new ArrayList<>();
-        for (Rumour each : least.subList(0, Math.min(least.size(), most))) {
+        for (Update each : least.subList(0, Math.min(least.size(), most))) {
             words.add(each.word);
             each.sent++;
         }
--- a/src/main/java/holdproxy/peers/Links.java
+++ b/src/main/java/holdproxy/membership/Links.java
@@ -1,4 +1,4 @@
-package holdproxy.peers;
+package holdproxy.membership;
 
 import holdproxy.input.BadInput;
 import io.netty.bootstrap.Bootstrap;
--- a/src/main/java/holdproxy/peers/Member.java
+++ b/src/main/java/holdproxy/membership/Member.java
@@ -1,4 +1,4 @@
-package holdproxy.peers;
+package holdproxy.membership;
 
 /**
  * What is known of one process of the fleet.
--- a/src/main/java/holdproxy/peers/Membership.java
+++ b/src/main/java/holdproxy/membership/Membership.java
@@ -1,7 +1,7 @@
-package holdproxy.peers;
+package holdproxy.membership;
 
-import holdproxy.peers.Member.State;
-import holdproxy.peers.Message.Kind;
+import holdproxy.membership.Member.State;
+import holdproxy.membership.Message.Kind;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -110,7 +110,7 @@
     private final Output out;
     private final Set<Guard> guards;
     private final Map<String, Entry> entries = new TreeMap<>();
-    private final Rumours rumours = new Rumours();
+    private final Gossip gossip = new Gossip();
     private final Map<Long, AskedFor> askedFor = new LinkedHashMap<>();
     private final List<String> round = new ArrayList<>();
     private Member self;
@@ -384,7 +384,7 @@
         boolean isNew =
                 entry.suspectedBy.size() <= settings.voices && entry.suspectedBy.add(word.by());
         if (isNew) {
-            rumours.add(word);
+            gossip.add(word);
         }
         if (before.state() != State.SUSPECT) {
             changed(before, entry, 1, nowUs);
@@ -445,7 +445,7 @@
         Member before = entry.member;
         hold(entry, word);
         entry.overUs = nowUs;
-        rumours.add(word);
+        gossip.add(word);
         changed(before, entry, entry.suspectedBy.size(), nowUs);
     }
 
@@ -586,7 +586,7 @@
                     entry.suspectedBy.add(word.by());
                 }
                 round.add(round.isEmpty() ? 0 : random.nextInt(round.size() + 1), word.name());
-                rumours.add(word);
+                gossip.add(word);
                 changed(null, entry, 1, nowUs);
             }
             return;
@@ -611,7 +611,7 @@
         if (!word.live()) {
             entry.overUs = nowUs;
         }
-        rumours.add(word);
+        gossip.add(word);
         boolean seen =
                 before.state() != word.state()
                         || before.life() != word.life()
@@ -641,7 +641,7 @@
                 joinUs = nowUs;
             }
         } else if (word.life() < self.life()) {
-            rumours.add(self);
+            gossip.add(self);
         } else if (word.state() != State.ALIVE
                 && word.incarnation() >= self.incarnation()
                 && self.state() == State.ALIVE
@@ -655,7 +655,7 @@
                             State.ALIVE,
                             self.name());
             worse(1);
-            rumours.add(self);
+            gossip.add(self);
         }
     }
 
@@ -701,8 +701,7 @@
 
     /** What goes round, and what the receiver has to hear: that it is suspected. */
     private List<Member> newsFor(String to) {
-        List<Member> words =
-                rumours.next(to, settings.newsPerMessage, settings.newsRounds * log2());
+        List<Member> words = gossip.next(to, settings.newsPerMessage, settings.newsRounds * log2());
         Entry entry = entries.get(to);
         if (entry != null && entry.member.state() != State.ALIVE && !words.contains(entry.member)) {
             words.add(entry.member);
--- a/src/main/java/holdproxy/peers/Peers.java
+++ b/src/main/java/holdproxy/membership/MembershipService.java
@@ -1,4 +1,4 @@
-package holdproxy.peers;
+package holdproxy.membership;
 
 import holdproxy.input.BadInput;
 import io.netty.channel.ChannelFuture;
@@ -16,7 +16,7 @@
 import java.util.function.Function;
 
 /** A process's place among the others: the rules of membership on links, with an event loop of their own. */
-public final class Peers {
+public final class MembershipService {
     /** The kind of frame that membership's messages are. */
     static final int MEMBERSHIP = 1;
 
@@ -70,7 +70,8 @@
     private Future<?> timer;
     private long timerUs;
 
-    private Peers(Place place, Function<String, InetSocketAddress> addresses, Listener listener) {
+    private MembershipService(
+            Place place, Function<String, InetSocketAddress> addresses, Listener listener) {
         this.listener = listener;
         links = new Links(loop, place.routes(), addresses, listener::line);
     }
@@ -79,12 +80,12 @@
      * Listens and begins to look for the others; {@code addresses} reads an address, with a {@link BadInput}
      * where it is none. A {@link BadInput} says why it cannot listen.
      */
-    public static Peers start(
+    public static MembershipService start(
             Place place,
             long life,
             Function<String, InetSocketAddress> addresses,
             Listener listener) {
-        Peers peers = new Peers(place, addresses, listener);
+        MembershipService peers = new MembershipService(place, addresses, listener);
         try {
             peers.loop.submit(() -> peers.begin(place, life)).get();
             peers.loop.scheduleAtFixedRate(
--- a/src/main/java/holdproxy/peers/Message.java
+++ b/src/main/java/holdproxy/membership/Message.java
@@ -1,4 +1,4 @@
-package holdproxy.peers;
+package holdproxy.membership;
 
 import java.util.List;
 
--- a/src/main/java/holdproxy/peers/MessageCodec.java
+++ b/src/main/java/holdproxy/membership/MessageCodec.java
@@ -1,4 +1,4 @@
-package holdproxy.peers;
+package holdproxy.membership;
 
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.jr.ob.JSON;
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -90,17 +90,18 @@
     }
 
     @Test
-    void peersKnowNoProxy() {
+    void membershipKnowsNoProxy() {
         noClasses()
                 .that()
-                .resideInAPackage("holdproxy.peers")
+                .resideInAPackage("holdproxy.membership")
                 .should()
                 .dependOnClassesThat(
                         JavaClass.Predicates.resideInAnyPackage("holdproxy..")
                                 .and(
                                         not(
                                                 JavaClass.Predicates.resideInAnyPackage(
-                                                        "holdproxy.peers", "holdproxy.input"))))
+                                                        "holdproxy.membership",
+                                                        "holdproxy.input"))))
                 .check(MAIN);
     }
 
@@ -108,15 +109,17 @@
     void theRulesOfMembershipReadNoClockAndOpenNoSocket() {
         classes()
                 .that()
-                .resideInAPackage("holdproxy.peers")
+                .resideInAPackage("holdproxy.membership")
                 .and()
                 .haveSimpleNameStartingWith("Member")
                 .or()
-                .haveSimpleName("Rumours")
+                .haveSimpleName("Gossip")
+                .and()
+                .doNotHaveSimpleName("MembershipService")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage(
-                        "holdproxy.peers",
+                        "holdproxy.membership",
                         "java.lang",
                         "java.util",
                         "java.util.function",
@@ -126,7 +129,7 @@
                 .check(MAIN);
         noClasses()
                 .that()
-                .resideInAPackage("holdproxy.peers")
+                .resideInAPackage("holdproxy.membership")
                 .and()
                 .haveSimpleName("Membership")
                 .should()
--- a/src/test/java/holdproxy/daemon/DaemonTest.java
+++ b/src/test/java/holdproxy/daemon/DaemonTest.java
@@ -239,7 +239,7 @@
                         "holdproxy.lab.",
                         "holdproxy.rig.",
                         "holdproxy.town.",
-                        "holdproxy.peers.",
+                        "holdproxy.membership.",
                         "holdproxy.council.",
                         "holdproxy.duties.",
                         "io.microraft.",
--- a/src/test/java/holdproxy/lab/PeersTrialTest.java
+++ b/src/test/java/holdproxy/lab/PeersTrialTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import holdproxy.peers.Membership;
+import holdproxy.membership.Membership;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
--- a/src/test/java/holdproxy/peers/LinksTest.java
+++ b/src/test/java/holdproxy/membership/LinksTest.java
@@ -1,4 +1,4 @@
-package holdproxy.peers;
+package holdproxy.membership;
 
 import static holdproxy.Awaiting.await;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import holdproxy.input.BadInput;
-import holdproxy.peers.Member.State;
+import holdproxy.membership.Member.State;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
