--- a/src/main/java/holdproxy/council/FileDisk.java
+++ b/src/main/java/holdproxy/consensus/FileDisk.java
@@ -1,4 +1,4 @@
-package holdproxy.council;
+package holdproxy.consensus;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/main/java/holdproxy/council/RaftCodec.java
+++ b/src/main/java/holdproxy/consensus/RaftCodec.java
@@ -1,4 +1,4 @@
-package holdproxy.council;
+package holdproxy.consensus;
 
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.jr.ob.JSON;
@@ -91,10 +91,10 @@
             throw new BadInput("part " + next + " of a list is neither true nor false");
         }
 
-        Seat seat() {
+        Voter seat() {
             String text = text();
             try {
-                return text.isEmpty() ? null : Seat.read(text);
+                return text.isEmpty() ? null : Voter.read(text);
             } catch (IndexOutOfBoundsException | NumberFormatException e) {
                 throw new BadInput("part " + next + " of a list is no seat");
             }
@@ -235,7 +235,7 @@
     static RaftMessage message(Object value, Object group) {
         Parts p = new Parts(value);
         String kind = p.text();
-        Seat sender = p.seat();
+        Voter sender = p.seat();
         int term = p.whole();
         return switch (kind) {
             case "append" ->
@@ -420,7 +420,7 @@
         }
         Collection<RaftEndpoint> members = p.seats();
         Collection<RaftEndpoint> voting = p.seats();
-        Seat seat = p.seat();
+        Voter seat = p.seat();
         String mode = p.text();
         return MODELS.createUpdateRaftGroupMembersOpBuilder()
                 .setMembers(members)
--- a/src/main/java/holdproxy/council/RaftDisk.java
+++ b/src/main/java/holdproxy/consensus/RaftDisk.java
@@ -1,4 +1,4 @@
-package holdproxy.council;
+package holdproxy.consensus;
 
 import holdproxy.input.BadInput;
 import io.microraft.RaftEndpoint;
@@ -40,11 +40,11 @@
 
     private final Disk disk;
     private Runnable onFailure = () -> {};
-    private Seat seat;
+    private Voter seat;
     private boolean voting = true;
     private List<Object> initialMembers;
     private int term;
-    private Seat votedFor;
+    private Voter votedFor;
 
     /** Entries and parts of snapshots in the form in which they are written, by index. */
     private final TreeMap<Long, byte[]> entries = new TreeMap<>();
@@ -76,7 +76,7 @@
     }
 
     /** Whose it is; null where it has never been written. */
-    Seat seat() {
+    Voter seat() {
         return seat;
     }
 
--- a/src/main/java/holdproxy/council/Council.java
+++ b/src/main/java/holdproxy/consensus/RaftGroup.java
@@ -1,4 +1,4 @@
-package holdproxy.council;
+package holdproxy.consensus;
 
 import holdproxy.input.BadInput;
 import io.microraft.MembershipChangeMode;
@@ -14,7 +14,6 @@
 import io.microraft.model.message.RaftMessage;
 import io.microraft.report.RaftNodeReport;
 import io.microraft.report.RaftNodeReportListener;
-import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -38,10 +37,10 @@
  * <p>An operation that was asked for may have been agreed though its answer did not come, and is then asked
  * for again: operations have to bear that.
  */
-public final class Council {
+public final class RaftGroup {
     private static final String GROUP = "council";
 
-    /** What a leader begins its term with; no ledger has an operation like it. */
+    /** What a leader begins its term with; no state machine has an operation like it. */
     private static final String NEW_TERM = "a new term";
 
     private static final int ELECTION_MS = 1_000;
@@ -98,11 +97,11 @@
 
     private final Host host;
     private final Random random;
-    private final Ledger ledger;
-    private final Pace pace;
+    private final StateMachine stateMachine;
+    private final ScaledClock clock;
     private final Map<Long, Asked> asked = new HashMap<>();
     private RaftNode node;
-    private Seat seat;
+    private Voter seat;
     private long asks;
     private String leader = "";
     private int nextVoter;
@@ -118,14 +117,15 @@
     /**
      * {@code voters}: names of those that may be asked, this process among them or not.
      */
-    public Council(String name, List<String> voters, Host host, Random random, Ledger ledger) {
+    public RaftGroup(
+            String name, List<String> voters, Host host, Random random, StateMachine stateMachine) {
         this.name = name;
         this.voters = List.copyOf(voters);
         others = this.voters.stream().filter(v -> !v.equals(name)).toList();
         this.host = host;
         this.random = random;
-        this.ledger = ledger;
-        pace = new Pace(host);
+        this.stateMachine = stateMachine;
+        clock = new ScaledClock(host);
         nextVoter = random.nextInt(Math.max(1, voters.size()));
         // not from 0: an answer to an earlier life of this name may still be under way
         asks = random.nextLong() >>> 2;
@@ -147,7 +147,7 @@
         kept.persistAndFlushLocalEndpoint(
                 RaftCodec.MODELS
                         .createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(new Seat(name, 0))
+                        .setLocalEndpoint(new Voter(name, 0))
                         .setVoting(true)
                         .build());
         kept.persistAndFlushInitialGroupMembers(
@@ -167,7 +167,7 @@
 
     private static Set<RaftEndpoint> firstSeats(Collection<String> voters) {
         Set<RaftEndpoint> seats = new LinkedHashSet<>();
-        voters.forEach(v -> seats.add(new Seat(v, 0)));
+        voters.forEach(v -> seats.add(new Voter(v, 0)));
         return seats;
     }
 
@@ -199,7 +199,7 @@
         if (times == STUCK_LOOKS) {
             machine = null;
             node.terminate();
-            ledger.clear();
+            stateMachine.clear();
             heardLeaderUs = host.nowUs();
             open(disk);
             times = 0;
@@ -213,14 +213,14 @@
             RaftDisk kept = RaftDisk.open(disk);
             kept.onFailure(this::diskFailed);
             boolean isNew = kept.seat() == null;
-            seat = isNew ? new Seat(name, random.nextLong() >>> 1 | 1) : kept.seat();
+            seat = isNew ? new Voter(name, random.nextLong() >>> 1 | 1) : kept.seat();
             machine = new Machine();
             RaftNode.RaftNodeBuilder builder =
                     RaftNode.newBuilder()
                             .setGroupId(GROUP)
                             .setConfig(config())
-                            .setExecutor(pace)
-                            .setClock(pace)
+                            .setExecutor(clock)
+                            .setClock(clock)
                             .setRandom(random)
                             .setTransport(new Outward())
                             .setStateMachine(machine)
@@ -272,15 +272,15 @@
     }
 
     /** The seat that it votes with; null where it has none. */
-    public Seat seat() {
+    public Voter seat() {
         return seat;
     }
 
     /** Who votes, by what this process knows to be agreed; empty where it does not vote. */
-    public Set<Seat> seats() {
-        Set<Seat> seats = new LinkedHashSet<>();
+    public Set<Voter> seats() {
+        Set<Voter> seats = new LinkedHashSet<>();
         if (votes()) {
-            node.getCommittedMembers().getVotingMembers().forEach(m -> seats.add((Seat) m));
+            node.getCommittedMembers().getVotingMembers().forEach(m -> seats.add((Voter) m));
         }
         return seats;
     }
@@ -323,7 +323,7 @@
     // ---- asking ----
 
     /**
-     * Has an operation agreed on, by way of whoever leads; completes with the ledger's answer, or
+     * Has an operation agreed on, by way of whoever leads; completes with the state machine's answer, or
      * exceptionally when it did not come within {@code withinUs}. It may be agreed on all the same, and more
      * than once.
      */
@@ -395,7 +395,7 @@
     }
 
     private void replicate(Object operation, Result result) {
-        Object known = ledger.atOnce(operation);
+        Object known = stateMachine.atOnce(operation);
         if (known != null) {
             host.after(0, () -> result.of(known, null));
             return;
@@ -483,7 +483,7 @@
     }
 
     /** A step at a time: out with what this name was before, in with what it is, first without a vote. */
-    private void admit(Seat newcomer) {
+    private void admit(Voter newcomer) {
         if (!leading || ended || newcomer == null || !voters.contains(newcomer.name())) {
             return;
         }
@@ -495,7 +495,7 @@
                 members.getMembers().stream()
                         .filter(
                                 s ->
-                                        ((Seat) s).name().equals(newcomer.name())
+                                        ((Voter) s).name().equals(newcomer.name())
                                                 && !s.equals(newcomer))
                         .findFirst();
         if (before.isPresent()) {
@@ -523,7 +523,7 @@
                 return;
             }
             host.send(
-                    ((Seat) to).name(),
+                    ((Voter) to).name(),
                     RaftCodec.bytes(
                             Arrays.asList("raft", to.toString(), RaftCodec.message(message))));
         }
@@ -534,20 +534,21 @@
         }
     }
 
-    private final class Machine implements StateMachine, RaftNodeLifecycleAware {
+    private final class Machine
+            implements io.microraft.statemachine.StateMachine, RaftNodeLifecycleAware {
         @Override
         public Object runOperation(long index, Object operation) {
-            return NEW_TERM.equals(operation) ? null : ledger.apply(index, operation);
+            return NEW_TERM.equals(operation) ? null : stateMachine.apply(index, operation);
         }
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> parts) {
-            ledger.snapshot().forEach(parts);
+            stateMachine.snapshot().forEach(parts);
         }
 
         @Override
         public void installSnapshot(long index, List<Object> parts) {
-            ledger.restore(new ArrayList<>(parts));
+            stateMachine.restore(new ArrayList<>(parts));
         }
 
         @Override
@@ -578,7 +579,7 @@
                 return;
             }
             RaftEndpoint now = report.getTerm().getLeaderEndpoint();
-            leader = now == null || failed ? "" : ((Seat) now).name();
+            leader = now == null || failed ? "" : ((Voter) now).name();
             lead(!failed && Objects.equals(now, seat) && report.getRole() == RaftRole.LEADER);
         }
     }
--- a/src/main/java/holdproxy/council/Pace.java
+++ b/src/main/java/holdproxy/consensus/ScaledClock.java
@@ -1,4 +1,4 @@
-package holdproxy.council;
+package holdproxy.consensus;
 
 import io.microraft.executor.RaftNodeExecutor;
 import java.time.Clock;
@@ -11,13 +11,13 @@
  * The time that MicroRaft goes by: a monotonic clock that is handed in, running faster than the true one,
  * since the library counts heartbeats in whole seconds and a fleet wants them in fifths of one.
  */
-final class Pace extends Clock implements RaftNodeExecutor {
+final class ScaledClock extends Clock implements RaftNodeExecutor {
     /** So many of the library's seconds pass in one. */
     static final int FASTER = 5;
 
-    private final Council.Host host;
+    private final RaftGroup.Host host;
 
-    Pace(Council.Host host) {
+    ScaledClock(RaftGroup.Host host) {
         this.host = host;
     }
 
--- a/src/main/java/holdproxy/council/Ledger.java
+++ b/src/main/java/holdproxy/consensus/StateMachine.java
@@ -1,4 +1,4 @@
-package holdproxy.council;
+package holdproxy.consensus;
 
 import java.util.List;
 
@@ -6,7 +6,7 @@
  * What the log's operations make, the same in every voter. Operations, answers and parts of a snapshot are
  * plain values: texts, whole numbers, truths, null, and lists of them. Called on the council's thread.
  */
-public interface Ledger {
+public interface StateMachine {
     /** Applies an operation that is agreed; {@code index} grows. Its answer goes to who proposed it. */
     Object apply(long index, Object operation);
 
--- a/src/main/java/holdproxy/council/Seat.java
+++ b/src/main/java/holdproxy/consensus/Voter.java
@@ -1,4 +1,4 @@
-package holdproxy.council;
+package holdproxy.consensus;
 
 import io.microraft.RaftEndpoint;
 
@@ -9,11 +9,11 @@
  * @param name of the process
  * @param disk a number drawn when the disk was begun
  */
-public record Seat(String name, long disk) implements RaftEndpoint {
+public record Voter(String name, long disk) implements RaftEndpoint {
     /** The form that frames and files have. */
-    static Seat read(String text) {
+    static Voter read(String text) {
         int slash = text.lastIndexOf('/');
-        return new Seat(
+        return new Voter(
                 text.substring(0, slash), Long.parseUnsignedLong(text.substring(slash + 1), 16));
     }
 
--- a/src/main/java/holdproxy/daemon/CouncilPart.java
+++ b/src/main/java/holdproxy/daemon/CouncilPart.java
@@ -1,7 +1,7 @@
 package holdproxy.daemon;
 
-import holdproxy.council.Council;
-import holdproxy.council.FileDisk;
+import holdproxy.consensus.FileDisk;
+import holdproxy.consensus.RaftGroup;
 import holdproxy.duties.Duties;
 import holdproxy.duties.DutyTable;
 import holdproxy.input.BadInput;
@@ -44,7 +44,7 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final long startNs = System.nanoTime();
     private final MembershipService peers;
-    private final Council council;
+    private final RaftGroup council;
     private final Duties duties;
     private final String name;
 
@@ -53,7 +53,7 @@
         name = file.name();
         DutyTable table = new DutyTable();
         Offered host = new Offered();
-        council = new Council(name, file.voters(), host, new Random(), table);
+        council = new RaftGroup(name, file.voters(), host, new Random(), table);
         duties = new Duties(name, life, council, table, host, new Random());
     }
 
@@ -61,7 +61,8 @@
     static CouncilPart start(DaemonFile file, long life, MembershipService peers) {
         CouncilPart part = new CouncilPart(file, life, peers);
         peers.receive(
-                MembershipService.COUNCIL, frame -> part.loop.execute(() -> part.received(frame)));
+                MembershipService.CONSENSUS,
+                frame -> part.loop.execute(() -> part.received(frame)));
         part.run(
                 () -> {
                     part.council.begin(new FileDisk(disk(file)));
@@ -133,7 +134,7 @@
     }
 
     /** What both are offered, and hear. */
-    private final class Offered implements Council.Host, Duties.Host {
+    private final class Offered implements RaftGroup.Host, Duties.Host {
         @Override
         public long nowUs() {
             return (System.nanoTime() - startNs) / 1000;
@@ -152,7 +153,7 @@
         public void send(String to, byte[] frame) {
             peers.send(
                     to,
-                    MembershipService.COUNCIL,
+                    MembershipService.CONSENSUS,
                     ByteBuffer.allocate(1 + frame.length).put(OF_COUNCIL).put(frame).array());
         }
 
@@ -180,7 +181,7 @@
             byte[] text = duty.getBytes(StandardCharsets.UTF_8);
             peers.send(
                     to,
-                    MembershipService.COUNCIL,
+                    MembershipService.CONSENSUS,
                     ByteBuffer.allocate(1 + Long.BYTES + text.length)
                             .put(FREE)
                             .putLong(token)
@@ -203,7 +204,7 @@
     static List<String> found(DaemonFile file) {
         try (FileDisk disk = new FileDisk(disk(file))) {
             Files.createDirectories(file.folder());
-            Council.found(disk, file.name(), file.voters());
+            RaftGroup.found(disk, file.name(), file.voters());
             return file.voters();
         } catch (IOException e) {
             throw new BadInput("the council's disk " + disk(file) + " cannot be written: " + e);
--- a/src/main/java/holdproxy/duties/Duties.java
+++ b/src/main/java/holdproxy/duties/Duties.java
@@ -1,6 +1,6 @@
 package holdproxy.duties;
 
-import holdproxy.council.Council;
+import holdproxy.consensus.RaftGroup;
 import holdproxy.duties.DutyTable.Word;
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -114,7 +114,7 @@
 
     private final String name;
     private final long life;
-    private final Council council;
+    private final RaftGroup council;
     private final DutyTable table;
     private final Host host;
     private final Random random;
@@ -132,7 +132,7 @@
 
     /** {@code table}: what this process's council keeps, if it votes. */
     public Duties(
-            String name, long life, Council council, DutyTable table, Host host, Random random) {
+            String name, long life, RaftGroup council, DutyTable table, Host host, Random random) {
         this(name, life, council, table, host, random, EnumSet.allOf(Guard.class));
     }
 
@@ -140,7 +140,7 @@
     public Duties(
             String name,
             long life,
-            Council council,
+            RaftGroup council,
             DutyTable table,
             Host host,
             Random random,
--- a/src/main/java/holdproxy/duties/DutyTable.java
+++ b/src/main/java/holdproxy/duties/DutyTable.java
@@ -1,6 +1,6 @@
 package holdproxy.duties;
 
-import holdproxy.council.Ledger;
+import holdproxy.consensus.StateMachine;
 import holdproxy.input.BadInput;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -17,7 +17,7 @@
  * <p>Asking and releasing name the token that was seen, so that an operation which arrives late, or twice,
  * changes nothing.
  */
-public final class DutyTable implements Ledger {
+public final class DutyTable implements StateMachine {
     /** Duties at most; names are the program's own and operators'. */
     public static final int MOST_DUTIES = 1_000;
 
--- a/src/main/java/holdproxy/lab/CouncilFleet.java
+++ b/src/main/java/holdproxy/lab/CouncilFleet.java
@@ -1,8 +1,8 @@
 package holdproxy.lab;
 
-import holdproxy.council.Council;
-import holdproxy.council.Ledger;
-import holdproxy.council.Seat;
+import holdproxy.consensus.RaftGroup;
+import holdproxy.consensus.StateMachine;
+import holdproxy.consensus.Voter;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
@@ -31,8 +31,8 @@
 
     /** What a life is for. */
     interface Purpose {
-        /** The ledger of a life that begins. */
-        Ledger ledger(Life life);
+        /** The state machine of a life that begins. */
+        StateMachine stateMachine(Life life);
 
         /** Its council has begun. */
         void begun(Life life);
@@ -47,12 +47,12 @@
     }
 
     /** One life of a process. */
-    final class Life extends TrialProcess implements Council.Host {
+    final class Life extends TrialProcess implements RaftGroup.Host {
         final String name;
         final long number;
         final MemoryDisk disk;
-        final Council council;
-        final Ledger ledger;
+        final RaftGroup council;
+        final StateMachine stateMachine;
         final double rate;
         boolean isOut;
 
@@ -62,8 +62,9 @@
             this.disk = disk;
             number = ++lifeNumbers;
             rate = rates.get(name);
-            ledger = purpose.ledger(this);
-            council = new Council(name, voters, this, new Random(random.nextLong()), ledger);
+            stateMachine = purpose.stateMachine(this);
+            council =
+                    new RaftGroup(name, voters, this, new Random(random.nextLong()), stateMachine);
         }
 
         /** By its own clock. */
@@ -200,7 +201,7 @@
 
     private void found(MemoryDisk disk, String name) {
         try {
-            Council.found(disk, name, voters);
+            RaftGroup.found(disk, name, voters);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -289,7 +290,7 @@
 
     /** Disks are lost one after another: with two of three gone at once nothing is agreed ever after. */
     private boolean allVote() {
-        Set<Seat> seats = new LinkedHashSet<>();
+        Set<Voter> seats = new LinkedHashSet<>();
         voters.forEach(v -> seats.add(lives.get(v).council.seat()));
         return time.nowUs() > disksLostUntilUs
                 && voters.stream()
--- a/src/main/java/holdproxy/lab/CouncilTrial.java
+++ b/src/main/java/holdproxy/lab/CouncilTrial.java
@@ -1,6 +1,6 @@
 package holdproxy.lab;
 
-import holdproxy.council.Ledger;
+import holdproxy.consensus.StateMachine;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -43,7 +43,7 @@
     private record Answer(String operation, long askedUs, long answeredUs, long index) {}
 
     /** The log's content: each operation once, with its place. */
-    private final class Sequence implements Ledger {
+    private final class Sequence implements StateMachine {
         private final TreeMap<Long, String> all = new TreeMap<>();
         private final Map<String, Long> places = new HashMap<>();
 
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public Ledger ledger(CouncilFleet.Life life) {
+    public StateMachine stateMachine(CouncilFleet.Life life) {
         return new Sequence();
     }
 
@@ -214,7 +214,7 @@
                                             && a.answeredUs > endUs - 3_000_000)) {
                 fleet.broken.add(name + " had no answer in the last 3 s");
             }
-            for (Map.Entry<Long, String> e : ((Sequence) life.ledger).all.entrySet()) {
+            for (Map.Entry<Long, String> e : ((Sequence) life.stateMachine).all.entrySet()) {
                 if (!e.getValue().equals(agreed.get(e.getKey()))) {
                     fleet.broken.add(
                             name
--- a/src/main/java/holdproxy/lab/DutiesTrial.java
+++ b/src/main/java/holdproxy/lab/DutiesTrial.java
@@ -1,6 +1,6 @@
 package holdproxy.lab;
 
-import holdproxy.council.Ledger;
+import holdproxy.consensus.StateMachine;
 import holdproxy.duties.Duties;
 import holdproxy.duties.DutyTable;
 import java.util.ArrayList;
@@ -166,7 +166,7 @@
     }
 
     @Override
-    public Ledger ledger(CouncilFleet.Life life) {
+    public StateMachine stateMachine(CouncilFleet.Life life) {
         return new DutyTable();
     }
 
@@ -177,7 +177,7 @@
                         life.name,
                         life.number,
                         life.council,
-                        (DutyTable) life.ledger,
+                        (DutyTable) life.stateMachine,
                         new Held(life),
                         new Random(fleet.random.nextLong()),
                         guards);
--- a/src/main/java/holdproxy/lab/MemoryDisk.java
+++ b/src/main/java/holdproxy/lab/MemoryDisk.java
@@ -1,6 +1,6 @@
 package holdproxy.lab;
 
-import holdproxy.council.Disk;
+import holdproxy.consensus.Disk;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.Arrays;
--- a/src/main/java/holdproxy/membership/MembershipService.java
+++ b/src/main/java/holdproxy/membership/MembershipService.java
@@ -59,7 +59,7 @@
     }
 
     /** The kind of frame that the council's and the duties' are. */
-    public static final int COUNCIL = 2;
+    public static final int CONSENSUS = 2;
 
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -148,7 +148,7 @@
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage(
                         "holdproxy.duties",
-                        "holdproxy.council",
+                        "holdproxy.consensus",
                         "holdproxy.input",
                         "java.lang",
                         "java.util",
@@ -157,18 +157,18 @@
                 .check(MAIN);
         noClasses()
                 .that()
-                .resideInAPackage("holdproxy.council")
+                .resideInAPackage("holdproxy.consensus")
                 .should()
                 .dependOnClassesThat(
                         JavaClass.Predicates.resideInAnyPackage("holdproxy..")
                                 .and(
                                         not(
                                                 JavaClass.Predicates.resideInAnyPackage(
-                                                        "holdproxy.council", "holdproxy.input"))))
+                                                        "holdproxy.consensus", "holdproxy.input"))))
                 .check(MAIN);
         noClasses()
                 .that()
-                .resideInAnyPackage("holdproxy.duties", "holdproxy.council")
+                .resideInAnyPackage("holdproxy.duties", "holdproxy.consensus")
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -176,7 +176,7 @@
                 .check(MAIN);
         noClasses()
                 .that()
-                .resideOutsideOfPackage("holdproxy.council")
+                .resideOutsideOfPackage("holdproxy.consensus")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("io.microraft..")
--- a/src/test/java/holdproxy/council/RaftDiskTest.java
+++ b/src/test/java/holdproxy/consensus/RaftDiskTest.java
@@ -1,4 +1,4 @@
-package holdproxy.council;
+package holdproxy.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -36,7 +36,7 @@
 
     private RaftDisk founded() throws IOException {
         try (FileDisk disk = new FileDisk(file())) {
-            Council.found(disk, "a", List.of("a", "b", "c"));
+            RaftGroup.found(disk, "a", List.of("a", "b", "c"));
         }
         return RaftDisk.open(new FileDisk(file()));
     }
@@ -56,7 +56,7 @@
                 RaftCodec.MODELS
                         .createRaftTermPersistentStateBuilder()
                         .setTerm(7)
-                        .setVotedFor(new Seat("b", 0))
+                        .setVotedFor(new Voter("b", 0))
                         .build());
         disk.persistLogEntries(
                 List.of(
@@ -68,10 +68,10 @@
         disk.persistLogEntries(List.of(entry(4, 8, "other")));
         disk.flush();
         RestoredRaftState state = again();
-        assertEquals(new Seat("a", 0), state.getLocalEndpointPersistentState().getLocalEndpoint());
+        assertEquals(new Voter("a", 0), state.getLocalEndpointPersistentState().getLocalEndpoint());
         assertEquals(3, state.getInitialGroupMembers().getVotingMembers().size());
         assertEquals(7, state.getTermPersistentState().getTerm());
-        assertEquals(new Seat("b", 0), state.getTermPersistentState().getVotedFor());
+        assertEquals(new Voter("b", 0), state.getTermPersistentState().getVotedFor());
         assertEquals(List.of(1L, 2L, 3L, 4L), indices(state));
         assertEquals(
                 Arrays.asList("x", 1, true, null), state.getLogEntries().get(1).getOperation());
@@ -207,7 +207,7 @@
             assertTrue(
                     assertThrows(
                                     BadInput.class,
-                                    () -> Council.found(disk, "a", List.of("a", "b", "c")))
+                                    () -> RaftGroup.found(disk, "a", List.of("a", "b", "c")))
                             .getMessage()
                             .contains("already"));
         }
@@ -215,7 +215,7 @@
             assertTrue(
                     assertThrows(
                                     BadInput.class,
-                                    () -> Council.found(disk, "d", List.of("a", "b", "c")))
+                                    () -> RaftGroup.found(disk, "d", List.of("a", "b", "c")))
                             .getMessage()
                             .contains("not one of the first voters"));
         }
--- a/src/test/java/holdproxy/daemon/DaemonTest.java
+++ b/src/test/java/holdproxy/daemon/DaemonTest.java
@@ -240,7 +240,7 @@
                         "holdproxy.rig.",
                         "holdproxy.town.",
                         "holdproxy.membership.",
-                        "holdproxy.council.",
+                        "holdproxy.consensus.",
                         "holdproxy.duties.",
                         "io.microraft.",
                         "org.slf4j.",
