--- a/src/main/java/holdproxy/daemon/CouncilPart.java
+++ b/src/main/java/holdproxy/daemon/CouncilPart.java
@@ -2,9 +2,9 @@
 
 import holdproxy.consensus.FileDisk;
 import holdproxy.consensus.RaftGroup;
-import holdproxy.duties.Duties;
-import holdproxy.duties.DutyTable;
 import holdproxy.input.BadInput;
+import holdproxy.lease.LeaseClient;
+import holdproxy.lease.LeaseTable;
 import holdproxy.membership.MembershipService;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -45,16 +45,16 @@
     private final long startNs = System.nanoTime();
     private final MembershipService peers;
     private final RaftGroup council;
-    private final Duties duties;
+    private final LeaseClient duties;
     private final String name;
 
     private CouncilPart(DaemonFile file, long life, MembershipService peers) {
         this.peers = peers;
         name = file.name();
-        DutyTable table = new DutyTable();
+        LeaseTable table = new LeaseTable();
         Offered host = new Offered();
         council = new RaftGroup(name, file.voters(), host, new Random(), table);
-        duties = new Duties(name, life, council, table, host, new Random());
+        duties = new LeaseClient(name, life, council, table, host, new Random());
     }
 
     /** Takes up this process's vote, if it has one, and asks for the duties that the file names. */
@@ -134,7 +134,7 @@
     }
 
     /** What both are offered, and hear. */
-    private final class Offered implements RaftGroup.Host, Duties.Host {
+    private final class Offered implements RaftGroup.Host, LeaseClient.Host {
         @Override
         public long nowUs() {
             return (System.nanoTime() - startNs) / 1000;
--- a/src/main/java/holdproxy/daemon/Drilling.java
+++ b/src/main/java/holdproxy/daemon/Drilling.java
@@ -1,6 +1,6 @@
 package holdproxy.daemon;
 
-import holdproxy.duties.Duties;
+import holdproxy.lease.LeaseClient;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -22,12 +22,12 @@
     private static final int CONNECT_MS = 1_000;
 
     private final DaemonFile.Drill drill;
-    private final Duties duties;
+    private final LeaseClient duties;
     private final EventLoop loop;
     private Channel resource;
     private boolean connecting;
 
-    Drilling(DaemonFile.Drill drill, Duties duties, EventLoop loop) {
+    Drilling(DaemonFile.Drill drill, LeaseClient duties, EventLoop loop) {
         this.drill = drill;
         this.duties = duties;
         this.loop = loop;
@@ -49,7 +49,7 @@
         if (!resource.isWritable()) {
             return;
         }
-        Duties.Act act = duties.begin(drill.duty());
+        LeaseClient.Act act = duties.begin(drill.duty());
         resource.writeAndFlush(
                         Unpooled.copiedBuffer(
                                 drill.duty() + " " + act.token() + "\n", StandardCharsets.US_ASCII))
--- a/src/main/java/holdproxy/lab/DutiesCommand.java
+++ b/src/main/java/holdproxy/lab/DutiesCommand.java
@@ -1,6 +1,6 @@
 package holdproxy.lab;
 
-import holdproxy.duties.Duties;
+import holdproxy.lease.LeaseClient;
 import java.util.EnumSet;
 import java.util.Locale;
 import java.util.Set;
@@ -14,13 +14,13 @@
 /** {@code holdproxy lab duties}: duties under faults, in virtual time. */
 @Command(
         name = "duties",
-        description = "Duties that one process holds, under faults drawn by seeds.",
+        description = "Leases that one process holds, under faults drawn by seeds.",
         mixinStandardHelpOptions = true)
 final class DutiesCommand implements Callable<Integer> {
     @Mixin private VoterOptions options;
 
     @Option(names = "--without", description = "a guard to do without: ${COMPLETION-CANDIDATES}")
-    private Duties.Guard without;
+    private LeaseClient.Guard without;
 
     @Option(names = "--unguarded", description = "the resource does not look at tokens")
     private boolean unguarded;
@@ -65,7 +65,7 @@
             table();
             return 0;
         }
-        Set<Duties.Guard> guards = EnumSet.allOf(Duties.Guard.class);
+        Set<LeaseClient.Guard> guards = EnumSet.allOf(LeaseClient.Guard.class);
         if (without != null) {
             guards.remove(without);
         }
--- a/src/main/java/holdproxy/lab/DutiesTrial.java
+++ b/src/main/java/holdproxy/lab/DutiesTrial.java
@@ -1,8 +1,8 @@
 package holdproxy.lab;
 
 import holdproxy.consensus.StateMachine;
-import holdproxy.duties.Duties;
-import holdproxy.duties.DutyTable;
+import holdproxy.lease.LeaseClient;
+import holdproxy.lease.LeaseTable;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumSet;
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 
 /**
- * Duties in virtual time: every process wants every duty and acts under those it holds, at a guarded resource
+ * Leases in virtual time: every process wants every duty and acts under those it holds, at a guarded resource
  * that looks at the tokens. Faults drawn by a seed meet disks, links and processes in the first half; clocks
  * are wrong all the time.
  */
@@ -64,18 +64,18 @@
     }
 
     private final CouncilFleet fleet;
-    private final Set<Duties.Guard> guards;
+    private final Set<LeaseClient.Guard> guards;
     private final boolean checksTokens;
     private final int[] leasesMs;
     private final long actEveryUs;
-    private final Map<CouncilFleet.Life, Duties> duties = new HashMap<>();
+    private final Map<CouncilFleet.Life, LeaseClient> duties = new HashMap<>();
     private final List<Act> acts = new ArrayList<>();
 
     /** What the resource has accepted: the highest token of each duty. */
     private final Map<String, Long> highest = new TreeMap<>();
 
     private final List<Long> freeMs = new ArrayList<>();
-    private final Map<CouncilFleet.Life, Set<Duties.Act>> underWay = new HashMap<>();
+    private final Map<CouncilFleet.Life, Set<LeaseClient.Act>> underWay = new HashMap<>();
     private int refused;
 
     /** What takes a duty from its holder. */
@@ -94,7 +94,7 @@
             long seed,
             int votes,
             int others,
-            Set<Duties.Guard> guards,
+            Set<LeaseClient.Guard> guards,
             boolean checksTokens,
             int[] leasesMs,
             long actEveryUs) {
@@ -102,7 +102,7 @@
         this.actEveryUs = actEveryUs;
         this.guards = guards;
         this.checksTokens = checksTokens;
-        fleet = new CouncilFleet(seed, votes, others, Duties.CLOCK_BOUND, this, false, false);
+        fleet = new CouncilFleet(seed, votes, others, LeaseClient.CLOCK_BOUND, this, false, false);
     }
 
     /** A trial with these guards; {@code checksTokens}: whether the resource does. */
@@ -111,7 +111,7 @@
             int votes,
             int others,
             double seconds,
-            Set<Duties.Guard> guards,
+            Set<LeaseClient.Guard> guards,
             boolean checksTokens) {
         DutiesTrial trial =
                 new DutiesTrial(seed, votes, others, guards, checksTokens, LEASES_MS, ACT_EVERY_US);
@@ -135,7 +135,7 @@
                         seed,
                         5,
                         2,
-                        EnumSet.allOf(Duties.Guard.class),
+                        EnumSet.allOf(LeaseClient.Guard.class),
                         true,
                         new int[] {leaseMs},
                         ACT_OFTEN_US);
@@ -167,17 +167,17 @@
 
     @Override
     public StateMachine stateMachine(CouncilFleet.Life life) {
-        return new DutyTable();
+        return new LeaseTable();
     }
 
     @Override
     public void begun(CouncilFleet.Life life) {
-        Duties own =
-                new Duties(
+        LeaseClient own =
+                new LeaseClient(
                         life.name,
                         life.number,
                         life.council,
-                        (DutyTable) life.stateMachine,
+                        (LeaseTable) life.stateMachine,
                         new Held(life),
                         new Random(fleet.random.nextLong()),
                         guards);
@@ -222,7 +222,7 @@
         return acts.isEmpty() ? "" : acts.get(acts.size() - 1).name;
     }
 
-    private final class Held implements Duties.Host {
+    private final class Held implements LeaseClient.Host {
         private final CouncilFleet.Life life;
 
         Held(CouncilFleet.Life life) {
@@ -265,8 +265,8 @@
         life.after(
                 actEveryUs / 2 + fleet.random.nextInt((int) actEveryUs),
                 () -> {
-                    Duties own = duties.get(life);
-                    Duties.Act act = own.begin(duty);
+                    LeaseClient own = duties.get(life);
+                    LeaseClient.Act act = own.begin(duty);
                     if (act != null) {
                         underWay.computeIfAbsent(life, l -> new HashSet<>()).add(act);
                         Act seen = new Act(duty, life.name, act.token(), fleet.time.nowUs());
--- a/src/main/java/holdproxy/duties/Lease.java
+++ b/src/main/java/holdproxy/lease/Lease.java
@@ -1,4 +1,4 @@
-package holdproxy.duties;
+package holdproxy.lease;
 
 /**
  * A duty as the council has it.
--- a/src/main/java/holdproxy/duties/Duties.java
+++ b/src/main/java/holdproxy/lease/LeaseClient.java
@@ -1,7 +1,7 @@
-package holdproxy.duties;
+package holdproxy.lease;
 
 import holdproxy.consensus.RaftGroup;
-import holdproxy.duties.DutyTable.Word;
+import holdproxy.lease.LeaseTable.Word;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
  * gone the length and the bound; and that end is void if a renewal came first. A stalled holder cannot stop
  * itself: for its last act there is the token, which the guarded side compares.
  */
-public final class Duties {
+public final class LeaseClient {
     /** How far the rate of a clock may be from the true one. */
     public static final double CLOCK_BOUND = 0.05;
 
@@ -115,7 +115,7 @@
     private final String name;
     private final long life;
     private final RaftGroup council;
-    private final DutyTable table;
+    private final LeaseTable table;
     private final Host host;
     private final Random random;
     private final Set<Guard> guards;
@@ -131,17 +131,17 @@
     private boolean ending;
 
     /** {@code table}: what this process's council keeps, if it votes. */
-    public Duties(
-            String name, long life, RaftGroup council, DutyTable table, Host host, Random random) {
+    public LeaseClient(
+            String name, long life, RaftGroup council, LeaseTable table, Host host, Random random) {
         this(name, life, council, table, host, random, EnumSet.allOf(Guard.class));
     }
 
     /** For trials: with these guards alone. */
-    public Duties(
+    public LeaseClient(
             String name,
             long life,
             RaftGroup council,
-            DutyTable table,
+            LeaseTable table,
             Host host,
             Random random,
             Set<Guard> guards) {
@@ -204,7 +204,7 @@
         long token = own.token;
         own.holds = false;
         host.ended(own.duty, token, "handed over");
-        council.propose(DutyTable.release(own.duty, token), HAND_OVER_US)
+        council.propose(LeaseTable.release(own.duty, token), HAND_OVER_US)
                 .whenComplete((answer, failed) -> own.giving.complete(null));
     }
 
@@ -216,7 +216,7 @@
         }
         own.asking = true;
         long askedUs = host.nowUs();
-        council.propose(DutyTable.ask(own.duty, name, life, own.ms, own.seen), own.ms * MS)
+        council.propose(LeaseTable.ask(own.duty, name, life, own.ms, own.seen), own.ms * MS)
                 .whenComplete(
                         (answer, failed) -> {
                             own.asking = false;
@@ -258,7 +258,7 @@
     private void held(Own own, long token, long askedUs) {
         if (ending) {
             // it was asked for before the end, and is of no use any more
-            council.propose(DutyTable.release(own.duty, token), HAND_OVER_US);
+            council.propose(LeaseTable.release(own.duty, token), HAND_OVER_US);
             return;
         }
         own.token = token;
@@ -280,7 +280,7 @@
             return;
         }
         long askedUs = host.nowUs();
-        council.propose(DutyTable.renew(own.duty, token), own.ms * MS / 3)
+        council.propose(LeaseTable.renew(own.duty, token), own.ms * MS / 3)
                 .whenComplete(
                         (answer, failed) -> {
                             if (!own.holds || own.token != token) {
@@ -376,7 +376,7 @@
         long endsUs = sinceUs.get(duty) + (long) (lease.ms() * MS * part);
         long nowUs = host.nowUs();
         if (nowUs >= endsUs && council.leads()) {
-            council.propose(DutyTable.expire(lease), lease.ms() * MS);
+            council.propose(LeaseTable.expire(lease), lease.ms() * MS);
         }
         host.after(nowUs >= endsUs ? LEAST_AGAIN_US * 5 : endsUs - nowUs + 1, () -> look(duty));
     }
--- a/src/main/java/holdproxy/duties/DutyTable.java
+++ b/src/main/java/holdproxy/lease/LeaseTable.java
@@ -1,4 +1,4 @@
-package holdproxy.duties;
+package holdproxy.lease;
 
 import holdproxy.consensus.StateMachine;
 import holdproxy.input.BadInput;
@@ -17,8 +17,8 @@
  * <p>Asking and releasing name the token that was seen, so that an operation which arrives late, or twice,
  * changes nothing.
  */
-public final class DutyTable implements StateMachine {
-    /** Duties at most; names are the program's own and operators'. */
+public final class LeaseTable implements StateMachine {
+    /** Leases at most; names are the program's own and operators'. */
     public static final int MOST_DUTIES = 1_000;
 
     /** What an operation came to. */
--- /dev/null
+++ b/src/main/java/holdproxy/lease/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * Leases with fencing tokens, each held by one process at a time. The table of grants is replicated by
+ * {@link holdproxy.consensus.RaftGroup}; a holder stops by its own clock before another can be granted.
+ */
+package holdproxy.lease;
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -143,11 +143,11 @@
     void agreementAndDutiesStandOnWhatIsHandedIn() {
         classes()
                 .that()
-                .resideInAPackage("holdproxy.duties")
+                .resideInAPackage("holdproxy.lease")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage(
-                        "holdproxy.duties",
+                        "holdproxy.lease",
                         "holdproxy.consensus",
                         "holdproxy.input",
                         "java.lang",
@@ -168,7 +168,7 @@
                 .check(MAIN);
         noClasses()
                 .that()
-                .resideInAnyPackage("holdproxy.duties", "holdproxy.consensus")
+                .resideInAnyPackage("holdproxy.lease", "holdproxy.consensus")
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
--- a/src/test/java/holdproxy/daemon/DaemonTest.java
+++ b/src/test/java/holdproxy/daemon/DaemonTest.java
@@ -241,7 +241,7 @@
                         "holdproxy.town.",
                         "holdproxy.membership.",
                         "holdproxy.consensus.",
-                        "holdproxy.duties.",
+                        "holdproxy.lease.",
                         "io.microraft.",
                         "org.slf4j.",
                         "ch.qos.",
--- a/src/test/java/holdproxy/lab/CouncilTrialTest.java
+++ b/src/test/java/holdproxy/lab/CouncilTrialTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import holdproxy.duties.Duties;
+import holdproxy.lease.LeaseClient;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
@@ -24,7 +24,7 @@
     }
 
     private static DutiesTrial.Outcome duties(
-            long seed, Set<Duties.Guard> guards, boolean checksTokens) {
+            long seed, Set<LeaseClient.Guard> guards, boolean checksTokens) {
         return DutiesTrial.play(seed, seed % 2 == 0 ? 3 : 5, 2, SECONDS, guards, checksTokens);
     }
 
@@ -62,8 +62,8 @@
     void trialsGoTheSameWayEachTime() {
         assertEquals(council(3, Set.of()), council(3, Set.of()));
         assertEquals(
-                duties(3, EnumSet.allOf(Duties.Guard.class), true),
-                duties(3, EnumSet.allOf(Duties.Guard.class), true));
+                duties(3, EnumSet.allOf(LeaseClient.Guard.class), true),
+                duties(3, EnumSet.allOf(LeaseClient.Guard.class), true));
     }
 
     @ParameterizedTest
@@ -80,7 +80,8 @@
         int acts = 0;
         int refused = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            DutiesTrial.Outcome outcome = duties(seed, EnumSet.allOf(Duties.Guard.class), true);
+            DutiesTrial.Outcome outcome =
+                    duties(seed, EnumSet.allOf(LeaseClient.Guard.class), true);
             assertEquals(List.of(), outcome.broken(), "seed " + seed + " " + outcome.kinds());
             acts += outcome.acts();
             refused += outcome.refused();
@@ -90,8 +91,8 @@
 
     @ParameterizedTest
     @EnumSource
-    void withoutOneOfItsGuardsADutyHasTwoHolders(Duties.Guard without) {
-        Set<Duties.Guard> rest = EnumSet.complementOf(EnumSet.of(without));
+    void withoutOneOfItsGuardsADutyHasTwoHolders(LeaseClient.Guard without) {
+        Set<LeaseClient.Guard> rest = EnumSet.complementOf(EnumSet.of(without));
         assertTrue(
                 LongStream.rangeClosed(1, SEEDS_TO_FIND)
                         .anyMatch(seed -> !duties(seed, rest, true).broken().isEmpty()),
@@ -104,7 +105,7 @@
                 LongStream.rangeClosed(1, SEEDS_TO_FIND)
                         .anyMatch(
                                 seed ->
-                                        duties(seed, EnumSet.allOf(Duties.Guard.class), false)
+                                        duties(seed, EnumSet.allOf(LeaseClient.Guard.class), false)
                                                 .broken()
                                                 .stream()
                                                 .anyMatch(b -> b.startsWith("the resource"))));
