--- a/src/main/java/holdproxy/net/Discovery.java
+++ b/src/main/java/holdproxy/net/Discovery.java
@@ -45,6 +45,12 @@
 
     private static final int CONNECT_MS = 2000;
 
+    /**
+     * A call that follows a silent watch has to be answered within this time, dial included: an answer takes
+     * up to 1 s, and one more call has to fit into the 6 s.
+     */
+    private static final int ANSWER_AFTER_SILENCE_MS = 1200;
+
     /** Where lists are pushed a dial may take this part of the grace: 1 of so many. */
     private static final int PUSHED_PART = 2;
 
@@ -64,6 +70,9 @@
     private long version;
     private Call watch;
 
+    /** The watch before has fallen silent, so that the next call may find silence as well. */
+    private boolean afterSilence;
+
     Discovery(Proxy proxy, Config config, Transport transport, Log log) {
         this.proxy = proxy;
         this.config = config;
@@ -233,6 +242,8 @@
 
         Call(String path, boolean stream) {
             this.stream = stream;
+            boolean limited = afterSilence;
+            afterSilence = false;
             ChannelFuture connected =
                     transport.connect(
                             address,
@@ -241,6 +252,11 @@
                             new HttpClientCodec(),
                             this);
             channel = connected.channel();
+            if (limited) {
+                channel.eventLoop()
+                        .schedule(
+                                this::silentAgain, ANSWER_AFTER_SILENCE_MS, TimeUnit.MILLISECONDS);
+            }
             connected.addListener(
                     (ChannelFutureListener)
                             f -> {
@@ -255,10 +271,18 @@
                                     f.channel().writeAndFlush(get);
                                 } else {
                                     failed("no connection");
+                                    proxy.members().discoveryUnreachable();
                                 }
                             });
         }
 
+        private void silentAgain() {
+            if (!served) {
+                failed("no answer after silence", Router.ListKind.SILENT);
+                afterSilence = false; // once: from here on calls are further apart
+            }
+        }
+
         void silently() {
             over = true;
             channel.close();
@@ -277,6 +301,7 @@
                 watch = null;
             }
             log.line("discovery: " + why);
+            afterSilence = kind == Router.ListKind.SILENT;
             proxy.nodes(kind, List.of());
         }
 
--- a/src/main/java/holdproxy/net/Members.java
+++ b/src/main/java/holdproxy/net/Members.java
@@ -1,6 +1,7 @@
 package holdproxy.net;
 
 import holdproxy.policy.Router;
+import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import io.netty.util.concurrent.Promise;
 import java.util.HashSet;
@@ -20,13 +21,17 @@
     /** Done with the first list that discovery has given. */
     private final Promise<Void> first;
 
+    /** Done with the first list, or once a call has found that discovery cannot be reached. */
+    private final Promise<Void> firstOrUnreachable;
+
     private final Set<Integer> listed = new HashSet<>();
 
     /** By their names in the list, which they may have left. */
     private final Set<String> leftOut = new HashSet<>();
 
-    Members(Proxy proxy, NodePools pools, Discovery discovery, Log log, Promise<Void> first) {
-        this.first = first;
+    Members(Proxy proxy, NodePools pools, Discovery discovery, Log log, EventLoop loop) {
+        first = loop.newPromise();
+        firstOrUnreachable = loop.newPromise();
         this.proxy = proxy;
         this.pools = pools;
         this.discovery = discovery;
@@ -63,6 +68,7 @@
         proxy.figures().poolSize.set(listed.size());
         if (kind == Router.ListKind.FULL || kind == Router.ListKind.DELTA) {
             first.trySuccess(null);
+            firstOrUnreachable.trySuccess(null);
         }
     }
 
@@ -71,6 +77,16 @@
         return first;
     }
 
+    /** On any thread. */
+    Future<Void> firstOrUnreachable() {
+        return firstOrUnreachable;
+    }
+
+    /** A call to discovery got no connection: what it has cannot be told for now. */
+    void discoveryUnreachable() {
+        firstOrUnreachable.trySuccess(null);
+    }
+
     private void left(int id, boolean gone) {
         pools.leave(id, gone);
         if (gone && listed.remove(id)) {
--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -92,7 +92,7 @@
         }
         pools = new NodePools(this, config, loop, log, bound.nodes(), transport);
         discovery = new Discovery(this, config, transport, log);
-        members = new Members(this, pools, discovery, log, loop.newPromise());
+        members = new Members(this, pools, discovery, log, loop);
         router = new Choice(config.settings, config.seed, now(), this);
         counting = new Counting(router.tally, pools::counted, lateness);
     }
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -34,9 +34,12 @@
     /** The folder for them in {@code TMPDIR}. */
     private static final String KEPT = "left-out";
 
-    /** So long clients are left to another process until discovery has told this one of the nodes. */
+    /** The longest time for which clients wait until discovery has told this process of the nodes. */
     private static final int FIRST_LIST_MS = 2_000;
 
+    /** Where lists are asked for, also no longer than this part of the time for which one holds. */
+    private static final int HELD_PART = 2;
+
     /** Where lists are pushed; while discovery is down there is none, and clients have waited for long. */
     private static final int FIRST_PUSHED_MS = 500;
 
@@ -224,13 +227,20 @@
     }
 
     /**
-     * Nobody is served by the list of the configuration, which may be old, where a newer one binds already:
-     * the other process, which serves on meanwhile, goes by it, or it is pushed and counts from the start on.
+     * Clients are taken once the first list has come, or after a bounded time: the list of the
+     * configuration may be old, and what discovery has had for long counts for a new process as well. Where
+     * discovery cannot be reached nothing can be told, and clients are taken at once.
      */
     private static void awaitFirstList(Proxy proxy, Config config, boolean inherited)
             throws InterruptedException {
-        if (inherited || !config.settings.askForNodes) {
-            proxy.members().first().await(inherited ? FIRST_LIST_MS : FIRST_PUSHED_MS);
+        Members members = proxy.members();
+        if (inherited) {
+            members.first().await(FIRST_LIST_MS);
+        } else if (config.settings.askForNodes) {
+            long heldMs = config.settings.askWithinUs / 1000;
+            members.firstOrUnreachable().await(Math.min(FIRST_LIST_MS, heldMs / HELD_PART));
+        } else {
+            members.first().await(FIRST_PUSHED_MS);
         }
     }
 
--- a/src/main/java/holdproxy/policy/Choice.java
+++ b/src/main/java/holdproxy/policy/Choice.java
@@ -28,15 +28,17 @@
     // Second copies go out between these shares of the aim, by the round-trip estimate in between.
     static final double COPY_SOONEST = 0.3;
     static final double COPY_LATEST = 0.6;
-    // Discovery: first calls spread over this part of the time in which an instance has to ask.
-    static final double ASK_SPREAD = 0.8;
-    static final double ASK_US_PER_ROUTER = 400_000;
-    // After a failure they are made again within what is left of that time, counted four times
-    // then.
-    static final long ASK_RETRY_US = 2_000_000;
+    // Discovery: after a failed call the next one follows within this time for each router, twice
+    // as
+    // long after each further failure, and within what leaves two further calls of 1 s before what
+    // discovery has counts as told, 6 s after it could be reached.
+    static final double ASK_RETRY_US_PER_ROUTER = 100_000;
+    static final double ASK_RETRY_MOST_US = 2_000_000;
     static final double ASK_RETRY_PART = 0.4;
-    static final double SILENT_SPREAD_US = 1_500_000;
-    static final double SILENT_US_PER_ROUTER = 250_000;
+    // After silence: two calls of which one is not answered either fit into what is left of the 6
+    // s.
+    static final double SILENT_SPREAD_US = 500_000;
+    static final double SILENT_US_PER_ROUTER = 50_000;
     static final long PUSHED_RETRY_US = 100_000;
     // Pushed lists count at once: pause, dial (at most half) and answer together stay within the
     // grace.
@@ -74,12 +76,8 @@
         door.begin(nowUs);
         onSettings(nowUs, settings);
         if (settings.askForNodes) {
-            // a thousand proxies starting together would swamp discovery: each takes its own moment
-            double spread =
-                    Math.min(
-                            ASK_SPREAD * settings.askWithinUs,
-                            ASK_US_PER_ROUTER * settings.routers);
-            out.timer((long) (random.unit() * spread), TIMER_ASK);
+            out.timer(
+                    0, TIMER_ASK); // what is held may be old: a change counts however young one is
         }
     }
 
@@ -115,9 +113,10 @@
 
     /**
      * When to ask again. A silent watch is opened anew before what it misses counts as told, spread over no
-     * more than that leaves, as all proxies may have met the silence at once; a discovery that is down is
-     * left alone longer each time, since all others call too. Lists that are pushed count at once, also those
-     * that come when a silent agent is back, and it is this proxy's own.
+     * more than that leaves, as all proxies may have met the silence at once. After a failed call:
+     * exponential backoff with full jitter, by the number of routers, since all of them may have failed at
+     * once. Lists that are pushed count at once, also those that come when a silent agent is back, and it is
+     * this proxy's own.
      */
     private double askAgainUs(ListKind kind) {
         if (!set.askForNodes) {
@@ -129,8 +128,9 @@
         if (kind == ListKind.SILENT) {
             return random.unit() * Math.min(SILENT_SPREAD_US, SILENT_US_PER_ROUTER * set.routers);
         }
-        double retry = Math.min(ASK_RETRY_US, ASK_RETRY_PART * set.askWithinUs);
-        return retry * (1L << Math.min(askFailures++, 2)) * (0.5 + random.unit());
+        double retry = ASK_RETRY_US_PER_ROUTER * set.routers * (1L << Math.min(askFailures++, 5));
+        double most = Math.min(ASK_RETRY_MOST_US, ASK_RETRY_PART * set.askWithinUs);
+        return random.unit() * Math.min(retry, most);
     }
 
     @Override
--- a/src/test/java/holdproxy/net/CrossingsTest.java
+++ b/src/test/java/holdproxy/net/CrossingsTest.java
@@ -1,6 +1,7 @@
 package holdproxy.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.channel.Channel;
@@ -28,6 +29,9 @@
 /** Two events at one connection to a node in their bad order, which the test causes each time. */
 @Timeout(60)
 class CrossingsTest {
+    /** Lists are asked for, and one holds for 10 s. */
+    private static final String ASKING =
+            Fixture.SETTINGS.replace("\"askWithinMs\":100.0", "\"askWithinMs\":10000.0");
 
     private static void served(Peer client, Peer node, String id) throws Exception {
         assertTrue(node.line().contains("O" + id + " "));
@@ -470,6 +474,37 @@
     @Test
     void wherePushedListsCountFromTheStartNobodyIsTakenBeforeTheFirst(@TempDir Path folder)
             throws Exception {
+        nobodyIsTakenBeforeTheFirstList(
+                folder, Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\""));
+    }
+
+    /** What discovery has had for 6 s counts for a new process as well, whatever list it starts with. */
+    @Test
+    void whereListsAreAskedForNobodyIsTakenBeforeTheFirst(@TempDir Path folder) throws Exception {
+        nobodyIsTakenBeforeTheFirstList(folder, ASKING);
+    }
+
+    /** Nothing can be told then: it does not wait for what cannot come. */
+    @Test
+    void whereDiscoveryCannotBeReachedClientsAreTakenWithTheListThatIsHeld(@TempDir Path folder)
+            throws Exception {
+        EventLoop loop = Service.loop(new Turns());
+        Path file = folder.resolve("config.json");
+        Files.writeString(file, Fixture.json(Fixture.list(1, true), ASKING, 1024));
+        try (Peer.Listener discovery = new Peer.Listener()) {
+            String closed = discovery.address();
+            discovery.close();
+            Config config = Config.load(Fixture.env(file, closed));
+            Proxy proxy = Service.start(config, loop, null, null, null);
+            assertTrue(proxy.members().firstOrUnreachable().isDone(), "it waited to the bound");
+            assertFalse(proxy.members().first().isDone());
+        } finally {
+            loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        }
+    }
+
+    private static void nobodyIsTakenBeforeTheFirstList(Path folder, String settings)
+            throws Exception {
         EventLoop loop = Service.loop(new Turns());
         try (Peer.Listener drains = new Peer.Listener();
                 Peer.Listener serves = new Peer.Listener();
@@ -479,12 +514,7 @@
             String fresh =
                     "{\"id\":\"s-1\",\"addr\":\"" + serves.address() + "\",\"state\":\"SERVING\"}";
             Path file = folder.resolve("config.json");
-            Files.writeString(
-                    file,
-                    Fixture.json(
-                            Fixture.list(1, true, old),
-                            Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\""),
-                            1024));
+            Files.writeString(file, Fixture.json(Fixture.list(1, true, old), settings, 1024));
             CompletableFuture<Proxy> started = new CompletableFuture<>();
             Config config = Config.load(Fixture.env(file, discovery.address()));
             Thread starting =
--- /dev/null
+++ b/src/test/java/holdproxy/net/DiscoveryHerdTest.java
@@ -0,0 +1,231 @@
+package holdproxy.net;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandler;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.util.concurrent.MockTicker;
+import io.netty.util.concurrent.Ticker;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * Many proxies that call one discovery at the same time, in virtual time: discovery serves one call after
+ * another and turns away a call that has waited too long. A change counts as told 6 s after discovery had it
+ * and could be reached, however young the process is and whatever failed before.
+ */
+class DiscoveryHerdTest {
+    private static final int TOLD_MS = 6_000;
+    private static final int WAIT_MOST_MS = 1_000;
+    private static final int STEP_MS = 10;
+    private static final int DAY_MS = 40_000;
+    private static final int[] FLEETS = {2, 6, 30, 100};
+
+    @TempDir Path folder;
+
+    /** One call of a proxy: its connection and when its request arrived. */
+    private record Call(EmbeddedChannel channel, int proxy, long arrivedMs) {}
+
+    /** A discovery that serves calls one after another. */
+    private final class Discovery {
+        private final MockTicker ticker = Ticker.newMockTicker();
+        private final ArrayDeque<Call> queue = new ArrayDeque<>();
+        private final List<EmbeddedChannel> open = new ArrayList<>();
+        private final List<ProxyAlone> proxies = new ArrayList<>();
+        private final double serviceMs;
+        private long nowMs;
+        private double freeAtMs;
+        private boolean down;
+        private int calls;
+
+        Discovery(double serviceMs) {
+            this.serviceMs = serviceMs;
+        }
+
+        void pass() throws Exception {
+            ticker.advance(STEP_MS, TimeUnit.MILLISECONDS);
+            nowMs += STEP_MS;
+            for (ProxyAlone proxy : proxies) {
+                proxy.timers.runScheduledPendingTasks();
+            }
+            serve();
+        }
+
+        private void serve() {
+            while (!queue.isEmpty()) {
+                Call next = queue.peek();
+                if (down || nowMs - next.arrivedMs > WAIT_MOST_MS) {
+                    queue.poll();
+                    next.channel.writeInbound(
+                            Rehearsal.bytes(
+                                    "HTTP/1.1 503 Service Unavailable\r\n"
+                                            + "Content-Length: 0\r\n\r\n"));
+                } else if (freeAtMs <= nowMs) {
+                    queue.poll();
+                    freeAtMs = Math.max(freeAtMs, nowMs - STEP_MS) + serviceMs;
+                    answer(next);
+                } else {
+                    return;
+                }
+            }
+        }
+
+        private void answer(Call call) {
+            String list = Fixture.list(2, true) + "\n";
+            open.add(call.channel);
+            call.channel.writeInbound(
+                    Rehearsal.bytes(
+                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                    + Integer.toHexString(list.length())
+                                    + "\r\n"
+                                    + list
+                                    + "\r\n"));
+            if (call.channel.isOpen()) {
+                proxies.get(call.proxy).listedAtMs = nowMs;
+            }
+        }
+
+        /** As when discovery goes down: its watches end and each call fails. */
+        void down(boolean isDown) {
+            down = isDown;
+            if (isDown) {
+                proxies.forEach(p -> p.listedAtMs = -1);
+                open.forEach(EmbeddedChannel::close);
+                open.clear();
+            }
+        }
+
+        long lastListedMs() {
+            return proxies.stream()
+                    .mapToLong(p -> p.listedAtMs < 0 ? Long.MAX_VALUE : p.listedAtMs)
+                    .max()
+                    .orElseThrow();
+        }
+
+        void passUntilAllHaveTheList() throws Exception {
+            for (int i = 0; i < DAY_MS / STEP_MS && lastListedMs() == Long.MAX_VALUE; i++) {
+                pass();
+            }
+        }
+    }
+
+    /** A proxy whose only peer is discovery. */
+    private final class ProxyAlone implements Transport {
+        private final Discovery discovery;
+        private final int number;
+        private final EmbeddedChannel timers;
+        private long listedAtMs = -1;
+
+        ProxyAlone(Discovery discovery, int number, int fleet, long seed) throws Exception {
+            this.discovery = discovery;
+            this.number = number;
+            timers = EmbeddedChannel.builder().ticker(discovery.ticker).build();
+            Path file = folder.resolve("config.json");
+            String settings =
+                    Fixture.SETTINGS
+                            .replace("\"askWithinMs\":100.0", "\"askWithinMs\":10000.0")
+                            .replace("\"balancers\":1", "\"balancers\":" + fleet);
+            Files.writeString(
+                    file,
+                    Fixture.json(Fixture.list(1, true), settings, 1024)
+                            .replace("8c1f30d27a5be964", Long.toHexString(seed * 1000 + number)));
+            Config config = Config.load(Fixture.env(file, "127.0.0.1:1"));
+            Time time = new Time(discovery.ticker, () -> 0);
+            Proxy proxy =
+                    new Proxy(config, timers.eventLoop(), time, this, new Log(time, line -> {}));
+            proxy.begin();
+        }
+
+        @Override
+        public ChannelFuture connect(
+                InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+            EmbeddedChannel channel =
+                    EmbeddedChannel.builder().ticker(discovery.ticker).handlers(handlers).build();
+            discovery.calls++;
+            discovery.queue.add(new Call(channel, number, discovery.nowMs));
+            return channel.newSucceededFuture();
+        }
+
+        @Override
+        public ChannelFuture listen(
+                InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
+            throw new UnsupportedOperationException();
+        }
+
+        @Override
+        public void endSending(Channel channel) {
+            throw new UnsupportedOperationException();
+        }
+    }
+
+    private Discovery fleet(int proxies, double allCallMs, long seed) throws Exception {
+        Discovery discovery = new Discovery(allCallMs / proxies);
+        for (int i = 0; i < proxies; i++) {
+            discovery.proxies.add(new ProxyAlone(discovery, i, proxies, seed));
+        }
+        return discovery;
+    }
+
+    /** How long calls take altogether, in milliseconds; at 4 s one of the calls may be turned away twice. */
+    private static final int[] ALL_CALLS_MS = {500, 2_000, 4_000, 8_000};
+
+    private static final int SEEDS = 3;
+    private static final int OUTAGE_MS = 8_000;
+
+    /** The proxies start together, as after a crash of all of them. */
+    @Test
+    void everyNewProcessHasTheListInTimeWhateverTheNumberOfThem() throws Exception {
+        for (int allCallsMs : ALL_CALLS_MS) {
+            for (int proxies : FLEETS) {
+                for (long seed = 1; seed <= SEEDS; seed++) {
+                    Discovery discovery = fleet(proxies, allCallsMs, seed);
+                    discovery.passUntilAllHaveTheList();
+                    judge(discovery, proxies, allCallsMs, 0);
+                }
+            }
+        }
+    }
+
+    /** Discovery goes down with all watches and comes back: no pause after failures outlasts the term. */
+    @Test
+    void afterAnOutageEveryProxyHasTheListInTimeWhateverTheNumberOfThem() throws Exception {
+        for (int allCallsMs : ALL_CALLS_MS) {
+            for (int proxies : FLEETS) {
+                for (long seed = 1; seed <= SEEDS; seed++) {
+                    Discovery discovery = fleet(proxies, allCallsMs, seed);
+                    discovery.passUntilAllHaveTheList();
+                    discovery.down(true);
+                    for (int ms = 0; ms < OUTAGE_MS; ms += STEP_MS) {
+                        discovery.pass();
+                    }
+                    discovery.down(false);
+                    discovery.calls = 0;
+                    long backMs = discovery.nowMs;
+                    discovery.passUntilAllHaveTheList();
+                    judge(discovery, proxies, allCallsMs, backMs);
+                }
+            }
+        }
+    }
+
+    /** In time, where one call after another fits into it, and without many more calls than proxies. */
+    private static void judge(Discovery discovery, int proxies, int allCallsMs, long fromMs) {
+        String what = proxies + " proxies, all calls take " + allCallsMs + " ms: ";
+        long tookMs = discovery.lastListedMs() - fromMs;
+        long mostMs = Math.max(TOLD_MS, allCallsMs + 2 * WAIT_MOST_MS);
+        assertTrue(tookMs <= mostMs, what + "the last list after " + tookMs + " ms");
+        double callsEach = discovery.calls / (double) proxies;
+        double mostCalls = 2 + allCallsMs / 4_000.0;
+        assertTrue(callsEach <= mostCalls, what + callsEach + " calls each");
+    }
+}
--- a/src/test/java/holdproxy/net/WatchTimesTest.java
+++ b/src/test/java/holdproxy/net/WatchTimesTest.java
@@ -30,6 +30,10 @@
     private static final int SILENT_TOLD_MS = 6_000;
 
     private static final int ANSWER_MS = 1_000;
+
+    /** Behind a second silence up to so much of the time for the answer is gone. */
+    private static final int SECOND_SILENCE_MS = 200;
+
     private static final int STEP_MS = 10;
 
     @TempDir Path folder;
@@ -146,6 +150,21 @@
         }
     }
 
+    /** The call that opens it anew is not answered either: the one after it is, in the time that is left. */
+    @Test
+    void aSecondSilentCallIsGivenUpBeforeWhatTheWatchMissedCountsAsTold() throws Exception {
+        for (int routers : new int[] {2, 6, 100}) {
+            for (long seed = 1; seed <= SEEDS; seed++) {
+                Town town = new Town(seed, asking(6_000, routers));
+                town.say(town.latest(), Fixture.list(2, true) + "\n");
+                int took = town.passUntilCall(3, 60_000);
+                assertTrue(
+                        took <= SILENT_TOLD_MS - ANSWER_MS + SECOND_SILENCE_MS,
+                        "seed " + seed + " of " + routers + ": " + took + " ms");
+            }
+        }
+    }
+
     @Test
     void manyProxiesWhoseWatchesFallSilentAtOnceDoNotCallAtOnce() throws Exception {
         int[] perTenth = new int[100];
--- a/src/test/java/holdproxy/policy/MechanismTest.java
+++ b/src/test/java/holdproxy/policy/MechanismTest.java
@@ -204,31 +204,56 @@
         assertEquals(1, out.sent.size());
     }
 
+    /** A change counts 6 s after discovery had it, also for a new process: the list it starts with may be old. */
     @Test
-    void asksForTheListWithinItsTimeAndBacksOffAfterFailures() {
+    void asksForTheListAtOnceAndBacksOffAfterFailuresWithFullJitter() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.askForNodes = true;
         s.routers = 1000;
         Set<Long> moments = new HashSet<>();
         for (int seed = 0; seed < 50; seed++) {
             Fixture f = new Fixture();
-            f.choice(s, seed * 7919, Fixture.nodes(2));
-            long at = f.timers.get(0)[0];
-            assertTrue(at <= s.askWithinUs, "within the time after which it is deemed informed");
-            moments.add(at / S);
+            Choice each = f.choice(s, seed * 7919, Fixture.nodes(2));
+            assertEquals(0, f.timers.get(0)[0], "the first call is made at once");
+            f.fire(each, 0);
+            each.onNodes(S, Router.ListKind.FAILED, new Router.Node[0], 0, f);
+            moments.add(f.timers.get(0)[0] / (100 * MS));
         }
-        assertTrue(moments.size() >= 6, "spread over seconds: " + moments);
+        assertTrue(moments.size() >= 15, "spread over tenths of 2 s: " + moments);
         Choice p = out.choice(s, 3, Fixture.nodes(2));
-        out.fire(p, 8 * S);
-        assertEquals(1, out.subscribes);
-        p.onNodes(9 * S, Router.ListKind.FAILED, new Router.Node[0], 0, out);
-        assertTrue(out.timers.get(0)[0] > S, "not again at once");
-        out.fire(p, 12 * S);
-        assertEquals(2, out.subscribes);
-        p.onNodes(13 * S, Router.ListKind.FULL, Fixture.nodes(2), 2, out);
+        for (int i = 1; i <= 10; i++) {
+            out.fire(p, 8 * i * S);
+            assertEquals(i, out.subscribes);
+            p.onNodes(8 * i * S + S, Router.ListKind.FAILED, new Router.Node[0], 0, out);
+            assertTrue(out.timers.get(0)[0] <= 2 * S, "leaves time for two more calls of 1 s");
+        }
+        out.fire(p, 100 * S);
+        p.onNodes(101 * S, Router.ListKind.FULL, Fixture.nodes(2), 2, out);
         assertTrue(out.timers.isEmpty(), "subscribed: nothing more to ask");
     }
 
+    /** The fewer call, the sooner each calls again; each further failure doubles the bound. */
+    @Test
+    void theBoundOfTheBackoffGoesByTheNumberOfRoutersAndDoubles() {
+        Router.Settings s = Fixture.settings(Router.Effect.SAFE);
+        s.askForNodes = true;
+        s.routers = 2;
+        long[] longest = new long[6];
+        for (int seed = 0; seed < 200; seed++) {
+            Fixture f = new Fixture();
+            Choice p = f.choice(s, seed * 7919, Fixture.nodes(2));
+            for (int i = 0; i < longest.length; i++) {
+                f.fire(p, 10 * i * S);
+                p.onNodes(10 * i * S + S, Router.ListKind.FAILED, new Router.Node[0], 0, f);
+                longest[i] = Math.max(longest[i], f.timers.get(0)[0]);
+            }
+        }
+        for (int i = 0; i < longest.length; i++) {
+            long bound = Math.min(2 * S, 200 * MS << i);
+            assertTrue(longest[i] <= bound && longest[i] > bound * 9 / 10, i + ": " + longest[i]);
+        }
+    }
+
     /** Incidents i82db3d, icf0b68, i15b002: choked nodes heal only when most load is taken off; 22 without. */
     @Test
     void failuresRunningWithoutASuccessBringRefusalsWithinAFewRequestsEvenBelowQuota() {
