--- a/src/main/java/holdproxy/lab/CouncilCommand.java
+++ b/src/main/java/holdproxy/lab/ConsensusCommand.java
@@ -8,29 +8,29 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** {@code holdproxy lab council}: councils under faults, in virtual time. */
+/** {@code holdproxy lab consensus}: councils under faults, in virtual time. */
 @Command(
-        name = "council",
+        name = "consensus",
         description = "Councils that agree on a log, under faults drawn by seeds.",
         mixinStandardHelpOptions = true)
-final class CouncilCommand implements Callable<Integer> {
+final class ConsensusCommand implements Callable<Integer> {
     @Mixin private VoterOptions options;
 
     @Option(names = "--planted", description = "a fault of the program's: ${COMPLETION-CANDIDATES}")
-    private CouncilTrial.Planted planted;
+    private ConsensusSimulation.Planted planted;
 
     @Override
     public Integer call() {
         options.check();
-        Set<CouncilTrial.Planted> faults = EnumSet.noneOf(CouncilTrial.Planted.class);
+        Set<ConsensusSimulation.Planted> faults = EnumSet.noneOf(ConsensusSimulation.Planted.class);
         if (planted != null) {
             faults.add(planted);
         }
         LongAdder answered = new LongAdder();
         return options.hunt(
                 seed -> {
-                    CouncilTrial.Outcome outcome =
-                            CouncilTrial.play(
+                    ConsensusSimulation.Outcome outcome =
+                            ConsensusSimulation.play(
                                     seed, options.voters, options.others, options.seconds, faults);
                     answered.add(outcome.answered());
                     return outcome;
--- a/src/main/java/holdproxy/lab/CouncilFleet.java
+++ b/src/main/java/holdproxy/lab/ConsensusFleet.java
@@ -20,7 +20,7 @@
  * Processes around a council in virtual time, each with its disk, its clock and its links, and the faults
  * that meet them. What the processes do with the council is for who makes the fleet.
  */
-final class CouncilFleet {
+final class ConsensusFleet {
     private static final long LEAST_DELAY_US = 200;
     private static final long MOST_DELAY_US = 4_000;
     private static final long FORCE_US = 500;
@@ -47,7 +47,7 @@
     }
 
     /** One life of a process. */
-    final class Life extends TrialProcess implements RaftGroup.Host {
+    final class Life extends SimulatedProcess implements RaftGroup.Host {
         final String name;
         final long number;
         final MemoryDisk disk;
@@ -128,9 +128,9 @@
         }
     }
 
-    final TrialTime time = new TrialTime();
+    final SimulatedClock time = new SimulatedClock();
     final Random random;
-    final TrialLinks links = new TrialLinks();
+    final SimulatedLinks links = new SimulatedLinks();
     final List<String> names = new ArrayList<>();
     final List<String> voters;
     final Map<String, Life> lives = new TreeMap<>();
@@ -148,7 +148,7 @@
      * So many voters and others; {@code clockBound}: how far the rates of their clocks are from the true one;
      * the faults of disks are the program's own, planted for a judge to find.
      */
-    CouncilFleet(
+    ConsensusFleet(
             long seed,
             int votes,
             int others,
--- a/src/main/java/holdproxy/lab/CouncilTrial.java
+++ b/src/main/java/holdproxy/lab/ConsensusSimulation.java
@@ -13,7 +13,7 @@
  * A council in virtual time: voters and others that ask, faults drawn by a seed in the first part, none in
  * the second. One history is judged: what was agreed at each place of the log, what was answered, and when.
  */
-final class CouncilTrial implements CouncilFleet.Purpose {
+final class ConsensusSimulation implements ConsensusFleet.Purpose {
     private static final long ASK_EVERY_US = 250_000;
     private static final long WITHIN_US = 5_000_000;
     private static final int PARTS = 3;
@@ -101,16 +101,16 @@
         }
     }
 
-    private final CouncilFleet fleet;
+    private final ConsensusFleet fleet;
     private final Set<Planted> planted;
     private final TreeMap<Long, String> agreed = new TreeMap<>();
     private final List<Answer> answers = new ArrayList<>();
     private int asked;
 
-    private CouncilTrial(long seed, int votes, int others, Set<Planted> planted) {
+    private ConsensusSimulation(long seed, int votes, int others, Set<Planted> planted) {
         this.planted = planted;
         fleet =
-                new CouncilFleet(
+                new ConsensusFleet(
                         seed,
                         votes,
                         others,
@@ -122,7 +122,7 @@
 
     /** A trial with so many voters, and so many others that ask; faults end at half of its time. */
     static Outcome play(long seed, int votes, int others, double seconds, Set<Planted> planted) {
-        CouncilTrial trial = new CouncilTrial(seed, votes, others, planted);
+        ConsensusSimulation trial = new ConsensusSimulation(seed, votes, others, planted);
         trial.fleet.play(seconds);
         trial.judge((long) (seconds * 1e6));
         return new Outcome(
@@ -130,13 +130,13 @@
     }
 
     @Override
-    public StateMachine stateMachine(CouncilFleet.Life life) {
+    public StateMachine stateMachine(ConsensusFleet.Life life) {
         return new Sequence();
     }
 
     /** Each process asks for operations all the time, each of its own. */
     @Override
-    public void begun(CouncilFleet.Life life) {
+    public void begun(ConsensusFleet.Life life) {
         life.after(
                 ASK_EVERY_US,
                 () -> {
@@ -163,7 +163,7 @@
     }
 
     @Override
-    public void ending(CouncilFleet.Life life, Runnable then) {
+    public void ending(ConsensusFleet.Life life, Runnable then) {
         life.council.stepDown().whenComplete((done, why) -> then.run());
     }
 
@@ -203,7 +203,7 @@
             }
         }
         for (String name : fleet.names) {
-            CouncilFleet.Life life = fleet.lives.get(name);
+            ConsensusFleet.Life life = fleet.lives.get(name);
             if (fleet.voters.contains(name) && !life.council.votes()) {
                 fleet.broken.add(name + " does not vote at the end");
             }
--- a/src/main/java/holdproxy/lab/LabCommand.java
+++ b/src/main/java/holdproxy/lab/LabCommand.java
@@ -43,13 +43,17 @@
             LabCommand.Compare.class,
             OverloadCommand.class,
             StepCommand.class,
-            PeersCommand.class,
-            CouncilCommand.class,
-            DutiesCommand.class
+            MembershipCommand.class,
+            ConsensusCommand.class,
+            LeaseCommand.class
         })
 public final class LabCommand {
     private static final int SHOWN = 10;
 
+    /** Commands by the names that they had before; they stay valid and are not listed. */
+    private static final Map<String, String> FORMER_NAMES =
+            Map.of("peers", "membership", "council", "consensus", "duties", "leases");
+
     private LabCommand() {}
 
     /** Runs a command line; returns its exit code. */
@@ -59,7 +63,15 @@
         System.setProperty("logback.configurationFile", "logback-lab.xml");
         InternalLoggerFactory.setDefaultFactory(
                 JdkLoggerFactory.INSTANCE); // the JSON lines are the daemon's
-        return Commands.run(new LabCommand(), args);
+        return Commands.run(new LabCommand(), withCurrentName(args));
+    }
+
+    private static String[] withCurrentName(String[] args) {
+        String[] current = args.clone();
+        if (current.length > 0) {
+            current[0] = FORMER_NAMES.getOrDefault(current[0], current[0]);
+        }
+        return current;
     }
 
     /** Says which rules were broken; returns the exit code for it. */
--- a/src/main/java/holdproxy/lab/DutiesCommand.java
+++ b/src/main/java/holdproxy/lab/LeaseCommand.java
@@ -11,12 +11,12 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** {@code holdproxy lab duties}: duties under faults, in virtual time. */
+/** {@code holdproxy lab leases}: duties under faults, in virtual time. */
 @Command(
-        name = "duties",
+        name = "leases",
         description = "Leases that one process holds, under faults drawn by seeds.",
         mixinStandardHelpOptions = true)
-final class DutiesCommand implements Callable<Integer> {
+final class LeaseCommand implements Callable<Integer> {
     @Mixin private VoterOptions options;
 
     @Option(names = "--without", description = "a guard to do without: ${COMPLETION-CANDIDATES}")
@@ -34,12 +34,13 @@
     private void table() {
         System.out.println("lease  cause    p50 ms    p99 ms  worst ms   wanted ms   floor ms");
         for (int leaseMs : new int[] {1_000, 3_000, 10_000}) {
-            for (DutiesTrial.Cause cause : DutiesTrial.Cause.values()) {
+            for (LeaseSimulation.Cause cause : LeaseSimulation.Cause.values()) {
                 Histogram ms = new Histogram(3);
                 for (long seed = options.from; seed < options.from + options.seeds; seed++) {
-                    ms.recordValue(Math.round(DutiesTrial.withoutHolderMs(seed, leaseMs, cause)));
+                    ms.recordValue(
+                            Math.round(LeaseSimulation.withoutHolderMs(seed, leaseMs, cause)));
                 }
-                boolean planned = cause == DutiesTrial.Cause.PLANNED;
+                boolean planned = cause == LeaseSimulation.Cause.PLANNED;
                 System.out.printf(
                         Locale.ROOT,
                         "%3d s  %-8s %6d    %6d    %6d   %9s   %s%n",
@@ -74,8 +75,8 @@
         LongAdder refused = new LongAdder();
         return options.hunt(
                 seed -> {
-                    DutiesTrial.Outcome outcome =
-                            DutiesTrial.play(
+                    LeaseSimulation.Outcome outcome =
+                            LeaseSimulation.play(
                                     seed,
                                     options.voters,
                                     options.others,
--- a/src/main/java/holdproxy/lab/DutiesTrial.java
+++ b/src/main/java/holdproxy/lab/LeaseSimulation.java
@@ -19,7 +19,7 @@
  * that looks at the tokens. Faults drawn by a seed meet disks, links and processes in the first half; clocks
  * are wrong all the time.
  */
-final class DutiesTrial implements CouncilFleet.Purpose {
+final class LeaseSimulation implements ConsensusFleet.Purpose {
     private static final String RESOURCE = "resource";
     private static final int[] LEASES_MS = {1_000, 1_000, 3_000};
     private static final long ACT_EVERY_US = 40_000;
@@ -63,19 +63,19 @@
         }
     }
 
-    private final CouncilFleet fleet;
+    private final ConsensusFleet fleet;
     private final Set<LeaseClient.Guard> guards;
     private final boolean checksTokens;
     private final int[] leasesMs;
     private final long actEveryUs;
-    private final Map<CouncilFleet.Life, LeaseClient> duties = new HashMap<>();
+    private final Map<ConsensusFleet.Life, LeaseClient> duties = new HashMap<>();
     private final List<Act> acts = new ArrayList<>();
 
     /** What the resource has accepted: the highest token of each duty. */
     private final Map<String, Long> highest = new TreeMap<>();
 
     private final List<Long> freeMs = new ArrayList<>();
-    private final Map<CouncilFleet.Life, Set<LeaseClient.Act>> underWay = new HashMap<>();
+    private final Map<ConsensusFleet.Life, Set<LeaseClient.Act>> underWay = new HashMap<>();
     private int refused;
 
     /** What takes a duty from its holder. */
@@ -90,7 +90,7 @@
         PLANNED
     }
 
-    private DutiesTrial(
+    private LeaseSimulation(
             long seed,
             int votes,
             int others,
@@ -102,7 +102,9 @@
         this.actEveryUs = actEveryUs;
         this.guards = guards;
         this.checksTokens = checksTokens;
-        fleet = new CouncilFleet(seed, votes, others, LeaseClient.CLOCK_BOUND, this, false, false);
+        fleet =
+                new ConsensusFleet(
+                        seed, votes, others, LeaseClient.CLOCK_BOUND, this, false, false);
     }
 
     /** A trial with these guards; {@code checksTokens}: whether the resource does. */
@@ -113,8 +115,9 @@
             double seconds,
             Set<LeaseClient.Guard> guards,
             boolean checksTokens) {
-        DutiesTrial trial =
-                new DutiesTrial(seed, votes, others, guards, checksTokens, LEASES_MS, ACT_EVERY_US);
+        LeaseSimulation trial =
+                new LeaseSimulation(
+                        seed, votes, others, guards, checksTokens, LEASES_MS, ACT_EVERY_US);
         trial.fleet.play(seconds);
         trial.judge(seconds);
         return new Outcome(
@@ -130,8 +133,8 @@
      * then to the first act of the next.
      */
     static double withoutHolderMs(long seed, int leaseMs, Cause cause) {
-        DutiesTrial trial =
-                new DutiesTrial(
+        LeaseSimulation trial =
+                new LeaseSimulation(
                         seed,
                         5,
                         2,
@@ -139,7 +142,7 @@
                         true,
                         new int[] {leaseMs},
                         ACT_OFTEN_US);
-        CouncilFleet fleet = trial.fleet;
+        ConsensusFleet fleet = trial.fleet;
         fleet.begin();
         double leaseS = leaseMs / 1000.0;
         fleet.time.run((long) ((SETTLED_S + leaseS * (1 + fleet.random.nextDouble())) * 1e6));
@@ -166,12 +169,12 @@
     }
 
     @Override
-    public StateMachine stateMachine(CouncilFleet.Life life) {
+    public StateMachine stateMachine(ConsensusFleet.Life life) {
         return new LeaseTable();
     }
 
     @Override
-    public void begun(CouncilFleet.Life life) {
+    public void begun(ConsensusFleet.Life life) {
         LeaseClient own =
                 new LeaseClient(
                         life.name,
@@ -189,7 +192,7 @@
     }
 
     @Override
-    public void ending(CouncilFleet.Life life, Runnable then) {
+    public void ending(ConsensusFleet.Life life, Runnable then) {
         life.council
                 .stepDown()
                 .whenComplete(
@@ -223,9 +226,9 @@
     }
 
     private final class Held implements LeaseClient.Host {
-        private final CouncilFleet.Life life;
+        private final ConsensusFleet.Life life;
 
-        Held(CouncilFleet.Life life) {
+        Held(ConsensusFleet.Life life) {
             this.life = life;
         }
 
@@ -261,7 +264,7 @@
 
     // ---- acting ----
 
-    private void actOn(CouncilFleet.Life life, String duty) {
+    private void actOn(ConsensusFleet.Life life, String duty) {
         life.after(
                 actEveryUs / 2 + fleet.random.nextInt((int) actEveryUs),
                 () -> {
@@ -292,7 +295,7 @@
                 });
     }
 
-    private void send(CouncilFleet.Life life, Act act) {
+    private void send(ConsensusFleet.Life life, Act act) {
         fleet.time.after(
                 fleet.delayUs(life.name, RESOURCE),
                 () -> {
--- a/src/main/java/holdproxy/lab/PeersCommand.java
+++ b/src/main/java/holdproxy/lab/MembershipCommand.java
@@ -11,12 +11,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code holdproxy lab peers}: fleets that know of each other, under faults, in virtual time. */
+/** {@code holdproxy lab membership}: fleets that know of each other, under faults, in virtual time. */
 @Command(
-        name = "peers",
+        name = "membership",
         description = "Fleets whose processes know of each other, under faults drawn by seeds.",
         mixinStandardHelpOptions = true)
-final class PeersCommand implements Callable<Integer> {
+final class MembershipCommand implements Callable<Integer> {
     private static final int SHOWN = 5;
     private static final double MS = 1000;
 
@@ -55,7 +55,8 @@
         long messages = 0;
         int bad = 0;
         for (long seed = from; seed < from + seeds; seed++) {
-            PeersTrial.Outcome outcome = PeersTrial.play(seed, processes, seconds, guards);
+            MembershipSimulation.Outcome outcome =
+                    MembershipSimulation.play(seed, processes, seconds, guards);
             outcome.foundS().forEach(s -> foundMs.recordValue((long) (s * MS)));
             outcome.kinds().forEach(k -> kinds.merge(k, 1, Integer::sum));
             messages += outcome.messages();
--- a/src/main/java/holdproxy/lab/PeersTrial.java
+++ b/src/main/java/holdproxy/lab/MembershipSimulation.java
@@ -17,7 +17,7 @@
  * A fleet of processes that know of each other by the rules of {@code peers}, in virtual time: faults drawn
  * by a seed in the first half, none in the second, by the end of which all have to be of one mind.
  */
-final class PeersTrial {
+final class MembershipSimulation {
     private static final long LEAST_DELAY_US = 200;
     private static final long MOST_DELAY_US = 3_000;
     private static final int MOST_FAULTS = 6;
@@ -42,7 +42,7 @@
      */
     record Outcome(List<String> broken, long messages, List<Double> foundS, Set<String> kinds) {}
 
-    private final class Process extends TrialProcess implements Membership.Output {
+    private final class Process extends SimulatedProcess implements Membership.Output {
         final String name;
         final String address;
         final Random random;
@@ -187,22 +187,22 @@
     private final List<String> seeds = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
     private final Map<String, Process> at = new HashMap<>();
-    private final TrialTime time = new TrialTime();
-    private final TrialLinks links = new TrialLinks();
+    private final SimulatedClock time = new SimulatedClock();
+    private final SimulatedLinks links = new SimulatedLinks();
     private final Map<Process, Long> killedUs = new HashMap<>();
     private final List<String> broken = new ArrayList<>();
     private final List<Double> foundS = new ArrayList<>();
     private final Set<String> kinds = new TreeSet<>();
     private long messages;
 
-    private PeersTrial(long seed, Set<Membership.Guard> guards) {
+    private MembershipSimulation(long seed, Set<Membership.Guard> guards) {
         trialRandom = new Random(seed * 0x9e3779b97f4a7c15L);
         this.guards = guards;
     }
 
     /** A trial with faults. */
     static Outcome play(long seed, int processes, double seconds, Set<Membership.Guard> guards) {
-        PeersTrial trial = new PeersTrial(seed, guards);
+        MembershipSimulation trial = new MembershipSimulation(seed, guards);
         trial.start(processes);
         for (int i = 1 + trial.trialRandom.nextInt(MOST_FAULTS); i > 0; i--) {
             double atS = trial.trialRandom.nextDouble(FIRST_FAULT_S, seconds * 0.4);
@@ -215,7 +215,8 @@
 
     /** A trial in which nothing happens. */
     static Outcome quiet(long seed, int processes, double seconds) {
-        PeersTrial trial = new PeersTrial(seed, EnumSet.allOf(Membership.Guard.class));
+        MembershipSimulation trial =
+                new MembershipSimulation(seed, EnumSet.allOf(Membership.Guard.class));
         trial.start(processes);
         trial.time.run((long) (seconds * 1e6));
         trial.ofOneMind();
--- a/src/main/java/holdproxy/lab/TrialTime.java
+++ b/src/main/java/holdproxy/lab/SimulatedClock.java
@@ -4,8 +4,8 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Time that passes from task to task; those of one moment run in the order in which they were given. */
-final class TrialTime implements Timeline {
+/** Virtual time: advances from task to task; tasks due at one moment run in the order they were given. */
+final class SimulatedClock implements Timeline {
     private record Task(long us, long order, Runnable what) {}
 
     private final PriorityQueue<Task> tasks =
--- a/src/main/java/holdproxy/lab/TrialLinks.java
+++ b/src/main/java/holdproxy/lab/SimulatedLinks.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** What is wrong between the processes of a trial, in each direction; faults may lie over one another. */
-final class TrialLinks {
+/** Faults between simulated processes, in each direction; faults may overlap. */
+final class SimulatedLinks {
     private record Pair(String from, String to) {}
 
     private final Map<Pair, Integer> cuts = new HashMap<>();
--- a/src/main/java/holdproxy/lab/TrialProcess.java
+++ b/src/main/java/holdproxy/lab/SimulatedProcess.java
@@ -1,14 +1,14 @@
 package holdproxy.lab;
 
-/** A process of a trial, which can stand still, and be over. */
-abstract class TrialProcess {
+/** A simulated process, which can be stalled or over. */
+abstract class SimulatedProcess {
     boolean over;
-    private final TrialTime time;
+    private final SimulatedClock time;
 
     /** It stands still until then, in true time. */
     private long wakesUs;
 
-    TrialProcess(TrialTime time) {
+    SimulatedProcess(SimulatedClock time) {
         this.time = time;
     }
 
--- a/src/test/java/holdproxy/lab/CouncilTrialTest.java
+++ b/src/test/java/holdproxy/lab/ConsensusSimulationTest.java
@@ -14,18 +14,19 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The council and the duties under faults in virtual time, and that the judges find what is planted. */
-class CouncilTrialTest {
+class ConsensusSimulationTest {
     private static final int SEEDS = 60;
     private static final int SEEDS_TO_FIND = 200;
     private static final double SECONDS = 60;
 
-    private static CouncilTrial.Outcome council(long seed, Set<CouncilTrial.Planted> planted) {
-        return CouncilTrial.play(seed, seed % 2 == 0 ? 3 : 5, 2, SECONDS, planted);
+    private static ConsensusSimulation.Outcome council(
+            long seed, Set<ConsensusSimulation.Planted> planted) {
+        return ConsensusSimulation.play(seed, seed % 2 == 0 ? 3 : 5, 2, SECONDS, planted);
     }
 
-    private static DutiesTrial.Outcome duties(
+    private static LeaseSimulation.Outcome duties(
             long seed, Set<LeaseClient.Guard> guards, boolean checksTokens) {
-        return DutiesTrial.play(seed, seed % 2 == 0 ? 3 : 5, 2, SECONDS, guards, checksTokens);
+        return LeaseSimulation.play(seed, seed % 2 == 0 ? 3 : 5, 2, SECONDS, guards, checksTokens);
     }
 
     @Test
@@ -33,8 +34,8 @@
         Set<String> kinds = new TreeSet<>();
         int answered = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CouncilTrial.Outcome outcome =
-                    council(seed, EnumSet.noneOf(CouncilTrial.Planted.class));
+            ConsensusSimulation.Outcome outcome =
+                    council(seed, EnumSet.noneOf(ConsensusSimulation.Planted.class));
             assertEquals(List.of(), outcome.broken(), "seed " + seed + " " + outcome.kinds());
             kinds.addAll(outcome.kinds());
             answered += outcome.answered();
@@ -68,7 +69,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void aPlantedFaultOfTheCouncilIsFound(CouncilTrial.Planted planted) {
+    void aPlantedFaultOfTheCouncilIsFound(ConsensusSimulation.Planted planted) {
         assertTrue(
                 LongStream.rangeClosed(1, SEEDS_TO_FIND)
                         .anyMatch(seed -> !council(seed, EnumSet.of(planted)).broken().isEmpty()),
@@ -80,7 +81,7 @@
         int acts = 0;
         int refused = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            DutiesTrial.Outcome outcome =
+            LeaseSimulation.Outcome outcome =
                     duties(seed, EnumSet.allOf(LeaseClient.Guard.class), true);
             assertEquals(List.of(), outcome.broken(), "seed " + seed + " " + outcome.kinds());
             acts += outcome.acts();
--- a/src/test/java/holdproxy/lab/LoadCommandsTest.java
+++ b/src/test/java/holdproxy/lab/LoadCommandsTest.java
@@ -14,6 +14,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 class LoadCommandsTest {
     private static Map<String, Object> report(String... args) throws IOException {
@@ -64,4 +66,10 @@
         assertEquals(2, LabCommand.run(new String[] {"overload", "--greedy", "3"}));
         assertEquals(2, LabCommand.run(new String[] {"step", "--high", "0.1"}));
     }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"membership", "peers", "consensus", "council", "leases", "duties"})
+    void simulationsAreFoundByTheirFormerNamesToo(String name) {
+        assertEquals(0, LabCommand.run(new String[] {name, "--seeds", "1", "--seconds", "30"}));
+    }
 }
--- a/src/test/java/holdproxy/lab/PeersTrialTest.java
+++ b/src/test/java/holdproxy/lab/MembershipSimulationTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Membership under faults in virtual time, and that each of its rules is needed. */
-class PeersTrialTest {
+class MembershipSimulationTest {
     private static final int SEEDS = 200;
     private static final double SECONDS = 180;
 
-    private static PeersTrial.Outcome play(long seed, Set<Membership.Guard> guards) {
-        return PeersTrial.play(seed, 7, SECONDS, guards);
+    private static MembershipSimulation.Outcome play(long seed, Set<Membership.Guard> guards) {
+        return MembershipSimulation.play(seed, 7, SECONDS, guards);
     }
 
     @Test
@@ -27,7 +27,8 @@
         Set<String> kinds = new TreeSet<>();
         int found = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            PeersTrial.Outcome outcome = play(seed, EnumSet.allOf(Membership.Guard.class));
+            MembershipSimulation.Outcome outcome =
+                    play(seed, EnumSet.allOf(Membership.Guard.class));
             assertEquals(List.of(), outcome.broken(), "seed " + seed + " " + outcome.kinds());
             kinds.addAll(outcome.kinds());
             found += outcome.foundS().size();
@@ -63,7 +64,7 @@
 
     private static double rate(int processes) {
         double seconds = 120;
-        PeersTrial.Outcome outcome = PeersTrial.quiet(1, processes, seconds);
+        MembershipSimulation.Outcome outcome = MembershipSimulation.quiet(1, processes, seconds);
         assertEquals(List.of(), outcome.broken());
         return outcome.messages() / seconds / processes;
     }
