--- a/src/main/java/holdproxy/daemon/CouncilPart.java
+++ b/src/main/java/holdproxy/daemon/ConsensusPart.java
@@ -25,7 +25,7 @@
  * The council and the duties in this process, on an event loop of their own: the disk's writing holds up
  * neither requests nor membership.
  */
-final class CouncilPart {
+final class ConsensusPart {
     private static final String DISK = "council";
 
     /** Who plans for zones; nobody acts under it yet. */
@@ -48,7 +48,7 @@
     private final LeaseClient duties;
     private final String name;
 
-    private CouncilPart(DaemonFile file, long life, MembershipService peers) {
+    private ConsensusPart(DaemonFile file, long life, MembershipService peers) {
         this.peers = peers;
         name = file.name();
         LeaseTable table = new LeaseTable();
@@ -58,8 +58,8 @@
     }
 
     /** Takes up this process's vote, if it has one, and asks for the duties that the file names. */
-    static CouncilPart start(DaemonFile file, long life, MembershipService peers) {
-        CouncilPart part = new CouncilPart(file, life, peers);
+    static ConsensusPart start(DaemonFile file, long life, MembershipService peers) {
+        ConsensusPart part = new ConsensusPart(file, life, peers);
         peers.receive(
                 MembershipService.CONSENSUS,
                 frame -> part.loop.execute(() -> part.received(frame)));
@@ -69,7 +69,7 @@
                     part.duties.want(PLANNER, PLANNER_LEASE_MS);
                     for (DaemonFile.Drill drill : file.drills()) {
                         part.duties.want(drill.duty(), drill.leaseMs());
-                        new Drilling(drill, part.duties, part.loop).begin();
+                        new LeaseExercise(drill, part.duties, part.loop).begin();
                     }
                 });
         return part;
--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -21,7 +21,7 @@
     private final Path file;
     private DaemonFile inUse;
     private MembershipService peers;
-    private CouncilPart council;
+    private ConsensusPart council;
 
     private Daemon(Path file, DaemonFile inUse) {
         this.file = file;
@@ -42,7 +42,7 @@
     private void run(Map<String, String> env) {
         EventLog.event("starting", "name", inUse.name(), "pid", ProcessHandle.current().pid());
         if (inUse.peers() != null) {
-            long life = LifeFile.next(inUse.folder(), System.currentTimeMillis());
+            long life = GenerationFile.next(inUse.folder(), System.currentTimeMillis());
             peers =
                     MembershipService.start(
                             inUse.peers(),
@@ -58,7 +58,7 @@
                     "address",
                     inUse.peers().address());
             if (!inUse.voters().isEmpty()) {
-                council = CouncilPart.start(inUse, life, peers);
+                council = ConsensusPart.start(inUse, life, peers);
             }
         }
         Map<String, String> own = new HashMap<>(env);
--- a/src/main/java/holdproxy/daemon/DaemonCommand.java
+++ b/src/main/java/holdproxy/daemon/DaemonCommand.java
@@ -62,7 +62,7 @@
                 throw new BadInput(file + ": [council] is missing");
             }
             System.out.println(
-                    read.name() + " is one of the first voters: " + CouncilPart.found(read));
+                    read.name() + " is one of the first voters: " + ConsensusPart.found(read));
             return 0;
         }
     }
--- a/src/main/java/holdproxy/daemon/LifeFile.java
+++ b/src/main/java/holdproxy/daemon/GenerationFile.java
@@ -11,10 +11,10 @@
 import java.nio.file.StandardOpenOption;
 
 /** The number of a process's life, kept so that it grows though the wall clock may not. */
-final class LifeFile {
+final class GenerationFile {
     private static final String NAME = "life";
 
-    private LifeFile() {}
+    private GenerationFile() {}
 
     /** That of the life that begins now: the wall clock's milliseconds, or one more than the last. */
     static long next(Path folder, long wallMs) {
--- a/src/main/java/holdproxy/daemon/Drilling.java
+++ b/src/main/java/holdproxy/daemon/LeaseExercise.java
@@ -18,7 +18,7 @@
  * The acts under a drill's duty: a line with the duty and the token to the guarded resource, which compares
  * the token with those it has seen.
  */
-final class Drilling {
+final class LeaseExercise {
     private static final int CONNECT_MS = 1_000;
 
     private final DaemonFile.Drill drill;
@@ -27,7 +27,7 @@
     private Channel resource;
     private boolean connecting;
 
-    Drilling(DaemonFile.Drill drill, LeaseClient duties, EventLoop loop) {
+    LeaseExercise(DaemonFile.Drill drill, LeaseClient duties, EventLoop loop) {
         this.drill = drill;
         this.duties = duties;
         this.loop = loop;
--- a/src/main/java/holdproxy/lab/LeaseCommand.java
+++ b/src/main/java/holdproxy/lab/LeaseCommand.java
@@ -19,8 +19,10 @@
 final class LeaseCommand implements Callable<Integer> {
     @Mixin private VoterOptions options;
 
-    @Option(names = "--without", description = "a guard to do without: ${COMPLETION-CANDIDATES}")
-    private LeaseClient.Guard without;
+    @Option(
+            names = "--without",
+            description = "a safeguard to do without: ${COMPLETION-CANDIDATES}")
+    private LeaseClient.Safeguard without;
 
     @Option(names = "--unguarded", description = "the resource does not look at tokens")
     private boolean unguarded;
@@ -66,9 +68,9 @@
             table();
             return 0;
         }
-        Set<LeaseClient.Guard> guards = EnumSet.allOf(LeaseClient.Guard.class);
+        Set<LeaseClient.Safeguard> safeguards = EnumSet.allOf(LeaseClient.Safeguard.class);
         if (without != null) {
-            guards.remove(without);
+            safeguards.remove(without);
         }
         Histogram freeMs = new Histogram(3);
         LongAdder acts = new LongAdder();
@@ -81,7 +83,7 @@
                                     options.voters,
                                     options.others,
                                     options.seconds,
-                                    guards,
+                                    safeguards,
                                     !unguarded);
                     outcome.freeMs().forEach(freeMs::recordValue);
                     acts.add(outcome.acts());
--- a/src/main/java/holdproxy/lab/LeaseSimulation.java
+++ b/src/main/java/holdproxy/lab/LeaseSimulation.java
@@ -64,7 +64,7 @@
     }
 
     private final ConsensusFleet fleet;
-    private final Set<LeaseClient.Guard> guards;
+    private final Set<LeaseClient.Safeguard> safeguards;
     private final boolean checksTokens;
     private final int[] leasesMs;
     private final long actEveryUs;
@@ -94,30 +94,30 @@
             long seed,
             int votes,
             int others,
-            Set<LeaseClient.Guard> guards,
+            Set<LeaseClient.Safeguard> safeguards,
             boolean checksTokens,
             int[] leasesMs,
             long actEveryUs) {
         this.leasesMs = leasesMs;
         this.actEveryUs = actEveryUs;
-        this.guards = guards;
+        this.safeguards = safeguards;
         this.checksTokens = checksTokens;
         fleet =
                 new ConsensusFleet(
                         seed, votes, others, LeaseClient.CLOCK_BOUND, this, false, false);
     }
 
-    /** A trial with these guards; {@code checksTokens}: whether the resource does. */
+    /** A trial with these safeguards; {@code checksTokens}: whether the resource does. */
     static Outcome play(
             long seed,
             int votes,
             int others,
             double seconds,
-            Set<LeaseClient.Guard> guards,
+            Set<LeaseClient.Safeguard> safeguards,
             boolean checksTokens) {
         LeaseSimulation trial =
                 new LeaseSimulation(
-                        seed, votes, others, guards, checksTokens, LEASES_MS, ACT_EVERY_US);
+                        seed, votes, others, safeguards, checksTokens, LEASES_MS, ACT_EVERY_US);
         trial.fleet.play(seconds);
         trial.judge(seconds);
         return new Outcome(
@@ -138,7 +138,7 @@
                         seed,
                         5,
                         2,
-                        EnumSet.allOf(LeaseClient.Guard.class),
+                        EnumSet.allOf(LeaseClient.Safeguard.class),
                         true,
                         new int[] {leaseMs},
                         ACT_OFTEN_US);
@@ -183,7 +183,7 @@
                         (LeaseTable) life.stateMachine,
                         new Held(life),
                         new Random(fleet.random.nextLong()),
-                        guards);
+                        safeguards);
         duties.put(life, own);
         for (int i = 0; i < leasesMs.length; i++) {
             own.want("duty-" + i, leasesMs[i]);
--- a/src/main/java/holdproxy/lab/MembershipCommand.java
+++ b/src/main/java/holdproxy/lab/MembershipCommand.java
@@ -36,7 +36,7 @@
     private double seconds;
 
     @Option(names = "--without", description = "a rule to do without: ${COMPLETION-CANDIDATES}")
-    private Membership.Guard without;
+    private Membership.Safeguard without;
 
     @Override
     public Integer call() {
@@ -46,9 +46,9 @@
                             + Membership.MOST_MEMBERS
                             + ", --seconds at least 30");
         }
-        Set<Membership.Guard> guards = EnumSet.allOf(Membership.Guard.class);
+        Set<Membership.Safeguard> safeguards = EnumSet.allOf(Membership.Safeguard.class);
         if (without != null) {
-            guards.remove(without);
+            safeguards.remove(without);
         }
         Histogram foundMs = new Histogram(3);
         TreeMap<String, Integer> kinds = new TreeMap<>();
@@ -56,7 +56,7 @@
         int bad = 0;
         for (long seed = from; seed < from + seeds; seed++) {
             MembershipSimulation.Outcome outcome =
-                    MembershipSimulation.play(seed, processes, seconds, guards);
+                    MembershipSimulation.play(seed, processes, seconds, safeguards);
             outcome.foundS().forEach(s -> foundMs.recordValue((long) (s * MS)));
             outcome.kinds().forEach(k -> kinds.merge(k, 1, Integer::sum));
             messages += outcome.messages();
--- a/src/main/java/holdproxy/lab/MembershipSimulation.java
+++ b/src/main/java/holdproxy/lab/MembershipSimulation.java
@@ -71,7 +71,7 @@
                             random,
                             time.nowUs(),
                             this,
-                            guards);
+                            safeguards);
             at.put(address, this);
             wake();
         }
@@ -183,7 +183,7 @@
     }
 
     private final Random trialRandom;
-    private final Set<Membership.Guard> guards;
+    private final Set<Membership.Safeguard> safeguards;
     private final List<String> seeds = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
     private final Map<String, Process> at = new HashMap<>();
@@ -195,14 +195,15 @@
     private final Set<String> kinds = new TreeSet<>();
     private long messages;
 
-    private MembershipSimulation(long seed, Set<Membership.Guard> guards) {
+    private MembershipSimulation(long seed, Set<Membership.Safeguard> safeguards) {
         trialRandom = new Random(seed * 0x9e3779b97f4a7c15L);
-        this.guards = guards;
+        this.safeguards = safeguards;
     }
 
     /** A trial with faults. */
-    static Outcome play(long seed, int processes, double seconds, Set<Membership.Guard> guards) {
-        MembershipSimulation trial = new MembershipSimulation(seed, guards);
+    static Outcome play(
+            long seed, int processes, double seconds, Set<Membership.Safeguard> safeguards) {
+        MembershipSimulation trial = new MembershipSimulation(seed, safeguards);
         trial.start(processes);
         for (int i = 1 + trial.trialRandom.nextInt(MOST_FAULTS); i > 0; i--) {
             double atS = trial.trialRandom.nextDouble(FIRST_FAULT_S, seconds * 0.4);
@@ -216,7 +217,7 @@
     /** A trial in which nothing happens. */
     static Outcome quiet(long seed, int processes, double seconds) {
         MembershipSimulation trial =
-                new MembershipSimulation(seed, EnumSet.allOf(Membership.Guard.class));
+                new MembershipSimulation(seed, EnumSet.allOf(Membership.Safeguard.class));
         trial.start(processes);
         trial.time.run((long) (seconds * 1e6));
         trial.ofOneMind();
--- a/src/main/java/holdproxy/lease/LeaseClient.java
+++ b/src/main/java/holdproxy/lease/LeaseClient.java
@@ -34,8 +34,8 @@
     private static final long HAND_OVER_US = 1_000_000;
     private static final long LEAST_AGAIN_US = 20_000;
 
-    /** A guard that trials take away, to see that the judge finds it. */
-    public enum Guard {
+    /** A safeguard that trials take away, to see that the judge finds it. */
+    public enum Safeguard {
         /** The lease counts from before the asking, not from the answer. */
         FROM_ASKING,
         /** The own clock may be slow, others' fast. */
@@ -118,7 +118,7 @@
     private final LeaseTable table;
     private final Host host;
     private final Random random;
-    private final Set<Guard> guards;
+    private final Set<Safeguard> safeguards;
     private final Map<String, Own> wanted = new LinkedHashMap<>();
 
     /** In a voter: since when, by its own clock, each lease is as it is. */
@@ -133,10 +133,10 @@
     /** {@code table}: what this process's council keeps, if it votes. */
     public LeaseClient(
             String name, long life, RaftGroup council, LeaseTable table, Host host, Random random) {
-        this(name, life, council, table, host, random, EnumSet.allOf(Guard.class));
+        this(name, life, council, table, host, random, EnumSet.allOf(Safeguard.class));
     }
 
-    /** For trials: with these guards alone. */
+    /** For trials: with these safeguards alone. */
     public LeaseClient(
             String name,
             long life,
@@ -144,14 +144,14 @@
             LeaseTable table,
             Host host,
             Random random,
-            Set<Guard> guards) {
+            Set<Safeguard> safeguards) {
         this.name = name;
         this.life = life;
         this.council = council;
         this.table = table;
         this.host = host;
         this.random = random;
-        this.guards = guards;
+        this.safeguards = safeguards;
         table.onChange(this::changed);
         table.onRefused(this::waits);
     }
@@ -185,7 +185,7 @@
         for (Own own : wanted.values()) {
             if (own.holds && own.giving == null) {
                 own.giving = new CompletableFuture<>();
-                if (own.acts == 0 || !guards.contains(Guard.LAST_ACT)) {
+                if (own.acts == 0 || !safeguards.contains(Safeguard.LAST_ACT)) {
                     giveBack(own);
                 }
             }
@@ -250,8 +250,8 @@
 
     /** Until when a lease lasts by this process's clock that was asked for, or to be renewed, then. */
     private long lastsUs(Own own, long askedUs) {
-        double part = guards.contains(Guard.BOUND) ? 1 - CLOCK_BOUND : 1;
-        return (guards.contains(Guard.FROM_ASKING) ? askedUs : host.nowUs())
+        double part = safeguards.contains(Safeguard.BOUND) ? 1 - CLOCK_BOUND : 1;
+        return (safeguards.contains(Safeguard.FROM_ASKING) ? askedUs : host.nowUs())
                 + (long) (own.ms * MS * part);
     }
 
@@ -372,7 +372,7 @@
             watched.remove(duty);
             return;
         }
-        double part = guards.contains(Guard.BOUND) ? 1 + CLOCK_BOUND : 1;
+        double part = safeguards.contains(Safeguard.BOUND) ? 1 + CLOCK_BOUND : 1;
         long endsUs = sinceUs.get(duty) + (long) (lease.ms() * MS * part);
         long nowUs = host.nowUs();
         if (nowUs >= endsUs && council.leads()) {
--- a/src/main/java/holdproxy/membership/Membership.java
+++ b/src/main/java/holdproxy/membership/Membership.java
@@ -37,7 +37,7 @@
     private static final long FORGET_US = 600_000_000;
 
     /** A rule that trials take away, to see what it is for. */
-    public enum Guard {
+    public enum Safeguard {
         /** Who has no answer from others either passes no judgement. */
         LAST_QUESTION,
         /** A suspect contradicts. */
@@ -108,7 +108,7 @@
     private final List<String> seeds;
     private final Random random;
     private final Output out;
-    private final Set<Guard> guards;
+    private final Set<Safeguard> safeguards;
     private final Map<String, Entry> entries = new TreeMap<>();
     private final Gossip gossip = new Gossip();
     private final Map<Long, AskedFor> askedFor = new LinkedHashMap<>();
@@ -152,7 +152,16 @@
             Random random,
             long nowUs,
             Output out) {
-        this(settings, name, address, life, seeds, random, nowUs, out, EnumSet.allOf(Guard.class));
+        this(
+                settings,
+                name,
+                address,
+                life,
+                seeds,
+                random,
+                nowUs,
+                out,
+                EnumSet.allOf(Safeguard.class));
     }
 
     /** For trials: with these rules alone. */
@@ -165,12 +174,12 @@
             Random random,
             long nowUs,
             Output out,
-            Set<Guard> guards) {
+            Set<Safeguard> safeguards) {
         this.settings = settings;
         this.seeds = seeds.stream().filter(s -> !s.equals(address)).toList();
         this.random = random;
         this.out = out;
-        this.guards = guards;
+        this.safeguards = safeguards;
         self = new Member(name, address, life, 0, State.ALIVE, name);
         joinUs = nowUs;
         reconnectUs = nowUs + RECONNECT_US;
@@ -296,7 +305,9 @@
         // process
         worse(helpersAsked > nacks ? 1 : 0);
         boolean heard =
-                lastHeardUs >= probeStartUs || !guards.contains(Guard.LAST_QUESTION) || live() == 1;
+                lastHeardUs >= probeStartUs
+                        || !safeguards.contains(Safeguard.LAST_QUESTION)
+                        || live() == 1;
         if (target != null && target.member.live() && heard) {
             suspected(target, target.member.as(State.SUSPECT, self.name()), nowUs);
         }
@@ -406,7 +417,7 @@
             if (e.member.state() != State.SUSPECT || nowUs < endsUs(e)) {
                 continue;
             }
-            boolean alone = live() == 1 || !guards.contains(Guard.LAST_QUESTION);
+            boolean alone = live() == 1 || !safeguards.contains(Safeguard.LAST_QUESTION);
             if (e.heardUs > e.suspectedUs) {
                 // whatever is said: it has been heard since
                 Member before = e.member;
@@ -645,7 +656,7 @@
         } else if (word.state() != State.ALIVE
                 && word.incarnation() >= self.incarnation()
                 && self.state() == State.ALIVE
-                && guards.contains(Guard.REFUTATION)) {
+                && safeguards.contains(Safeguard.REFUTATION)) {
             self =
                     new Member(
                             self.name(),
--- a/src/main/java/holdproxy/rig/DutyJudge.java
+++ b/src/main/java/holdproxy/rig/LeaseAuditor.java
@@ -11,10 +11,10 @@
  * Whether one process at a time held each duty, by what the guarded resource saw and what processes say that
  * they were granted: whatever the time.
  */
-final class DutyJudge {
+final class LeaseAuditor {
     private static final String ONE_HOLDER = "one holder";
 
-    private DutyJudge() {}
+    private LeaseAuditor() {}
 
     static List<Auditors.Broken> broken(List<Event> events) {
         List<Auditors.Broken> found = new ArrayList<>();
--- a/src/main/java/holdproxy/rig/RigTown.java
+++ b/src/main/java/holdproxy/rig/RigTown.java
@@ -169,7 +169,7 @@
         history.flush();
         List<Event> events = record.events();
         List<Auditors.Broken> broken = Auditors.brokenWhateverTheTime(events);
-        broken.addAll(DutyJudge.broken(events));
+        broken.addAll(LeaseAuditor.broken(events));
         crashes.forEach(c -> broken.add(new Auditors.Broken("no crash", c)));
         unmet.forEach(
                 e ->
--- a/src/test/java/holdproxy/daemon/LifeFileTest.java
+++ b/src/test/java/holdproxy/daemon/GenerationFileTest.java
@@ -10,24 +10,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class LifeFileTest {
+class GenerationFileTest {
     @TempDir Path folder;
 
     @Test
     void itGrowsThoughTheWallClockGoesBack() {
-        assertEquals(5000, LifeFile.next(folder, 5000));
-        assertEquals(5001, LifeFile.next(folder, 1000));
-        assertEquals(9000, LifeFile.next(folder, 9000));
+        assertEquals(5000, GenerationFile.next(folder, 5000));
+        assertEquals(5001, GenerationFile.next(folder, 1000));
+        assertEquals(9000, GenerationFile.next(folder, 9000));
     }
 
     @Test
     void whatCannotBeReadOrKeptIsNamed() throws Exception {
         Files.writeString(folder.resolve("life"), "12x");
-        String said = assertThrows(BadInput.class, () -> LifeFile.next(folder, 1)).getMessage();
+        String said =
+                assertThrows(BadInput.class, () -> GenerationFile.next(folder, 1)).getMessage();
         assertTrue(said.contains(folder.resolve("life").toString()), said);
         Path none = folder.resolve("none");
         assertTrue(
-                assertThrows(BadInput.class, () -> LifeFile.next(none, 1))
+                assertThrows(BadInput.class, () -> GenerationFile.next(none, 1))
                         .getMessage()
                         .contains(none.toString()));
     }
--- a/src/test/java/holdproxy/lab/ConsensusSimulationTest.java
+++ b/src/test/java/holdproxy/lab/ConsensusSimulationTest.java
@@ -25,8 +25,9 @@
     }
 
     private static LeaseSimulation.Outcome duties(
-            long seed, Set<LeaseClient.Guard> guards, boolean checksTokens) {
-        return LeaseSimulation.play(seed, seed % 2 == 0 ? 3 : 5, 2, SECONDS, guards, checksTokens);
+            long seed, Set<LeaseClient.Safeguard> safeguards, boolean checksTokens) {
+        return LeaseSimulation.play(
+                seed, seed % 2 == 0 ? 3 : 5, 2, SECONDS, safeguards, checksTokens);
     }
 
     @Test
@@ -63,8 +64,8 @@
     void trialsGoTheSameWayEachTime() {
         assertEquals(council(3, Set.of()), council(3, Set.of()));
         assertEquals(
-                duties(3, EnumSet.allOf(LeaseClient.Guard.class), true),
-                duties(3, EnumSet.allOf(LeaseClient.Guard.class), true));
+                duties(3, EnumSet.allOf(LeaseClient.Safeguard.class), true),
+                duties(3, EnumSet.allOf(LeaseClient.Safeguard.class), true));
     }
 
     @ParameterizedTest
@@ -82,7 +83,7 @@
         int refused = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             LeaseSimulation.Outcome outcome =
-                    duties(seed, EnumSet.allOf(LeaseClient.Guard.class), true);
+                    duties(seed, EnumSet.allOf(LeaseClient.Safeguard.class), true);
             assertEquals(List.of(), outcome.broken(), "seed " + seed + " " + outcome.kinds());
             acts += outcome.acts();
             refused += outcome.refused();
@@ -92,8 +93,8 @@
 
     @ParameterizedTest
     @EnumSource
-    void withoutOneOfItsGuardsADutyHasTwoHolders(LeaseClient.Guard without) {
-        Set<LeaseClient.Guard> rest = EnumSet.complementOf(EnumSet.of(without));
+    void withoutOneOfItsSafeguardsALeaseHasTwoHolders(LeaseClient.Safeguard without) {
+        Set<LeaseClient.Safeguard> rest = EnumSet.complementOf(EnumSet.of(without));
         assertTrue(
                 LongStream.rangeClosed(1, SEEDS_TO_FIND)
                         .anyMatch(seed -> !duties(seed, rest, true).broken().isEmpty()),
@@ -106,7 +107,10 @@
                 LongStream.rangeClosed(1, SEEDS_TO_FIND)
                         .anyMatch(
                                 seed ->
-                                        duties(seed, EnumSet.allOf(LeaseClient.Guard.class), false)
+                                        duties(
+                                                        seed,
+                                                        EnumSet.allOf(LeaseClient.Safeguard.class),
+                                                        false)
                                                 .broken()
                                                 .stream()
                                                 .anyMatch(b -> b.startsWith("the resource"))));
--- a/src/test/java/holdproxy/lab/MembershipSimulationTest.java
+++ b/src/test/java/holdproxy/lab/MembershipSimulationTest.java
@@ -18,8 +18,9 @@
     private static final int SEEDS = 200;
     private static final double SECONDS = 180;
 
-    private static MembershipSimulation.Outcome play(long seed, Set<Membership.Guard> guards) {
-        return MembershipSimulation.play(seed, 7, SECONDS, guards);
+    private static MembershipSimulation.Outcome play(
+            long seed, Set<Membership.Safeguard> safeguards) {
+        return MembershipSimulation.play(seed, 7, SECONDS, safeguards);
     }
 
     @Test
@@ -28,7 +29,7 @@
         int found = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             MembershipSimulation.Outcome outcome =
-                    play(seed, EnumSet.allOf(Membership.Guard.class));
+                    play(seed, EnumSet.allOf(Membership.Safeguard.class));
             assertEquals(List.of(), outcome.broken(), "seed " + seed + " " + outcome.kinds());
             kinds.addAll(outcome.kinds());
             found += outcome.foundS().size();
@@ -40,14 +41,14 @@
     @Test
     void aTrialGoesTheSameWayEachTime() {
         assertEquals(
-                play(5, EnumSet.allOf(Membership.Guard.class)),
-                play(5, EnumSet.allOf(Membership.Guard.class)));
+                play(5, EnumSet.allOf(Membership.Safeguard.class)),
+                play(5, EnumSet.allOf(Membership.Safeguard.class)));
     }
 
     @ParameterizedTest
     @EnumSource
-    void withoutOneOfItsRulesMembershipBreaks(Membership.Guard without) {
-        Set<Membership.Guard> rest = EnumSet.complementOf(EnumSet.of(without));
+    void withoutOneOfItsRulesMembershipBreaks(Membership.Safeguard without) {
+        Set<Membership.Safeguard> rest = EnumSet.complementOf(EnumSet.of(without));
         assertTrue(
                 LongStream.rangeClosed(1, SEEDS)
                         .anyMatch(seed -> !play(seed, rest).broken().isEmpty()),
--- a/src/test/java/holdproxy/rig/DutySchedulesTest.java
+++ b/src/test/java/holdproxy/rig/LeaseSchedulesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Real processes with a council and duties, by the twelve schedules that are kept: one holder, and progress. */
-class DutySchedulesTest {
+class LeaseSchedulesTest {
     private static final int AT_ONCE = 4;
 
     @TempDir Path folder;
@@ -27,7 +27,7 @@
     @Test
     void aDutyHasOneHolderWhateverTheSchedule() throws Exception {
         List<Path> files;
-        try (Stream<Path> all = Files.list(Path.of("rig/duties"))) {
+        try (Stream<Path> all = Files.list(Path.of("rig/leases"))) {
             files = all.sorted().toList();
         }
         assertEquals(12, files.size());
--- a/src/test/java/holdproxy/rig/RigTest.java
+++ b/src/test/java/holdproxy/rig/RigTest.java
@@ -218,7 +218,7 @@
     void twoHoldersAreFound() {
         assertEquals(
                 List.of(),
-                DutyJudge.broken(
+                LeaseAuditor.broken(
                         List.of(
                                 acted("proxy-0", "d 1 taken"),
                                 acted("proxy-1", "d 2 taken"),
@@ -226,7 +226,7 @@
                                 acted("proxy-0", "e 1 taken"))));
         assertEquals(
                 1,
-                DutyJudge.broken(
+                LeaseAuditor.broken(
                                 List.of(
                                         acted("proxy-0", "d 1 taken"),
                                         acted("proxy-1", "d 2 taken"),
@@ -234,14 +234,14 @@
                         .size());
         assertEquals(
                 1,
-                DutyJudge.broken(
+                LeaseAuditor.broken(
                                 List.of(
                                         acted("proxy-0", "d 1 taken"),
                                         acted("proxy-1", "d 1 taken")))
                         .size());
         assertEquals(
                 1,
-                DutyJudge.broken(
+                LeaseAuditor.broken(
                                 List.of(
                                         acted("proxy-0", "d 1 taken"),
                                         new Event(
