--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -5,6 +5,7 @@
 import holdproxy.membership.Member;
 import holdproxy.membership.MembershipService;
 import holdproxy.net.Config;
+import holdproxy.net.ConfigSource;
 import holdproxy.net.Service;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -63,17 +64,15 @@
         }
         Map<String, String> own = new HashMap<>(env);
         own.put(KEPT_BELOW, inUse.folder().toString());
-        Service.run(
-                        inUse.proxy(),
+        ConfigSource source =
+                new ConfigSource(
+                        file,
                         config -> {
                             DaemonFile now = DaemonFile.again(file, inUse);
                             inUse = now;
                             return now.proxy();
-                        },
-                        own,
-                        EventLog::line,
-                        this::end)
-                .listening();
+                        });
+        Service.run(inUse.proxy(), source, own, EventLog::line, this::end).listening();
         EventLog.event("started", "name", inUse.name());
     }
 
--- a/src/main/java/holdproxy/net/Config.java
+++ b/src/main/java/holdproxy/net/Config.java
@@ -158,7 +158,7 @@
         return unknown;
     }
 
-    private static String variable(Map<String, String> env, String name) {
+    static String variable(Map<String, String> env, String name) {
         String value = env.get(name);
         if (value == null || value.isBlank()) {
             throw new BadInput("the variable " + name + " is not set");
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -15,7 +15,6 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import java.util.function.UnaryOperator;
 
 /** The process around a proxy: what it inherits at its start, the signals that it heeds, and its console. */
 public final class Service implements Operations {
@@ -66,7 +65,7 @@
         NettyLog.install(new Log(Time.system()));
         run(
                         Config.load(env),
-                        null,
+                        ConfigSource.of(env),
                         env,
                         null,
                         service -> {
@@ -77,14 +76,14 @@
     }
 
     /**
-     * Starts a proxy, which takes clients when this returns. {@code again} reads the configuration again at
-     * SIGHUP, given the one of the start (null: as {@code env} says); {@code lines} takes the log's lines,
-     * on any thread (null: standard error); {@code env} is looked up for {@code LB_FD} and {@code TMPDIR};
+     * Starts a proxy, which takes clients when this returns. {@code source} is read again at SIGHUP, or when
+     * its file has changed where no SIGHUP reaches the process; {@code lines} takes the log's lines, on any
+     * thread (null: standard error); {@code env} is looked up for {@code LB_FD} and {@code TMPDIR};
      * {@code end} is run at SIGTERM. Both signals are heeded before the first client can have an answer.
      */
     public static Service run(
             Config config,
-            UnaryOperator<Config> again,
+            ConfigSource source,
             Map<String, String> env,
             Consumer<String> lines,
             Consumer<Service> end) {
@@ -97,7 +96,7 @@
         Proxy proxy = begun(config, loop, inherited, kept, lines);
         loop.execute(() -> proxy.counting.of(turns));
         Service service = new Service(proxy, loop, log, kept, lines);
-        Hangup.handle(() -> reload(config, proxy, loop, again, env));
+        followChanges(source, () -> reload(config, proxy, loop, source), log);
         Thread ending = new Thread(() -> end.accept(service), "drain");
         Runtime.getRuntime().addShutdownHook(ending);
         try {
@@ -114,6 +113,22 @@
         return service;
     }
 
+    /** Has the configuration read again at SIGHUP, or by what the file itself shows where that cannot come. */
+    private static void followChanges(ConfigSource source, Runnable reload, Log log) {
+        HangupSignal.handle(reload)
+                .ifPresent(
+                        reason -> {
+                            log.line(
+                                    reason
+                                            + "; instead "
+                                            + source.file()
+                                            + " is looked at every "
+                                            + ConfigFileWatcher.INTERVAL_MS
+                                            + " ms and read again when it has changed");
+                            new ConfigFileWatcher(source.file(), reload).start();
+                        });
+    }
+
     /** Says that all signals are heeded from here on: for who has seen to SIGTERM. */
     public void listening() {
         loop.execute(
@@ -406,15 +421,10 @@
      * What SIGHUP asks for: the file as it is now, or nothing of it. On any thread, and each signal has one
      * of its own: one after the other, so that the last file is the last that is taken.
      */
-    static void reload(
-            Config inUse,
-            Proxy proxy,
-            EventLoop loop,
-            UnaryOperator<Config> again,
-            Map<String, String> env) {
+    static void reload(Config inUse, Proxy proxy, EventLoop loop, ConfigSource source) {
         synchronized (proxy) {
             try {
-                Config now = again == null ? inUse.reload(env) : again.apply(inUse);
+                Config now = source.read().apply(inUse);
                 loop.execute(() -> proxy.taken(now));
             } catch (BadInput e) {
                 loop.execute(() -> proxy.turnedDown(e.getMessage()));
--- /dev/null
+++ b/src/test/java/holdproxy/net/ConfigFileWatcherTest.java
@@ -0,0 +1,83 @@
+package holdproxy.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.attribute.FileTime;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Which contents of a file are reported, look by look. */
+class ConfigFileWatcherTest {
+    @TempDir Path folder;
+
+    private final List<String> reported = new ArrayList<>();
+    private Path file;
+    private ConfigFileWatcher watcher;
+
+    @BeforeEach
+    void start() throws IOException {
+        file = Files.writeString(folder.resolve("config"), "first");
+        watcher =
+                new ConfigFileWatcher(
+                        file, () -> reported.add(Files.exists(file) ? read() : "none"));
+        look(2);
+    }
+
+    private String read() {
+        try {
+            return Files.readString(file);
+        } catch (IOException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    private void look(int times) {
+        for (int i = 0; i < times; i++) {
+            watcher.look();
+        }
+    }
+
+    @Test
+    void eachContentIsReportedOnceAndThatOfTheStartToo() throws IOException {
+        Files.writeString(file, "second");
+        look(5);
+        assertEquals(List.of("first", "second"), reported);
+    }
+
+    @Test
+    void aFileThatIsBeingWrittenIsReportedOnceItStaysAsItIs() throws IOException {
+        for (String part : List.of("s", "se", "sec", "second")) {
+            Files.writeString(file, part);
+            look(1);
+        }
+        look(1);
+        assertEquals(List.of("first", "second"), reported);
+    }
+
+    /** Of the same size, with the same times: only the content tells. */
+    @Test
+    void aChangeThatItsTimesDoNotShowIsReported() throws IOException {
+        FileTime time = Files.getLastModifiedTime(file);
+        Files.setLastModifiedTime(Files.writeString(file, "other"), time);
+        look(2);
+        assertEquals(List.of("first", "other"), reported);
+    }
+
+    @Test
+    void aFileThatIsGoneForOneLookIsNoChangeAndOneThatStaysAwayIs() throws IOException {
+        Files.delete(file);
+        look(1);
+        Files.writeString(file, "first");
+        look(2);
+        assertEquals(List.of("first"), reported);
+        Files.delete(file);
+        look(3);
+        assertEquals(List.of("first", "none"), reported);
+    }
+}
