--- a/src/main/java/holdproxy/consensus/RaftCodec.java
+++ b/src/main/java/holdproxy/consensus/RaftCodec.java
@@ -91,22 +91,22 @@
             throw new BadInput("part " + next + " of a list is neither true nor false");
         }
 
-        Voter seat() {
+        Voter voter() {
             String text = text();
             try {
                 return text.isEmpty() ? null : Voter.read(text);
             } catch (IndexOutOfBoundsException | NumberFormatException e) {
-                throw new BadInput("part " + next + " of a list is no seat");
+                throw new BadInput("part " + next + " of a list is no voter");
             }
         }
 
-        Collection<RaftEndpoint> seats() {
-            Collection<RaftEndpoint> seats = new LinkedHashSet<>();
+        Collection<RaftEndpoint> voters() {
+            Collection<RaftEndpoint> voters = new LinkedHashSet<>();
             Parts inner = new Parts(value());
             while (inner.more()) {
-                seats.add(inner.seat());
+                voters.add(inner.voter());
             }
-            return seats;
+            return voters;
         }
 
         boolean more() {
@@ -134,13 +134,13 @@
         return new Parts(value(bytes));
     }
 
-    private static String text(RaftEndpoint seat) {
-        return seat == null ? "" : seat.toString();
+    private static String text(RaftEndpoint voter) {
+        return voter == null ? "" : voter.toString();
     }
 
-    private static List<Object> texts(Collection<RaftEndpoint> seats) {
+    private static List<Object> texts(Collection<RaftEndpoint> voters) {
         List<Object> texts = new ArrayList<>();
-        seats.forEach(s -> texts.add(text(s)));
+        voters.forEach(s -> texts.add(text(s)));
         return texts;
     }
 
@@ -235,7 +235,7 @@
     static RaftMessage message(Object value, Object group) {
         Parts p = new Parts(value);
         String kind = p.text();
-        Voter sender = p.seat();
+        Voter sender = p.voter();
         int term = p.whole();
         return switch (kind) {
             case "append" ->
@@ -317,7 +317,7 @@
                             .setSnapshotIndex(p.number())
                             .setTotalSnapshotChunkCount(p.whole())
                             .setSnapshotChunk(chunk(p.value()))
-                            .setSnapshottedMembers(p.seats())
+                            .setSnapshottedMembers(p.voters())
                             .setGroupMembersView(members(p.value()))
                             .setQuerySequenceNumber(p.number())
                             .setFlowControlSequenceNumber(p.number())
@@ -396,8 +396,8 @@
         Parts p = new Parts(value);
         return MODELS.createRaftGroupMembersViewBuilder()
                 .setLogIndex(p.number())
-                .setMembers(p.seats())
-                .setVotingMembers(p.seats())
+                .setMembers(p.voters())
+                .setVotingMembers(p.voters())
                 .build();
     }
 
@@ -418,14 +418,14 @@
         if (!p.text().equals(MEMBERS)) {
             return p.value();
         }
-        Collection<RaftEndpoint> members = p.seats();
-        Collection<RaftEndpoint> voting = p.seats();
-        Voter seat = p.seat();
+        Collection<RaftEndpoint> members = p.voters();
+        Collection<RaftEndpoint> voting = p.voters();
+        Voter voter = p.voter();
         String mode = p.text();
         return MODELS.createUpdateRaftGroupMembersOpBuilder()
                 .setMembers(members)
                 .setVotingMembers(voting)
-                .setEndpoint(seat)
+                .setEndpoint(voter)
                 .setMode(
                         Arrays.stream(MembershipChangeMode.values())
                                 .filter(m -> m.name().equals(mode))
--- a/src/main/java/holdproxy/consensus/RaftDisk.java
+++ b/src/main/java/holdproxy/consensus/RaftDisk.java
@@ -40,7 +40,7 @@
 
     private final Disk disk;
     private Runnable onFailure = () -> {};
-    private Voter seat;
+    private Voter localVoter;
     private boolean voting = true;
     private List<Object> initialMembers;
     private int term;
@@ -76,11 +76,11 @@
     }
 
     /** Whose it is; null where it has never been written. */
-    Voter seat() {
-        return seat;
+    Voter localVoter() {
+        return localVoter;
     }
 
-    /** For {@link io.microraft.RaftNode}; to be called only where there is a seat. */
+    /** For {@link io.microraft.RaftNode}; to be called only where there is a local voter. */
     RestoredRaftState restored() {
         SnapshotEntry snapshot = snapshot();
         List<LogEntry> after = new ArrayList<>();
@@ -90,7 +90,7 @@
         return new RestoredRaftState(
                 RaftCodec.MODELS
                         .createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(seat)
+                        .setLocalEndpoint(localVoter)
                         .setVoting(voting)
                         .build(),
                 RaftCodec.members(initialMembers),
@@ -193,13 +193,13 @@
         RaftCodec.Parts p = RaftCodec.parts(Arrays.copyOfRange(record, HEAD, record.length));
         switch (p.text()) {
             case "seat" -> {
-                seat = p.seat();
+                localVoter = p.voter();
                 voting = p.flag();
             }
             case "members" -> initialMembers = plain(p.value());
             case "term" -> {
                 term = p.whole();
-                votedFor = p.seat();
+                votedFor = p.voter();
             }
             case "entry" -> put(entries, new RaftCodec.Parts(p.value()).number(), record);
             case "chunk" -> {
@@ -328,7 +328,7 @@
 
     private void writeAnew() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.write(framed("seat", seat.toString(), voting));
+        out.write(framed("seat", localVoter.toString(), voting));
         out.write(framed("members", initialMembers));
         out.write(framed("term", term, votedFor == null ? "" : votedFor.toString()));
         for (TreeMap<Integer, byte[]> parts : chunks.values()) {
--- a/src/main/java/holdproxy/consensus/RaftGroup.java
+++ b/src/main/java/holdproxy/consensus/RaftGroup.java
@@ -31,13 +31,14 @@
 import java.util.function.Consumer;
 
 /**
- * A process's part in the council. A voter keeps the log; everybody else asks the voters. Time, chance, links
- * and the disk are handed in; all calls are on the host's one thread.
+ * A process's part in a consensus group: a voter keeps the log, everybody else asks the voters. Time, chance,
+ * links and the disk are handed in; all calls are on the host's one thread.
  *
  * <p>An operation that was asked for may have been agreed though its answer did not come, and is then asked
  * for again: operations have to bear that.
  */
 public final class RaftGroup {
+    /** In every frame of the group: not to be changed. */
     private static final String GROUP = "council";
 
     /** What a leader begins its term with; no state machine has an operation like it. */
@@ -76,10 +77,10 @@
         /** Sends a frame to a process, or drops it. */
         void send(String name, byte[] frame);
 
-        /** This process leads the council now, or no longer. */
+        /** This process leads the consensus group now, or no longer. */
         void leads(boolean now);
 
-        /** A task of the library's has failed; the council goes on. */
+        /** A task of the library's has failed; the consensus group goes on. */
         void failed(RuntimeException failure);
 
         /** This process is out of the vote: why. It goes on asking. */
@@ -101,7 +102,7 @@
     private final ScaledClock clock;
     private final Map<Long, Asked> asked = new HashMap<>();
     private RaftNode node;
-    private Voter seat;
+    private Voter self;
     private long asks;
     private String leader = "";
     private int nextVoter;
@@ -127,20 +128,21 @@
         this.stateMachine = stateMachine;
         clock = new ScaledClock(host);
         nextVoter = random.nextInt(Math.max(1, voters.size()));
-        // not from 0: an answer to an earlier life of this name may still be under way
+        // not from 0: an answer to an earlier generation of this name may still be under way
         asks = random.nextLong() >>> 2;
     }
 
     /**
-     * Founds a council: writes what a first voter begins with. Once in the life of a fleet, on each of the
-     * first voters' empty disks, by operators; a {@link BadInput} says that there is one already.
+     * Founds a consensus group: writes what a first voter begins with. Once in the lifetime of a
+     * fleet, by operators, on the empty disk of each of the first voters; a {@link BadInput} says that there
+     * is one already.
      */
     public static void found(Disk disk, String name, Collection<String> voters) throws IOException {
         RaftDisk kept = RaftDisk.open(disk);
-        if (kept.seat() != null) {
-            throw new BadInput("there is a council's disk already, of " + kept.seat());
+        if (kept.localVoter() != null) {
+            throw new BadInput("there is a consensus disk already, of " + kept.localVoter());
         }
-        Set<RaftEndpoint> seats = firstSeats(voters);
+        Set<RaftEndpoint> initial = initialVoters(voters);
         if (!voters.contains(name)) {
             throw new BadInput(name + " is not one of the first voters, " + voters);
         }
@@ -154,8 +156,8 @@
                 RaftCodec.MODELS
                         .createRaftGroupMembersViewBuilder()
                         .setLogIndex(0)
-                        .setMembers(seats)
-                        .setVotingMembers(seats)
+                        .setMembers(initial)
+                        .setVotingMembers(initial)
                         .build());
         kept.persistAndFlushTerm(
                 RaftCodec.MODELS
@@ -165,10 +167,10 @@
                         .build());
     }
 
-    private static Set<RaftEndpoint> firstSeats(Collection<String> voters) {
-        Set<RaftEndpoint> seats = new LinkedHashSet<>();
-        voters.forEach(v -> seats.add(new Voter(v, 0)));
-        return seats;
+    private static Set<RaftEndpoint> initialVoters(Collection<String> voters) {
+        Set<RaftEndpoint> initial = new LinkedHashSet<>();
+        voters.forEach(v -> initial.add(new Voter(v, 0)));
+        return initial;
     }
 
     /**
@@ -212,8 +214,8 @@
         try {
             RaftDisk kept = RaftDisk.open(disk);
             kept.onFailure(this::diskFailed);
-            boolean isNew = kept.seat() == null;
-            seat = isNew ? new Voter(name, random.nextLong() >>> 1 | 1) : kept.seat();
+            boolean isNew = kept.localVoter() == null;
+            self = isNew ? new Voter(name, random.nextLong() >>> 1 | 1) : kept.localVoter();
             machine = new Machine();
             RaftNode.RaftNodeBuilder builder =
                     RaftNode.newBuilder()
@@ -227,7 +229,7 @@
                             .setStore(kept)
                             .setRaftNodeReportListener(new Heard(machine));
             if (isNew) {
-                builder.setLocalEndpoint(seat).setInitialGroupMembers(firstSeats(voters));
+                builder.setLocalEndpoint(self).setInitialGroupMembers(initialVoters(voters));
             } else {
                 builder.setRestoredState(kept.restored());
             }
@@ -271,22 +273,22 @@
         return node != null && !failed && !RaftNodeStatus.isTerminal(node.getStatus());
     }
 
-    /** The seat that it votes with; null where it has none. */
-    public Voter seat() {
-        return seat;
+    /** The voter that this process is; null where it does not vote. */
+    public Voter self() {
+        return self;
     }
 
     /** Who votes, by what this process knows to be agreed; empty where it does not vote. */
-    public Set<Voter> seats() {
-        Set<Voter> seats = new LinkedHashSet<>();
+    public Set<Voter> votingMembers() {
+        Set<Voter> members = new LinkedHashSet<>();
         if (votes()) {
-            node.getCommittedMembers().getVotingMembers().forEach(m -> seats.add((Voter) m));
+            node.getCommittedMembers().getVotingMembers().forEach(m -> members.add((Voter) m));
         }
-        return seats;
+        return members;
     }
 
     /**
-     * Gives leadership, if it has it, to another; completes then. Before it hands its duties over: those who
+     * Gives leadership, if it has it, to another; completes then. Before it hands its leases over: those who
      * ask for them then find a leader that stays.
      */
     public CompletableFuture<Void> stepDown() {
@@ -297,7 +299,7 @@
         }
         Optional<RaftEndpoint> other =
                 node.getCommittedMembers().getVotingMembers().stream()
-                        .filter(m -> !m.equals(seat))
+                        .filter(m -> !m.equals(self))
                         .findFirst();
         if (other.isPresent()) {
             node.transferLeadership(other.get()).whenComplete((done, why) -> over.complete(null));
@@ -308,7 +310,7 @@
         return over;
     }
 
-    /** Gives its vote up for this life; completes then. */
+    /** Gives its vote up for this generation; completes then. */
     public CompletableFuture<Void> end() {
         ended = true;
         CompletableFuture<Void> over = new CompletableFuture<>();
@@ -342,7 +344,8 @@
             return;
         }
         if (host.nowUs() >= endUs) {
-            answer.completeExceptionally(new IOException("the council has not answered in time"));
+            answer.completeExceptionally(
+                    new IOException("the consensus group has not answered in time"));
             return;
         }
         if (leading) {
@@ -416,14 +419,14 @@
             case "raft" -> raft(p.text(), p.value());
             case "ask" -> asks(p.text(), p.number(), p.value());
             case "answer" -> answered(p.number(), p.flag(), p.value(), p.text());
-            case "admit" -> admit(p.seat());
-            default -> throw new BadInput("a frame for the council is of no known kind");
+            case "admit" -> admit(p.voter());
+            default -> throw new BadInput("a frame for the consensus group is of no known kind");
         }
     }
 
     private void raft(String to, Object message) {
         // of an earlier disk's votes and promises this process knows nothing
-        if (votes() && seat.toString().equals(to)) {
+        if (votes() && self.toString().equals(to)) {
             RaftMessage read = RaftCodec.message(message, GROUP);
             // one that led and asks for votes now says by that that it leads no longer
             boolean leads =
@@ -473,11 +476,11 @@
     // ---- members ----
 
     private void askToBeAdmitted() {
-        if (ended || !votes() || node.getCommittedMembers().getVotingMembers().contains(seat)) {
+        if (ended || !votes() || node.getCommittedMembers().getVotingMembers().contains(self)) {
             return;
         }
         for (String voter : others) {
-            host.send(voter, RaftCodec.bytes(Arrays.asList("admit", seat.toString())));
+            host.send(voter, RaftCodec.bytes(Arrays.asList("admit", self.toString())));
         }
         host.after(ADMIT_US, this::askToBeAdmitted);
     }
@@ -580,7 +583,7 @@
             }
             RaftEndpoint now = report.getTerm().getLeaderEndpoint();
             leader = now == null || failed ? "" : ((Voter) now).name();
-            lead(!failed && Objects.equals(now, seat) && report.getRole() == RaftRole.LEADER);
+            lead(!failed && Objects.equals(now, self) && report.getRole() == RaftRole.LEADER);
         }
     }
 
--- a/src/main/java/holdproxy/consensus/StateMachine.java
+++ b/src/main/java/holdproxy/consensus/StateMachine.java
@@ -4,7 +4,7 @@
 
 /**
  * What the log's operations make, the same in every voter. Operations, answers and parts of a snapshot are
- * plain values: texts, whole numbers, truths, null, and lists of them. Called on the council's thread.
+ * plain values: texts, whole numbers, truths, null, and lists of them. Called on the consensus thread.
  */
 public interface StateMachine {
     /** Applies an operation that is agreed; {@code index} grows. Its answer goes to who proposed it. */
--- a/src/main/java/holdproxy/daemon/ConsensusPart.java
+++ b/src/main/java/holdproxy/daemon/ConsensusPart.java
@@ -22,17 +22,18 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * The council and the duties in this process, on an event loop of their own: the disk's writing holds up
+ * The consensus group and the leases in this process, on an event loop of their own: writes to the disk delay
  * neither requests nor membership.
  */
 final class ConsensusPart {
+    /** As the file has been called from its beginning: disks that stand go on being read. */
     private static final String DISK = "council";
 
     /** Who plans for zones; nobody acts under it yet. */
     private static final String PLANNER = "planner";
 
     private static final int PLANNER_LEASE_MS = 3_000;
-    private static final byte OF_COUNCIL = 0;
+    private static final byte OF_GROUP = 0;
     private static final byte FREE = 1;
 
     /** Both are well under the time that an end after SIGTERM has. */
@@ -43,33 +44,33 @@
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final long startNs = System.nanoTime();
-    private final MembershipService peers;
-    private final RaftGroup council;
-    private final LeaseClient duties;
+    private final MembershipService membership;
+    private final RaftGroup group;
+    private final LeaseClient leases;
     private final String name;
 
-    private ConsensusPart(DaemonFile file, long life, MembershipService peers) {
-        this.peers = peers;
+    private ConsensusPart(DaemonFile file, long generation, MembershipService membership) {
+        this.membership = membership;
         name = file.name();
         LeaseTable table = new LeaseTable();
-        Offered host = new Offered();
-        council = new RaftGroup(name, file.voters(), host, new Random(), table);
-        duties = new LeaseClient(name, life, council, table, host, new Random());
+        HostAdapter host = new HostAdapter();
+        group = new RaftGroup(name, file.voters(), host, new Random(), table);
+        leases = new LeaseClient(name, generation, group, table, host, new Random());
     }
 
-    /** Takes up this process's vote, if it has one, and asks for the duties that the file names. */
-    static ConsensusPart start(DaemonFile file, long life, MembershipService peers) {
-        ConsensusPart part = new ConsensusPart(file, life, peers);
-        peers.receive(
+    /** Takes up this process's vote, if it has one, and asks for the leases that the file names. */
+    static ConsensusPart start(DaemonFile file, long generation, MembershipService membership) {
+        ConsensusPart part = new ConsensusPart(file, generation, membership);
+        membership.receive(
                 MembershipService.CONSENSUS,
                 frame -> part.loop.execute(() -> part.received(frame)));
         part.run(
                 () -> {
-                    part.council.begin(new FileDisk(disk(file)));
-                    part.duties.want(PLANNER, PLANNER_LEASE_MS);
+                    part.group.begin(new FileDisk(disk(file)));
+                    part.leases.want(PLANNER, PLANNER_LEASE_MS);
                     for (DaemonFile.Drill drill : file.drills()) {
-                        part.duties.want(drill.duty(), drill.leaseMs());
-                        new LeaseExercise(drill, part.duties, part.loop).begin();
+                        part.leases.want(drill.role(), drill.leaseMs());
+                        new LeaseExercise(drill, part.leases, part.loop).begin();
                     }
                 });
         return part;
@@ -85,7 +86,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("the council cannot begin", e.getCause());
+            throw new IllegalStateException("the consensus group cannot begin", e.getCause());
         }
     }
 
@@ -93,15 +94,15 @@
         try {
             byte[] rest = new byte[Math.max(0, frame.length - 1)];
             System.arraycopy(frame, Math.min(1, frame.length), rest, 0, rest.length);
-            if (frame.length > 0 && frame[0] == OF_COUNCIL) {
-                council.received(rest);
+            if (frame.length > 0 && frame[0] == OF_GROUP) {
+                group.received(rest);
             } else if (frame.length > 1 + Long.BYTES && frame[0] == FREE) {
                 ByteBuffer told = ByteBuffer.wrap(rest);
                 long token = told.getLong();
-                duties.toldFree(StandardCharsets.UTF_8.decode(told).toString(), token);
+                leases.notifiedFree(StandardCharsets.UTF_8.decode(told).toString(), token);
             }
         } catch (BadInput e) {
-            EventLog.line("a frame for the council cannot be read: " + e.getMessage());
+            EventLog.line("a frame for the consensus group cannot be read: " + e.getMessage());
         }
     }
 
@@ -110,17 +111,17 @@
         CompletableFuture<Void> handed = new CompletableFuture<>();
         loop.execute(
                 () ->
-                        council.stepDown()
+                        group.stepDown()
                                 .whenComplete(
                                         (led, why) ->
-                                                duties.handOver()
+                                                leases.handOver()
                                                         .whenComplete(
                                                                 (done, failed) ->
                                                                         handed.complete(null))));
-        await(handed, HAND_OVER_MS, "the duties are not handed over in time");
+        await(handed, HAND_OVER_MS, "the leases are not handed over in time");
         CompletableFuture<Void> over = new CompletableFuture<>();
-        loop.execute(() -> council.end().whenComplete((done, failed) -> over.complete(null)));
-        await(over, END_MS, "the council's part does not end in time");
+        loop.execute(() -> group.end().whenComplete((done, failed) -> over.complete(null)));
+        await(over, END_MS, "the consensus group's part does not end in time");
     }
 
     private static void await(CompletableFuture<Void> what, long ms, String late) {
@@ -134,7 +135,7 @@
     }
 
     /** What both are offered, and hear. */
-    private final class Offered implements RaftGroup.Host, LeaseClient.Host {
+    private final class HostAdapter implements RaftGroup.Host, LeaseClient.Host {
         @Override
         public long nowUs() {
             return (System.nanoTime() - startNs) / 1000;
@@ -151,10 +152,10 @@
 
         @Override
         public void send(String to, byte[] frame) {
-            peers.send(
+            membership.send(
                     to,
                     MembershipService.CONSENSUS,
-                    ByteBuffer.allocate(1 + frame.length).put(OF_COUNCIL).put(frame).array());
+                    ByteBuffer.allocate(1 + frame.length).put(OF_GROUP).put(frame).array());
         }
 
         @Override
@@ -164,7 +165,7 @@
 
         @Override
         public void failed(RuntimeException failure) {
-            EventLog.line("a task of the council has failed: " + failure);
+            EventLog.line("a task of the consensus group has failed: " + failure);
         }
 
         @Override
@@ -173,13 +174,13 @@
         }
 
         @Override
-        public void tellFree(String to, String duty, long token) {
+        public void notifyFree(String to, String role, long token) {
             if (to.equals(name)) {
-                loop.execute(() -> duties.toldFree(duty, token));
+                loop.execute(() -> leases.notifiedFree(role, token));
                 return;
             }
-            byte[] text = duty.getBytes(StandardCharsets.UTF_8);
-            peers.send(
+            byte[] text = role.getBytes(StandardCharsets.UTF_8);
+            membership.send(
                     to,
                     MembershipService.CONSENSUS,
                     ByteBuffer.allocate(1 + Long.BYTES + text.length)
@@ -190,24 +191,24 @@
         }
 
         @Override
-        public void granted(String duty, long token) {
-            EventLog.event("duty granted", "duty", duty, "token", token);
+        public void granted(String role, long token) {
+            EventLog.event("lease granted", "role", role, "token", token);
         }
 
         @Override
-        public void ended(String duty, long token, String why) {
-            EventLog.event("duty ended", "duty", duty, "token", token, "why", why);
+        public void ended(String role, long token, String why) {
+            EventLog.event("lease ended", "role", role, "token", token, "why", why);
         }
     }
 
-    /** For the command that founds a council. */
+    /** For the command that founds a consensus group. */
     static List<String> found(DaemonFile file) {
         try (FileDisk disk = new FileDisk(disk(file))) {
             Files.createDirectories(file.folder());
             RaftGroup.found(disk, file.name(), file.voters());
             return file.voters();
         } catch (IOException e) {
-            throw new BadInput("the council's disk " + disk(file) + " cannot be written: " + e);
+            throw new BadInput("the consensus disk " + disk(file) + " cannot be written: " + e);
         }
     }
 }
--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -14,15 +14,15 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The life of a daemon: starts its proxy and the parts around it, and ends them in their order. */
+/** The life cycle of a daemon: starts its proxy and the parts around it, and ends them in their order. */
 final class Daemon {
     /** What {@link Service} keeps is below the daemon's folder, where it looks for it by this variable. */
     private static final String KEPT_BELOW = "TMPDIR";
 
     private final Path file;
     private DaemonFile inUse;
-    private MembershipService peers;
-    private ConsensusPart council;
+    private MembershipService membership;
+    private ConsensusPart consensus;
 
     private Daemon(Path file, DaemonFile inUse) {
         this.file = file;
@@ -42,24 +42,24 @@
 
     private void run(Map<String, String> env) {
         EventLog.event("starting", "name", inUse.name(), "pid", ProcessHandle.current().pid());
-        if (inUse.peers() != null) {
-            long life = GenerationFile.next(inUse.folder(), System.currentTimeMillis());
-            peers =
+        if (inUse.membership() != null) {
+            long generation = GenerationFile.next(inUse.folder(), System.currentTimeMillis());
+            membership =
                     MembershipService.start(
-                            inUse.peers(),
-                            life,
+                            inUse.membership(),
+                            generation,
                             text -> Config.address(text, "an address"),
-                            new Told());
+                            new MembershipEvents());
             EventLog.event(
-                    "peers",
+                    "membership",
                     "name",
                     inUse.name(),
-                    "life",
-                    life,
+                    "generation",
+                    generation,
                     "address",
-                    inUse.peers().address());
+                    inUse.membership().address());
             if (!inUse.voters().isEmpty()) {
-                council = ConsensusPart.start(inUse, life, peers);
+                consensus = ConsensusPart.start(inUse, generation, membership);
             }
         }
         Map<String, String> own = new HashMap<>(env);
@@ -93,28 +93,28 @@
     }
 
     private void handOver() {
-        if (council != null) {
-            council.end();
+        if (consensus != null) {
+            consensus.end();
         }
-        if (peers != null) {
-            peers.leave();
+        if (membership != null) {
+            membership.leave();
         }
     }
 
     /** What becomes known of others, as events. */
-    private static final class Told implements MembershipService.Listener {
+    private static final class MembershipEvents implements MembershipService.Listener {
         @Override
         public void changed(Change change) {
             EventLog.event(
-                    "peer",
-                    "peer",
+                    "member",
+                    "member",
                     change.now().name(),
                     "state",
                     change.now().state(),
                     "before",
                     change.before() == null ? "unknown" : change.before().state(),
-                    "life",
-                    change.now().life(),
+                    "generation",
+                    change.now().generation(),
                     "incarnation",
                     change.now().incarnation(),
                     "voices",
@@ -123,7 +123,7 @@
 
         @Override
         public void superseded(Member by) {
-            EventLog.event("superseded", "address", by.address(), "life", by.life());
+            EventLog.event("superseded", "address", by.address(), "generation", by.generation());
         }
 
         @Override
--- a/src/main/java/holdproxy/daemon/DaemonCommand.java
+++ b/src/main/java/holdproxy/daemon/DaemonCommand.java
@@ -46,10 +46,11 @@
         return RUNS;
     }
 
-    /** {@code holdproxy daemon found FILE}: once in the life of a fleet, for each of the first voters. */
+    /** {@code holdproxy daemon found FILE}: once in the lifetime of a fleet, for each of the first voters. */
     @Command(
             name = "found",
-            description = "Writes what one of the first voters of a new council begins with.",
+            description =
+                    "Writes what one of the first voters of a new consensus group begins with.",
             mixinStandardHelpOptions = true)
     static final class Found implements Callable<Integer> {
         @Parameters(paramLabel = "FILE.toml")
@@ -59,7 +60,7 @@
         public Integer call() {
             DaemonFile read = DaemonFile.read(file, 1);
             if (read.voters().isEmpty()) {
-                throw new BadInput(file + ": [council] is missing");
+                throw new BadInput(file + ": [consensus] is missing");
             }
             System.out.println(
                     read.name() + " is one of the first voters: " + ConsensusPart.found(read));
--- a/src/main/java/holdproxy/daemon/DaemonFile.java
+++ b/src/main/java/holdproxy/daemon/DaemonFile.java
@@ -25,9 +25,9 @@
  * @param listen where clients come
  * @param console where operators call; null: nowhere
  * @param proxy its configuration as a proxy, checked
- * @param peers how it meets the others of its fleet; null: it is alone
- * @param voters names of the council's processes; empty: there is none
- * @param drills duties without a purpose but to be held, for operators and the rig to try the fleet with
+ * @param membership how it meets the others of its fleet; null: it is alone
+ * @param voters names of the voters; empty: there is none
+ * @param drills leases without a purpose but to be held, for operators and the rig to try the fleet with
  */
 record DaemonFile(
         String name,
@@ -35,7 +35,7 @@
         InetSocketAddress listen,
         InetSocketAddress console,
         Config proxy,
-        MembershipService.Place peers,
+        MembershipService.Place membership,
         List<String> voters,
         List<Drill> drills) {
     private static final int LEAST_SOCKETS = 128;
@@ -45,14 +45,14 @@
     private static final int MOST_LEASE_MS = 60_000;
 
     /**
-     * A duty without a purpose: its holder sends its token to a guarded resource.
+     * A lease without a purpose: its holder sends its token to a guarded resource.
      *
-     * @param duty its name
+     * @param role its name
      * @param leaseMs length of its lease, in milliseconds
      * @param everyMs an act each so often, in milliseconds
      * @param resource where acts go
      */
-    record Drill(String duty, int leaseMs, int everyMs, InetSocketAddress resource) {}
+    record Drill(String role, int leaseMs, int everyMs, InetSocketAddress resource) {}
 
     /** The file as it is now; {@code seed}: of all chance. */
     static DaemonFile read(Path file, long seed) {
@@ -86,25 +86,27 @@
         Path folder = top.read("folder", DaemonFile::folder);
         int sockets = top.whole("sockets", SOCKETS, LEAST_SOCKETS, MOST_SOCKETS);
         Map<String, Object> settings = top.map("settings");
-        MembershipService.Place peers =
-                top.at("peers") == null ? null : peers(name, top.part("peers"));
-        List<String> voters = voters(top);
+        String membershipKey = top.currentOrFormer("membership", "peers");
+        String consensusKey = top.currentOrFormer("consensus", "council");
+        MembershipService.Place membership =
+                top.at(membershipKey) == null ? null : membership(name, top.part(membershipKey));
+        List<String> voters = voters(top, consensusKey);
         List<Drill> drills = new ArrayList<>();
         for (TomlPart each : top.parts("drill")) {
             drills.add(
                     new Drill(
-                            each.read("duty", DaemonFile::name),
+                            each.read(each.currentOrFormer("role", "duty"), DaemonFile::name),
                             each.whole("lease_ms", 3_000, LEAST_LEASE_MS, MOST_LEASE_MS),
                             each.whole("every_ms", 50, 1, MOST_LEASE_MS),
                             each.read("resource", t -> Config.address(t, "resource"))));
             each.done();
         }
         top.done();
-        if (peers == null && !voters.isEmpty()) {
-            throw top.bad(top.at("council"), "a council needs [peers]");
+        if (membership == null && !voters.isEmpty()) {
+            throw top.bad(top.at(consensusKey), "consensus needs [membership]");
         }
         if (voters.isEmpty() && !drills.isEmpty()) {
-            throw top.bad(top.at("drill"), "a duty needs [council]");
+            throw top.bad(top.at("drill"), "a drill needs [consensus]");
         }
         Map<String, Object> json = new HashMap<>();
         json.put("seed", Long.toHexString(seed));
@@ -117,8 +119,8 @@
                 same(top, "folder", inUse.folder, folder);
                 same(top, "listen", inUse.listen, listen);
                 same(top, "console", inUse.console, console);
-                same(top, "peers", inUse.peers, peers);
-                same(top, "council", inUse.voters, voters);
+                same(top, membershipKey, inUse.membership, membership);
+                same(top, consensusKey, inUse.voters, voters);
                 same(top, "drill", inUse.drills, drills);
             }
             Config proxy =
@@ -130,7 +132,7 @@
                 String first = unknown.iterator().next();
                 throw new BadInput("setting " + first + " is unknown", first);
             }
-            return new DaemonFile(name, folder, listen, console, proxy, peers, voters, drills);
+            return new DaemonFile(name, folder, listen, console, proxy, membership, voters, drills);
         } catch (BadInput e) {
             throw top.bad(
                     top.atPath("settings" + (e.path() == null ? "" : "." + e.path())),
@@ -138,23 +140,23 @@
         }
     }
 
-    private static List<String> voters(TomlPart top) {
-        if (top.at("council") == null) {
+    private static List<String> voters(TomlPart top, String key) {
+        if (top.at(key) == null) {
             return List.of();
         }
-        TomlPart part = top.part("council");
+        TomlPart part = top.part(key);
         List<String> voters = part.texts("voters", DaemonFile::name);
         part.done();
         if (voters.size() != 3 && voters.size() != 5
                 || voters.stream().distinct().count() != voters.size()) {
             throw top.bad(
-                    top.atPath("council.voters"),
+                    top.atPath(key + ".voters"),
                     "voters are not three or five processes: " + voters);
         }
         return voters;
     }
 
-    private static MembershipService.Place peers(String name, TomlPart part) {
+    private static MembershipService.Place membership(String name, TomlPart part) {
         InetSocketAddress listen = part.read("listen", t -> Config.address(t, "listen"));
         String address =
                 part.text("address", listen.getAddress().getHostAddress() + ":" + listen.getPort());
--- a/src/main/java/holdproxy/daemon/GenerationFile.java
+++ b/src/main/java/holdproxy/daemon/GenerationFile.java
@@ -10,13 +10,13 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** The number of a process's life, kept so that it grows though the wall clock may not. */
+/** A process's generation, kept so that it grows though the wall clock may not. */
 final class GenerationFile {
     private static final String NAME = "life";
 
     private GenerationFile() {}
 
-    /** That of the life that begins now: the wall clock's milliseconds, or one more than the last. */
+    /** The generation that begins now: the wall clock's milliseconds, or one more than the last. */
     static long next(Path folder, long wallMs) {
         Path file = folder.resolve(NAME);
         long last = 0;
@@ -26,7 +26,7 @@
             }
         } catch (IOException | NumberFormatException e) {
             throw new BadInput(
-                    "the number of the last life cannot be read from "
+                    "the last generation cannot be read from "
                             + file
                             + ": "
                             + e
@@ -47,7 +47,7 @@
             out.force(true);
             Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            throw new BadInput("the number of this life cannot be kept in " + file + ": " + e);
+            throw new BadInput("this generation cannot be kept in " + file + ": " + e);
         }
         return next;
     }
--- a/src/main/java/holdproxy/daemon/LeaseExercise.java
+++ b/src/main/java/holdproxy/daemon/LeaseExercise.java
@@ -15,21 +15,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The acts under a drill's duty: a line with the duty and the token to the guarded resource, which compares
+ * The acts under a drill's lease: a line with the lease and the token to the guarded resource, which compares
  * the token with those it has seen.
  */
 final class LeaseExercise {
     private static final int CONNECT_MS = 1_000;
 
     private final DaemonFile.Drill drill;
-    private final LeaseClient duties;
+    private final LeaseClient leases;
     private final EventLoop loop;
     private Channel resource;
     private boolean connecting;
 
-    LeaseExercise(DaemonFile.Drill drill, LeaseClient duties, EventLoop loop) {
+    LeaseExercise(DaemonFile.Drill drill, LeaseClient leases, EventLoop loop) {
         this.drill = drill;
-        this.duties = duties;
+        this.leases = leases;
         this.loop = loop;
     }
 
@@ -39,7 +39,7 @@
     }
 
     private void act() {
-        if (duties.mayAct(drill.duty()).isEmpty()) {
+        if (leases.mayAct(drill.role()).isEmpty()) {
             return;
         }
         if (resource == null || !resource.isActive()) {
@@ -49,10 +49,10 @@
         if (!resource.isWritable()) {
             return;
         }
-        LeaseClient.Act act = duties.begin(drill.duty());
+        LeaseClient.Act act = leases.begin(drill.role());
         resource.writeAndFlush(
                         Unpooled.copiedBuffer(
-                                drill.duty() + " " + act.token() + "\n", StandardCharsets.US_ASCII))
+                                drill.role() + " " + act.token() + "\n", StandardCharsets.US_ASCII))
                 .addListener(f -> act.close());
     }
 
--- a/src/main/java/holdproxy/lab/MembershipSimulation.java
+++ b/src/main/java/holdproxy/lab/MembershipSimulation.java
@@ -23,7 +23,7 @@
     private static final int MOST_FAULTS = 6;
     private static final double FIRST_FAULT_S = 4;
 
-    /** Wall clocks are about here; a start takes its life's number from them. */
+    /** Wall clocks are about here; a start takes its generation from them. */
     private static final long WALL_MS = 1_764_000_000_000L;
 
     private static final long HOUR_MS = 3_600_000;
@@ -145,7 +145,7 @@
             boolean blind = !sound() && BLINDING.containsAll(harms);
             if (subject.sound()
                     && subject.runs()
-                    && subject.rules.self().life() == change.now().life()
+                    && subject.rules.self().generation() == change.now().generation()
                     && (sound() || blind)) {
                 broken.add(
                         name
@@ -200,7 +200,7 @@
         this.safeguards = safeguards;
     }
 
-    /** A trial with faults. */
+    /** A simulation with faults. */
     static Outcome play(
             long seed, int processes, double seconds, Set<Membership.Safeguard> safeguards) {
         MembershipSimulation trial = new MembershipSimulation(seed, safeguards);
@@ -214,7 +214,7 @@
         return trial.outcome();
     }
 
-    /** A trial in which nothing happens. */
+    /** A simulation in which nothing happens. */
     static Outcome quiet(long seed, int processes, double seconds) {
         MembershipSimulation trial =
                 new MembershipSimulation(seed, EnumSet.allOf(Membership.Safeguard.class));
@@ -338,7 +338,7 @@
                 new Process(
                         one.name,
                         address(100 + processes.size()),
-                        Math.max(WALL_MS + time.nowUs() / 1000, one.rules.self().life() + 1));
+                        Math.max(WALL_MS + time.nowUs() / 1000, one.rules.self().generation() + 1));
         other.harms.add("new");
         processes.add(other);
     }
--- a/src/main/java/holdproxy/lease/Lease.java
+++ b/src/main/java/holdproxy/lease/Lease.java
@@ -1,17 +1,18 @@
 package holdproxy.lease;
 
 /**
- * A duty as the council has it.
+ * A lease as the voters have agreed on it.
  *
- * @param duty its name
- * @param token fencing token: no two grants of any duty have the same, later ones have higher ones
+ * @param role its name: what its holder does
+ * @param token fencing token: no two grants of any role have the same, later ones have higher ones
  * @param holder name of the process
- * @param life which of its lives
+ * @param generation its generation, which each start raises
  * @param ms length, from when the holder asked, in milliseconds
  * @param renewals how often it was renewed
  */
-public record Lease(String duty, long token, String holder, long life, int ms, long renewals) {
+public record Lease(
+        String role, long token, String holder, long generation, int ms, long renewals) {
     Lease renewed() {
-        return new Lease(duty, token, holder, life, ms, renewals + 1);
+        return new Lease(role, token, holder, generation, ms, renewals + 1);
     }
 }
--- a/src/main/java/holdproxy/lease/LeaseClient.java
+++ b/src/main/java/holdproxy/lease/LeaseClient.java
@@ -1,7 +1,7 @@
 package holdproxy.lease;
 
 import holdproxy.consensus.RaftGroup;
-import holdproxy.lease.LeaseTable.Word;
+import holdproxy.lease.LeaseTable.Outcome;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.HashMap;
@@ -15,7 +15,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A process's part in the duties: asks for those it wants, renews those it holds, stops by its own clock,
+ * A process's part in the leases: asks for those it wants, renews those it holds, stops by its own clock,
  * hands over when it ends; and, in a voter, proposes the end of leases that nobody has renewed. All calls are
  * on the host's one thread.
  *
@@ -34,13 +34,13 @@
     private static final long HAND_OVER_US = 1_000_000;
     private static final long LEAST_AGAIN_US = 20_000;
 
-    /** A safeguard that trials take away, to see that the judge finds it. */
+    /** A safeguard that simulations take away, to see that the judge finds it. */
     public enum Safeguard {
         /** The lease counts from before the asking, not from the answer. */
         FROM_ASKING,
         /** The own clock may be slow, others' fast. */
         BOUND,
-        /** The duty is given back after the last act's end, not before. */
+        /** The lease is given back after the last act's end, not before. */
         LAST_ACT
     }
 
@@ -52,17 +52,17 @@
         /** Runs a task so many microseconds later, on the one thread. */
         void after(long us, Runnable task);
 
-        /** Tells a process that a duty is free, or drops it. */
-        void tellFree(String name, String duty, long token);
+        /** Tells a process that a role is free, or drops it. */
+        void notifyFree(String name, String role, long token);
 
-        /** From now on this process holds a duty. */
-        void granted(String duty, long token);
+        /** From now on this process holds a lease. */
+        void granted(String role, long token);
 
         /** From now on it does not. */
-        void ended(String duty, long token, String why);
+        void ended(String role, long token, String why);
     }
 
-    /** An act under a duty; the duty is not given back before its end. */
+    /** An act under a lease; the lease is not given back before its end. */
     public final class Act implements AutoCloseable {
         private final Own own;
         private final long token;
@@ -94,9 +94,9 @@
         }
     }
 
-    /** A duty that this process wants. */
+    /** A role that this process wants to hold. */
     private static final class Own {
-        final String duty;
+        final String role;
         final int ms;
         long token;
         long seen;
@@ -106,15 +106,15 @@
         boolean asking;
         CompletableFuture<Void> giving;
 
-        Own(String duty, int ms) {
-            this.duty = duty;
+        Own(String role, int ms) {
+            this.role = role;
             this.ms = ms;
         }
     }
 
     private final String name;
-    private final long life;
-    private final RaftGroup council;
+    private final long generation;
+    private final RaftGroup group;
     private final LeaseTable table;
     private final Host host;
     private final Random random;
@@ -124,30 +124,35 @@
     /** In a voter: since when, by its own clock, each lease is as it is. */
     private final Map<String, Long> sinceUs = new HashMap<>();
 
-    /** In a voter: who was told that a duty is taken, and would hear of its end. */
+    /** In a voter: who was told that a lease is taken, and would hear of its end. */
     private final Map<String, Set<String>> waiting = new HashMap<>();
 
     private final Set<String> watched = new LinkedHashSet<>();
     private boolean ending;
 
-    /** {@code table}: what this process's council keeps, if it votes. */
+    /** {@code table}: what this process's consensus group keeps, if it votes. */
     public LeaseClient(
-            String name, long life, RaftGroup council, LeaseTable table, Host host, Random random) {
-        this(name, life, council, table, host, random, EnumSet.allOf(Safeguard.class));
+            String name,
+            long generation,
+            RaftGroup group,
+            LeaseTable table,
+            Host host,
+            Random random) {
+        this(name, generation, group, table, host, random, EnumSet.allOf(Safeguard.class));
     }
 
-    /** For trials: with these safeguards alone. */
+    /** For simulations: with these safeguards alone. */
     public LeaseClient(
             String name,
-            long life,
-            RaftGroup council,
+            long generation,
+            RaftGroup group,
             LeaseTable table,
             Host host,
             Random random,
             Set<Safeguard> safeguards) {
         this.name = name;
-        this.life = life;
-        this.council = council;
+        this.generation = generation;
+        this.group = group;
         this.table = table;
         this.host = host;
         this.random = random;
@@ -158,24 +163,24 @@
 
     // ---- what the process does with them ----
 
-    /** From now on this process asks for a duty whenever it is free, for leases of so many milliseconds. */
-    public void want(String duty, int ms) {
-        Own own = new Own(duty, ms);
-        if (wanted.putIfAbsent(duty, own) == null) {
+    /** From now on this process asks for a role whenever it is free, for leases of so many milliseconds. */
+    public void want(String role, int ms) {
+        Own own = new Own(role, ms);
+        if (wanted.putIfAbsent(role, own) == null) {
             ask(own);
         }
     }
 
     /** The token under which this process may act now; empty: it may not. To be asked before every act. */
-    public OptionalLong mayAct(String duty) {
-        Own own = wanted.get(duty);
+    public OptionalLong mayAct(String role) {
+        Own own = wanted.get(role);
         boolean may = own != null && own.holds && own.giving == null && host.nowUs() < own.untilUs;
         return may ? OptionalLong.of(own.token) : OptionalLong.empty();
     }
 
     /** Begins an act; null where it may not. */
-    public Act begin(String duty) {
-        return mayAct(duty).isPresent() ? new Act(wanted.get(duty)) : null;
+    public Act begin(String role) {
+        return mayAct(role).isPresent() ? new Act(wanted.get(role)) : null;
     }
 
     /** The process ends: what it holds is given back once its acts are over; completes when that is done. */
@@ -203,8 +208,8 @@
         }
         long token = own.token;
         own.holds = false;
-        host.ended(own.duty, token, "handed over");
-        council.propose(LeaseTable.release(own.duty, token), HAND_OVER_US)
+        host.ended(own.role, token, "handed over");
+        group.propose(LeaseTable.release(own.role, token), HAND_OVER_US)
                 .whenComplete((answer, failed) -> own.giving.complete(null));
     }
 
@@ -216,7 +221,7 @@
         }
         own.asking = true;
         long askedUs = host.nowUs();
-        council.propose(LeaseTable.ask(own.duty, name, life, own.ms, own.seen), own.ms * MS)
+        group.propose(LeaseTable.ask(own.role, name, generation, own.ms, own.seen), own.ms * MS)
                 .whenComplete(
                         (answer, failed) -> {
                             own.asking = false;
@@ -224,9 +229,9 @@
                                 again(own, askedUs);
                                 return;
                             }
-                            List<?> words = (List<?>) answer;
-                            long token = ((Number) words.get(1)).longValue();
-                            switch (Word.valueOf((String) words.get(0))) {
+                            List<?> parts = (List<?>) answer;
+                            long token = ((Number) parts.get(1)).longValue();
+                            switch (Outcome.valueOf((String) parts.get(0))) {
                                 case HELD -> held(own, token, askedUs);
                                 case FREE -> {
                                     own.seen = token;
@@ -258,7 +263,7 @@
     private void held(Own own, long token, long askedUs) {
         if (ending) {
             // it was asked for before the end, and is of no use any more
-            council.propose(LeaseTable.release(own.duty, token), HAND_OVER_US);
+            group.propose(LeaseTable.release(own.role, token), HAND_OVER_US);
             return;
         }
         own.token = token;
@@ -270,7 +275,7 @@
             return;
         }
         own.holds = true;
-        host.granted(own.duty, token);
+        host.granted(own.role, token);
         host.after(own.ms * MS / 3, () -> renew(own, token));
         stopInTime(own, token);
     }
@@ -280,15 +285,15 @@
             return;
         }
         long askedUs = host.nowUs();
-        council.propose(LeaseTable.renew(own.duty, token), own.ms * MS / 3)
+        group.propose(LeaseTable.renew(own.role, token), own.ms * MS / 3)
                 .whenComplete(
                         (answer, failed) -> {
                             if (!own.holds || own.token != token) {
                                 return;
                             }
                             if (failed == null
-                                    && !Word.HELD.name().equals(((List<?>) answer).get(0))) {
-                                end(own, "the council has ended it");
+                                    && !Outcome.HELD.name().equals(((List<?>) answer).get(0))) {
+                                end(own, "the consensus group has ended it");
                                 ask(own);
                             } else if (failed == null) {
                                 own.untilUs = Math.max(own.untilUs, lastsUs(own, askedUs));
@@ -321,15 +326,15 @@
 
     private void end(Own own, String why) {
         own.holds = false;
-        host.ended(own.duty, own.token, why);
+        host.ended(own.role, own.token, why);
         if (own.giving != null && own.acts == 0) {
             own.giving.complete(null);
         }
     }
 
-    /** Whoever leads says that a duty is free. */
-    public void toldFree(String duty, long token) {
-        Own own = wanted.get(duty);
+    /** Whoever leads says that a role is free. */
+    public void notifiedFree(String role, long token) {
+        Own own = wanted.get(role);
         if (own != null && !own.holds && token >= own.seen) {
             own.seen = token;
             ask(own);
@@ -338,46 +343,46 @@
 
     // ---- in a voter ----
 
-    /** Every voter knows who was refused; whoever leads when the duty ends tells them. */
-    private void waits(String duty, String who) {
-        Set<String> all = waiting.computeIfAbsent(duty, d -> new LinkedHashSet<>());
+    /** Every voter knows who was refused; whoever leads when the lease ends tells them. */
+    private void waits(String role, String who) {
+        Set<String> all = waiting.computeIfAbsent(role, d -> new LinkedHashSet<>());
         if (all.size() < MOST_WAITING) {
             all.add(who);
         }
     }
 
-    private void changed(String duty) {
-        Lease lease = table.lease(duty);
+    private void changed(String role) {
+        Lease lease = table.lease(role);
         if (lease != null) {
-            sinceUs.put(duty, host.nowUs());
-            watch(duty);
+            sinceUs.put(role, host.nowUs());
+            watch(role);
             return;
         }
-        sinceUs.remove(duty);
-        Set<String> all = waiting.remove(duty);
-        if (all != null && council.leads()) {
-            all.forEach(who -> host.tellFree(who, duty, table.lastToken(duty)));
+        sinceUs.remove(role);
+        Set<String> all = waiting.remove(role);
+        if (all != null && group.leads()) {
+            all.forEach(who -> host.notifyFree(who, role, table.lastToken(role)));
         }
     }
 
-    private void watch(String duty) {
-        if (watched.add(duty)) {
-            look(duty);
+    private void watch(String role) {
+        if (watched.add(role)) {
+            look(role);
         }
     }
 
-    private void look(String duty) {
-        Lease lease = table.lease(duty);
+    private void look(String role) {
+        Lease lease = table.lease(role);
         if (lease == null) {
-            watched.remove(duty);
+            watched.remove(role);
             return;
         }
         double part = safeguards.contains(Safeguard.BOUND) ? 1 + CLOCK_BOUND : 1;
-        long endsUs = sinceUs.get(duty) + (long) (lease.ms() * MS * part);
+        long endsUs = sinceUs.get(role) + (long) (lease.ms() * MS * part);
         long nowUs = host.nowUs();
-        if (nowUs >= endsUs && council.leads()) {
-            council.propose(LeaseTable.expire(lease), lease.ms() * MS);
+        if (nowUs >= endsUs && group.leads()) {
+            group.propose(LeaseTable.expire(lease), lease.ms() * MS);
         }
-        host.after(nowUs >= endsUs ? LEAST_AGAIN_US * 5 : endsUs - nowUs + 1, () -> look(duty));
+        host.after(nowUs >= endsUs ? LEAST_AGAIN_US * 5 : endsUs - nowUs + 1, () -> look(role));
     }
 }
--- a/src/main/java/holdproxy/lease/LeaseTable.java
+++ b/src/main/java/holdproxy/lease/LeaseTable.java
@@ -11,18 +11,18 @@
 import java.util.function.Consumer;
 
 /**
- * Who holds which duty: what the council agrees on, the same in every voter. No clock is read here: a lease
+ * Who holds which role: what the voters agree on, the same in each. No clock is read here: a lease
  * ends when somebody who has waited for long enough proposes so, and it has not been renewed meanwhile.
  *
  * <p>Asking and releasing name the token that was seen, so that an operation which arrives late, or twice,
  * changes nothing.
  */
 public final class LeaseTable implements StateMachine {
-    /** Leases at most; names are the program's own and operators'. */
-    public static final int MOST_DUTIES = 1_000;
+    /** Roles at most; names are the program's own and operators'. */
+    public static final int MOST_ROLES = 1_000;
 
     /** What an operation came to. */
-    public enum Word {
+    public enum Outcome {
         /** The asker holds it: token, renewals. */
         HELD,
         /** Somebody else does: token, holder. */
@@ -37,26 +37,26 @@
 
     private final Map<String, Lease> held = new TreeMap<>();
 
-    /** The last token of each duty that was ever held. */
+    /** The last token of each role that was ever held. */
     private final Map<String, Long> last = new TreeMap<>();
 
     private long tokens;
-    private Consumer<String> changed = duty -> {};
-    private BiConsumer<String, String> refused = (duty, name) -> {};
+    private Consumer<String> changed = role -> {};
+    private BiConsumer<String, String> refused = (role, name) -> {};
 
-    /** {@code listener} hears of each duty that is granted, renewed or ended, in the order of the log. */
+    /** {@code listener} hears of each role that is granted, renewed or ended, in the order of the log. */
     public void onChange(Consumer<String> listener) {
         changed = listener;
     }
 
-    /** {@code listener} hears who asked for a duty, named first, that somebody else has. */
+    /** {@code listener} hears who asked for a role, named first, that somebody else holds. */
     public void onRefused(BiConsumer<String, String> listener) {
         refused = listener;
     }
 
     /** Null: nobody has it. */
-    public Lease lease(String duty) {
-        return held.get(duty);
+    public Lease lease(String role) {
+        return held.get(role);
     }
 
     /** All that are held. */
@@ -64,45 +64,45 @@
         return List.copyOf(held.values());
     }
 
-    /** The token under which a duty was last held; 0: it never was. */
-    public long lastToken(String duty) {
-        return last.getOrDefault(duty, 0L);
+    /** The token under which a role was last held; 0: it never was. */
+    public long lastToken(String role) {
+        return last.getOrDefault(role, 0L);
     }
 
     // ---- operations ----
 
-    static List<Object> ask(String duty, String name, long life, int ms, long seen) {
-        return Arrays.asList("ask", duty, name, life, ms, seen);
+    static List<Object> ask(String role, String name, long generation, int ms, long seen) {
+        return Arrays.asList("ask", role, name, generation, ms, seen);
     }
 
-    static List<Object> renew(String duty, long token) {
-        return Arrays.asList("renew", duty, token);
+    static List<Object> renew(String role, long token) {
+        return Arrays.asList("renew", role, token);
     }
 
-    static List<Object> release(String duty, long token) {
-        return Arrays.asList("release", duty, token);
+    static List<Object> release(String role, long token) {
+        return Arrays.asList("release", role, token);
     }
 
     static List<Object> expire(Lease lease) {
-        return Arrays.asList("expire", lease.duty(), lease.token(), lease.renewals());
+        return Arrays.asList("expire", lease.role(), lease.token(), lease.renewals());
     }
 
     @Override
     public Object apply(long index, Object operation) {
         List<?> op = (List<?>) operation;
-        String duty = (String) op.get(1);
+        String role = (String) op.get(1);
         return switch ((String) op.get(0)) {
             case "ask" ->
                     asked(
-                            duty,
+                            role,
                             (String) op.get(2),
                             number(op, 3),
                             (int) number(op, 4),
                             number(op, 5));
-            case "renew" -> renewed(duty, number(op, 2));
-            case "release" -> ended(duty, number(op, 2), -1);
-            case "expire" -> ended(duty, number(op, 2), number(op, 3));
-            default -> throw new BadInput("no operation on duties is called " + op.get(0));
+            case "renew" -> renewed(role, number(op, 2));
+            case "release" -> ended(role, number(op, 2), -1);
+            case "expire" -> ended(role, number(op, 2), number(op, 3));
+            default -> throw new BadInput("no operation on leases is called " + op.get(0));
         };
     }
 
@@ -111,65 +111,66 @@
     public Object atOnce(Object operation) {
         List<?> op = (List<?>) operation;
         Lease lease = op.get(0).equals("ask") ? held.get(op.get(1)) : null;
-        if (lease == null || lease.holder().equals(op.get(2)) && lease.life() == number(op, 3)) {
+        if (lease == null
+                || lease.holder().equals(op.get(2)) && lease.generation() == number(op, 3)) {
             return null;
         }
-        refused.accept(lease.duty(), (String) op.get(2));
-        return answer(Word.TAKEN, lease.token(), lease.holder());
+        refused.accept(lease.role(), (String) op.get(2));
+        return answer(Outcome.TAKEN, lease.token(), lease.holder());
     }
 
     private static long number(List<?> op, int i) {
         return ((Number) op.get(i)).longValue();
     }
 
-    private static List<Object> answer(Word word, Object... parts) {
+    private static List<Object> answer(Outcome outcome, Object... parts) {
         List<Object> answer = new ArrayList<>();
-        answer.add(word.name());
+        answer.add(outcome.name());
         answer.addAll(Arrays.asList(parts));
         return answer;
     }
 
-    private List<Object> asked(String duty, String name, long life, int ms, long seen) {
-        Lease lease = held.get(duty);
+    private List<Object> asked(String role, String name, long generation, int ms, long seen) {
+        Lease lease = held.get(role);
         if (lease != null) {
-            boolean own = lease.holder().equals(name) && lease.life() == life;
+            boolean own = lease.holder().equals(name) && lease.generation() == generation;
             if (own) {
                 // who asks again counts from then, and so do the voters
-                return renewed(duty, lease.token());
+                return renewed(role, lease.token());
             }
-            refused.accept(duty, name);
-            return answer(Word.TAKEN, lease.token(), lease.holder());
+            refused.accept(role, name);
+            return answer(Outcome.TAKEN, lease.token(), lease.holder());
         }
-        if (lastToken(duty) != seen || last.size() >= MOST_DUTIES && !last.containsKey(duty)) {
-            return answer(Word.FREE, lastToken(duty));
+        if (lastToken(role) != seen || last.size() >= MOST_ROLES && !last.containsKey(role)) {
+            return answer(Outcome.FREE, lastToken(role));
         }
         tokens++;
-        held.put(duty, new Lease(duty, tokens, name, life, ms, 0));
-        last.put(duty, tokens);
-        changed.accept(duty);
-        return answer(Word.HELD, tokens, 0L);
+        held.put(role, new Lease(role, tokens, name, generation, ms, 0));
+        last.put(role, tokens);
+        changed.accept(role);
+        return answer(Outcome.HELD, tokens, 0L);
     }
 
-    private List<Object> renewed(String duty, long token) {
-        Lease lease = held.get(duty);
+    private List<Object> renewed(String role, long token) {
+        Lease lease = held.get(role);
         if (lease == null || lease.token() != token) {
-            return answer(Word.ENDED);
+            return answer(Outcome.ENDED);
         }
-        held.put(duty, lease.renewed());
-        changed.accept(duty);
-        return answer(Word.HELD, token, lease.renewals() + 1);
+        held.put(role, lease.renewed());
+        changed.accept(role);
+        return answer(Outcome.HELD, token, lease.renewals() + 1);
     }
 
-    private List<Object> ended(String duty, long token, long renewals) {
-        Lease lease = held.get(duty);
+    private List<Object> ended(String role, long token, long renewals) {
+        Lease lease = held.get(role);
         if (lease == null
                 || lease.token() != token
                 || renewals >= 0 && lease.renewals() != renewals) {
-            return answer(Word.UNCHANGED);
+            return answer(Outcome.UNCHANGED);
         }
-        held.remove(duty);
-        changed.accept(duty);
-        return answer(Word.ENDED);
+        held.remove(role);
+        changed.accept(role);
+        return answer(Outcome.ENDED);
     }
 
     // ---- snapshots ----
@@ -189,14 +190,14 @@
                         l ->
                                 leases.add(
                                         Arrays.asList(
-                                                l.duty(),
+                                                l.role(),
                                                 l.token(),
                                                 l.holder(),
-                                                l.life(),
+                                                l.generation(),
                                                 l.ms(),
                                                 l.renewals())));
         List<Object> lasts = new ArrayList<>();
-        last.forEach((duty, token) -> lasts.add(Arrays.asList(duty, token)));
+        last.forEach((role, token) -> lasts.add(Arrays.asList(role, token)));
         return List.of(Arrays.asList(tokens, leases, lasts));
     }
 
--- a/src/main/java/holdproxy/membership/Gossip.java
+++ b/src/main/java/holdproxy/membership/Gossip.java
@@ -6,28 +6,30 @@
 import java.util.List;
 import java.util.Map;
 
-/** Words of others that have not gone round yet, each passed on so often and then no more. */
+/** Updates that still have to be passed on, each so many times and then no more. */
 final class Gossip {
     private static final class Update {
-        final Member word;
+        final Member member;
         int sent;
 
-        Update(Member word) {
-            this.word = word;
+        Update(Member member) {
+            this.member = member;
         }
     }
 
     private final Map<String, Update> all = new LinkedHashMap<>();
 
-    /** To be passed on; what it replaces no longer is. */
-    void add(Member word) {
-        all.values()
-                .removeIf(
-                        r ->
-                                r.word.name().equals(word.name())
-                                        && !r.word.sameWord(word)
-                                        && word.replaces(r.word));
-        all.put(word.name() + " " + word.by() + " " + word.state(), new Update(word));
+    /** To be passed on; updates that it replaces no longer are. */
+    void add(Member member) {
+        all.values().removeIf(update -> isReplaced(update.member, member));
+        String key = member.name() + " " + member.by() + " " + member.state();
+        all.put(key, new Update(member));
+    }
+
+    private static boolean isReplaced(Member earlier, Member later) {
+        return earlier.name().equals(later.name())
+                && !earlier.sameIncarnation(later)
+                && later.replaces(earlier);
     }
 
     /** So many at most, the least passed on first, and before them what the receiver is to hear of itself. */
@@ -35,13 +37,14 @@
         List<Update> least = new ArrayList<>(all.values());
         least.sort(
                 Comparator.comparingInt(
-                        (Update r) -> r.word.name().equals(receiver) ? -1 : r.sent));
-        List<Member> words = new ArrayList<>();
+                        (Update update) ->
+                                update.member.name().equals(receiver) ? -1 : update.sent));
+        List<Member> members = new ArrayList<>();
         for (Update each : least.subList(0, Math.min(least.size(), most))) {
-            words.add(each.word);
+            members.add(each.member);
             each.sent++;
         }
-        all.values().removeIf(r -> r.sent >= rounds);
-        return words;
+        all.values().removeIf(update -> update.sent >= rounds);
+        return members;
     }
 }
--- a/src/main/java/holdproxy/membership/Member.java
+++ b/src/main/java/holdproxy/membership/Member.java
@@ -3,16 +3,16 @@
 /**
  * What is known of one process of the fleet.
  *
- * @param name of the process, the same over all its lives
+ * @param name of the process, the same over all its generations
  * @param address where it says it is reached
- * @param life which of its lives: a later start has a higher number
- * @param incarnation grows within a life each time that it contradicts others' word of it
+ * @param generation its generation, which each start raises: a later start has a higher number
+ * @param incarnation grows within a generation each time that it contradicts what others say of it
  * @param state what it is held for
- * @param by whose word that is; the process's own name while it is alive or has left
+ * @param who said so; the process's own name while it is alive or has left
  */
 public record Member(
-        String name, String address, long life, int incarnation, State state, String by) {
-    /** In the order in which words of the same incarnation replace each other. */
+        String name, String address, long generation, int incarnation, State state, String by) {
+    /** In the order in which updates of the same incarnation replace each other. */
     public enum State {
         ALIVE,
         /** Somebody could not reach it; it lives unless nobody can. */
@@ -28,10 +28,10 @@
         return state == State.ALIVE || state == State.SUSPECT;
     }
 
-    /** Whether this replaces another word of the same process. */
+    /** Whether this replaces another update of the same process. */
     boolean replaces(Member other) {
-        if (life != other.life) {
-            return life > other.life;
+        if (generation != other.generation) {
+            return generation > other.generation;
         }
         if (incarnation != other.incarnation) {
             return incarnation > other.incarnation;
@@ -39,12 +39,12 @@
         return state.ordinal() > other.state.ordinal();
     }
 
-    /** Whether both are of one life and incarnation. */
-    boolean sameWord(Member other) {
-        return life == other.life && incarnation == other.incarnation;
+    /** Whether both are of one generation and incarnation. */
+    boolean sameIncarnation(Member other) {
+        return generation == other.generation && incarnation == other.incarnation;
     }
 
     Member as(State now, String saidBy) {
-        return new Member(name, address, life, incarnation, now, saidBy);
+        return new Member(name, address, generation, incarnation, now, saidBy);
     }
 }
--- a/src/main/java/holdproxy/membership/Membership.java
+++ b/src/main/java/holdproxy/membership/Membership.java
@@ -23,7 +23,7 @@
  * <p>SWIM with Lifeguard's refinements, and one of its own, since a process that is cut off must not talk
  * others dead: a verdict takes a last question, which others answer and the suspect does not.
  *
- * <p>Bounded: {@link #MOST_MEMBERS} processes, messages of {@link Settings#newsPerMessage} words.
+ * <p>Bounded: {@link #MOST_MEMBERS} processes, messages of {@link Settings#updatesPerMessage} updates.
  */
 public final class Membership {
     public static final int MOST_MEMBERS = 1000;
@@ -36,7 +36,7 @@
     private static final long SETTLED_US = 2_000_000;
     private static final long FORGET_US = 600_000_000;
 
-    /** A rule that trials take away, to see what it is for. */
+    /** A rule that simulations take away, to see what it is for. */
     public enum Safeguard {
         /** Who has no answer from others either passes no judgement. */
         LAST_QUESTION,
@@ -51,7 +51,7 @@
 
         void changed(Change change);
 
-        /** Another life of this name has begun elsewhere, and is newer: this one is out of the fleet. */
+        /** A newer generation of this name runs elsewhere: this process is out of the fleet. */
         void superseded(Member by);
     }
 
@@ -64,8 +64,8 @@
      * @param suspicionPeriods that a suspicion lasts at least, times the decimal logarithm of the fleet
      * @param suspicionSpread how many times as long it lasts with a single voice
      * @param voices further ones that bring it down to the least
-     * @param newsPerMessage words that go along with a message
-     * @param newsRounds that a word is passed on, times the binary logarithm of the fleet
+     * @param updatesPerMessage updates that go along with a message
+     * @param gossipRounds that an update is passed on, times the binary logarithm of the fleet
      */
     public record Settings(
             long periodUs,
@@ -74,8 +74,8 @@
             double suspicionPeriods,
             double suspicionSpread,
             int voices,
-            int newsPerMessage,
-            int newsRounds) {
+            int updatesPerMessage,
+            int gossipRounds) {
         public static final Settings USUAL = new Settings(500_000, 200_000, 3, 4, 4, 3, 8, 3);
     }
 
@@ -140,14 +140,14 @@
     /**
      * Of a process that begins now.
      *
-     * @param life higher than that of any start before, as far as the process can tell
+     * @param generation higher than that of any start before, as far as the process can tell
      * @param seeds addresses at which others may be found, its own among them or not
      */
     public Membership(
             Settings settings,
             String name,
             String address,
-            long life,
+            long generation,
             List<String> seeds,
             Random random,
             long nowUs,
@@ -156,7 +156,7 @@
                 settings,
                 name,
                 address,
-                life,
+                generation,
                 seeds,
                 random,
                 nowUs,
@@ -164,12 +164,12 @@
                 EnumSet.allOf(Safeguard.class));
     }
 
-    /** For trials: with these rules alone. */
+    /** For simulations: with these rules alone. */
     public Membership(
             Settings settings,
             String name,
             String address,
-            long life,
+            long generation,
             List<String> seeds,
             Random random,
             long nowUs,
@@ -180,7 +180,7 @@
         this.random = random;
         this.out = out;
         this.safeguards = safeguards;
-        self = new Member(name, address, life, 0, State.ALIVE, name);
+        self = new Member(name, address, generation, 0, State.ALIVE, name);
         joinUs = nowUs;
         reconnectUs = nowUs + RECONNECT_US;
         probeEndUs = nowUs + random.nextInt((int) settings.periodUs);
@@ -384,18 +384,18 @@
 
     // ---- suspicion ----
 
-    private void suspected(Entry entry, Member word, long nowUs) {
+    private void suspected(Entry entry, Member update, long nowUs) {
         Member before = entry.member;
         if (before.state() != State.SUSPECT) {
             entry.suspectedUs = nowUs;
             entry.lastSeq = 0;
             entry.suspectedBy.clear();
-            hold(entry, word);
+            hold(entry, update);
         }
         boolean isNew =
-                entry.suspectedBy.size() <= settings.voices && entry.suspectedBy.add(word.by());
+                entry.suspectedBy.size() <= settings.voices && entry.suspectedBy.add(update.by());
         if (isNew) {
-            gossip.add(word);
+            gossip.add(update);
         }
         if (before.state() != State.SUSPECT) {
             changed(before, entry, 1, nowUs);
@@ -452,11 +452,11 @@
         return 2 * settings.timeoutUs * (1 + health);
     }
 
-    private void died(Entry entry, Member word, long nowUs) {
+    private void died(Entry entry, Member update, long nowUs) {
         Member before = entry.member;
-        hold(entry, word);
+        hold(entry, update);
         entry.overUs = nowUs;
-        gossip.add(word);
+        gossip.add(update);
         changed(before, entry, entry.suspectedBy.size(), nowUs);
     }
 
@@ -466,7 +466,7 @@
     public void received(long nowUs, Message message) {
         if (over
                 || message.sender().name().equals(self.name())
-                        && message.sender().life() == self.life()) {
+                        && message.sender().generation() == self.generation()) {
             return;
         }
         if (message.sender().name().equals(self.name())) {
@@ -475,8 +475,9 @@
         }
         learn(message.sender(), nowUs);
         Entry sender = entries.get(message.sender().name());
-        if (sender == null || sender.member.life() > message.sender().life()) {
-            // there are too many, or a life that is over still talks; it is told who lives
+        if (sender == null || sender.member.generation() > message.sender().generation()) {
+            // there are too many, or a generation that is over still talks; it is told who
+            // generations
             if (sender != null) {
                 out.send(
                         null,
@@ -487,7 +488,7 @@
         }
         sender.heardUs = nowUs;
         lastHeardUs = nowUs;
-        message.news().forEach(word -> learn(word, nowUs));
+        message.updates().forEach(update -> learn(update, nowUs));
         if (over) {
             return;
         }
@@ -515,7 +516,7 @@
                 }
             }
             case ASK_VIEW -> tellAll(sender, message.seq());
-            default -> joined = true; // a view: it was taken with the news
+            default -> joined = true; // a view: its updates were taken above
         }
     }
 
@@ -564,7 +565,7 @@
     private void tellAll(Member to, long number) {
         List<Member> all = new ArrayList<>();
         entries.values().forEach(e -> all.add(e.member));
-        // first what the asker is held for: it may be told of a later life than it has
+        // first what the asker is held for: it may be told of a later generation than it has
         int asker = all.indexOf(to);
         if (asker > 0) {
             Collections.swap(all, 0, asker);
@@ -581,63 +582,63 @@
         }
     }
 
-    private void learn(Member word, long nowUs) {
-        if (word.name().equals(self.name())) {
-            ofSelf(word, nowUs);
+    private void learn(Member update, long nowUs) {
+        if (update.name().equals(self.name())) {
+            ofSelf(update, nowUs);
             return;
         }
-        Entry entry = entries.get(word.name());
+        Entry entry = entries.get(update.name());
         if (entry == null) {
-            if (word.live() && entries.size() < MOST_MEMBERS) {
-                entry = new Entry(word);
-                othersDigest += of(word);
+            if (update.live() && entries.size() < MOST_MEMBERS) {
+                entry = new Entry(update);
+                othersDigest += of(update);
                 entry.suspectedUs = nowUs;
-                entries.put(word.name(), entry);
-                if (word.state() == State.SUSPECT) {
-                    entry.suspectedBy.add(word.by());
+                entries.put(update.name(), entry);
+                if (update.state() == State.SUSPECT) {
+                    entry.suspectedBy.add(update.by());
                 }
-                round.add(round.isEmpty() ? 0 : random.nextInt(round.size() + 1), word.name());
-                gossip.add(word);
+                round.add(round.isEmpty() ? 0 : random.nextInt(round.size() + 1), update.name());
+                gossip.add(update);
                 changed(null, entry, 1, nowUs);
             }
             return;
         }
         Member held = entry.member;
-        if (word.sameWord(held) && held.live() && word.state() == State.SUSPECT) {
-            suspected(entry, word, nowUs);
-        } else if (word.replaces(held)) {
-            replaced(entry, word, nowUs);
+        if (update.sameIncarnation(held) && held.live() && update.state() == State.SUSPECT) {
+            suspected(entry, update, nowUs);
+        } else if (update.replaces(held)) {
+            replaced(entry, update, nowUs);
         }
     }
 
-    private void replaced(Entry entry, Member word, long nowUs) {
+    private void replaced(Entry entry, Member update, long nowUs) {
         Member before = entry.member;
-        hold(entry, word);
+        hold(entry, update);
         entry.suspectedBy.clear();
         entry.suspectedUs = nowUs;
         entry.lastSeq = 0;
-        if (word.state() == State.SUSPECT) {
-            entry.suspectedBy.add(word.by());
+        if (update.state() == State.SUSPECT) {
+            entry.suspectedBy.add(update.by());
         }
-        if (!word.live()) {
+        if (!update.live()) {
             entry.overUs = nowUs;
         }
-        gossip.add(word);
+        gossip.add(update);
         boolean seen =
-                before.state() != word.state()
-                        || before.life() != word.life()
-                        || !before.address().equals(word.address());
+                before.state() != update.state()
+                        || before.generation() != update.generation()
+                        || !before.address().equals(update.address());
         if (seen) {
             changed(before, entry, 1, nowUs);
         }
     }
 
-    /** Somebody's word of this process. */
-    private void ofSelf(Member word, long nowUs) {
-        if (word.life() > self.life()) {
+    /** An update about this process. */
+    private void ofSelf(Member update, long nowUs) {
+        if (update.generation() > self.generation()) {
             if (joined) {
                 over = true;
-                out.superseded(word);
+                out.superseded(update);
             } else {
                 // the wall clock went back, or the disk is gone: this start is the later one all
                 // the same
@@ -645,24 +646,24 @@
                         new Member(
                                 self.name(),
                                 self.address(),
-                                word.life() + 1,
+                                update.generation() + 1,
                                 0,
                                 State.ALIVE,
                                 self.name());
                 joinUs = nowUs;
             }
-        } else if (word.life() < self.life()) {
+        } else if (update.generation() < self.generation()) {
             gossip.add(self);
-        } else if (word.state() != State.ALIVE
-                && word.incarnation() >= self.incarnation()
+        } else if (update.state() != State.ALIVE
+                && update.incarnation() >= self.incarnation()
                 && self.state() == State.ALIVE
                 && safeguards.contains(Safeguard.REFUTATION)) {
             self =
                     new Member(
                             self.name(),
                             self.address(),
-                            self.life(),
-                            word.incarnation() + 1,
+                            self.generation(),
+                            update.incarnation() + 1,
                             State.ALIVE,
                             self.name());
             worse(1);
@@ -673,11 +674,11 @@
     /** Another process of this name: the earlier of the two goes, and tells the later whom it knows. */
     private void namesake(long nowUs, Message message) {
         Member other = message.sender();
-        if (other.life() > self.life()) {
+        if (other.generation() > self.generation()) {
             tellAll(new Member("", other.address(), 0, 0, State.ALIVE, ""), message.seq());
             ofSelf(other, nowUs);
         } else if (message.kind() == Kind.VIEW) {
-            message.news().forEach(word -> learn(word, nowUs));
+            message.updates().forEach(update -> learn(update, nowUs));
             due(Math.min(nowUs, dueUs));
         } else {
             out.send(null, other.address(), message(Kind.VIEW, message.seq(), "", List.of(self)));
@@ -695,11 +696,11 @@
                 new Member(
                         self.name(),
                         self.address(),
-                        self.life(),
+                        self.generation(),
                         self.incarnation() + 1,
                         State.LEFT,
                         self.name());
-        for (Member member : some(settings.newsRounds * log2(), "")) {
+        for (Member member : some(settings.gossipRounds * log2(), "")) {
             out.send(member.name(), member.address(), message(Kind.NACK, 0, "", List.of(self)));
         }
         over = true;
@@ -711,21 +712,24 @@
     }
 
     /** What goes round, and what the receiver has to hear: that it is suspected. */
-    private List<Member> newsFor(String to) {
-        List<Member> words = gossip.next(to, settings.newsPerMessage, settings.newsRounds * log2());
+    private List<Member> updatesFor(String to) {
+        List<Member> updates =
+                gossip.next(to, settings.updatesPerMessage, settings.gossipRounds * log2());
         Entry entry = entries.get(to);
-        if (entry != null && entry.member.state() != State.ALIVE && !words.contains(entry.member)) {
-            words.add(entry.member);
+        if (entry != null
+                && entry.member.state() != State.ALIVE
+                && !updates.contains(entry.member)) {
+            updates.add(entry.member);
         }
-        return words;
+        return updates;
     }
 
     private void send(Member to, Kind kind, long number, String target) {
-        out.send(to.name(), to.address(), message(kind, number, target, newsFor(to.name())));
+        out.send(to.name(), to.address(), message(kind, number, target, updatesFor(to.name())));
     }
 
-    private Message message(Kind kind, long number, String target, List<Member> words) {
-        return new Message(kind, number, target, digest(), self, words);
+    private Message message(Kind kind, long number, String target, List<Member> updates) {
+        return new Message(kind, number, target, digest(), self, updates);
     }
 
     private int live() {
@@ -745,16 +749,16 @@
         return othersDigest + of(self);
     }
 
-    private void hold(Entry entry, Member word) {
+    private void hold(Entry entry, Member update) {
         othersDigest -= entry.member.live() ? of(entry.member) : 0;
-        entry.member = word;
-        othersDigest += word.live() ? of(word) : 0;
+        entry.member = update;
+        othersDigest += update.live() ? of(update) : 0;
     }
 
     private static long of(Member member) {
         CRC32C crc = new CRC32C();
         crc.update(
-                (member.name() + " " + member.life() + " " + member.incarnation())
+                (member.name() + " " + member.generation() + " " + member.incarnation())
                         .getBytes(StandardCharsets.UTF_8));
         return crc.getValue();
     }
--- a/src/main/java/holdproxy/membership/MembershipService.java
+++ b/src/main/java/holdproxy/membership/MembershipService.java
@@ -48,7 +48,7 @@
     public interface Listener {
         void changed(Change change);
 
-        /** A later life of this name runs elsewhere: this process is out of the fleet, and serves alone. */
+        /** A later generation of this name runs elsewhere: this one is out of the fleet. */
         void superseded(Member by);
 
         /** What this process has sent to others since its start, and what it could not send. */
@@ -58,7 +58,7 @@
         void line(String text);
     }
 
-    /** The kind of frame that the council's and the duties' are. */
+    /** The kind of frame that the consensus group's and the leases' are. */
     public static final int CONSENSUS = 2;
 
     private final EventLoop loop =
@@ -82,22 +82,22 @@
      */
     public static MembershipService start(
             Place place,
-            long life,
+            long generation,
             Function<String, InetSocketAddress> addresses,
             Listener listener) {
-        MembershipService peers = new MembershipService(place, addresses, listener);
+        MembershipService service = new MembershipService(place, addresses, listener);
         try {
-            peers.loop.submit(() -> peers.begin(place, life)).get();
-            peers.loop.scheduleAtFixedRate(
+            service.loop.submit(() -> service.begin(place, generation)).get();
+            service.loop.scheduleAtFixedRate(
                     () ->
                             listener.sent(
-                                    peers.links.sentFrames(),
-                                    peers.links.sentBytes(),
-                                    peers.links.dropped()),
+                                    service.links.sentFrames(),
+                                    service.links.sentBytes(),
+                                    service.links.dropped()),
                     COUNT_S,
                     COUNT_S,
                     TimeUnit.SECONDS);
-            ChannelFuture bound = peers.links.listen(place.listen()).await();
+            ChannelFuture bound = service.links.listen(place.listen()).await();
             if (!bound.isSuccess()) {
                 throw new BadInput(
                         "cannot listen for peers on "
@@ -111,16 +111,16 @@
         } catch (ExecutionException e) {
             throw new IllegalStateException("membership cannot begin", e.getCause());
         }
-        return peers;
+        return service;
     }
 
-    private void begin(Place place, long life) {
+    private void begin(Place place, long generation) {
         rules =
                 new Membership(
                         Membership.Settings.USUAL,
                         place.name(),
                         place.address(),
-                        life,
+                        generation,
                         place.seeds(),
                         new Random(),
                         nowUs(),
--- a/src/main/java/holdproxy/membership/Message.java
+++ b/src/main/java/holdproxy/membership/Message.java
@@ -10,10 +10,10 @@
  * @param target name of the process that {@link Kind#PING_REQUEST} is about, else empty
  * @param digest of all that the sender holds for live, so that a difference is seen
  * @param sender itself, as it knows itself
- * @param news words that have not gone round yet; all that is known in a {@link Kind#VIEW}
+ * @param updates updates that have not gone round yet; all that is known in a {@link Kind#VIEW}
  */
 public record Message(
-        Kind kind, long seq, String target, long digest, Member sender, List<Member> news) {
+        Kind kind, long seq, String target, long digest, Member sender, List<Member> updates) {
     /** What a message is about. */
     public enum Kind {
         /** Do you live? */
@@ -31,6 +31,6 @@
     }
 
     public Message {
-        news = List.copyOf(news);
+        updates = List.copyOf(updates);
     }
 }
--- a/src/main/java/holdproxy/membership/MessageCodec.java
+++ b/src/main/java/holdproxy/membership/MessageCodec.java
@@ -14,15 +14,15 @@
  */
 final class MessageCodec {
     private static final JSON CBOR = JSON.builder(new CBORFactory()).build();
-    private static final int MOST_NEWS = 128;
+    private static final int MOST_UPDATES = 128;
     private static final int LONGEST = 256;
     private static final int PARTS = 6;
 
     private MessageCodec() {}
 
     static byte[] bytes(Message message) {
-        List<Object> news = new ArrayList<>();
-        message.news().forEach(m -> news.add(list(m)));
+        List<Object> updates = new ArrayList<>();
+        message.updates().forEach(m -> updates.add(list(m)));
         try {
             return CBOR.asBytes(
                     List.of(
@@ -31,7 +31,7 @@
                             message.target(),
                             message.digest(),
                             list(message.sender()),
-                            news));
+                            updates));
         } catch (IOException e) {
             throw new UncheckedIOException("a message cannot be written", e);
         }
@@ -39,7 +39,12 @@
 
     private static List<Object> list(Member m) {
         return List.of(
-                m.name(), m.address(), m.life(), m.incarnation(), m.state().ordinal(), m.by());
+                m.name(),
+                m.address(),
+                m.generation(),
+                m.incarnation(),
+                m.state().ordinal(),
+                m.by());
     }
 
     /** What these bytes say, or a {@link BadInput}. */
@@ -53,9 +58,9 @@
         if (parts == null || parts.size() < PARTS) {
             throw new BadInput("a message has too few parts");
         }
-        List<Member> news = new ArrayList<>();
-        for (Object each : list(parts.get(5), MOST_NEWS)) {
-            news.add(member(each));
+        List<Member> updates = new ArrayList<>();
+        for (Object each : list(parts.get(5), MOST_UPDATES)) {
+            updates.add(member(each));
         }
         return new Message(
                 Message.Kind.values()[index(parts.get(0), Message.Kind.values().length)],
@@ -63,7 +68,7 @@
                 text(parts.get(2)),
                 number(parts.get(3)),
                 member(parts.get(4)),
-                news);
+                updates);
     }
 
     private static Member member(Object value) {
--- a/src/main/java/holdproxy/rig/DaemonText.java
+++ b/src/main/java/holdproxy/rig/DaemonText.java
@@ -24,7 +24,7 @@
      * What a daemon has to do with the others: where it listens, where it looks, its way to each by name, who
      * votes, and its drills at a resource.
      */
-    record PeersText(
+    record CooperationText(
             String listen,
             List<String> seeds,
             Map<String, String> routes,
@@ -35,7 +35,7 @@
         String toml() {
             StringBuilder text =
                     new StringBuilder(
-                            "[peers]\nlisten = "
+                            "[membership]\nlisten = "
                                     + DaemonText.toml(listen)
                                     + "\nseeds = "
                                     + DaemonText.toml(seeds)
@@ -43,10 +43,10 @@
                                     + DaemonText.toml(routes)
                                     + "\n");
             if (!voters.isEmpty()) {
-                text.append("[council]\nvoters = ").append(DaemonText.toml(voters)).append('\n');
+                text.append("[consensus]\nvoters = ").append(DaemonText.toml(voters)).append('\n');
             }
             for (int i = 0; i < drills; i++) {
-                text.append("[[drill]]\nduty = \"drill-")
+                text.append("[[drill]]\nrole = \"drill-")
                         .append(i)
                         .append("\"\nlease_ms = ")
                         .append(leaseMs)
@@ -64,7 +64,7 @@
             String listen,
             String discovery,
             Path folder,
-            PeersText peers,
+            CooperationText cooperation,
             String json) {
         Map<String, Object> settings = map(object(json).get("settings"));
         WITHOUT_USE.forEach(settings::remove);
@@ -80,7 +80,7 @@
                 + "\nsettings = "
                 + toml(settings)
                 + "\n"
-                + peers.toml();
+                + cooperation.toml();
     }
 
     /** Of a line of its log, if it is an event and not a line of the proxy's in it. */
--- a/src/main/java/holdproxy/rig/GuardedResource.java
+++ b/src/main/java/holdproxy/rig/GuardedResource.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * What duties are held for: it takes lines of a duty and a token, and refuses a token below one that it has
- * seen for the same duty.
+ * What leases are held for: it takes lines of a lease and a token, and refuses a token below one that it has
+ * seen for the same lease.
  */
 final class GuardedResource {
     static final String NAME = "resource";
--- a/src/main/java/holdproxy/rig/RigCommand.java
+++ b/src/main/java/holdproxy/rig/RigCommand.java
@@ -43,7 +43,7 @@
         return Commands.run(new RigCommand(), args);
     }
 
-    /** This program with other words: the same Java, the same classes. */
+    /** This program with other arguments: the same Java, the same classes. */
     static List<String> self(String... words) {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         List<String> command =
@@ -143,13 +143,16 @@
         @Option(names = "--daemons", description = "start them as daemon instead of serve")
         private boolean daemons;
 
-        @Option(names = "--voters", defaultValue = "0", description = "that make a council: 3 or 5")
+        @Option(
+                names = "--voters",
+                defaultValue = "0",
+                description = "that make a consensus group: 3 or 5")
         private int voters;
 
         @Option(
                 names = "--drills",
                 defaultValue = "0",
-                description = "duties at a guarded resource")
+                description = "leases at a guarded resource")
         private int drills;
 
         @Option(
--- a/src/main/java/holdproxy/rig/Schedule.java
+++ b/src/main/java/holdproxy/rig/Schedule.java
@@ -41,8 +41,8 @@
     /**
      * What daemons have in common.
      *
-     * @param voters how many of them make the council: none, three or five
-     * @param drills how many duties they hold at a guarded resource
+     * @param voters how many of them make the consensus group: none, three or five
+     * @param drills how many leases they hold at a guarded resource
      * @param leaseMs of those
      * @param quiet no client asks for anything
      */
--- a/src/main/java/holdproxy/toml/TomlPart.java
+++ b/src/main/java/holdproxy/toml/TomlPart.java
@@ -56,6 +56,18 @@
         return new BadInput(file + (at == null ? "" : " line " + at.line()) + ": " + why);
     }
 
+    /** The key that is stated of two that mean the same; the current one where neither is. */
+    public String currentOrFormer(String current, String former) {
+        if (!table.contains(List.of(former))) {
+            return current;
+        }
+        if (table.contains(List.of(current))) {
+            throw bad(
+                    at(former), former + " is the former name of " + current + "; both are stated");
+        }
+        return former;
+    }
+
     private Object value(String key) {
         asked.add(key);
         return table.get(List.of(key));
--- a/src/test/java/holdproxy/daemon/DaemonTest.java
+++ b/src/test/java/holdproxy/daemon/DaemonTest.java
@@ -93,6 +93,35 @@
                         .contains("cannot be read"));
     }
 
+    @Test
+    void tablesAreReadByTheirFormerNamesToo() throws Exception {
+        String cooperation =
+                """
+                [membership]
+                listen = "127.0.0.1:7001"
+                seeds = ["127.0.0.1:7002"]
+                [consensus]
+                voters = ["proxy-1", "b", "c"]
+                [[drill]]
+                role = "d"
+                resource = "127.0.0.1:7003"
+                """;
+        String former =
+                cooperation
+                        .replace("[membership]", "[peers]")
+                        .replace("[consensus]", "[council]")
+                        .replace("role =", "duty =");
+        DaemonFile current = DaemonFile.read(file(good() + cooperation), 1);
+        DaemonFile read = DaemonFile.read(file(good() + former), 1);
+        assertEquals(current.membership(), read.membership());
+        assertEquals(List.of("proxy-1", "b", "c"), read.voters());
+        assertEquals(current.drills(), read.drills());
+        int line = (int) (good() + former).lines().count() + 1;
+        assertBad(
+                good() + former + "[membership]\n",
+                " line " + (line - 8) + ": peers is the former name of membership");
+    }
+
     @Test
     void whatOnlyAStartCanTakeHasToStay() throws Exception {
         DaemonFile inUse = DaemonFile.read(file(good()), 1);
