--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -33,14 +33,17 @@
     /** The folder for them in {@code TMPDIR}. */
     private static final String KEPT = "left-out";
 
-    /** The longest time for which clients wait until discovery has told this process of the nodes. */
+    /** So long clients are left to another process until discovery has told this one of the nodes. */
     private static final int FIRST_LIST_MS = 2_000;
 
     /** Where lists are asked for, also no longer than this part of the time for which one holds. */
     private static final int HELD_PART = 2;
 
-    /** Where lists are pushed; while discovery is down there is none, and clients have waited for long. */
-    private static final int FIRST_PUSHED_MS = 500;
+    /**
+     * So long clients wait where no other process serves them. While discovery is down or overbooked there is
+     * no list, and the longer a fleet that restarts together waits for it, the more goes unanswered.
+     */
+    private static final int FIRST_LIST_ALONE_MS = 500;
 
     private static final int BIND_TRIES = 30;
     private static final int BIND_WAIT_MS = 100;
@@ -253,9 +256,9 @@
             members.first().await(FIRST_LIST_MS);
         } else if (config.settings.askForNodes) {
             long heldMs = config.settings.askWithinUs / 1000;
-            members.firstOrUnreachable().await(Math.min(FIRST_LIST_MS, heldMs / HELD_PART));
+            members.firstOrUnreachable().await(Math.min(FIRST_LIST_ALONE_MS, heldMs / HELD_PART));
         } else {
-            members.first().await(FIRST_PUSHED_MS);
+            members.first().await(FIRST_LIST_ALONE_MS);
         }
     }
 
