--- /dev/null
+++ b/src/main/java/holdproxy/fanout/ChangeLog.java
@@ -0,0 +1,168 @@
+package holdproxy.fanout;
+
+import holdproxy.fanout.AppendResult.Appended;
+import holdproxy.fanout.AppendResult.Reason;
+import holdproxy.fanout.AppendResult.Refused;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+
+/**
+ * The history of changes as each control machine's replicated state machine holds it: deterministic, and it
+ * reads no clock. {@link ChangeLogOperations} has its operations as plain values for the agreed log.
+ */
+public final class ChangeLog {
+    private final FanoutSettings.Limits limits;
+    private final Set<Safeguard> safeguards;
+    private final Replica replica;
+    /** Positions by publication identifier, oldest first. */
+    private final LinkedHashMap<String, Position> publications = new LinkedHashMap<>();
+
+    private long highestToken;
+
+    public ChangeLog(FanoutSettings.Limits limits) {
+        this(limits, Safeguard.all());
+    }
+
+    /** A log without some of its rules, for the simulation. */
+    public ChangeLog(FanoutSettings.Limits limits, Set<Safeguard> safeguards) {
+        this.limits = limits;
+        this.safeguards = Set.copyOf(safeguards);
+        replica = new Replica(limits);
+    }
+
+    /** What a relay of this machine serves; changes with the log. */
+    public Replica replica() {
+        return replica;
+    }
+
+    /** {@link Position#NONE} as long as it is not founded. */
+    public Position position() {
+        return replica.position();
+    }
+
+    /** The highest fencing token of a publication that was appended. */
+    public long highestToken() {
+        return highestToken;
+    }
+
+    /**
+     * Gives an empty log its identity. One that has an epoch keeps it. Who founds a log anew takes an epoch
+     * above all earlier ones, the wall clock's seconds for example.
+     *
+     * @return the position now
+     */
+    public Position found(long epoch) {
+        if (epoch < 1) {
+            throw new IllegalArgumentException("an epoch is at least 1: " + epoch);
+        }
+        if (position().equals(Position.NONE)) {
+            replica.reset(new Position(epoch, 0), new TreeMap<>());
+        }
+        return position();
+    }
+
+    /** Appends a change, or says why not. */
+    public AppendResult append(Publication publication) {
+        Position before = publications.get(publication.id());
+        if (before != null) {
+            return new Appended(before, true);
+        }
+        Refused refused = refusal(publication);
+        if (refused != null) {
+            return refused;
+        }
+        highestToken = Math.max(highestToken, publication.token());
+        Change change = new Change(position().next(), publication.puts(), publication.deletes());
+        replica.apply(change);
+        remember(publication.id(), change.position());
+        return new Appended(change.position(), false);
+    }
+
+    /** Null where nothing is wrong. */
+    private Refused refusal(Publication publication) {
+        if (position().equals(Position.NONE)) {
+            return new Refused(Reason.NOT_FOUNDED, "the log has no epoch");
+        }
+        if (publication.token() < highestToken && safeguards.contains(Safeguard.FENCING_TOKEN_CHECK)) {
+            return new Refused(
+                    Reason.STALE_TOKEN, "token " + publication.token() + " is below " + highestToken + ", seen before");
+        }
+        Refused refused = PublicationCheck.check(publication, limits);
+        if (refused == null && !replica.state().fits(publication.puts(), publication.deletes(), limits)) {
+            return new Refused(
+                    Reason.STATE_FULL,
+                    "the state would exceed " + limits.stateKeys() + " keys or " + limits.stateBytes() + " bytes");
+        }
+        return refused;
+    }
+
+    private void remember(String id, Position position) {
+        publications.put(id, position);
+        if (publications.size() > limits.publications()) {
+            publications.remove(publications.keySet().iterator().next());
+        }
+    }
+
+    // ---- snapshots of the replicated state machine ----
+
+    /** Becomes empty and has no epoch. */
+    public void clear() {
+        replica.reset(Position.NONE, new TreeMap<>());
+        publications.clear();
+        highestToken = 0;
+    }
+
+    /**
+     * All of it as plain values (texts, whole numbers, byte arrays, lists), in parts of at most this many bytes
+     * or one entry, change or identifier each.
+     */
+    public List<Object> snapshot(int partBytes) {
+        PlainParts parts = new PlainParts(partBytes);
+        // a reader of the first part knows where the state of the window's beginning stands
+        parts.add("head", 0, List.of(position().epoch(), position().number(), highestToken));
+        for (Map.Entry<String, Value> entry : replica.entries().entrySet()) {
+            int size = SizeEstimate.ofEntry(entry.getKey(), entry.getValue());
+            parts.add("entry", size, List.of(entry.getKey(), entry.getValue().bytes()));
+        }
+        for (Change change : replica.window().all()) {
+            parts.add("change", change.sizeBytes(), PlainForm.plain(change));
+        }
+        publications.forEach((id, position) -> parts.add(
+                "publication", SizeEstimate.ofKey(id), List.of(id, position.epoch(), position.number())));
+        return parts.done();
+    }
+
+    /** Becomes what these parts say. */
+    public void restore(List<Object> parts) {
+        clear();
+        TreeMap<String, Value> entries = new TreeMap<>();
+        List<Change> window = new ArrayList<>();
+        Position position = Position.NONE;
+        for (Object each : parts) {
+            for (Object item : PlainForm.list(each)) {
+                List<?> fields = PlainForm.list(item);
+                switch (PlainForm.text(fields.get(0))) {
+                    case "head" -> {
+                        position = PlainForm.position(fields, 1);
+                        highestToken = PlainForm.number(fields.get(3));
+                    }
+                    case "entry" -> entries.put(PlainForm.text(fields.get(1)), PlainForm.value(fields.get(2)));
+                    case "change" -> window.add(PlainForm.change(fields, 1));
+                    case "publication" -> publications.put(
+                            PlainForm.text(fields.get(1)), PlainForm.position(fields, 2));
+                    default -> throw new ProtocolException(
+                            ProtocolException.Kind.MALFORMED, "a log's snapshot has an item " + fields.get(0));
+                }
+            }
+        }
+        replica.reset(position, entries);
+        if (!window.isEmpty()) {
+            replica.window().reset(window.get(0).predecessor());
+            window.forEach(replica.window()::add);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/fanout/ChangeLogOperations.java
@@ -0,0 +1,82 @@
+package holdproxy.fanout;
+
+import holdproxy.fanout.AppendResult.Appended;
+import holdproxy.fanout.AppendResult.Reason;
+import holdproxy.fanout.AppendResult.Refused;
+import java.util.List;
+import java.util.TreeSet;
+
+/**
+ * Operations on a {@link ChangeLog} and their answers as plain values (texts, whole numbers, truths, byte
+ * arrays, lists), as an agreed log carries them.
+ */
+public final class ChangeLogOperations {
+    private static final String FOUND = "found";
+    private static final String APPEND = "append";
+    private static final String APPENDED = "appended";
+    private static final String REFUSED = "refused";
+
+    private ChangeLogOperations() {}
+
+    /** The operation {@link ChangeLog#found}. */
+    public static List<Object> found(long epoch) {
+        return List.of(FOUND, epoch);
+    }
+
+    /** The operation {@link ChangeLog#append}. */
+    public static List<Object> append(Publication publication) {
+        return List.of(
+                APPEND,
+                publication.token(),
+                publication.id(),
+                PlainForm.plain(publication.puts()),
+                List.copyOf(publication.deletes()));
+    }
+
+    /**
+     * Applies an agreed operation; one that this version does not know changes nothing and is refused. The same
+     * operation gives the same answer at every machine.
+     */
+    public static List<Object> apply(ChangeLog log, Object operation) {
+        AppendResult result;
+        try {
+            result = applied(log, PlainForm.list(operation));
+        } catch (ProtocolException | IndexOutOfBoundsException | IllegalArgumentException e) {
+            result = new Refused(Reason.UNKNOWN_OPERATION, String.valueOf(e.getMessage()));
+        }
+        return plain(result);
+    }
+
+    private static AppendResult applied(ChangeLog log, List<?> operation) {
+        String name = PlainForm.text(operation.get(0));
+        return switch (name) {
+            case FOUND -> new Appended(log.found(PlainForm.number(operation.get(1))), false);
+            case APPEND -> log.append(new Publication(
+                    PlainForm.number(operation.get(1)),
+                    PlainForm.text(operation.get(2)),
+                    PlainForm.entries(operation.get(3)),
+                    new TreeSet<>(PlainForm.texts(operation.get(4)))));
+            default -> new Refused(Reason.UNKNOWN_OPERATION, "no operation is called " + name);
+        };
+    }
+
+    private static List<Object> plain(AppendResult result) {
+        if (result instanceof Appended appended) {
+            return List.of(
+                    APPENDED, appended.position().epoch(), appended.position().number(), appended.repeated());
+        }
+        Refused refused = (Refused) result;
+        return List.of(REFUSED, refused.reason().name(), refused.detail());
+    }
+
+    /** What the answer to an operation says. */
+    public static AppendResult result(Object answer) {
+        List<?> fields = PlainForm.list(answer);
+        return switch (PlainForm.text(fields.get(0))) {
+            case APPENDED -> new Appended(PlainForm.position(fields, 1), Boolean.TRUE.equals(fields.get(3)));
+            case REFUSED -> new Refused(
+                    Reason.valueOf(PlainForm.text(fields.get(1))), PlainForm.text(fields.get(2)));
+            default -> throw PlainForm.malformed("no answer is called " + fields.get(0));
+        };
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/fanout/MessageCodec.java
@@ -0,0 +1,218 @@
+package holdproxy.fanout;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import com.fasterxml.jackson.jr.ob.JSON;
+import holdproxy.fanout.CoverageReport.PositionCount;
+import holdproxy.fanout.Message.Acknowledge;
+import holdproxy.fanout.Message.Batch;
+import holdproxy.fanout.Message.Heartbeat;
+import holdproxy.fanout.Message.Refuse;
+import holdproxy.fanout.Message.SnapshotPart;
+import holdproxy.fanout.Message.Subscribe;
+import holdproxy.fanout.ProtocolException.Kind;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SortedMap;
+import java.util.TreeSet;
+
+/**
+ * Messages as CBOR: a list of the protocol's version, the kind's number and its fields in their order. A version
+ * reads exactly its own fields: what it does not know could be part of a change, and must not get lost unseen.
+ */
+public final class MessageCodec {
+    /** Of the protocol; grows with every change to a message. */
+    public static final int VERSION = 1;
+
+    private static final int SUBSCRIBE = 1;
+    private static final int BATCH = 2;
+    private static final int SNAPSHOT_PART = 3;
+    private static final int ACKNOWLEDGE = 4;
+    private static final int HEARTBEAT = 5;
+    private static final int REFUSE = 6;
+
+    private static final CBORFactory FACTORY = new CBORFactory();
+    private static final JSON CBOR = JSON.builder(FACTORY).build();
+
+    private final FanoutSettings.Limits limits;
+
+    public MessageCodec(FanoutSettings.Limits limits) {
+        this.limits = limits;
+    }
+
+    /** One frame's content. */
+    public byte[] encode(Message message) {
+        try {
+            return CBOR.asBytes(plain(message));
+        } catch (IOException e) {
+            throw new UncheckedIOException("a message cannot be written", e);
+        }
+    }
+
+    /** What a frame's content says, or a {@link ProtocolException} that names what is wrong. */
+    public Message decode(byte[] bytes) {
+        if (bytes.length > limits.frameBytes()) {
+            throw new ProtocolException(
+                    Kind.TOO_LARGE, "a frame of " + bytes.length + " bytes, more than " + limits.frameBytes());
+        }
+        List<?> fields = parse(bytes);
+        if (fields.size() < 2) {
+            throw PlainForm.malformed("a message of " + fields.size() + " parts");
+        }
+        long version = PlainForm.number(fields.get(0));
+        if (version != VERSION) {
+            throw new ProtocolException(
+                    Kind.FOREIGN_VERSION, "protocol version " + version + ", this process has " + VERSION);
+        }
+        try {
+            return message(PlainForm.number(fields.get(1)), new FieldReader(fields.subList(2, fields.size()), limits));
+        } catch (IllegalArgumentException e) {
+            throw PlainForm.malformed(e.getMessage());
+        }
+    }
+
+    private static List<?> parse(byte[] bytes) {
+        try (JsonParser parser = FACTORY.createParser(bytes)) {
+            if (parser.nextToken() != JsonToken.START_ARRAY) {
+                throw PlainForm.malformed("a frame does not begin with a list");
+            }
+            List<?> fields = CBOR.listFrom(parser);
+            if (parser.nextToken() != null) {
+                throw PlainForm.malformed("a frame goes on after its message");
+            }
+            return fields;
+        } catch (IOException e) {
+            throw PlainForm.malformed(
+                    "a frame is no CBOR list: " + e.getClass().getSimpleName());
+        }
+    }
+
+    // ---- encoding ----
+
+    private static List<Object> plain(Message message) {
+        List<Object> plain = new ArrayList<>();
+        plain.add(VERSION);
+        if (message instanceof Subscribe subscribe) {
+            plain.add(SUBSCRIBE);
+            plain.add(subscribe.name());
+            add(plain, subscribe.held());
+        } else if (message instanceof Batch batch) {
+            plain.add(BATCH);
+            add(plain, batch.predecessor());
+            plain.add(plainChanges(batch));
+        } else if (message instanceof SnapshotPart part) {
+            plain.add(SNAPSHOT_PART);
+            add(plain, part.position());
+            plain.add(part.index());
+            plain.add(part.parts());
+            plain.add(PlainForm.plain(part.entries()));
+        } else if (message instanceof Acknowledge acknowledge) {
+            plain.add(ACKNOWLEDGE);
+            add(plain, acknowledge.received());
+            add(plain, acknowledge.assembling());
+            plain.add(acknowledge.parts());
+            plain.add(plain(acknowledge.report()));
+        } else if (message instanceof Heartbeat heartbeat) {
+            plain.add(HEARTBEAT);
+            add(plain, heartbeat.newest());
+            plain.add(heartbeat.ageUs());
+        } else if (message instanceof Refuse refuse) {
+            plain.add(REFUSE);
+            plain.add(refuse.reason().ordinal());
+            plain.add(refuse.detail());
+            plain.add(refuse.retryAfterUs());
+        }
+        return plain;
+    }
+
+    private static void add(List<Object> plain, Position position) {
+        plain.add(position.epoch());
+        plain.add(position.number());
+    }
+
+    /** Puts and deletes of each; the positions follow from the batch's predecessor. */
+    private static List<Object> plainChanges(Batch batch) {
+        List<Object> plain = new ArrayList<>();
+        for (Change change : batch.changes()) {
+            plain.add(List.of(PlainForm.plain(change.puts()), List.copyOf(change.deletes())));
+        }
+        return plain;
+    }
+
+    private static List<Object> plain(CoverageReport report) {
+        List<Object> inForce = new ArrayList<>();
+        for (PositionCount count : report.inForce()) {
+            add(inForce, count.position());
+            inForce.add(count.proxies());
+        }
+        List<Object> rejections = new ArrayList<>();
+        for (Rejection rejection : report.rejections()) {
+            rejections.add(rejection.name());
+            add(rejections, rejection.position());
+            rejections.add(rejection.reason());
+        }
+        return List.of(report.proxies(), inForce, report.rejecting(), rejections);
+    }
+
+    // ---- decoding ----
+
+    private Message message(long kind, FieldReader fields) {
+        Message message =
+                switch ((int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, kind))) {
+                    case SUBSCRIBE -> new Subscribe(fields.name(), fields.position());
+                    case BATCH -> batch(fields);
+                    case SNAPSHOT_PART -> new SnapshotPart(
+                            fields.position(), fields.count(), fields.count(), fields.entries(limits.stateKeys()));
+                    case ACKNOWLEDGE -> new Acknowledge(
+                            fields.position(), fields.position(), fields.count(), report(fields.nested()));
+                    case HEARTBEAT -> new Heartbeat(fields.position(), fields.notNegative());
+                    case REFUSE -> new Refuse(reason(fields.count()), fields.reason(), fields.notNegative());
+                    default -> throw new ProtocolException(Kind.UNKNOWN_MESSAGE, "a message of kind " + kind);
+                };
+        fields.requireEnd();
+        return message;
+    }
+
+    private Batch batch(FieldReader fields) {
+        Position predecessor = fields.position();
+        List<Change> changes = new ArrayList<>();
+        for (Object each : fields.list(limits.windowChanges())) {
+            FieldReader change = new FieldReader(PlainForm.list(each), limits);
+            SortedMap<String, Value> puts = change.entries(limits.changeKeys());
+            TreeSet<String> deletes = change.keys(limits.changeKeys());
+            change.requireEnd();
+            changes.add(new Change(predecessor.plus(changes.size() + 1L), puts, deletes));
+        }
+        return new Batch(predecessor, changes);
+    }
+
+    private CoverageReport report(FieldReader fields) {
+        long proxies = fields.notNegative();
+        FieldReader counts = fields.nested();
+        long rejecting = fields.notNegative();
+        FieldReader names = fields.nested();
+        fields.requireEnd();
+        List<PositionCount> inForce = new ArrayList<>();
+        while (counts.hasMore()) {
+            counts.requireBelow(inForce.size(), limits.reportedPositions());
+            inForce.add(new PositionCount(counts.position(), counts.notNegative()));
+        }
+        List<Rejection> rejections = new ArrayList<>();
+        while (names.hasMore()) {
+            names.requireBelow(rejections.size(), limits.reportedRejections());
+            rejections.add(new Rejection(names.name(), names.position(), names.reason()));
+        }
+        return new CoverageReport(proxies, inForce, rejecting, rejections);
+    }
+
+    private static Refuse.Reason reason(int number) {
+        Refuse.Reason[] reasons = Refuse.Reason.values();
+        if (number >= reasons.length) {
+            throw PlainForm.malformed("no reason for a refusal has number " + number);
+        }
+        return reasons[number];
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/fanout/Position.java
@@ -0,0 +1,47 @@
+package holdproxy.fanout;
+
+import java.util.Comparator;
+
+/**
+ * A place in the history of changes.
+ *
+ * @param epoch identity of the log, 0 for none; a log that is founded anew takes a higher one
+ * @param number of the last change that is included, 0 before the first
+ */
+public record Position(long epoch, long number) implements Comparable<Position> {
+    /** What a process holds that has never received anything. */
+    public static final Position NONE = new Position(0, 0);
+
+    private static final Comparator<Position> ORDER =
+            Comparator.comparingLong(Position::epoch).thenComparingLong(Position::number);
+
+    public Position {
+        if (epoch < 0 || number < 0) {
+            throw new IllegalArgumentException("a position is not negative: " + epoch + "/" + number);
+        }
+    }
+
+    /** The position after one more change of the same log. */
+    public Position next() {
+        return plus(1);
+    }
+
+    /** The position after so many more changes of the same log. */
+    public Position plus(long changes) {
+        return new Position(epoch, number + changes);
+    }
+
+    public boolean isAfter(Position other) {
+        return compareTo(other) > 0;
+    }
+
+    @Override
+    public int compareTo(Position other) {
+        return ORDER.compare(this, other);
+    }
+
+    @Override
+    public String toString() {
+        return epoch + "/" + number;
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/fanout/PublicationCheck.java
@@ -0,0 +1,57 @@
+package holdproxy.fanout;
+
+import holdproxy.fanout.AppendResult.Reason;
+import holdproxy.fanout.AppendResult.Refused;
+import java.util.Set;
+
+/** Whether a publication is well-formed and within the limits, whatever the log holds. */
+final class PublicationCheck {
+    private PublicationCheck() {}
+
+    /** Null where nothing is wrong. */
+    static Refused check(Publication publication, FanoutSettings.Limits limits) {
+        if (publication.id().isEmpty() || SizeEstimate.utf8Length(publication.id()) > limits.nameBytes()) {
+            return new Refused(Reason.INVALID, "an identifier has 1 to " + limits.nameBytes() + " bytes");
+        }
+        int keys = publication.puts().size() + publication.deletes().size();
+        if (keys == 0) {
+            return new Refused(Reason.INVALID, "it has neither puts nor deletes");
+        }
+        if (keys > limits.changeKeys()) {
+            return new Refused(Reason.TOO_LARGE, keys + " keys are more than " + limits.changeKeys());
+        }
+        Refused refused = checkKeys(publication, limits);
+        if (refused != null) {
+            return refused;
+        }
+        int size = SizeEstimate.ofChange(publication.puts(), publication.deletes());
+        return size <= limits.changeBytes()
+                ? null
+                : new Refused(Reason.TOO_LARGE, size + " bytes are more than " + limits.changeBytes());
+    }
+
+    private static Refused checkKeys(Publication publication, FanoutSettings.Limits limits) {
+        for (var put : publication.puts().entrySet()) {
+            if (publication.deletes().contains(put.getKey())) {
+                return new Refused(Reason.INVALID, "key " + put.getKey() + " is put and deleted");
+            }
+            if (put.getValue().size() > limits.valueBytes()) {
+                return new Refused(
+                        Reason.TOO_LARGE,
+                        "the value of " + put.getKey() + " has " + put.getValue().size() + " bytes, more than "
+                                + limits.valueBytes());
+            }
+        }
+        Refused refused = checkLength(publication.puts().keySet(), limits);
+        return refused != null ? refused : checkLength(publication.deletes(), limits);
+    }
+
+    private static Refused checkLength(Set<String> keys, FanoutSettings.Limits limits) {
+        for (String key : keys) {
+            if (key.isEmpty() || SizeEstimate.utf8Length(key) > limits.keyBytes()) {
+                return new Refused(Reason.INVALID, "a key has 1 to " + limits.keyBytes() + " bytes: " + key);
+            }
+        }
+        return null;
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -0,0 +1,449 @@
+package holdproxy.fanout;
+
+import holdproxy.fanout.Message.Acknowledge;
+import holdproxy.fanout.Message.Batch;
+import holdproxy.fanout.Message.Heartbeat;
+import holdproxy.fanout.Message.Refuse;
+import holdproxy.fanout.Message.SnapshotPart;
+import holdproxy.fanout.Message.Subscribe;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Serves subscribers from a source: the local {@link ChangeLog} at a control machine, a {@link Subscriber} at a
+ * relay. Every call is with the present moment in microseconds, which never goes back, and by one thread.
+ *
+ * <p>A subscriber has at most one batch or snapshot part unacknowledged, of at most the credit's bytes, so that
+ * one that reads slowly costs a position and delays nobody. Those that are up to date get changes at once; those
+ * that are behind share a token bucket: first all that need changes alone, then those that need a snapshot.
+ */
+public final class Relay {
+    private static final long NEVER = Long.MAX_VALUE;
+
+    /** Where a relay has its changes from. */
+    public interface Source {
+        /** What is held has never been known to be the newest. */
+        long UNKNOWN_AGE_US = Long.MAX_VALUE;
+
+        /** The same one each time; its owner calls {@link Relay#advanced} when it has changed. */
+        Replica replica();
+
+        /** For how long the replica has not been known to be the newest, or {@link #UNKNOWN_AGE_US}. */
+        long ageUs(long nowUs);
+    }
+
+    /** What a relay has its transport do. Neither may call the relay back before it returns. */
+    public interface Output {
+        /**
+         * Sends a message; the same instance goes to many links one after another, so that a transport which
+         * keeps the last encoding by identity encodes it once. What cannot be sent may be dropped.
+         */
+        void send(long link, Message message);
+
+        /** Ends a link once what was sent has gone; {@link Relay#disconnected} need not follow. */
+        void close(long link, String reason);
+    }
+
+    private final FanoutSettings settings;
+    private final FanoutSettings.RelaySettings own;
+    private final Source source;
+    private final Output output;
+    private final Set<Safeguard> safeguards;
+    private final Map<Long, Subscription> subscriptions = new LinkedHashMap<>();
+    private final Map<String, Subscription> byName = new HashMap<>();
+    /** Those that are behind, in the order of their subscribing. */
+    private final LinkedHashSet<Subscription> catchingUp = new LinkedHashSet<>();
+    /** Oldest first. */
+    private final ArrayDeque<FrozenSnapshot> snapshots = new ArrayDeque<>();
+
+    private final TokenBucket bucket;
+    private long heartbeatDueUs;
+    private long catchUpDueUs = NEVER;
+    private Batch lastBatch;
+    /** What the newest position was when it was made. */
+    private Position lastBatchNewest;
+    private long batches;
+    private long snapshotParts;
+    private long catchUpBytes;
+    private long droppedSlow;
+    private long droppedSilent;
+    private long refused;
+
+    public Relay(FanoutSettings settings, Source source, Output output, long nowUs) {
+        this(settings, source, output, nowUs, Safeguard.all());
+    }
+
+    /** A relay without some of its rules, for the simulation. */
+    public Relay(FanoutSettings settings, Source source, Output output, long nowUs, Set<Safeguard> safeguards) {
+        this.settings = settings;
+        this.own = settings.relay();
+        this.source = source;
+        this.output = output;
+        this.safeguards = Set.copyOf(safeguards);
+        bucket = new TokenBucket(own.catchUpBytesPerSecond(), own.catchUpBurstBytes(), nowUs);
+        heartbeatDueUs = nowUs + own.heartbeatIntervalUs();
+    }
+
+    // ---- events ----
+
+    /** A message came by a link; its first one is a {@link Subscribe}. */
+    public void receive(long nowUs, long link, Message message) {
+        if (message instanceof Subscribe subscribe) {
+            subscribe(nowUs, link, subscribe);
+        } else if (message instanceof Acknowledge acknowledge) {
+            acknowledge(nowUs, link, acknowledge);
+        } else {
+            drop(link, "UNEXPECTED: a subscriber sends no " + message.getClass().getSimpleName());
+        }
+    }
+
+    /** A link has ended. */
+    public void disconnected(long nowUs, long link) {
+        remove(link);
+        pumpCatchUp(nowUs);
+    }
+
+    /** The source's replica has changed. */
+    public void advanced(long nowUs) {
+        for (Subscription each : List.copyOf(subscriptions.values())) {
+            if (each.live) {
+                pumpLive(nowUs, each);
+            }
+        }
+        pumpCatchUp(nowUs);
+    }
+
+    /** When {@link #tick} has to be called at the latest; may change with every call. */
+    public long dueUs() {
+        return Math.min(heartbeatDueUs, catchUpDueUs);
+    }
+
+    /** Does what is due; earlier or repeated calls do no harm. */
+    public void tick(long nowUs) {
+        if (nowUs >= heartbeatDueUs) {
+            excuseStall(nowUs - heartbeatDueUs);
+            heartbeatDueUs = nowUs + own.heartbeatIntervalUs();
+            dropUnresponsive(nowUs);
+            Heartbeat heartbeat = heartbeat(nowUs);
+            subscriptions.keySet().forEach(link -> output.send(link, heartbeat));
+            forgetUnusedSnapshots();
+        }
+        if (nowUs >= catchUpDueUs) {
+            pumpCatchUp(nowUs);
+        }
+    }
+
+    /** Sends all subscribers elsewhere, as this process ends by plan. */
+    public void shutDown(long nowUs) {
+        Refuse refuse =
+                new Refuse(Refuse.Reason.SHUTTING_DOWN, "the relay ends by plan", own.retryAfterUs());
+        for (long link : List.copyOf(subscriptions.keySet())) {
+            output.send(link, refuse);
+            drop(link, refuse.detail());
+        }
+        catchUpDueUs = NEVER;
+    }
+
+    // ---- what others see ----
+
+    /** What the proxies below this relay have in force. */
+    public CoverageReport report() {
+        List<CoverageReport> reports = new ArrayList<>(subscriptions.size());
+        subscriptions.values().forEach(each -> reports.add(each.report));
+        return CoverageReport.merge(reports, settings.limits());
+    }
+
+    public RelayStatus status(long nowUs) {
+        return new RelayStatus(
+                newest(),
+                source.ageUs(nowUs),
+                subscriptions.size(),
+                catchingUp.size(),
+                batches,
+                snapshotParts,
+                catchUpBytes,
+                droppedSlow,
+                droppedSilent,
+                refused);
+    }
+
+    // ---- subscribing ----
+
+    private void subscribe(long nowUs, long link, Subscribe subscribe) {
+        Position newest = newest();
+        boolean ahead = newest.epoch() > 0 && subscribe.held().epoch() > newest.epoch();
+        if (ahead && safeguards.contains(Safeguard.EPOCH_COMPARISON)) {
+            refuse(
+                    link,
+                    Refuse.Reason.BEHIND,
+                    "the relay holds epoch " + newest.epoch() + ", the subscriber "
+                            + subscribe.held().epoch());
+            return;
+        }
+        Subscription subscription = subscriptions.get(link);
+        if (subscription != null && !subscription.name.equals(subscribe.name())) {
+            drop(link, "UNEXPECTED: " + subscription.name + " subscribes as " + subscribe.name());
+            return;
+        }
+        if (subscription == null) {
+            subscription = admit(link, subscribe.name());
+            if (subscription == null) {
+                return;
+            }
+        }
+        subscription.restart(subscribe.held());
+        subscription.heardUs = nowUs;
+        output.send(link, heartbeat(nowUs));
+        catchingUp.add(subscription);
+        pumpCatchUp(nowUs);
+    }
+
+    /** Null where it is full. */
+    private Subscription admit(long link, String name) {
+        Subscription before = byName.get(name);
+        if (before != null) {
+            drop(before.link, name + " has subscribed by another link");
+        }
+        if (subscriptions.size() >= own.subscribers()) {
+            refuse(link, Refuse.Reason.FULL, "the relay serves " + subscriptions.size() + " already");
+            return null;
+        }
+        Subscription subscription = new Subscription(link, name);
+        subscriptions.put(link, subscription);
+        byName.put(name, subscription);
+        return subscription;
+    }
+
+    private void refuse(long link, Refuse.Reason reason, String detail) {
+        refused++;
+        output.send(link, new Refuse(reason, detail, own.retryAfterUs()));
+        drop(link, reason + ": " + detail);
+    }
+
+    private void acknowledge(long nowUs, long link, Acknowledge acknowledge) {
+        Subscription subscription = subscriptions.get(link);
+        if (subscription == null) {
+            drop(link, "UNEXPECTED: an acknowledgement without a subscription");
+            return;
+        }
+        subscription.heardUs = nowUs;
+        subscription.report = acknowledge.report();
+        subscription.acknowledged(acknowledge);
+        if (subscription.live) {
+            pumpLive(nowUs, subscription);
+        }
+        pumpCatchUp(nowUs);
+    }
+
+    // ---- sending ----
+
+    private Position newest() {
+        return source.replica().position();
+    }
+
+    private Heartbeat heartbeat(long nowUs) {
+        return new Heartbeat(newest(), Math.max(0, source.ageUs(nowUs)));
+    }
+
+    private boolean mayNotSend(Subscription subscription) {
+        return subscription.unacknowledged != null && safeguards.contains(Safeguard.CREDIT);
+    }
+
+    private boolean hasEverything(Subscription subscription) {
+        Position newest = newest();
+        return subscription.snapshot == null
+                && subscription.sent.epoch() == newest.epoch()
+                && subscription.sent.number() >= newest.number();
+    }
+
+    private boolean coveredByWindow(Subscription subscription) {
+        return subscription.snapshot == null && source.replica().covers(subscription.sent);
+    }
+
+    private void pumpLive(long nowUs, Subscription subscription) {
+        if (mayNotSend(subscription) || hasEverything(subscription)) {
+            return;
+        }
+        if (coveredByWindow(subscription)) {
+            sendBatch(nowUs, subscription, nextBatch(subscription));
+        } else {
+            subscription.live = false;
+            catchingUp.add(subscription);
+        }
+    }
+
+    /** Spends the bucket: first on those that need changes alone, then on those that need a snapshot. */
+    private void pumpCatchUp(long nowUs) {
+        catchUpDueUs = NEVER;
+        if (newest().epoch() == 0 || catchingUp.isEmpty()) {
+            return;
+        }
+        List<Subscription> waiting = List.copyOf(catchingUp);
+        for (Subscription each : waiting) {
+            if (!pumpChanges(nowUs, each)) {
+                return;
+            }
+        }
+        for (Subscription each : waiting) {
+            if (!pumpSnapshot(nowUs, each)) {
+                return;
+            }
+        }
+    }
+
+    /** False where the bucket is empty. */
+    private boolean pumpChanges(long nowUs, Subscription subscription) {
+        if (hasEverything(subscription)) {
+            becomeLive(subscription);
+            return true;
+        }
+        if (mayNotSend(subscription) || !coveredByWindow(subscription)) {
+            return true;
+        }
+        Batch batch = nextBatch(subscription);
+        if (!spend(nowUs, bytes(batch))) {
+            return false;
+        }
+        sendBatch(nowUs, subscription, batch);
+        if (hasEverything(subscription)) {
+            becomeLive(subscription);
+        }
+        return true;
+    }
+
+    /** False where the bucket is empty. */
+    private boolean pumpSnapshot(long nowUs, Subscription subscription) {
+        if (subscription.live || mayNotSend(subscription) || coveredByWindow(subscription)) {
+            return true;
+        }
+        if (subscription.snapshot == null || !source.replica().covers(subscription.snapshot.position())) {
+            subscription.abandonSnapshot();
+            subscription.snapshot = currentSnapshot();
+        }
+        FrozenSnapshot snapshot = subscription.snapshot;
+        int bytes = snapshot.bytes(subscription.nextPart);
+        if (!spend(nowUs, bytes)) {
+            return false;
+        }
+        SnapshotPart part = snapshot.part(subscription.nextPart++);
+        subscription.sent(part, bytes, nowUs);
+        if (part.isLast()) {
+            subscription.sent = snapshot.position();
+            subscription.abandonSnapshot();
+        }
+        snapshotParts++;
+        output.send(subscription.link, part);
+        return true;
+    }
+
+    private void becomeLive(Subscription subscription) {
+        subscription.live = true;
+        catchingUp.remove(subscription);
+    }
+
+    private boolean spend(long nowUs, int bytes) {
+        if (safeguards.contains(Safeguard.CATCH_UP_PACING) && !bucket.take(nowUs, bytes)) {
+            catchUpDueUs = Math.max(nowUs + 1, bucket.availableUs(bytes));
+            return false;
+        }
+        catchUpBytes += bytes;
+        return true;
+    }
+
+    /** The same instance for all that are at the same position. */
+    private Batch nextBatch(Subscription subscription) {
+        if (lastBatch == null
+                || !lastBatch.predecessor().equals(subscription.sent)
+                || !lastBatchNewest.equals(newest())) {
+            lastBatch = new Batch(
+                    subscription.sent, source.replica().after(subscription.sent, own.creditBytes()));
+            lastBatchNewest = newest();
+        }
+        return lastBatch;
+    }
+
+    private void sendBatch(long nowUs, Subscription subscription, Batch batch) {
+        subscription.sent(batch, bytes(batch), nowUs);
+        subscription.sent = batch.last();
+        batches++;
+        output.send(subscription.link, batch);
+    }
+
+    private static int bytes(Batch batch) {
+        int bytes = 0;
+        for (Change change : batch.changes()) {
+            bytes += change.sizeBytes();
+        }
+        return bytes;
+    }
+
+    // ---- snapshots ----
+
+    /** One from which the window goes on for a good while yet, or a new one. */
+    private FrozenSnapshot currentSnapshot() {
+        FrozenSnapshot newest = snapshots.peekLast();
+        Replica replica = source.replica();
+        if (newest != null
+                && replica.covers(newest.position())
+                && newest().number() - newest.position().number() <= replica.windowChanges() / 2) {
+            return newest;
+        }
+        FrozenSnapshot frozen = FrozenSnapshot.of(replica, own.creditBytes());
+        snapshots.add(frozen);
+        if (snapshots.size() > own.snapshots()) {
+            FrozenSnapshot oldest = snapshots.removeFirst();
+            subscriptions.values().stream()
+                    .filter(each -> each.snapshot == oldest)
+                    .forEach(Subscription::abandonSnapshot);
+        }
+        return frozen;
+    }
+
+    private void forgetUnusedSnapshots() {
+        snapshots.removeIf(snapshot ->
+                subscriptions.values().stream().noneMatch(each -> each.snapshot == snapshot));
+    }
+
+    // ---- dropping ----
+
+    /** What others could not do while this process stood still is not held against them. */
+    private void excuseStall(long lateUs) {
+        if (lateUs > own.stallUs()) {
+            for (Subscription each : subscriptions.values()) {
+                each.heardUs += lateUs;
+                each.sentUs += lateUs;
+            }
+        }
+    }
+
+    private void dropUnresponsive(long nowUs) {
+        for (Subscription each : List.copyOf(subscriptions.values())) {
+            if (each.unacknowledged != null && nowUs - each.sentUs >= own.acknowledgeTimeoutUs()) {
+                droppedSlow++;
+                drop(each.link, each.name + " has acknowledged nothing for " + (nowUs - each.sentUs) / 1000 + " ms");
+            } else if (nowUs - each.heardUs >= own.silenceTimeoutUs()) {
+                droppedSilent++;
+                drop(each.link, each.name + " has said nothing for " + (nowUs - each.heardUs) / 1000 + " ms");
+            }
+        }
+    }
+
+    private void drop(long link, String reason) {
+        remove(link);
+        output.close(link, reason);
+    }
+
+    private void remove(long link) {
+        Subscription subscription = subscriptions.remove(link);
+        if (subscription != null) {
+            byName.remove(subscription.name, subscription);
+            catchingUp.remove(subscription);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/fanout/RendezvousOrder.java
@@ -0,0 +1,44 @@
+package holdproxy.fanout;
+
+import java.util.Comparator;
+import java.util.List;
+
+/**
+ * The order in which a subscriber prefers its candidates: its own site's first, then the others, each group by
+ * rendezvous hashing of the two names. So a lost relay's subscribers spread over all that are left, and a new
+ * relay takes its share from each.
+ */
+public final class RendezvousOrder {
+    private static final long FNV_OFFSET = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+
+    private RendezvousOrder() {}
+
+    /** The candidates in the order for this subscriber; {@code site}: its own, empty for none. */
+    public static List<RelayCandidate> of(String subscriber, String site, List<RelayCandidate> candidates) {
+        return candidates.stream()
+                .sorted(Comparator.comparing((RelayCandidate each) -> site.isEmpty() || !each.site().equals(site))
+                        .thenComparing(each -> weight(subscriber, each.name()), Comparator.reverseOrder())
+                        .thenComparing(RelayCandidate::name))
+                .toList();
+    }
+
+    private static long weight(String subscriber, String candidate) {
+        return mixed(add(add(add(FNV_OFFSET, subscriber), "\n"), candidate));
+    }
+
+    private static long add(long hash, String text) {
+        long result = hash;
+        for (int i = 0; i < text.length(); i++) {
+            result = (result ^ text.charAt(i)) * FNV_PRIME;
+        }
+        return result;
+    }
+
+    /** SplitMix64's finalizer: FNV alone leaves the last characters in the low bits. */
+    private static long mixed(long hash) {
+        long result = (hash ^ hash >>> 30) * 0xbf58476d1ce4e5b9L;
+        result = (result ^ result >>> 27) * 0x94d049bb133111ebL;
+        return result ^ result >>> 31;
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/fanout/SnapshotAssembly.java
@@ -0,0 +1,56 @@
+package holdproxy.fanout;
+
+import holdproxy.fanout.Message.SnapshotPart;
+import holdproxy.fanout.ProtocolException.Kind;
+import java.util.SortedMap;
+import java.util.TreeMap;
+
+/** A snapshot of which parts have come; bounded as the state is. */
+final class SnapshotAssembly {
+    private final FanoutSettings.Limits limits;
+    private final Position position;
+    private final int parts;
+    private final TreeMap<String, Value> entries = new TreeMap<>();
+    private int received;
+    private long bytes;
+
+    SnapshotAssembly(FanoutSettings.Limits limits, SnapshotPart first) {
+        this.limits = limits;
+        position = first.position();
+        parts = first.parts();
+    }
+
+    Position position() {
+        return position;
+    }
+
+    /** How many parts have come. */
+    int received() {
+        return received;
+    }
+
+    boolean isSameAs(SnapshotPart part) {
+        return part.position().equals(position) && part.parts() == parts;
+    }
+
+    /** The next part. */
+    void add(SnapshotPart part) {
+        bytes += SizeEstimate.ofEntries(part.entries());
+        entries.putAll(part.entries());
+        if (bytes > limits.stateBytes() || entries.size() > limits.stateKeys()) {
+            throw new ProtocolException(
+                    Kind.TOO_LARGE,
+                    "a snapshot at " + position + " has over " + limits.stateBytes() + " bytes or "
+                            + limits.stateKeys() + " keys");
+        }
+        received++;
+    }
+
+    boolean isWhole() {
+        return received == parts;
+    }
+
+    SortedMap<String, Value> entries() {
+        return entries;
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/fanout/Subscription.java
@@ -0,0 +1,67 @@
+package holdproxy.fanout;
+
+/** What a relay knows of one subscriber. It has no queue: what it gets next is read from the shared window. */
+final class Subscription {
+    final long link;
+    final String name;
+    /** Everything to here has been sent. */
+    Position sent;
+    /** What it is known to hold. */
+    Position held;
+    /** It has had everything since its last subscribing, and gets new changes without pacing. */
+    boolean live;
+    /** That it is receiving, else null. */
+    FrozenSnapshot snapshot;
+    int nextPart;
+    /** The batch or part that waits for its acknowledgement, else null. */
+    Message unacknowledged;
+    int unacknowledgedBytes;
+    long sentUs;
+    long heardUs;
+    CoverageReport report = CoverageReport.EMPTY;
+
+    Subscription(long link, String name) {
+        this.link = link;
+        this.name = name;
+    }
+
+    /** It goes on from this position; what was under way does not count. */
+    void restart(Position from) {
+        sent = from;
+        held = from;
+        live = false;
+        abandonSnapshot();
+        unacknowledged = null;
+        unacknowledgedBytes = 0;
+    }
+
+    void abandonSnapshot() {
+        snapshot = null;
+        nextPart = 0;
+    }
+
+    void sent(Message message, int bytes, long nowUs) {
+        if (unacknowledged == null) {
+            sentUs = nowUs;
+        }
+        unacknowledged = message;
+        unacknowledgedBytes += bytes;
+    }
+
+    void acknowledged(Message.Acknowledge acknowledge) {
+        held = acknowledge.received();
+        if (unacknowledged != null && covers(acknowledge)) {
+            unacknowledged = null;
+            unacknowledgedBytes = 0;
+        }
+    }
+
+    private boolean covers(Message.Acknowledge acknowledge) {
+        if (unacknowledged instanceof Message.Batch batch) {
+            return !batch.last().isAfter(acknowledge.received());
+        }
+        Message.SnapshotPart part = (Message.SnapshotPart) unacknowledged;
+        return !part.position().isAfter(acknowledge.received())
+                || part.position().equals(acknowledge.assembling()) && acknowledge.parts() > part.index();
+    }
+}
