--- a/src/main/java/holdproxy/fanout/ChangeLog.java
+++ b/src/main/java/holdproxy/fanout/ChangeLog.java
@@ -18,6 +18,7 @@
     private final FanoutSettings.Limits limits;
     private final Set<Safeguard> safeguards;
     private final Replica replica;
+
     /** Positions by publication identifier, oldest first. */
     private final LinkedHashMap<String, Position> publications = new LinkedHashMap<>();
 
@@ -87,15 +88,22 @@
         if (position().equals(Position.NONE)) {
             return new Refused(Reason.NOT_FOUNDED, "the log has no epoch");
         }
-        if (publication.token() < highestToken && safeguards.contains(Safeguard.FENCING_TOKEN_CHECK)) {
+        if (publication.token() < highestToken
+                && safeguards.contains(Safeguard.FENCING_TOKEN_CHECK)) {
             return new Refused(
-                    Reason.STALE_TOKEN, "token " + publication.token() + " is below " + highestToken + ", seen before");
+                    Reason.STALE_TOKEN,
+                    "token " + publication.token() + " is below " + highestToken + ", seen before");
         }
         Refused refused = PublicationCheck.check(publication, limits);
-        if (refused == null && !replica.state().fits(publication.puts(), publication.deletes(), limits)) {
+        if (refused == null
+                && !replica.state().fits(publication.puts(), publication.deletes(), limits)) {
             return new Refused(
                     Reason.STATE_FULL,
-                    "the state would exceed " + limits.stateKeys() + " keys or " + limits.stateBytes() + " bytes");
+                    "the state would exceed "
+                            + limits.stateKeys()
+                            + " keys or "
+                            + limits.stateBytes()
+                            + " bytes");
         }
         return refused;
     }
@@ -131,8 +139,12 @@
         for (Change change : replica.window().all()) {
             parts.add("change", change.sizeBytes(), PlainForm.plain(change));
         }
-        publications.forEach((id, position) -> parts.add(
-                "publication", SizeEstimate.ofKey(id), List.of(id, position.epoch(), position.number())));
+        publications.forEach(
+                (id, position) ->
+                        parts.add(
+                                "publication",
+                                SizeEstimate.ofKey(id),
+                                List.of(id, position.epoch(), position.number())));
         return parts.done();
     }
 
@@ -150,12 +162,17 @@
                         position = PlainForm.position(fields, 1);
                         highestToken = PlainForm.number(fields.get(3));
                     }
-                    case "entry" -> entries.put(PlainForm.text(fields.get(1)), PlainForm.value(fields.get(2)));
+                    case "entry" ->
+                            entries.put(
+                                    PlainForm.text(fields.get(1)), PlainForm.value(fields.get(2)));
                     case "change" -> window.add(PlainForm.change(fields, 1));
-                    case "publication" -> publications.put(
-                            PlainForm.text(fields.get(1)), PlainForm.position(fields, 2));
-                    default -> throw new ProtocolException(
-                            ProtocolException.Kind.MALFORMED, "a log's snapshot has an item " + fields.get(0));
+                    case "publication" ->
+                            publications.put(
+                                    PlainForm.text(fields.get(1)), PlainForm.position(fields, 2));
+                    default ->
+                            throw new ProtocolException(
+                                    ProtocolException.Kind.MALFORMED,
+                                    "a log's snapshot has an item " + fields.get(0));
                 }
             }
         }
--- a/src/main/java/holdproxy/fanout/ChangeLogOperations.java
+++ b/src/main/java/holdproxy/fanout/ChangeLogOperations.java
@@ -51,11 +51,13 @@
         String name = PlainForm.text(operation.get(0));
         return switch (name) {
             case FOUND -> new Appended(log.found(PlainForm.number(operation.get(1))), false);
-            case APPEND -> log.append(new Publication(
-                    PlainForm.number(operation.get(1)),
-                    PlainForm.text(operation.get(2)),
-                    PlainForm.entries(operation.get(3)),
-                    new TreeSet<>(PlainForm.texts(operation.get(4)))));
+            case APPEND ->
+                    log.append(
+                            new Publication(
+                                    PlainForm.number(operation.get(1)),
+                                    PlainForm.text(operation.get(2)),
+                                    PlainForm.entries(operation.get(3)),
+                                    new TreeSet<>(PlainForm.texts(operation.get(4)))));
             default -> new Refused(Reason.UNKNOWN_OPERATION, "no operation is called " + name);
         };
     }
@@ -63,7 +65,10 @@
     private static List<Object> plain(AppendResult result) {
         if (result instanceof Appended appended) {
             return List.of(
-                    APPENDED, appended.position().epoch(), appended.position().number(), appended.repeated());
+                    APPENDED,
+                    appended.position().epoch(),
+                    appended.position().number(),
+                    appended.repeated());
         }
         Refused refused = (Refused) result;
         return List.of(REFUSED, refused.reason().name(), refused.detail());
@@ -73,9 +78,12 @@
     public static AppendResult result(Object answer) {
         List<?> fields = PlainForm.list(answer);
         return switch (PlainForm.text(fields.get(0))) {
-            case APPENDED -> new Appended(PlainForm.position(fields, 1), Boolean.TRUE.equals(fields.get(3)));
-            case REFUSED -> new Refused(
-                    Reason.valueOf(PlainForm.text(fields.get(1))), PlainForm.text(fields.get(2)));
+            case APPENDED ->
+                    new Appended(PlainForm.position(fields, 1), Boolean.TRUE.equals(fields.get(3)));
+            case REFUSED ->
+                    new Refused(
+                            Reason.valueOf(PlainForm.text(fields.get(1))),
+                            PlainForm.text(fields.get(2)));
             default -> throw PlainForm.malformed("no answer is called " + fields.get(0));
         };
     }
--- a/src/main/java/holdproxy/fanout/ChangeWindow.java
+++ b/src/main/java/holdproxy/fanout/ChangeWindow.java
@@ -10,8 +10,10 @@
     private final int mostChanges;
     private final int mostBytes;
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
+
     /** The position before the first change that is kept. */
     private Position base = Position.NONE;
+
     private long bytes;
 
     ChangeWindow(FanoutSettings.Limits limits) {
--- a/src/main/java/holdproxy/fanout/CoverageReport.java
+++ b/src/main/java/holdproxy/fanout/CoverageReport.java
@@ -17,7 +17,8 @@
  * @param rejecting how many proxies reject the state that they received last
  * @param rejections the first of them by name
  */
-public record CoverageReport(long proxies, List<PositionCount> inForce, long rejecting, List<Rejection> rejections) {
+public record CoverageReport(
+        long proxies, List<PositionCount> inForce, long rejecting, List<Rejection> rejections) {
     public static final CoverageReport EMPTY = new CoverageReport(0, List.of(), 0, List.of());
 
     /** So many proxies have this position in force. */
@@ -38,7 +39,8 @@
     }
 
     /** All of them together, within the limits. */
-    public static CoverageReport merge(Collection<CoverageReport> reports, FanoutSettings.Limits limits) {
+    public static CoverageReport merge(
+            Collection<CoverageReport> reports, FanoutSettings.Limits limits) {
         long proxies = 0;
         long rejecting = 0;
         TreeMap<Position, Long> counts = new TreeMap<>(Comparator.reverseOrder());
@@ -55,7 +57,8 @@
         if (rejections.size() > limits.reportedRejections()) {
             rejections = rejections.subList(0, limits.reportedRejections());
         }
-        return new CoverageReport(proxies, bounded(counts, limits.reportedPositions()), rejecting, rejections);
+        return new CoverageReport(
+                proxies, bounded(counts, limits.reportedPositions()), rejecting, rejections);
     }
 
     /** {@code counts} newest first; the oldest ones become one, at the oldest position of them. */
--- a/src/main/java/holdproxy/fanout/FanoutSettings.java
+++ b/src/main/java/holdproxy/fanout/FanoutSettings.java
@@ -13,44 +13,68 @@
     private static final int KIB = 1_024;
     private static final int MIB = 1_024 * KIB;
 
-    public static final FanoutSettings DEFAULTS = new FanoutSettings(
-            new Limits(256, 64 * KIB, 64 * KIB, 1_024, 16_384, 4 * MIB, 4_096, 4 * MIB, 1_024, 64, 128, 8, 16, MIB),
-            new RelaySettings(
-                    2_048, 64 * KIB, MIB, 256 * KIB, 4, SECOND, 5 * SECOND, 15 * SECOND, 2 * SECOND, 500 * MS),
-            new SubscriberSettings(
-                    2_500 * MS,
-                    1_500 * MS,
-                    6 * SECOND,
-                    250 * MS,
-                    2 * SECOND,
-                    5 * SECOND,
-                    300 * SECOND,
-                    30 * SECOND,
-                    5 * SECOND,
-                    4 * SECOND,
-                    500 * MS,
-                    5 * SECOND,
-                    1_500 * MS,
-                    30 * SECOND));
+    public static final FanoutSettings DEFAULTS =
+            new FanoutSettings(
+                    new Limits(
+                            256, 64 * KIB, 64 * KIB, 1_024, 16_384, 4 * MIB, 4_096, 4 * MIB, 1_024,
+                            64, 128, 8, 16, MIB),
+                    new RelaySettings(
+                            2_048,
+                            64 * KIB,
+                            MIB,
+                            256 * KIB,
+                            4,
+                            SECOND,
+                            5 * SECOND,
+                            15 * SECOND,
+                            2 * SECOND,
+                            500 * MS),
+                    new SubscriberSettings(
+                            2_500 * MS,
+                            1_500 * MS,
+                            6 * SECOND,
+                            250 * MS,
+                            2 * SECOND,
+                            5 * SECOND,
+                            300 * SECOND,
+                            30 * SECOND,
+                            5 * SECOND,
+                            4 * SECOND,
+                            500 * MS,
+                            5 * SECOND,
+                            1_500 * MS,
+                            30 * SECOND));
 
     public FanoutSettings {
         require(
                 relay.creditBytes >= limits.changeBytes,
-                "the credit of " + relay.creditBytes + " bytes does not hold a change of " + limits.changeBytes);
+                "the credit of "
+                        + relay.creditBytes
+                        + " bytes does not hold a change of "
+                        + limits.changeBytes);
         require(
                 relay.catchUpBurstBytes >= relay.creditBytes,
-                "the catch-up burst of " + relay.catchUpBurstBytes + " bytes is below the credit of "
+                "the catch-up burst of "
+                        + relay.catchUpBurstBytes
+                        + " bytes is below the credit of "
                         + relay.creditBytes);
         require(
                 limits.frameBytes >= 2 * relay.creditBytes,
-                "a frame of " + limits.frameBytes + " bytes does not hold twice the credit of " + relay.creditBytes);
+                "a frame of "
+                        + limits.frameBytes
+                        + " bytes does not hold twice the credit of "
+                        + relay.creditBytes);
         require(
                 subscriber.heartbeatTimeoutUs >= 2 * relay.heartbeatIntervalUs,
-                "the heartbeat time-out of " + subscriber.heartbeatTimeoutUs + " us is below two intervals of "
+                "the heartbeat time-out of "
+                        + subscriber.heartbeatTimeoutUs
+                        + " us is below two intervals of "
                         + relay.heartbeatIntervalUs);
         require(
                 relay.silenceTimeoutUs >= 2 * subscriber.keepaliveIntervalUs,
-                "the silence time-out of " + relay.silenceTimeoutUs + " us is below two keepalives of "
+                "the silence time-out of "
+                        + relay.silenceTimeoutUs
+                        + " us is below two keepalives of "
                         + subscriber.keepaliveIntervalUs);
     }
 
--- a/src/main/java/holdproxy/fanout/FieldReader.java
+++ b/src/main/java/holdproxy/fanout/FieldReader.java
@@ -24,13 +24,15 @@
     void requireEnd() {
         if (hasMore()) {
             throw new ProtocolException(
-                    Kind.UNKNOWN_FIELD, "field " + next + " of a message that has " + next + " in this version");
+                    Kind.UNKNOWN_FIELD,
+                    "field " + next + " of a message that has " + next + " in this version");
         }
     }
 
     void requireBelow(int count, int most) {
         if (count >= most) {
-            throw new ProtocolException(Kind.TOO_LARGE, "a list has more than " + most + " entries");
+            throw new ProtocolException(
+                    Kind.TOO_LARGE, "a list has more than " + most + " entries");
         }
     }
 
@@ -85,14 +87,20 @@
 
     SortedMap<String, Value> entries(int most) {
         SortedMap<String, Value> entries = PlainForm.entries(list(2 * most));
-        entries.forEach((key, value) -> {
-            requireKey(key);
-            if (value.size() > limits.valueBytes()) {
-                throw new ProtocolException(
-                        Kind.TOO_LARGE,
-                        "the value of " + key + " has " + value.size() + " bytes, more than " + limits.valueBytes());
-            }
-        });
+        entries.forEach(
+                (key, value) -> {
+                    requireKey(key);
+                    if (value.size() > limits.valueBytes()) {
+                        throw new ProtocolException(
+                                Kind.TOO_LARGE,
+                                "the value of "
+                                        + key
+                                        + " has "
+                                        + value.size()
+                                        + " bytes, more than "
+                                        + limits.valueBytes());
+                    }
+                });
         return entries;
     }
 
@@ -125,6 +133,7 @@
     }
 
     private static ProtocolException tooLong(int length, int most) {
-        return new ProtocolException(Kind.TOO_LARGE, "a text or list of " + length + ", more than " + most);
+        return new ProtocolException(
+                Kind.TOO_LARGE, "a text or list of " + length + ", more than " + most);
     }
 }
--- a/src/main/java/holdproxy/fanout/KeyedState.java
+++ b/src/main/java/holdproxy/fanout/KeyedState.java
@@ -37,7 +37,8 @@
     }
 
     /** Whether it would still be within these limits after the change. */
-    boolean fits(SortedMap<String, Value> puts, Iterable<String> deletes, FanoutSettings.Limits limits) {
+    boolean fits(
+            SortedMap<String, Value> puts, Iterable<String> deletes, FanoutSettings.Limits limits) {
         long keysAfter = entries.size();
         long bytesAfter = bytes;
         for (String key : deletes) {
--- a/src/main/java/holdproxy/fanout/Message.java
+++ b/src/main/java/holdproxy/fanout/Message.java
@@ -34,7 +34,12 @@
             for (int i = 0; i < changes.size(); i++) {
                 if (!changes.get(i).position().equals(predecessor.plus(i + 1L))) {
                     throw new IllegalArgumentException(
-                            "a batch after " + predecessor + " has " + changes.get(i).position() + " as number " + i);
+                            "a batch after "
+                                    + predecessor
+                                    + " has "
+                                    + changes.get(i).position()
+                                    + " as number "
+                                    + i);
                 }
             }
         }
@@ -53,11 +58,13 @@
      * @param parts how many the snapshot has
      * @param entries of this part; those of different parts do not overlap
      */
-    record SnapshotPart(Position position, int index, int parts, SortedMap<String, Value> entries) implements Message {
+    record SnapshotPart(Position position, int index, int parts, SortedMap<String, Value> entries)
+            implements Message {
         public SnapshotPart {
             entries = Collections.unmodifiableSortedMap(new TreeMap<>(entries));
             if (index < 0 || index >= parts) {
-                throw new IllegalArgumentException("a snapshot of " + parts + " parts has no part " + index);
+                throw new IllegalArgumentException(
+                        "a snapshot of " + parts + " parts has no part " + index);
             }
         }
 
@@ -75,7 +82,8 @@
      * @param parts how many of them
      * @param report what the subscriber, or the proxies below it, have in force
      */
-    record Acknowledge(Position received, Position assembling, int parts, CoverageReport report) implements Message {}
+    record Acknowledge(Position received, Position assembling, int parts, CoverageReport report)
+            implements Message {}
 
     /**
      * A sign of life, at once after {@link Subscribe} and then in a fixed rhythm.
--- a/src/main/java/holdproxy/fanout/MessageCodec.java
+++ b/src/main/java/holdproxy/fanout/MessageCodec.java
@@ -56,7 +56,8 @@
     public Message decode(byte[] bytes) {
         if (bytes.length > limits.frameBytes()) {
             throw new ProtocolException(
-                    Kind.TOO_LARGE, "a frame of " + bytes.length + " bytes, more than " + limits.frameBytes());
+                    Kind.TOO_LARGE,
+                    "a frame of " + bytes.length + " bytes, more than " + limits.frameBytes());
         }
         List<?> fields = parse(bytes);
         if (fields.size() < 2) {
@@ -65,10 +66,13 @@
         long version = PlainForm.number(fields.get(0));
         if (version != VERSION) {
             throw new ProtocolException(
-                    Kind.FOREIGN_VERSION, "protocol version " + version + ", this process has " + VERSION);
+                    Kind.FOREIGN_VERSION,
+                    "protocol version " + version + ", this process has " + VERSION);
         }
         try {
-            return message(PlainForm.number(fields.get(1)), new FieldReader(fields.subList(2, fields.size()), limits));
+            return message(
+                    PlainForm.number(fields.get(1)),
+                    new FieldReader(fields.subList(2, fields.size()), limits));
         } catch (IllegalArgumentException e) {
             throw PlainForm.malformed(e.getMessage());
         }
@@ -85,8 +89,7 @@
             }
             return fields;
         } catch (IOException e) {
-            throw PlainForm.malformed(
-                    "a frame is no CBOR list: " + e.getClass().getSimpleName());
+            throw PlainForm.malformed("a frame is no CBOR list: " + e.getClass().getSimpleName());
         }
     }
 
@@ -164,13 +167,25 @@
                 switch ((int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, kind))) {
                     case SUBSCRIBE -> new Subscribe(fields.name(), fields.position());
                     case BATCH -> batch(fields);
-                    case SNAPSHOT_PART -> new SnapshotPart(
-                            fields.position(), fields.count(), fields.count(), fields.entries(limits.stateKeys()));
-                    case ACKNOWLEDGE -> new Acknowledge(
-                            fields.position(), fields.position(), fields.count(), report(fields.nested()));
+                    case SNAPSHOT_PART ->
+                            new SnapshotPart(
+                                    fields.position(),
+                                    fields.count(),
+                                    fields.count(),
+                                    fields.entries(limits.stateKeys()));
+                    case ACKNOWLEDGE ->
+                            new Acknowledge(
+                                    fields.position(),
+                                    fields.position(),
+                                    fields.count(),
+                                    report(fields.nested()));
                     case HEARTBEAT -> new Heartbeat(fields.position(), fields.notNegative());
-                    case REFUSE -> new Refuse(reason(fields.count()), fields.reason(), fields.notNegative());
-                    default -> throw new ProtocolException(Kind.UNKNOWN_MESSAGE, "a message of kind " + kind);
+                    case REFUSE ->
+                            new Refuse(
+                                    reason(fields.count()), fields.reason(), fields.notNegative());
+                    default ->
+                            throw new ProtocolException(
+                                    Kind.UNKNOWN_MESSAGE, "a message of kind " + kind);
                 };
         fields.requireEnd();
         return message;
--- a/src/main/java/holdproxy/fanout/PlainForm.java
+++ b/src/main/java/holdproxy/fanout/PlainForm.java
@@ -26,10 +26,11 @@
     /** Key, value, key, value. */
     static List<Object> plain(Map<String, Value> entries) {
         List<Object> plain = new ArrayList<>(2 * entries.size());
-        entries.forEach((key, value) -> {
-            plain.add(key);
-            plain.add(value.bytes());
-        });
+        entries.forEach(
+                (key, value) -> {
+                    plain.add(key);
+                    plain.add(value.bytes());
+                });
         return plain;
     }
 
@@ -37,7 +38,9 @@
 
     static Change change(List<?> fields, int first) {
         return new Change(
-                position(fields, first), entries(fields.get(first + 2)), new TreeSet<>(texts(fields.get(first + 3))));
+                position(fields, first),
+                entries(fields.get(first + 2)),
+                new TreeSet<>(texts(fields.get(first + 3))));
     }
 
     static Position position(List<?> fields, int first) {
--- a/src/main/java/holdproxy/fanout/Publication.java
+++ b/src/main/java/holdproxy/fanout/Publication.java
@@ -14,7 +14,8 @@
  * @param puts values by key
  * @param deletes keys to remove; none of those that get a value
  */
-public record Publication(long token, String id, SortedMap<String, Value> puts, SortedSet<String> deletes) {
+public record Publication(
+        long token, String id, SortedMap<String, Value> puts, SortedSet<String> deletes) {
     public Publication {
         puts = Collections.unmodifiableSortedMap(new TreeMap<>(puts));
         deletes = Collections.unmodifiableSortedSet(new TreeSet<>(deletes));
--- a/src/main/java/holdproxy/fanout/PublicationCheck.java
+++ b/src/main/java/holdproxy/fanout/PublicationCheck.java
@@ -10,15 +10,18 @@
 
     /** Null where nothing is wrong. */
     static Refused check(Publication publication, FanoutSettings.Limits limits) {
-        if (publication.id().isEmpty() || SizeEstimate.utf8Length(publication.id()) > limits.nameBytes()) {
-            return new Refused(Reason.INVALID, "an identifier has 1 to " + limits.nameBytes() + " bytes");
+        if (publication.id().isEmpty()
+                || SizeEstimate.utf8Length(publication.id()) > limits.nameBytes()) {
+            return new Refused(
+                    Reason.INVALID, "an identifier has 1 to " + limits.nameBytes() + " bytes");
         }
         int keys = publication.puts().size() + publication.deletes().size();
         if (keys == 0) {
             return new Refused(Reason.INVALID, "it has neither puts nor deletes");
         }
         if (keys > limits.changeKeys()) {
-            return new Refused(Reason.TOO_LARGE, keys + " keys are more than " + limits.changeKeys());
+            return new Refused(
+                    Reason.TOO_LARGE, keys + " keys are more than " + limits.changeKeys());
         }
         Refused refused = checkKeys(publication, limits);
         if (refused != null) {
@@ -27,7 +30,8 @@
         int size = SizeEstimate.ofChange(publication.puts(), publication.deletes());
         return size <= limits.changeBytes()
                 ? null
-                : new Refused(Reason.TOO_LARGE, size + " bytes are more than " + limits.changeBytes());
+                : new Refused(
+                        Reason.TOO_LARGE, size + " bytes are more than " + limits.changeBytes());
     }
 
     private static Refused checkKeys(Publication publication, FanoutSettings.Limits limits) {
@@ -38,7 +42,11 @@
             if (put.getValue().size() > limits.valueBytes()) {
                 return new Refused(
                         Reason.TOO_LARGE,
-                        "the value of " + put.getKey() + " has " + put.getValue().size() + " bytes, more than "
+                        "the value of "
+                                + put.getKey()
+                                + " has "
+                                + put.getValue().size()
+                                + " bytes, more than "
                                 + limits.valueBytes());
             }
         }
@@ -49,7 +57,8 @@
     private static Refused checkLength(Set<String> keys, FanoutSettings.Limits limits) {
         for (String key : keys) {
             if (key.isEmpty() || SizeEstimate.utf8Length(key) > limits.keyBytes()) {
-                return new Refused(Reason.INVALID, "a key has 1 to " + limits.keyBytes() + " bytes: " + key);
+                return new Refused(
+                        Reason.INVALID, "a key has 1 to " + limits.keyBytes() + " bytes: " + key);
             }
         }
         return null;
--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -57,8 +57,10 @@
     private final Set<Safeguard> safeguards;
     private final Map<Long, Subscription> subscriptions = new LinkedHashMap<>();
     private final Map<String, Subscription> byName = new HashMap<>();
+
     /** Those that are behind, in the order of their subscribing. */
     private final LinkedHashSet<Subscription> catchingUp = new LinkedHashSet<>();
+
     /** Oldest first. */
     private final ArrayDeque<FrozenSnapshot> snapshots = new ArrayDeque<>();
 
@@ -66,8 +68,10 @@
     private long heartbeatDueUs;
     private long catchUpDueUs = NEVER;
     private Batch lastBatch;
+
     /** What the newest position was when it was made. */
     private Position lastBatchNewest;
+
     private long batches;
     private long snapshotParts;
     private long catchUpBytes;
@@ -80,7 +84,12 @@
     }
 
     /** A relay without some of its rules, for the simulation. */
-    public Relay(FanoutSettings settings, Source source, Output output, long nowUs, Set<Safeguard> safeguards) {
+    public Relay(
+            FanoutSettings settings,
+            Source source,
+            Output output,
+            long nowUs,
+            Set<Safeguard> safeguards) {
         this.settings = settings;
         this.own = settings.relay();
         this.source = source;
@@ -142,7 +151,8 @@
     /** Sends all subscribers elsewhere, as this process ends by plan. */
     public void shutDown(long nowUs) {
         Refuse refuse =
-                new Refuse(Refuse.Reason.SHUTTING_DOWN, "the relay ends by plan", own.retryAfterUs());
+                new Refuse(
+                        Refuse.Reason.SHUTTING_DOWN, "the relay ends by plan", own.retryAfterUs());
         for (long link : List.copyOf(subscriptions.keySet())) {
             output.send(link, refuse);
             drop(link, refuse.detail());
@@ -182,7 +192,9 @@
             refuse(
                     link,
                     Refuse.Reason.BEHIND,
-                    "the relay holds epoch " + newest.epoch() + ", the subscriber "
+                    "the relay holds epoch "
+                            + newest.epoch()
+                            + ", the subscriber "
                             + subscribe.held().epoch());
             return;
         }
@@ -211,7 +223,10 @@
             drop(before.link, name + " has subscribed by another link");
         }
         if (subscriptions.size() >= own.subscribers()) {
-            refuse(link, Refuse.Reason.FULL, "the relay serves " + subscriptions.size() + " already");
+            refuse(
+                    link,
+                    Refuse.Reason.FULL,
+                    "the relay serves " + subscriptions.size() + " already");
             return null;
         }
         Subscription subscription = new Subscription(link, name);
@@ -322,7 +337,8 @@
         if (subscription.live || mayNotSend(subscription) || coveredByWindow(subscription)) {
             return true;
         }
-        if (subscription.snapshot == null || !source.replica().covers(subscription.snapshot.position())) {
+        if (subscription.snapshot == null
+                || !source.replica().covers(subscription.snapshot.position())) {
             subscription.abandonSnapshot();
             subscription.snapshot = currentSnapshot();
         }
@@ -361,8 +377,10 @@
         if (lastBatch == null
                 || !lastBatch.predecessor().equals(subscription.sent)
                 || !lastBatchNewest.equals(newest())) {
-            lastBatch = new Batch(
-                    subscription.sent, source.replica().after(subscription.sent, own.creditBytes()));
+            lastBatch =
+                    new Batch(
+                            subscription.sent,
+                            source.replica().after(subscription.sent, own.creditBytes()));
             lastBatchNewest = newest();
         }
         return lastBatch;
@@ -406,8 +424,10 @@
     }
 
     private void forgetUnusedSnapshots() {
-        snapshots.removeIf(snapshot ->
-                subscriptions.values().stream().noneMatch(each -> each.snapshot == snapshot));
+        snapshots.removeIf(
+                snapshot ->
+                        subscriptions.values().stream()
+                                .noneMatch(each -> each.snapshot == snapshot));
     }
 
     // ---- dropping ----
@@ -426,10 +446,20 @@
         for (Subscription each : List.copyOf(subscriptions.values())) {
             if (each.unacknowledged != null && nowUs - each.sentUs >= own.acknowledgeTimeoutUs()) {
                 droppedSlow++;
-                drop(each.link, each.name + " has acknowledged nothing for " + (nowUs - each.sentUs) / 1000 + " ms");
+                drop(
+                        each.link,
+                        each.name
+                                + " has acknowledged nothing for "
+                                + (nowUs - each.sentUs) / 1000
+                                + " ms");
             } else if (nowUs - each.heardUs >= own.silenceTimeoutUs()) {
                 droppedSilent++;
-                drop(each.link, each.name + " has said nothing for " + (nowUs - each.heardUs) / 1000 + " ms");
+                drop(
+                        each.link,
+                        each.name
+                                + " has said nothing for "
+                                + (nowUs - each.heardUs) / 1000
+                                + " ms");
             }
         }
     }
--- a/src/main/java/holdproxy/fanout/RendezvousOrder.java
+++ b/src/main/java/holdproxy/fanout/RendezvousOrder.java
@@ -15,11 +15,17 @@
     private RendezvousOrder() {}
 
     /** The candidates in the order for this subscriber; {@code site}: its own, empty for none. */
-    public static List<RelayCandidate> of(String subscriber, String site, List<RelayCandidate> candidates) {
+    public static List<RelayCandidate> of(
+            String subscriber, String site, List<RelayCandidate> candidates) {
         return candidates.stream()
-                .sorted(Comparator.comparing((RelayCandidate each) -> site.isEmpty() || !each.site().equals(site))
-                        .thenComparing(each -> weight(subscriber, each.name()), Comparator.reverseOrder())
-                        .thenComparing(RelayCandidate::name))
+                .sorted(
+                        Comparator.comparing(
+                                        (RelayCandidate each) ->
+                                                site.isEmpty() || !each.site().equals(site))
+                                .thenComparing(
+                                        each -> weight(subscriber, each.name()),
+                                        Comparator.reverseOrder())
+                                .thenComparing(RelayCandidate::name))
                 .toList();
     }
 
--- a/src/main/java/holdproxy/fanout/Replica.java
+++ b/src/main/java/holdproxy/fanout/Replica.java
@@ -16,7 +16,8 @@
     }
 
     /** A replica with what was kept of an earlier one. */
-    public static Replica restored(FanoutSettings.Limits limits, Position position, SortedMap<String, Value> entries) {
+    public static Replica restored(
+            FanoutSettings.Limits limits, Position position, SortedMap<String, Value> entries) {
         Replica replica = new Replica(limits);
         replica.reset(position, entries);
         return replica;
--- a/src/main/java/holdproxy/fanout/SnapshotAssembly.java
+++ b/src/main/java/holdproxy/fanout/SnapshotAssembly.java
@@ -40,8 +40,13 @@
         if (bytes > limits.stateBytes() || entries.size() > limits.stateKeys()) {
             throw new ProtocolException(
                     Kind.TOO_LARGE,
-                    "a snapshot at " + position + " has over " + limits.stateBytes() + " bytes or "
-                            + limits.stateKeys() + " keys");
+                    "a snapshot at "
+                            + position
+                            + " has over "
+                            + limits.stateBytes()
+                            + " bytes or "
+                            + limits.stateKeys()
+                            + " keys");
         }
         received++;
     }
--- a/src/main/java/holdproxy/fanout/Subscriber.java
+++ b/src/main/java/holdproxy/fanout/Subscriber.java
@@ -24,6 +24,7 @@
 public final class Subscriber implements Relay.Source {
     private static final long NEVER = Long.MAX_VALUE;
     private static final int MOST_DOUBLINGS = 20;
+
     /** A gap is not asked about again before this part of the interval for asking again. */
     private static final int GAP_PART = 8;
 
@@ -50,7 +51,10 @@
          *     stays in force
          */
         Optional<String> offer(
-                long nowUs, Position position, SortedMap<String, Value> state, List<Change> changes);
+                long nowUs,
+                Position position,
+                SortedMap<String, Value> state,
+                List<Change> changes);
     }
 
     private enum Phase {
@@ -74,8 +78,10 @@
     private Phase phase = Phase.IDLE;
     private RelayCandidate relay;
     private long link;
+
     /** The end of a pause, or of an attempt to connect. */
     private long deadlineUs = NEVER;
+
     private int failures;
     private long subscribedUs;
     private long heardUs;
@@ -97,15 +103,21 @@
     private long freshUs;
 
     private boolean isFreshnessKnown;
+
     /** Until then messages may have lain here while this process stood still, and tell nothing of the time. */
     private long staleMessagesUntilUs;
+
     /** The relay's newest position by its last heartbeat, and when that was known to be the newest there is. */
     private Position announced = Position.NONE;
+
     private long announcedFreshUs;
+
     /** When the relay is left because its source is silent. */
     private long sourceDueUs = NEVER;
+
     /** Not before then is a relay left again for that reason. */
     private long staleMoveUs;
+
     private int staleMoves;
 
     private long rejected;
@@ -243,8 +255,10 @@
         return switch (phase) {
             case IDLE -> NEVER;
             case PAUSING, CONNECTING -> deadlineUs;
-            case SUBSCRIBED -> Math.min(
-                    Math.min(heardUs + own.heartbeatTimeoutUs(), reportDueUs), Math.min(returnDueUs, sourceDueUs));
+            case SUBSCRIBED ->
+                    Math.min(
+                            Math.min(heardUs + own.heartbeatTimeoutUs(), reportDueUs),
+                            Math.min(returnDueUs, sourceDueUs));
         };
     }
 
@@ -259,7 +273,13 @@
             }
             case CONNECTING -> {
                 if (nowUs >= deadlineUs) {
-                    fail(nowUs, "no answer from " + relay.name() + " within " + connectTimeoutUs() / 1000 + " ms");
+                    fail(
+                            nowUs,
+                            "no answer from "
+                                    + relay.name()
+                                    + " within "
+                                    + connectTimeoutUs() / 1000
+                                    + " ms");
                 }
             }
             case SUBSCRIBED -> watch(nowUs);
@@ -368,7 +388,10 @@
         moves++;
         assembly = null;
         phase = Phase.PAUSING;
-        deadlineUs = nowUs + random.nextLong(1 + doubled(own.backoffUs(), failures, own.backoffMostUs()));
+        deadlineUs =
+                nowUs
+                        + random.nextLong(
+                                1 + doubled(own.backoffUs(), failures, own.backoffMostUs()));
         failures++;
     }
 
@@ -384,13 +407,16 @@
         if (dueUs != NEVER && nowUs - Math.max(dueUs, lastCallUs) > settings.relay().stallUs()) {
             staleMessagesUntilUs = nowUs + settings.relay().heartbeatIntervalUs() / 2;
             heardUs = Math.max(heardUs, nowUs - own.heartbeatTimeoutUs() / 2);
+            sourceDueUs = Math.max(sourceDueUs, nowUs + own.sourceAgeUs() / 2);
         }
         lastCallUs = nowUs;
     }
 
     private void watch(long nowUs) {
         if (nowUs - heardUs >= own.heartbeatTimeoutUs()) {
-            fail(nowUs, "nothing from " + relay.name() + " for " + (nowUs - heardUs) / 1000 + " ms");
+            fail(
+                    nowUs,
+                    "nothing from " + relay.name() + " for " + (nowUs - heardUs) / 1000 + " ms");
             return;
         }
         creditStability(nowUs);
@@ -455,7 +481,11 @@
             staleMoveUs = nowUs;
         }
         sourceDueUs =
-                Math.max(Math.max(sourceFreshUs + own.sourceAgeUs(), subscribedUs + own.sourceAgeUs() / 2), staleMoveUs);
+                Math.max(
+                        Math.max(
+                                sourceFreshUs + own.sourceAgeUs(),
+                                subscribedUs + own.sourceAgeUs() / 2),
+                        staleMoveUs);
         if (heartbeat.newest().epoch() > 0 && heartbeat.ageUs() != UNKNOWN_AGE_US) {
             announced = heartbeat.newest();
             announcedFreshUs = sourceFreshUs;
@@ -474,14 +504,18 @@
     // ---- taking changes ----
 
     private boolean isOfLowerEpoch(Position offered) {
-        return offered.epoch() < replica.position().epoch() && safeguards.contains(Safeguard.EPOCH_COMPARISON);
+        return offered.epoch() < replica.position().epoch()
+                && safeguards.contains(Safeguard.EPOCH_COMPARISON);
     }
 
     private void leaveOlderHistory(long nowUs, Position offered) {
         lowerEpochs++;
         fail(
                 nowUs,
-                relay.name() + " offers epoch " + offered.epoch() + ", older than "
+                relay.name()
+                        + " offers epoch "
+                        + offered.epoch()
+                        + ", older than "
                         + replica.position().epoch());
     }
 
@@ -525,9 +559,10 @@
             leaveOlderHistory(nowUs, part.position());
             return;
         }
-        boolean needed = part.position().isAfter(replica.position())
-                || !safeguards.contains(Safeguard.EPOCH_COMPARISON)
-                        && part.position().epoch() != replica.position().epoch();
+        boolean needed =
+                part.position().isAfter(replica.position())
+                        || !safeguards.contains(Safeguard.EPOCH_COMPARISON)
+                                && part.position().epoch() != replica.position().epoch();
         if (!needed) {
             duplicates++;
             acknowledge(nowUs);
@@ -606,7 +641,10 @@
 
     /** What a proxy has to report goes with its acknowledgements; what is below a relay changes by itself. */
     private void scheduleReport(long nowUs) {
-        reportDueUs = below == null ? acknowledgedUs + own.keepaliveIntervalUs() : nowUs + own.reportIntervalUs();
+        reportDueUs =
+                below == null
+                        ? acknowledgedUs + own.keepaliveIntervalUs()
+                        : nowUs + own.reportIntervalUs();
     }
 
     private void reportWhereDue(long nowUs) {
--- a/src/main/java/holdproxy/fanout/Subscription.java
+++ b/src/main/java/holdproxy/fanout/Subscription.java
@@ -4,17 +4,24 @@
 final class Subscription {
     final long link;
     final String name;
+
     /** Everything to here has been sent. */
     Position sent;
+
     /** What it is known to hold. */
     Position held;
+
     /** It has had everything since its last subscribing, and gets new changes without pacing. */
     boolean live;
+
     /** That it is receiving, else null. */
     FrozenSnapshot snapshot;
+
     int nextPart;
+
     /** The batch or part that waits for its acknowledgement, else null. */
     Message unacknowledged;
+
     int unacknowledgedBytes;
     long sentUs;
     long heardUs;
@@ -62,6 +69,7 @@
         }
         Message.SnapshotPart part = (Message.SnapshotPart) unacknowledged;
         return !part.position().isAfter(acknowledge.received())
-                || part.position().equals(acknowledge.assembling()) && acknowledge.parts() > part.index();
+                || part.position().equals(acknowledge.assembling())
+                        && acknowledge.parts() > part.index();
     }
 }
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -183,6 +183,50 @@
                 .check(MAIN);
     }
 
+    @Test
+    void theRulesOfTheFanoutStandOnWhatIsHandedIn() {
+        classes()
+                .that()
+                .resideInAPackage("holdproxy.fanout")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "holdproxy.fanout",
+                        "java.lang",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.random",
+                        "java.util.stream",
+                        "java.nio.charset",
+                        "java.io",
+                        "com.fasterxml.jackson..")
+                .check(MAIN);
+        classes()
+                .that()
+                .resideInAPackage("holdproxy.fanout")
+                .and()
+                .doNotHaveSimpleName("MessageCodec")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideOutsideOfPackages("java.io", "com.fasterxml.jackson..")
+                .check(MAIN);
+        noClasses()
+                .that()
+                .resideInAPackage("holdproxy.fanout")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(MAIN);
+        noClasses()
+                .that()
+                .resideInAnyPackage("holdproxy.net", "holdproxy.policy")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("holdproxy.fanout")
+                .check(MAIN);
+    }
+
     @Test
     void onlyTheCommandLineKnowsTheDaemon() {
         noClasses()
