--- /dev/null
+++ b/src/main/java/holdproxy/fanout/transport/LineLimiter.java
@@ -0,0 +1,40 @@
+package holdproxy.fanout.transport;
+
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+
+/** Lets so many lines of a log through in a second, and says how many it has held back. */
+final class LineLimiter implements Consumer<String> {
+    static final int LINES_PER_SECOND = 20;
+    private static final long SECOND_US = 1_000_000;
+
+    private final Consumer<String> log;
+    private final LongSupplier nowUs;
+    private long secondBeganUs = Long.MIN_VALUE / 2;
+    private int lines;
+    private long heldBack;
+
+    LineLimiter(Consumer<String> log, LongSupplier nowUs) {
+        this.log = log;
+        this.nowUs = nowUs;
+    }
+
+    @Override
+    public void accept(String line) {
+        long now = nowUs.getAsLong();
+        if (now - secondBeganUs >= SECOND_US) {
+            if (heldBack > 0) {
+                log.accept(heldBack + " more lines like the last ones were held back");
+            }
+            secondBeganUs = now;
+            lines = 0;
+            heldBack = 0;
+        }
+        if (lines < LINES_PER_SECOND) {
+            lines++;
+            log.accept(line);
+        } else {
+            heldBack++;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/fanout/transport/RelayServer.java
@@ -0,0 +1,208 @@
+package holdproxy.fanout.transport;
+
+import holdproxy.fanout.Message;
+import holdproxy.fanout.Relay;
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.socket.SocketChannel;
+import io.netty.channel.socket.nio.NioServerSocketChannel;
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * A {@link Relay} on TCP: accepts subscribers, at most as many as the relay's settings say and a few that are being
+ * refused. Every call is on the context's event loop, but for {@link #listen}.
+ */
+public final class RelayServer implements AutoCloseable {
+    /** Connections beyond the relay's subscribers, so that these can be told that it is full. */
+    static final int SPARE_CONNECTIONS = 128;
+
+    /** A connection that has not subscribed by then is closed. */
+    private static final int SUBSCRIBE_WITHIN_MS = 5_000;
+
+    private static final int BACKLOG = 1_024;
+
+    private final TransportContext context;
+    private final FrameCodec codec;
+    private final Map<Long, MessageLink> links = new HashMap<>();
+    private final DueTimer timer;
+    private final Relay relay;
+    private long lastLink;
+    private Channel listener;
+    private boolean closed;
+
+    public RelayServer(TransportContext context, Relay.Source source) {
+        this.context =
+                new TransportContext(
+                        context.loop(),
+                        context.settings(),
+                        context.nowUs(),
+                        context.addresses(),
+                        context.counters(),
+                        new LineLimiter(context.log(), context.nowUs()));
+        codec = new FrameCodec(context.settings());
+        timer = new DueTimer(context.loop(), context.nowUs(), this::tick);
+        relay = new Relay(context.settings(), source, new Outgoing(), context.now());
+    }
+
+    /** Listens; the future fails where the address cannot be bound. */
+    public ChannelFuture listen(InetSocketAddress address) {
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(context.loop(), context.loop())
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childOption(
+                                ChannelOption.WRITE_BUFFER_WATER_MARK,
+                                MessageLink.waterMark(context.settings()))
+                        .childHandler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel channel) {
+                                        accepted(channel);
+                                    }
+                                })
+                        .bind(address);
+        context.loop()
+                .execute(
+                        () -> {
+                            listener = bound.channel();
+                            if (closed) {
+                                listener.close();
+                            } else {
+                                wake();
+                            }
+                        });
+        return bound;
+    }
+
+    /** The rules, for what they know of their subscribers. */
+    public Relay relay() {
+        return relay;
+    }
+
+    /** The source has changed. */
+    public void advanced() {
+        relay.advanced(context.now());
+        wake();
+    }
+
+    /** Sends all subscribers elsewhere and stops listening. */
+    @Override
+    public void close() {
+        closed = true;
+        relay.shutDown(context.now());
+        timer.close();
+        if (listener != null) {
+            listener.close();
+        }
+        List.copyOf(links.values()).forEach(MessageLink::close);
+        links.clear();
+    }
+
+    private void tick() {
+        relay.tick(context.now());
+        wake();
+    }
+
+    private void wake() {
+        timer.due(relay.dueUs());
+    }
+
+    private void accepted(SocketChannel channel) {
+        if (closed
+                || links.size() >= context.settings().relay().subscribers() + SPARE_CONNECTIONS) {
+            context.counters().connectionsRefused.increment();
+            channel.close();
+            return;
+        }
+        long number = ++lastLink;
+        Subscribing listening = new Subscribing(number);
+        MessageLink link =
+                new MessageLink(
+                        channel,
+                        String.valueOf(channel.remoteAddress()),
+                        context,
+                        codec,
+                        listening);
+        links.put(number, link);
+        // also of those that the relay has closed and that have not been flushed yet
+        channel.closeFuture().addListener(over -> links.remove(number, link));
+        link.install();
+        channel.eventLoop()
+                .schedule(
+                        listening::closeUnlessSubscribed,
+                        SUBSCRIBE_WITHIN_MS,
+                        TimeUnit.MILLISECONDS);
+    }
+
+    /** What one connection brings. */
+    private final class Subscribing implements MessageLink.Listener {
+        private final long number;
+        private boolean subscribed;
+
+        Subscribing(long number) {
+            this.number = number;
+        }
+
+        @Override
+        public void opened(MessageLink link) {
+            // it speaks first
+        }
+
+        @Override
+        public void received(MessageLink link, Message message) {
+            if (message instanceof Message.Subscribe subscribe) {
+                subscribed = true;
+                link.named(subscribe.name());
+            }
+            relay.receive(context.now(), number, message);
+            wake();
+        }
+
+        @Override
+        public void ended(MessageLink link, String reason) {
+            relay.disconnected(context.now(), number);
+            wake();
+        }
+
+        void closeUnlessSubscribed() {
+            MessageLink link = links.get(number);
+            if (!subscribed && link != null) {
+                context.log().accept("link with " + link.peer() + " ended: it has not subscribed");
+                link.close();
+            }
+        }
+    }
+
+    /** What the rules have done. */
+    private final class Outgoing implements Relay.Output {
+        @Override
+        public void send(long number, Message message) {
+            MessageLink link = links.get(number);
+            if (link != null) {
+                link.send(message);
+            }
+        }
+
+        @Override
+        public void close(long number, String reason) {
+            MessageLink link = links.get(number);
+            if (link == null) {
+                return;
+            }
+            if (!closed) {
+                context.log().accept("link with " + link.peer() + " ended: " + reason);
+            }
+            link.close();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
@@ -0,0 +1,206 @@
+package holdproxy.fanout.transport;
+
+import holdproxy.fanout.CoverageReport;
+import holdproxy.fanout.Message;
+import holdproxy.fanout.RelayCandidate;
+import holdproxy.fanout.Replica;
+import holdproxy.fanout.Subscriber;
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.socket.SocketChannel;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.function.Supplier;
+import java.util.random.RandomGenerator;
+
+/**
+ * A {@link Subscriber} on TCP, with one connection at a time. Any number of them may share an event loop. Every call
+ * is on the context's event loop.
+ */
+public final class SubscriberClient implements AutoCloseable {
+    private static final int US_PER_MS = 1_000;
+    private static final long NO_LINK = -1;
+
+    private final String name;
+    private final TransportContext context;
+    private final FrameCodec codec;
+    private final DueTimer timer;
+    private final Subscriber subscriber;
+    private long linkNumber = NO_LINK;
+    private MessageLink link;
+
+    /**
+     * A client that has not started; the parameters are those of {@link Subscriber}.
+     *
+     * @param below the report on the proxies below a relay; null at a proxy
+     */
+    public SubscriberClient(
+            TransportContext context,
+            String name,
+            Replica replica,
+            Subscriber.Consumer consumer,
+            Supplier<CoverageReport> below,
+            RandomGenerator random) {
+        this.name = name;
+        this.context = context;
+        codec = new FrameCodec(context.settings());
+        timer = new DueTimer(context.loop(), context.nowUs(), this::tick);
+        subscriber =
+                new Subscriber(
+                        name,
+                        context.settings(),
+                        replica,
+                        consumer,
+                        below,
+                        new Outgoing(),
+                        random,
+                        context.now());
+    }
+
+    /** Goes on with these candidates, best first; the first call starts it. */
+    public void candidates(List<RelayCandidate> ordered) {
+        subscriber.candidates(context.now(), ordered);
+        wake();
+    }
+
+    /** The rules, for what they know. */
+    public Subscriber subscriber() {
+        return subscriber;
+    }
+
+    /** Ends the connection and dials no other. */
+    @Override
+    public void close() {
+        subscriber.stop(context.now());
+        timer.close();
+    }
+
+    private void tick() {
+        subscriber.tick(context.now());
+        wake();
+    }
+
+    private void wake() {
+        timer.due(subscriber.dueUs());
+    }
+
+    private void dial(long number, RelayCandidate candidate) {
+        linkNumber = number;
+        link = null;
+        InetSocketAddress address;
+        try {
+            address = context.addresses().apply(candidate.address());
+        } catch (RuntimeException e) {
+            fail(number, candidate, e.getMessage());
+            return;
+        }
+        int timeoutMs = (int) (context.settings().subscriber().connectTimeoutMostUs() / US_PER_MS);
+        ChannelFuture dialled =
+                new Bootstrap()
+                        .group(context.loop())
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
+                        .option(
+                                ChannelOption.WRITE_BUFFER_WATER_MARK,
+                                MessageLink.waterMark(context.settings()))
+                        .handler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel channel) {
+                                        opening(number, candidate, channel);
+                                    }
+                                })
+                        .connect(address);
+        dialled.addListener(
+                connecting -> {
+                    if (!connecting.isSuccess()) {
+                        context.counters().dialsFailed.increment();
+                        fail(number, candidate, connecting.cause().getMessage());
+                    }
+                });
+    }
+
+    private void opening(long number, RelayCandidate candidate, SocketChannel channel) {
+        MessageLink opened =
+                new MessageLink(
+                        channel,
+                        candidate.name() + " at " + candidate.address(),
+                        context,
+                        codec,
+                        new Receiving(number));
+        opened.install();
+        if (number == linkNumber) {
+            link = opened;
+        } else {
+            opened.close();
+        }
+    }
+
+    /** The rules hear of it later: they may be at work just now. */
+    private void fail(long number, RelayCandidate candidate, String reason) {
+        context.loop()
+                .execute(
+                        () -> {
+                            subscriber.disconnected(
+                                    context.now(), number, candidate.name() + ": " + reason);
+                            wake();
+                        });
+    }
+
+    /** What the one connection brings. */
+    private final class Receiving implements MessageLink.Listener {
+        private final long number;
+
+        Receiving(long number) {
+            this.number = number;
+        }
+
+        @Override
+        public void opened(MessageLink opened) {
+            subscriber.connected(context.now(), number);
+            wake();
+        }
+
+        @Override
+        public void received(MessageLink from, Message message) {
+            subscriber.receive(context.now(), number, message);
+            wake();
+        }
+
+        @Override
+        public void ended(MessageLink ended, String reason) {
+            subscriber.disconnected(context.now(), number, reason);
+            wake();
+        }
+    }
+
+    /** What the rules have done. */
+    private final class Outgoing implements Subscriber.Output {
+        @Override
+        public void dial(long number, RelayCandidate candidate) {
+            SubscriberClient.this.dial(number, candidate);
+        }
+
+        @Override
+        public void send(long number, Message message) {
+            if (number == linkNumber && link != null) {
+                link.send(message);
+            }
+        }
+
+        @Override
+        public void close(long number, String reason) {
+            if (number == linkNumber && link != null) {
+                context.log().accept(name + " leaves " + link.peer() + ": " + reason);
+                link.close();
+            }
+            // also what is still being dialled
+            linkNumber = NO_LINK;
+            link = null;
+        }
+    }
+}
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -227,6 +227,26 @@
                 .check(MAIN);
     }
 
+    @Test
+    void theTransportOfTheFanoutKnowsItsRulesAlone() {
+        classes()
+                .that()
+                .resideInAPackage("holdproxy.fanout.transport")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "holdproxy.fanout", "holdproxy.fanout.transport", "io.netty..", "java..")
+                .check(MAIN);
+        noClasses()
+                .that()
+                .resideInAPackage("holdproxy.fanout.transport")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(MAIN);
+    }
+
     @Test
     void onlyTheCommandLineKnowsTheDaemon() {
         noClasses()
--- a/src/test/java/holdproxy/daemon/DaemonTest.java
+++ b/src/test/java/holdproxy/daemon/DaemonTest.java
@@ -291,6 +291,7 @@
                                         .toList());
         List.of(
                         "holdproxy.daemon.",
+                        "holdproxy.fanout.",
                         "holdproxy.command.",
                         "holdproxy.toml.",
                         "holdproxy.lab.",
