--- a/src/main/java/holdproxy/consensus/RaftGroup.java
+++ b/src/main/java/holdproxy/consensus/RaftGroup.java
@@ -49,6 +49,10 @@
     private static final int SILENCE_S = 5;
     private static final int SNAPSHOT_AFTER = 1_000;
     private static final int MOST_PENDING = 1_000;
+
+    /** Entries in one frame; each is at most a published change of 64 KiB, and a frame holds 1 MiB. */
+    private static final int MOST_ENTRIES_AT_ONCE = 12;
+
     private static final int MOST_ASKED = 1_000;
 
     /** One voter is waited for so long before the next is asked. */
@@ -115,6 +119,9 @@
 
     private long heardLeaderUs;
 
+    /** Whether it ever heard a leader, or was one, since it began. */
+    private boolean knewLeader;
+
     /**
      * {@code voters}: names of those that may be asked, this process among them or not.
      */
@@ -259,6 +266,7 @@
                 .setLeaderHeartbeatTimeoutSecs(SILENCE_S)
                 .setCommitCountToTakeSnapshot(SNAPSHOT_AFTER)
                 .setMaxPendingLogEntryCount(MOST_PENDING)
+                .setAppendEntriesRequestBatchSize(MOST_ENTRIES_AT_ONCE)
                 .setTransferSnapshotsFromFollowersEnabled(false)
                 .build();
     }
@@ -268,6 +276,17 @@
         return leading;
     }
 
+    /**
+     * For how long this voter has not heard the leader, in microseconds; 0 where it leads, {@link Long#MAX_VALUE}
+     * where it has never heard one.
+     */
+    public long leaderSilentUs() {
+        if (leading) {
+            return 0;
+        }
+        return knewLeader ? host.nowUs() - heardLeaderUs : Long.MAX_VALUE;
+    }
+
     /** Whether it takes part in votes. */
     public boolean votes() {
         return node != null && !failed && !RaftNodeStatus.isTerminal(node.getStatus());
@@ -433,6 +452,7 @@
                     read instanceof AppendEntriesRequest || read instanceof InstallSnapshotRequest;
             if (leads && read.getSender().equals(node.getTerm().getLeaderEndpoint())) {
                 heardLeaderUs = host.nowUs();
+                knewLeader = true;
             }
             node.handle(read);
         }
@@ -590,6 +610,8 @@
     private void lead(boolean now) {
         if (leading != now) {
             leading = now;
+            heardLeaderUs = host.nowUs();
+            knewLeader = true;
             host.leads(now);
         }
     }
--- a/src/main/java/holdproxy/daemon/ConsensusPart.java
+++ b/src/main/java/holdproxy/daemon/ConsensusPart.java
@@ -2,6 +2,8 @@
 
 import holdproxy.consensus.FileDisk;
 import holdproxy.consensus.RaftGroup;
+import holdproxy.fanout.ChangeLog;
+import holdproxy.fanout.FanoutSettings;
 import holdproxy.input.BadInput;
 import holdproxy.lease.LeaseClient;
 import holdproxy.lease.LeaseTable;
@@ -14,7 +16,9 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
@@ -47,14 +51,17 @@
     private final MembershipService membership;
     private final RaftGroup group;
     private final LeaseClient leases;
+    private final ReplicatedState state;
+    private final Map<String, LeaseListener> listeners = new HashMap<>();
     private final String name;
 
     private ConsensusPart(DaemonFile file, long generation, MembershipService membership) {
         this.membership = membership;
         name = file.name();
         LeaseTable table = new LeaseTable();
+        state = new ReplicatedState(table, new ChangeLog(FanoutSettings.DEFAULTS.limits()));
         HostAdapter host = new HostAdapter();
-        group = new RaftGroup(name, file.voters(), host, new Random(), table);
+        group = new RaftGroup(name, file.voters(), host, new Random(), state);
         leases = new LeaseClient(name, generation, group, table, host, new Random());
     }
 
@@ -90,6 +97,39 @@
         }
     }
 
+    /** On which all of it runs; what is called on its parts is called there. */
+    EventLoop loop() {
+        return loop;
+    }
+
+    /** What is agreed, as far as this process keeps it: all of it in a voter, nothing in others. */
+    ReplicatedState state() {
+        return state;
+    }
+
+    LeaseClient leases() {
+        return leases;
+    }
+
+    /** As {@link RaftGroup#propose}. */
+    CompletableFuture<Object> propose(Object operation, long withinUs) {
+        return group.propose(operation, withinUs);
+    }
+
+    /** As {@link RaftGroup#leaderSilentUs}. */
+    long leaderSilentUs() {
+        return group.leaderSilentUs();
+    }
+
+    /** From now on this process asks for a lease whenever it is free; {@code listener} hears of it. On any thread. */
+    void want(String role, int leaseMs, LeaseListener listener) {
+        loop.execute(
+                () -> {
+                    listeners.put(role, listener);
+                    leases.want(role, leaseMs);
+                });
+    }
+
     private void received(byte[] frame) {
         try {
             byte[] rest = new byte[Math.max(0, frame.length - 1)];
@@ -193,11 +233,19 @@
         @Override
         public void granted(String role, long token) {
             EventLog.event("lease granted", "role", role, "token", token);
+            LeaseListener listener = listeners.get(role);
+            if (listener != null) {
+                listener.granted(token);
+            }
         }
 
         @Override
         public void ended(String role, long token, String why) {
             EventLog.event("lease ended", "role", role, "token", token, "why", why);
+            LeaseListener listener = listeners.get(role);
+            if (listener != null) {
+                listener.ended();
+            }
         }
     }
 
--- a/src/main/java/holdproxy/fanout/ChangeLog.java
+++ b/src/main/java/holdproxy/fanout/ChangeLog.java
@@ -45,7 +45,7 @@
         return replica.position();
     }
 
-    /** The highest fencing token of a publication that was appended. */
+    /** The highest fencing token of a publication that was appended, or of a grant that the log was told of. */
     public long highestToken() {
         return highestToken;
     }
@@ -66,6 +66,11 @@
         return position();
     }
 
+    /** The publisher's lease has been granted under this token: from now on publications under lower ones are refused. */
+    public void fence(long token) {
+        highestToken = Math.max(highestToken, token);
+    }
+
     /** Appends a change, or says why not. */
     public AppendResult append(Publication publication) {
         Position before = publications.get(publication.id());
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -247,6 +247,22 @@
                 .check(MAIN);
     }
 
+    @Test
+    void theProxyKnowsNoneOfTheCooperatingParts() {
+        noClasses()
+                .that()
+                .resideInAnyPackage("holdproxy.net..", "holdproxy.policy..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "holdproxy.fanout..",
+                        "holdproxy.membership..",
+                        "holdproxy.consensus..",
+                        "holdproxy.lease..",
+                        "holdproxy.daemon..")
+                .check(MAIN);
+    }
+
     @Test
     void onlyTheCommandLineKnowsTheDaemon() {
         noClasses()
