--- a/src/main/java/holdproxy/console/Figures.java
+++ b/src/main/java/holdproxy/console/Figures.java
@@ -53,6 +53,12 @@
     /** Listed cache nodes that are avoided now. */
     public final Count poolEjected = new Count();
 
+    /** Where settings are published to a fleet: the version in force, and since when it is not known to be the newest. */
+    private volatile Published published;
+
+    /** A version of the published state; {@code ageS}: -1 where it was never known to be the newest. */
+    private record Published(long epoch, long number, long ageS) {}
+
     /** By class; a class that the settings have dropped keeps its counts. */
     private final Map<String, Outcomes> outcomes = new ConcurrentSkipListMap<>();
 
@@ -60,6 +66,11 @@
         return outcomes.computeIfAbsent(requestClass, name -> new Outcomes());
     }
 
+    /** From now on the figures name this version of the published settings, which is in force. */
+    public void published(long epoch, long number, long ageS) {
+        published = new Published(epoch, number, ageS);
+    }
+
     /** A line {@code name=value} for each figure. */
     public String text() {
         StringBuilder text = new StringBuilder(512);
@@ -75,6 +86,12 @@
         line(text, "pool_ejected", poolEjected::get);
         line(text, "config_applied", configApplied::get);
         line(text, "config_rejected", configRejected::get);
+        Published now = published;
+        if (now != null) {
+            line(text, "published_epoch", now::epoch);
+            line(text, "published_number", now::number);
+            line(text, "published_age_s", now::ageS);
+        }
         return text.toString();
     }
 
--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -13,6 +13,7 @@
 import java.security.SecureRandom;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /** The life cycle of a daemon: starts its proxy and the parts around it, and ends them in their order. */
 final class Daemon {
@@ -23,6 +24,10 @@
     private DaemonFile inUse;
     private MembershipService membership;
     private ConsensusPart consensus;
+    private DistributionPart distribution;
+
+    /** Published settings that are in force; replaced as a whole. */
+    private Map<String, byte[]> published = Map.of();
 
     private Daemon(Path file, DaemonFile inUse) {
         this.file = file;
@@ -64,18 +69,45 @@
         }
         Map<String, String> own = new HashMap<>(env);
         own.put(KEPT_BELOW, inUse.folder().toString());
-        ConfigSource source =
-                new ConfigSource(
-                        file,
-                        config -> {
-                            DaemonFile now = DaemonFile.again(file, inUse);
-                            inUse = now;
-                            return now.proxy();
-                        });
-        Service.run(inUse.proxy(), source, own, EventLog::line, this::end).listening();
+        Service service =
+                Service.run(
+                        inUse.proxy(),
+                        new ConfigSource(file, config -> readAgain()),
+                        own,
+                        EventLog::line,
+                        this::end);
+        service.listening();
+        if (inUse.distribution() != null) {
+            distribution =
+                    DistributionPart.start(
+                            inUse.name(),
+                            inUse.distribution(),
+                            new PublishedConfiguration(
+                                    inUse.name(), settings -> take(service, settings)),
+                            new FreshnessReporter(service.figures()),
+                            consensus);
+        }
         EventLog.event("started", "name", inUse.name());
     }
 
+    /** The file as it is now, with what is published over it. One call at a time, as the service sees to. */
+    private Config readAgain() {
+        DaemonFile now = DaemonFile.again(file, inUse);
+        Config config = published.isEmpty() ? now.proxy() : now.with(published);
+        inUse = now;
+        return config;
+    }
+
+    private Optional<String> take(Service service, Map<String, byte[]> settings) {
+        return Optional.ofNullable(
+                service.take(
+                        () -> {
+                            Config config = inUse.with(settings);
+                            published = settings;
+                            return config;
+                        }));
+    }
+
     /** SIGTERM: what was taken is answered, then this process is over. */
     private void end(Service service) {
         EventLog.event("ending", "name", inUse.name());
@@ -93,6 +125,9 @@
     }
 
     private void handOver() {
+        if (distribution != null) {
+            distribution.end();
+        }
         if (consensus != null) {
             consensus.end();
         }
--- a/src/main/java/holdproxy/daemon/DaemonCommand.java
+++ b/src/main/java/holdproxy/daemon/DaemonCommand.java
@@ -19,7 +19,12 @@
         name = "daemon",
         description = "Runs a proxy as one of a fleet that cooperates.",
         mixinStandardHelpOptions = true,
-        subcommands = {DaemonCommand.Check.class, DaemonCommand.Found.class})
+        subcommands = {
+            DaemonCommand.Check.class,
+            DaemonCommand.Found.class,
+            PublishCommand.class,
+            VersionsCommand.class
+        })
 public final class DaemonCommand implements Callable<Integer> {
     /** Not an exit code: the process has started and goes on. */
     public static final int RUNS = -1;
--- a/src/main/java/holdproxy/daemon/DaemonFile.java
+++ b/src/main/java/holdproxy/daemon/DaemonFile.java
@@ -27,6 +27,9 @@
  * @param proxy its configuration as a proxy, checked
  * @param membership how it meets the others of its fleet; null: it is alone
  * @param voters names of the voters; empty: there is none
+ * @param distribution how it takes part in the distribution of published changes; null: it does not
+ * @param discovery where it has the list of cache nodes
+ * @param document what {@code proxy} was made of, in the platform's form
  * @param drills leases without a purpose but to be held, for operators and the rig to try the fleet with
  */
 record DaemonFile(
@@ -37,6 +40,9 @@
         Config proxy,
         MembershipService.Place membership,
         List<String> voters,
+        DistributionSettings distribution,
+        InetSocketAddress discovery,
+        Map<String, Object> document,
         List<Drill> drills) {
     private static final int LEAST_SOCKETS = 128;
     private static final int MOST_SOCKETS = 1 << 20;
@@ -91,6 +97,11 @@
         MembershipService.Place membership =
                 top.at(membershipKey) == null ? null : membership(name, top.part(membershipKey));
         List<String> voters = voters(top, consensusKey);
+        DistributionSettings distribution =
+                top.at(DistributionSettings.SECTION) == null
+                        ? null
+                        : DistributionSettings.read(
+                                name, voters, top.part(DistributionSettings.SECTION));
         List<Drill> drills = new ArrayList<>();
         for (TomlPart each : top.parts("drill")) {
             drills.add(
@@ -121,18 +132,26 @@
                 same(top, "console", inUse.console, console);
                 same(top, membershipKey, inUse.membership, membership);
                 same(top, consensusKey, inUse.voters, voters);
+                same(top, DistributionSettings.SECTION, inUse.distribution, distribution);
                 same(top, "drill", inUse.drills, drills);
             }
             Config proxy =
                     inUse == null
                             ? Config.of(name, listen, discovery, console, json)
                             : inUse.proxy.reload(discovery, json);
-            Set<String> unknown = proxy.unknownSettings();
-            if (!unknown.isEmpty()) {
-                String first = unknown.iterator().next();
-                throw new BadInput("setting " + first + " is unknown", first);
-            }
-            return new DaemonFile(name, folder, listen, console, proxy, membership, voters, drills);
+            refuseUnknown(proxy);
+            return new DaemonFile(
+                    name,
+                    folder,
+                    listen,
+                    console,
+                    proxy,
+                    membership,
+                    voters,
+                    distribution,
+                    discovery,
+                    json,
+                    drills);
         } catch (BadInput e) {
             throw top.bad(
                     top.atPath("settings" + (e.path() == null ? "" : "." + e.path())),
@@ -140,6 +159,32 @@
         }
     }
 
+    private static void refuseUnknown(Config proxy) {
+        Set<String> unknown = proxy.unknownSettings();
+        if (!unknown.isEmpty()) {
+            String first = unknown.iterator().next();
+            throw new BadInput("setting " + first + " is unknown", first);
+        }
+    }
+
+    /**
+     * The proxy's configuration with published settings over those of this file, checked; a {@link BadInput} names
+     * the key that is at fault.
+     */
+    Config with(Map<String, byte[]> published) {
+        Map<String, Object> all = new HashMap<>(document);
+        @SuppressWarnings("unchecked") // so it was read
+        Map<String, Object> own = (Map<String, Object>) document.get("settings");
+        all.put("settings", PublishedSettings.over(own, published));
+        try {
+            Config config = proxy.reload(discovery, all);
+            refuseUnknown(config);
+            return config;
+        } catch (BadInput e) {
+            throw new BadInput(PublishedSettings.nameKey(published, e), e.path());
+        }
+    }
+
     private static List<String> voters(TomlPart top, String key) {
         if (top.at(key) == null) {
             return List.of();
@@ -178,7 +223,8 @@
         }
     }
 
-    private static String name(String text) {
+    /** Checks a name of a process or a role. */
+    static String name(String text) {
         if (!text.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
             throw new BadInput(
                     "name is not 1 to 64 letters, digits, dots, dashes and underscores: "
--- /dev/null
+++ b/src/main/java/holdproxy/daemon/DistributionSettings.java
@@ -0,0 +1,117 @@
+package holdproxy.daemon;
+
+import holdproxy.input.BadInput;
+import holdproxy.net.Config;
+import holdproxy.toml.TomlPart;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+
+/**
+ * The part of a daemon's file on the distribution of published changes, {@code [distribution]}. Whatever is missing,
+ * unknown or out of its bounds is a {@link BadInput} with the file and the line.
+ *
+ * @param role what this process does for others
+ * @param site whose relay serves it; of a control machine where it stands
+ * @param listen where relays or proxies subscribe; null in a proxy
+ * @param upstream where this process subscribes, in no order; empty in a control machine
+ * @param fallback where it subscribes while none of these serves it
+ * @param admin where a control machine takes operators' calls; null in others
+ * @param admins where operators' commands find the control machines
+ * @param leaseMs length of the lease on the role of publisher or relay, in milliseconds
+ */
+record DistributionSettings(
+        Role role,
+        String site,
+        InetSocketAddress listen,
+        List<InetSocketAddress> upstream,
+        List<InetSocketAddress> fallback,
+        InetSocketAddress admin,
+        List<InetSocketAddress> admins,
+        int leaseMs) {
+    static final String SECTION = "distribution";
+    private static final int LEAST_LEASE_MS = 200;
+    private static final int MOST_LEASE_MS = 60_000;
+    private static final int DEFAULT_LEASE_MS = 3_000;
+    private static final int MOST_UPSTREAM = 64;
+    private static final int MOST_ADMINS = 16;
+
+    /** What a process does for others in the distribution of changes. */
+    enum Role {
+        /** A member of the consensus group: keeps the log of changes and serves relays from it. */
+        CONTROL,
+        /** Serves the proxies of its site from what it receives itself. */
+        RELAY,
+        /** Receives changes, and serves nobody. */
+        PROXY;
+
+        private static final List<String> WORDS = List.of("control", "relay", "proxy");
+
+        boolean serves() {
+            return this != PROXY;
+        }
+
+        /** As in the file. */
+        String word() {
+            return name().toLowerCase(Locale.ROOT);
+        }
+    }
+
+    DistributionSettings {
+        upstream = List.copyOf(upstream);
+        fallback = List.copyOf(fallback);
+        admins = List.copyOf(admins);
+    }
+
+    /** Reads {@code [distribution]} of the process called {@code name}. */
+    static DistributionSettings read(String name, List<String> voters, TomlPart section) {
+        Role role = Role.valueOf(section.word("role", Role.WORDS).toUpperCase(Locale.ROOT));
+        String site = section.read("site", DaemonFile::name);
+        InetSocketAddress listen = address(section, "listen", role.serves());
+        InetSocketAddress admin = address(section, "admin", role == Role.CONTROL);
+        List<InetSocketAddress> upstream = addresses(section, "upstream", MOST_UPSTREAM);
+        List<InetSocketAddress> fallback = addresses(section, "fallback", MOST_UPSTREAM);
+        List<InetSocketAddress> admins = addresses(section, "admins", MOST_ADMINS);
+        int leaseMs = section.whole("lease_ms", DEFAULT_LEASE_MS, LEAST_LEASE_MS, MOST_LEASE_MS);
+        section.done();
+        if (role == Role.CONTROL && !voters.contains(name)) {
+            throw section.bad(
+                    section.at("role"),
+                    "a control machine is one of the voters, which " + name + " is not");
+        }
+        if (role == Role.CONTROL && !(upstream.isEmpty() && fallback.isEmpty())) {
+            throw section.bad(
+                    section.at("upstream"),
+                    "a control machine subscribes nowhere: it has no upstream");
+        }
+        if (role != Role.CONTROL && upstream.isEmpty()) {
+            throw section.bad(
+                    section.at("upstream"),
+                    "a " + role.word() + " needs at least one address in upstream");
+        }
+        return new DistributionSettings(
+                role, site, listen, upstream, fallback, admin, admins, leaseMs);
+    }
+
+    private static InetSocketAddress address(TomlPart section, String key, boolean needed) {
+        if (needed) {
+            return section.read(key, text -> Config.address(text, key));
+        }
+        if (!section.text(key, "").isEmpty()) {
+            throw section.bad(section.at(key), key + " has no use in a process of this role");
+        }
+        return null;
+    }
+
+    private static List<InetSocketAddress> addresses(TomlPart section, String key, int most) {
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        section.texts(key, text -> addresses.add(Config.address(text, "an address in " + key)));
+        if (addresses.size() > most) {
+            throw section.bad(
+                    section.at(key),
+                    key + " has more than " + most + " addresses: " + addresses.size());
+        }
+        return addresses;
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/daemon/DistributionTransport.java
@@ -0,0 +1,78 @@
+package holdproxy.daemon;
+
+import holdproxy.fanout.FanoutSettings;
+import holdproxy.fanout.RelayCandidate;
+import holdproxy.fanout.RendezvousOrder;
+import holdproxy.fanout.transport.TransportContext;
+import holdproxy.fanout.transport.TransportCounters;
+import holdproxy.net.Config;
+import io.netty.channel.EventLoop;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+
+/** What the parts of a daemon that distribute changes have in common. */
+final class DistributionTransport {
+    private static final int COUNT_SECONDS = 10;
+    private static final int NS_PER_US = 1_000;
+
+    private DistributionTransport() {}
+
+    static TransportContext on(EventLoop loop) {
+        long startNs = System.nanoTime();
+        return new TransportContext(
+                loop,
+                FanoutSettings.DEFAULTS,
+                () -> (System.nanoTime() - startNs) / NS_PER_US,
+                text -> Config.address(text, "an address in upstream"),
+                new TransportCounters(),
+                EventLog::line);
+    }
+
+    /** Logs what has been carried, now and then, as long as the loop runs. */
+    static void logCounters(TransportContext context) {
+        context.loop()
+                .scheduleAtFixedRate(
+                        () -> {
+                            TransportCounters.Snapshot counted = context.counters().snapshot();
+                            EventLog.event(
+                                    "distribution",
+                                    "bytes_in",
+                                    counted.bytesReceived(),
+                                    "bytes_out",
+                                    counted.bytesSent(),
+                                    "messages_in",
+                                    counted.messagesReceived(),
+                                    "messages_out",
+                                    counted.messagesSent(),
+                                    "dropped",
+                                    counted.messagesDropped(),
+                                    "connections",
+                                    counted.connectionsOpen(),
+                                    "links_ended",
+                                    counted.linksDropped());
+                        },
+                        COUNT_SECONDS,
+                        COUNT_SECONDS,
+                        java.util.concurrent.TimeUnit.SECONDS);
+    }
+
+    /** Where a process subscribes, best first; different processes begin at different ones. */
+    static List<RelayCandidate> candidates(String name, DistributionSettings settings) {
+        List<RelayCandidate> candidates = new ArrayList<>();
+        settings.upstream().forEach(each -> candidates.add(candidate(each, settings.site())));
+        settings.fallback().forEach(each -> candidates.add(candidate(each, "")));
+        return RendezvousOrder.of(name, settings.site(), candidates);
+    }
+
+    private static RelayCandidate candidate(InetSocketAddress address, String site) {
+        String text = text(address);
+        return new RelayCandidate(text, text, site);
+    }
+
+    /** An address as files have it. */
+    static String text(InetSocketAddress address) {
+        String host = address.getAddress().getHostAddress();
+        return (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort();
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/daemon/FreshnessReporter.java
@@ -0,0 +1,42 @@
+package holdproxy.daemon;
+
+import holdproxy.console.Figures;
+import holdproxy.fanout.Position;
+import holdproxy.fanout.Relay;
+
+/** Tells operators which published state is in force and since when it is not known to be the newest. */
+final class FreshnessReporter {
+    /** How often {@link #look} is to be called. */
+    static final int LOOK_MS = 1_000;
+
+    /** A state that is not known to be the newest for so long is an event. */
+    static final long STALE_US = 30_000_000;
+
+    private static final long US_PER_S = 1_000_000;
+    private static final long US_PER_MS = 1_000;
+
+    private final Figures figures;
+    private boolean stale;
+
+    FreshnessReporter(Figures figures) {
+        this.figures = figures;
+    }
+
+    /** {@code ageUs}: as {@link Relay.Source#ageUs} has it. */
+    void look(Position inForce, long ageUs) {
+        boolean known = ageUs != Relay.Source.UNKNOWN_AGE_US;
+        figures.published(inForce.epoch(), inForce.number(), known ? ageUs / US_PER_S : -1);
+        boolean nowStale = ageUs >= STALE_US;
+        if (nowStale != stale) {
+            stale = nowStale;
+            EventLog.event(
+                    nowStale ? "published state is stale" : "published state is fresh",
+                    "epoch",
+                    inForce.epoch(),
+                    "number",
+                    inForce.number(),
+                    "age_ms",
+                    known ? ageUs / US_PER_MS : -1);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/daemon/PublishCommand.java
@@ -0,0 +1,130 @@
+package holdproxy.daemon;
+
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.UUID;
+import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/**
+ * {@code holdproxy daemon publish CHANGE.toml}: publishes settings to the fleet and waits until each connected proxy
+ * has them in force or has rejected them.
+ */
+@Command(
+        name = "publish",
+        description = {
+            "Publishes settings to the fleet and waits for what comes of it.",
+            "Exit codes: 0 in force at all connected proxies; 1 rejected by some; 2 the command or"
+                + " the file is wrong, or the log refuses the change; 3 not settled within --wait;"
+                + " 4 no control machine took it."
+        },
+        mixinStandardHelpOptions = true)
+final class PublishCommand implements Callable<Integer> {
+    static final int IN_FORCE = 0;
+    static final int REJECTED = 1;
+    static final int REFUSED = 2;
+    static final int NOT_SETTLED = 3;
+    static final int NOT_TAKEN = 4;
+
+    private static final long AGAIN_MS = 200;
+    private static final long LOOK_MS = 250;
+
+    @Mixin private ControlOptions control;
+
+    @Option(
+            names = "--wait",
+            paramLabel = "SECONDS",
+            defaultValue = "60",
+            description = "how long to wait, for a control machine and then for proxies")
+    private int waitSeconds;
+
+    @Option(
+            names = "--expect",
+            paramLabel = "PROXIES",
+            defaultValue = "1",
+            description = "wait until so many proxies are connected")
+    private long expected;
+
+    @Parameters(
+            paramLabel = "CHANGE.toml",
+            description = "[settings] to publish, and remove = [\"section\"]")
+    private Path file;
+
+    @Override
+    public Integer call() throws InterruptedException {
+        AdminApi.PublishRequest request = request();
+        List<InetSocketAddress> machines = control.addresses();
+        Object result = publish(machines, request);
+        if (result instanceof AdminApi.Failure failure) {
+            System.err.println("holdproxy: not published: " + failure.error());
+            return failure.retry() ? NOT_TAKEN : REFUSED;
+        }
+        AdminApi.Published version = (AdminApi.Published) result;
+        System.out.println("published as " + version.epoch() + "/" + version.number());
+        return await(machines, version);
+    }
+
+    private AdminApi.PublishRequest request() {
+        Map<String, String> puts = new HashMap<>();
+        List<String> removed = new ArrayList<>();
+        PublishedSettings.read(file)
+                .forEach(
+                        (key, value) -> {
+                            if (value == null) {
+                                removed.add(key);
+                            } else {
+                                puts.put(key, new String(value, StandardCharsets.UTF_8));
+                            }
+                        });
+        return new AdminApi.PublishRequest(UUID.randomUUID().toString(), puts, removed);
+    }
+
+    /** One machine after another until one takes it, or says that none will. */
+    private Object publish(List<InetSocketAddress> machines, AdminApi.PublishRequest request)
+            throws InterruptedException {
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(waitSeconds);
+        while (true) {
+            List<String> problems = new ArrayList<>();
+            for (InetSocketAddress machine : machines) {
+                Object result = control.client().publish(machine, request);
+                if (!(result instanceof AdminApi.Failure failure) || !failure.retry()) {
+                    return result;
+                }
+                problems.add(failure.error());
+            }
+            if (System.nanoTime() >= endNs) {
+                return new AdminApi.Failure(String.join("; ", problems), true);
+            }
+            Thread.sleep(AGAIN_MS);
+        }
+    }
+
+    private int await(List<InetSocketAddress> machines, AdminApi.Published version)
+            throws InterruptedException {
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(waitSeconds);
+        String said = "";
+        while (true) {
+            FleetVersions fleet = control.versions(machines, problem -> {});
+            boolean settled = fleet.isSettledAt(version, expected);
+            boolean over = settled || System.nanoTime() >= endNs;
+            String summary = fleet.summary(version);
+            if (over || !summary.equals(said)) {
+                System.out.println(summary);
+                said = summary;
+            }
+            if (over) {
+                return !settled ? NOT_SETTLED : fleet.rejecting() > 0 ? REJECTED : IN_FORCE;
+            }
+            Thread.sleep(LOOK_MS);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/daemon/PublishedSettings.java
@@ -0,0 +1,119 @@
+package holdproxy.daemon;
+
+import com.fasterxml.jackson.jr.ob.JSON;
+import holdproxy.input.BadInput;
+import holdproxy.toml.TomlPart;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * Settings that operators publish to a whole fleet. Each top-level section of {@code [settings]} is one key of the
+ * distributed state, its value a JSON text; a published section takes the place of the same one in a process's own
+ * file.
+ */
+final class PublishedSettings {
+    /** What the keys of published settings begin with; other keys are of other users. */
+    static final String PREFIX = "settings/";
+
+    /** Bytes of a file that is published. */
+    private static final int LONGEST_FILE = 64 << 10;
+
+    private PublishedSettings() {}
+
+    static boolean isOne(String key) {
+        return key.startsWith(PREFIX);
+    }
+
+    /** The settings {@code own} with all that is published in place of theirs: tables key by key, lists whole. */
+    static Map<String, Object> over(Map<String, Object> own, Map<String, byte[]> published) {
+        Map<String, Object> all = new HashMap<>(own);
+        published.forEach(
+                (key, value) -> {
+                    if (isOne(key)) {
+                        all.merge(
+                                key.substring(PREFIX.length()),
+                                value(key, value),
+                                PublishedSettings::over);
+                    }
+                });
+        return all;
+    }
+
+    private static Object over(Object own, Object published) {
+        if (!(own instanceof Map<?, ?> below) || !(published instanceof Map<?, ?> above)) {
+            return published;
+        }
+        Map<Object, Object> both = new HashMap<>(below);
+        above.forEach((key, value) -> both.merge(key, value, PublishedSettings::over));
+        return both;
+    }
+
+    /** What is wrong, with the published key where the value at fault is one's. */
+    static String nameKey(Map<String, byte[]> published, BadInput failure) {
+        String path = failure.path() == null ? "" : failure.path();
+        String key = PREFIX + path.split("\\.", 2)[0];
+        return published.containsKey(key)
+                ? key + ": " + failure.getMessage()
+                : failure.getMessage();
+    }
+
+    private static Object value(String key, byte[] value) {
+        try {
+            Object read = JSON.std.anyFrom(value);
+            if (read != null) {
+                return read;
+            }
+        } catch (IOException e) {
+            // said below
+        }
+        throw new BadInput(key + " is no JSON value");
+    }
+
+    /**
+     * What a file asks to publish: each section below {@code [settings]}, and null for each one that {@code remove}
+     * names, for which processes go by their own files again.
+     */
+    static Map<String, byte[]> read(Path file) {
+        String text;
+        try {
+            if (Files.size(file) > LONGEST_FILE) {
+                throw new BadInput(
+                        "the file " + file + " has more than " + LONGEST_FILE + " bytes");
+            }
+            text = Files.readString(file);
+        } catch (IOException e) {
+            throw new BadInput(
+                    "the file " + file + " cannot be read: " + e.getClass().getSimpleName());
+        }
+        TomlPart top = TomlPart.parse(file.toString(), "the change", text);
+        Map<String, byte[]> change = new LinkedHashMap<>();
+        top.map("settings").forEach((section, value) -> change.put(PREFIX + section, json(value)));
+        for (String section : top.texts("remove", DaemonFile::name)) {
+            if (change.containsKey(PREFIX + section)) {
+                throw top.bad(top.at("remove"), section + " cannot be both set and removed");
+            }
+            change.put(PREFIX + section, null);
+        }
+        top.done();
+        if (change.isEmpty()) {
+            throw top.bad(
+                    null,
+                    "there is nothing to publish: no section below [settings], and no remove");
+        }
+        return change;
+    }
+
+    private static byte[] json(Object value) {
+        try {
+            return JSON.std.asString(value).getBytes(StandardCharsets.UTF_8);
+        } catch (IOException e) {
+            throw new UncheckedIOException("a value cannot be written", e);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/daemon/RelayRole.java
@@ -0,0 +1,98 @@
+package holdproxy.daemon;
+
+import holdproxy.fanout.CoverageReport;
+import holdproxy.fanout.Relay;
+import holdproxy.fanout.transport.RelayServer;
+import holdproxy.fanout.transport.TransportContext;
+import java.net.InetSocketAddress;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Serves subscribers while this process has the role to, and listens only then: others find a closed port and try the
+ * next candidate. On the context's event loop.
+ */
+final class RelayRole {
+    private static final int BIND_AGAIN_MS = 500;
+
+    private final TransportContext context;
+    private final Relay.Source source;
+    private final InetSocketAddress address;
+
+    /** Null while it does not serve. */
+    private RelayServer server;
+
+    RelayRole(TransportContext context, Relay.Source source, InetSocketAddress address) {
+        this.context = context;
+        this.source = source;
+        this.address = address;
+    }
+
+    void begin() {
+        if (server == null) {
+            listen();
+        }
+    }
+
+    /** Its subscribers are sent elsewhere. */
+    void end() {
+        if (server != null) {
+            server.close();
+            server = null;
+            EventLog.event("relay ended", "address", DistributionTransport.text(address));
+        }
+    }
+
+    /** The source has changed. */
+    void advanced() {
+        if (server != null) {
+            server.advanced();
+        }
+    }
+
+    /** What the proxies that it serves have in force. */
+    CoverageReport report() {
+        return server == null ? CoverageReport.EMPTY : server.relay().report();
+    }
+
+    int subscribers(long nowUs) {
+        return server == null ? 0 : server.relay().status(nowUs).subscribers();
+    }
+
+    /** Of the subscribers, those that are behind. */
+    int catchingUp(long nowUs) {
+        return server == null ? 0 : server.relay().status(nowUs).catchingUp();
+    }
+
+    private void listen() {
+        RelayServer opened = new RelayServer(context, source);
+        server = opened;
+        opened.listen(address)
+                .addListener(
+                        bound -> {
+                            if (bound.isSuccess()) {
+                                EventLog.event(
+                                        "relay serves",
+                                        "address",
+                                        DistributionTransport.text(address));
+                                return;
+                            }
+                            EventLog.line(
+                                    "cannot listen for subscribers on "
+                                            + DistributionTransport.text(address)
+                                            + ", trying on: "
+                                            + bound.cause().getMessage());
+                            context.loop()
+                                    .schedule(
+                                            () -> listenAgain(opened),
+                                            BIND_AGAIN_MS,
+                                            TimeUnit.MILLISECONDS);
+                        });
+    }
+
+    private void listenAgain(RelayServer failed) {
+        failed.close();
+        if (server == failed) {
+            listen();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/daemon/SubscribedProcess.java
@@ -0,0 +1,125 @@
+package holdproxy.daemon;
+
+import holdproxy.fanout.CoverageReport;
+import holdproxy.fanout.Replica;
+import holdproxy.fanout.transport.SubscriberClient;
+import holdproxy.fanout.transport.TransportContext;
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.util.List;
+import java.util.Random;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * A proxy or a site's relay: subscribes, puts what is published into force at its own proxy and, as a relay, serves
+ * the site's proxies. On an event loop of its own.
+ *
+ * <p>Where there is a consensus group a relay serves while it holds the lease on its site's role, so that one relay of
+ * a site serves at a time; the others stay subscribed and take over with what they hold.
+ */
+final class SubscribedProcess implements DistributionPart {
+    private static final String RELAY_ROLE = "relay-";
+
+    private final PublishedConfiguration own;
+    private final EventLoop loop =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final TransportContext context = DistributionTransport.on(loop);
+    private final SubscriberClient upstream;
+
+    /** Null in a proxy. */
+    private final RelayRole relay;
+
+    private boolean advancing;
+
+    private SubscribedProcess(
+            String name, DistributionSettings settings, PublishedConfiguration own) {
+        this.own = own;
+        boolean serves = settings.role().serves();
+        upstream =
+                new SubscriberClient(
+                        context,
+                        name,
+                        new Replica(context.settings().limits()),
+                        (nowUs, position, state, changes) -> {
+                            advanceSoon();
+                            return own.offer(nowUs, position, state, changes);
+                        },
+                        serves ? this::report : null,
+                        new Random());
+        relay = serves ? new RelayRole(context, upstream.subscriber(), settings.listen()) : null;
+    }
+
+    /** {@code consensus}: null where there is none, and a relay always serves. */
+    static SubscribedProcess start(
+            String name,
+            DistributionSettings settings,
+            PublishedConfiguration own,
+            FreshnessReporter freshness,
+            ConsensusPart consensus) {
+        SubscribedProcess process = new SubscribedProcess(name, settings, own);
+        process.loop.execute(
+                () -> {
+                    process.upstream.candidates(DistributionTransport.candidates(name, settings));
+                    process.loop.scheduleAtFixedRate(
+                            () -> process.look(freshness),
+                            FreshnessReporter.LOOK_MS,
+                            FreshnessReporter.LOOK_MS,
+                            TimeUnit.MILLISECONDS);
+                    DistributionTransport.logCounters(process.context);
+                    if (process.relay != null && consensus == null) {
+                        process.relay.begin();
+                    }
+                });
+        if (process.relay != null && consensus != null) {
+            consensus.want(RELAY_ROLE + settings.site(), settings.leaseMs(), process.new Holding());
+        }
+        return process;
+    }
+
+    private void look(FreshnessReporter freshness) {
+        freshness.look(own.inForce(), upstream.subscriber().ageUs(context.nowUs().getAsLong()));
+    }
+
+    /** Its own proxy and those that it serves. */
+    private CoverageReport report() {
+        return CoverageReport.merge(
+                List.of(own.report(), relay.report()), context.settings().limits());
+    }
+
+    /** Not at once: the subscriber that says so is at work, and may have more to say. */
+    private void advanceSoon() {
+        if (relay != null && !advancing) {
+            advancing = true;
+            loop.execute(
+                    () -> {
+                        advancing = false;
+                        relay.advanced();
+                    });
+        }
+    }
+
+    @Override
+    public void end() {
+        loop.execute(
+                () -> {
+                    if (relay != null) {
+                        relay.end();
+                    }
+                    upstream.close();
+                });
+    }
+
+    /** The lease on the site's role, told on the consensus part's loop. */
+    private final class Holding implements LeaseListener {
+        @Override
+        public void granted(long token) {
+            loop.execute(relay::begin);
+        }
+
+        @Override
+        public void ended() {
+            loop.execute(relay::end);
+        }
+    }
+}
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import java.util.function.Supplier;
 
 /** The process around a proxy: what it inherits at its start, the signals that it heeds, and its console. */
 public final class Service implements Operations {
@@ -425,16 +426,31 @@
      * of its own: one after the other, so that the last file is the last that is taken.
      */
     static void reload(Config inUse, Proxy proxy, EventLoop loop, ConfigSource source) {
+        replace(() -> source.read().apply(inUse), proxy, loop);
+    }
+
+    private static String replace(Supplier<Config> checked, Proxy proxy, EventLoop loop) {
         synchronized (proxy) {
             try {
-                Config now = source.read().apply(inUse);
+                Config now = checked.get();
                 loop.execute(() -> proxy.taken(now));
+                return null;
             } catch (BadInput e) {
                 loop.execute(() -> proxy.turnedDown(e.getMessage()));
+                return e.getMessage();
             }
         }
     }
 
+    /**
+     * Takes a configuration as SIGHUP does, whole or not at all: {@code checked} makes it, or throws a
+     * {@link BadInput}, one call after the other and none beside a SIGHUP. Returns why it is turned down, else
+     * null; on any thread.
+     */
+    public String take(Supplier<Config> checked) {
+        return replace(checked, proxy, loop);
+    }
+
     /** Does what SIGTERM asks for and waits for its end, but not for long. */
     public void drain() {
         try {
--- a/src/main/java/holdproxy/rig/DaemonText.java
+++ b/src/main/java/holdproxy/rig/DaemonText.java
@@ -122,7 +122,7 @@
     }
 
     /** A value of JSON on one line of TOML. */
-    private static String toml(Object value) {
+    static String toml(Object value) {
         if (value instanceof Map<?, ?> map) {
             return map.entrySet().stream()
                     .map(e -> toml(e.getKey()) + " = " + toml(e.getValue()))
--- /dev/null
+++ b/src/main/java/holdproxy/rig/DistributionRig.java
@@ -0,0 +1,171 @@
+package holdproxy.rig;
+
+import holdproxy.toml.TomlText;
+import holdproxy.town.Auditors;
+import holdproxy.town.DiscoveryService;
+import holdproxy.town.Event;
+import holdproxy.town.TownRecord;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import java.util.function.Function;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
+
+/**
+ * The distribution of published changes among a rig's daemons: the voters are control machines, those after them relays
+ * of one site, and the others its proxies; and what operators publish, by the command that they have for it.
+ */
+final class DistributionRig {
+    /** Ends what a process's name has in the name of its link for changes. */
+    private static final String CHANGES = ".changes";
+
+    private static final String OPERATORS = "operators";
+    private static final String SITE = "site-0";
+    private static final int PUBLISH_WITHIN_S = 60;
+    private static final long PATIENCE_S = 150;
+
+    private record Publishing(Schedule.Publication publication, int number, Process process) {}
+
+    private final Schedule schedule;
+    private final Path folder;
+    private final Links links;
+    private final Keeper keeper;
+    private final Function<String[], List<String>> program;
+    private final TownRecord record;
+    private final List<InetSocketAddress> listens = new ArrayList<>();
+    private final List<InetSocketAddress> admins = new ArrayList<>();
+    private final List<Publishing> published = new ArrayList<>();
+
+    DistributionRig(
+            Schedule schedule,
+            Path folder,
+            Links links,
+            Keeper keeper,
+            Function<String[], List<String>> program,
+            TownRecord record) {
+        this.schedule = schedule;
+        this.folder = folder;
+        this.links = links;
+        this.keeper = keeper;
+        this.program = program;
+        this.record = record;
+        for (int i = 0; i < controls() + relays(); i++) {
+            listens.add(links.free());
+        }
+        for (int i = 0; i < controls(); i++) {
+            admins.add(links.free());
+        }
+    }
+
+    private int controls() {
+        return schedule.fleet().voters();
+    }
+
+    private int relays() {
+        return schedule.fleet().relays();
+    }
+
+    /** Of a daemon's file. */
+    String section(int daemon) {
+        String role =
+                daemon < controls()
+                        ? "control"
+                        : daemon < controls() + relays() ? "relay" : "proxy";
+        StringBuilder text = new StringBuilder("[distribution]\n");
+        line(text, "role", role);
+        line(text, "site", SITE);
+        text.append("lease_ms = ").append(schedule.fleet().leaseMs()).append('\n');
+        if (!role.equals("proxy")) {
+            line(text, "listen", DiscoveryService.text(listens.get(daemon)));
+        }
+        if (role.equals("control")) {
+            line(text, "admin", DiscoveryService.text(admins.get(daemon)));
+        } else {
+            text.append("upstream = ")
+                    .append(upstream(daemon, role).map(TomlText::quoted).toList())
+                    .append('\n');
+        }
+        return text.toString();
+    }
+
+    private static void line(StringBuilder text, String key, String value) {
+        text.append(key).append(" = ").append(TomlText.quoted(value)).append('\n');
+    }
+
+    /** Its links to those that may serve it. */
+    private Stream<String> upstream(int daemon, String role) {
+        IntStream above =
+                role.equals("relay")
+                        ? IntStream.range(0, controls())
+                        : IntStream.range(controls(), controls() + relays());
+        return above.mapToObj(
+                other ->
+                        DiscoveryService.text(
+                                links.link(
+                                        "proxy-" + daemon,
+                                        "proxy-" + other + CHANGES,
+                                        listens.get(other))));
+    }
+
+    /** Starts operators' command; its end is awaited by {@link #await}. */
+    void publish(Schedule.Publication publication, long nowUs) {
+        int number = published.size();
+        Path file = folder.resolve("publish-" + number + ".toml");
+        List<String> words = new ArrayList<>(List.of("daemon", "publish"));
+        admins.forEach(each -> words.addAll(List.of("--control", DiscoveryService.text(each))));
+        words.addAll(List.of("--wait", Integer.toString(PUBLISH_WITHIN_S), file.toString()));
+        try {
+            Files.writeString(file, "settings = " + DaemonText.toml(publication.settings()) + "\n");
+            Process process =
+                    new ProcessBuilder(program.apply(words.toArray(String[]::new)))
+                            .redirectErrorStream(true)
+                            .redirectOutput(log(number).toFile())
+                            .start();
+            keeper.keeps(process.toHandle());
+            published.add(new Publishing(publication, number, process));
+        } catch (IOException e) {
+            throw new UncheckedIOException("the command to publish cannot be started", e);
+        }
+        record.add(nowUs, Event.Kind.FAULT, OPERATORS, "", "publish " + publication.settings());
+    }
+
+    private Path log(int number) {
+        return folder.resolve("publish-" + number + ".log");
+    }
+
+    /** Each command that did not end as the schedule says. */
+    List<Auditors.Broken> await()
+            throws InterruptedException, ExecutionException, TimeoutException {
+        List<Auditors.Broken> broken = new ArrayList<>();
+        for (Publishing each : published) {
+            int code = each.process.onExit().get(PATIENCE_S, TimeUnit.SECONDS).exitValue();
+            if (code != each.publication.exitCode()) {
+                broken.add(
+                        new Auditors.Broken(
+                                "published",
+                                "publication "
+                                        + each.number
+                                        + " ended with "
+                                        + code
+                                        + ", not "
+                                        + each.publication.exitCode()
+                                        + ": see "
+                                        + log(each.number)));
+            }
+        }
+        return broken;
+    }
+
+    /** Whatever command still runs is ended. */
+    void close() {
+        published.forEach(each -> each.process.destroyForcibly());
+    }
+}
--- a/src/main/java/holdproxy/rig/RigTown.java
+++ b/src/main/java/holdproxy/rig/RigTown.java
@@ -93,6 +93,10 @@
     private final List<String> crashes = new ArrayList<>();
     private DiscoveryService discovery;
     private Clients clients;
+
+    /** Null where nothing is published. */
+    private DistributionRig distribution;
+
     private boolean ending;
 
     /** When all listened, and faults began. */
@@ -127,6 +131,12 @@
                 () -> {
                     startUs = time.nowUs();
                     schedule.faults().forEach(f -> after(f.atS(), () -> happen(f)));
+                    schedule.publications()
+                            .forEach(
+                                    p ->
+                                            after(
+                                                    p.atS(),
+                                                    () -> distribution.publish(p, time.nowUs())));
                     if (!schedule.fleet().quiet()) {
                         clients.ask(time.nowUs() + (long) (schedule.seconds() * 1e6));
                     }
@@ -136,11 +146,12 @@
                 });
         asked.get();
         List<Expected> unmet = unmet();
+        List<Auditors.Broken> unpublished = distribution == null ? List.of() : distribution.await();
         loop.submit(this::end).get();
         for (ServeProcess p : proxies) {
             over.get(p).get(PATIENCE_S, TimeUnit.SECONDS);
         }
-        return loop.submit(() -> judge(unmet)).get();
+        return loop.submit(() -> judge(unmet, unpublished)).get();
     }
 
     /** Awaits what the schedule asks for, and returns what did not come about. */
@@ -165,11 +176,13 @@
         }
     }
 
-    private Outcome judge(List<Expected> unmet) {
+    private Outcome judge(List<Expected> unmet, List<Auditors.Broken> unpublished) {
         history.flush();
         List<Event> events = record.events();
         List<Auditors.Broken> broken = Auditors.brokenWhateverTheTime(events);
         broken.addAll(LeaseAuditor.broken(events));
+        broken.addAll(ConfigurationJudge.broken(events));
+        broken.addAll(unpublished);
         crashes.forEach(c -> broken.add(new Auditors.Broken("no crash", c)));
         unmet.forEach(
                 e ->
@@ -258,6 +271,9 @@
         for (int i = 0; i < schedule.proxies(); i++) {
             meets.add(links.free());
         }
+        if (schedule.fleet().relays() > 0) {
+            distribution = new DistributionRig(schedule, folder, links, keeper, program, record);
+        }
         for (int i = 0; i < schedule.proxies(); i++) {
             proxies.add(proxy(i, names.get(i)));
         }
@@ -340,12 +356,13 @@
                     !schedule.daemons()
                             ? platforms
                             : DaemonText.of(
-                                    name,
-                                    DiscoveryService.text(listens),
-                                    discoveryAt,
-                                    folder.resolve(name),
-                                    cooperation(i),
-                                    platforms));
+                                            name,
+                                            DiscoveryService.text(listens),
+                                            discoveryAt,
+                                            folder.resolve(name),
+                                            cooperation(i),
+                                            platforms)
+                                    + (distribution == null ? "" : distribution.section(i)));
         } catch (IOException e) {
             throw new UncheckedIOException(
                     "the configuration of " + name + " cannot be written", e);
@@ -616,6 +633,9 @@
             loop.submit(
                             () -> {
                                 ending = true;
+                                if (distribution != null) {
+                                    distribution.close();
+                                }
                                 proxies.forEach(ServeProcess::kill);
                                 links.close();
                                 history.close();
--- a/src/main/java/holdproxy/rig/Schedule.java
+++ b/src/main/java/holdproxy/rig/Schedule.java
@@ -10,6 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 import java.util.SplittableRandom;
 
 /**
@@ -26,6 +27,7 @@
  * @param load what is asked
  * @param faults in any order
  * @param expected progress that is awaited at the end
+ * @param publications what operators publish, in any order
  */
 record Schedule(
         String name,
@@ -37,7 +39,8 @@
         int nodes,
         Load load,
         List<RigFault> faults,
-        List<Expected> expected) {
+        List<Expected> expected,
+        List<Publication> publications) {
     /**
      * What daemons have in common.
      *
@@ -45,20 +48,54 @@
      * @param drills how many leases they hold at a guarded resource
      * @param leaseMs of those
      * @param quiet no client asks for anything
+     * @param relays how many of them, those after the voters, relay published changes; 0: nothing is published
      */
-    record Fleet(int voters, int drills, int leaseMs, boolean quiet) {
+    record Fleet(int voters, int drills, int leaseMs, boolean quiet, int relays) {
         static final Fleet NONE = new Fleet(0, 0, 1_000, false);
+
+        Fleet(int voters, int drills, int leaseMs, boolean quiet) {
+            this(voters, drills, leaseMs, quiet, 0);
+        }
     }
 
+    /**
+     * Settings that operators publish.
+     *
+     * @param atS in seconds from when all processes listen
+     * @param settings by section
+     * @param exitCode that the command is to end with
+     */
+    record Publication(double atS, Map<String, Object> settings, int exitCode) {}
+
     private static final double LONGEST_S = 3600;
     private static final int MOST_MS = 60_000;
     private static final int MOST_BYTES = 1 << 30;
+    private static final int MOST_RELAYS = 5;
+    private static final int MOST_EXIT_CODE = 4;
     private static final int MOST_FAULTS = 6;
     private static final double FIRST_FAULT_S = 1;
 
     Schedule {
         faults = List.copyOf(faults);
         expected = List.copyOf(expected);
+        publications = List.copyOf(publications);
+    }
+
+    /** One in which nothing is published. */
+    Schedule(
+            String name,
+            long seed,
+            double seconds,
+            boolean daemons,
+            Fleet fleet,
+            int proxies,
+            int nodes,
+            Load load,
+            List<RigFault> faults,
+            List<Expected> expected) {
+        this(
+                name, seed, seconds, daemons, fleet, proxies, nodes, load, faults, expected,
+                List.of());
     }
 
     static Schedule read(Path file) {
@@ -84,18 +121,19 @@
                         town.whole("voters", 0, 0, 5),
                         town.whole("drills", 0, 0, 20),
                         town.whole("lease_ms", 1_000, 200, MOST_MS),
-                        town.flag("quiet"));
+                        town.flag("quiet"),
+                        town.whole("relays", 0, 0, MOST_RELAYS));
         boolean possible =
                 fleet.voters == 0
-                        ? fleet.drills == 0
+                        ? fleet.drills == 0 && fleet.relays == 0
                         : daemons
                                 && (fleet.voters == 3 || fleet.voters == 5)
-                                && fleet.voters <= proxies;
+                                && fleet.voters + fleet.relays <= proxies;
         if (!possible) {
             throw town.bad(
                     town.at("voters"),
                     "voters are three or five of the proxies, which are daemons;"
-                            + " drills need them");
+                            + " drills and relays need them");
         }
         int nodes = town.whole("nodes", 6, 1, 100);
         town.done();
@@ -115,9 +153,36 @@
                             each.number("within_s", 60, 0, LONGEST_S)));
             each.done();
         }
+        List<Publication> publications = new ArrayList<>();
+        for (TomlPart each : top.parts("publish")) {
+            publications.add(publication(each, fleet, seconds));
+        }
         top.done();
         return new Schedule(
-                name, seed, seconds, daemons, fleet, proxies, nodes, load, faults, expected);
+                name,
+                seed,
+                seconds,
+                daemons,
+                fleet,
+                proxies,
+                nodes,
+                load,
+                faults,
+                expected,
+                publications);
+    }
+
+    private static Publication publication(TomlPart part, Fleet fleet, double seconds) {
+        if (fleet.relays == 0) {
+            throw part.bad(part.at("at_s"), "nothing can be published without relays in [town]");
+        }
+        Publication publication =
+                new Publication(
+                        part.needed("at_s", 0, seconds),
+                        part.map("settings"),
+                        part.whole("exit_code", 0, 0, MOST_EXIT_CODE));
+        part.done();
+        return publication;
     }
 
     private static RigFault fault(TomlPart p, int proxies, int nodes, double seconds) {
@@ -182,6 +247,7 @@
         line(out, "drills", fleet.drills);
         line(out, "lease_ms", fleet.leaseMs);
         line(out, "quiet", fleet.quiet);
+        line(out, "relays", fleet.relays);
         line(out, "proxies", proxies);
         line(out, "nodes", nodes);
         out.append("\n[load]\n");
@@ -220,6 +286,12 @@
             line(out, "after_s", each.afterS());
             line(out, "within_s", each.withinS());
         }
+        for (Publication each : publications) {
+            out.append("\n[[publish]]\n");
+            line(out, "at_s", each.atS());
+            line(out, "exit_code", each.exitCode());
+            line(out, "settings", DaemonText.toml(each.settings()));
+        }
         return out.toString();
     }
 
--- a/src/test/java/holdproxy/daemon/DaemonTest.java
+++ b/src/test/java/holdproxy/daemon/DaemonTest.java
@@ -93,6 +93,38 @@
                         .contains("cannot be read"));
     }
 
+    @Test
+    void mistakesInTheDistributionAreNamedWithTheirLine() throws Exception {
+        String proxy =
+                good()
+                        + "[distribution]\nrole = \"proxy\"\nsite = \"north\"\n"
+                        + "upstream = [\"127.0.0.1:7100\"]\n";
+        assertEquals(
+                DistributionSettings.Role.PROXY,
+                DaemonFile.read(file(proxy), 1).distribution().role());
+        assertBad(
+                proxy.replace("\"proxy\"\nsite", "\"prox\"\nsite"),
+                " line 19: role in [distribution]");
+        assertBad(proxy.replace("site = \"north\"\n", ""), " line 18: site is missing");
+        assertBad(
+                proxy.replace("7100", "71000"),
+                " line 21: an address in upstream is not an address");
+        assertBad(proxy.replace("\"127.0.0.1:7100\"", ""), " line 21: a proxy needs at least one");
+        assertBad(proxy + "listen = \"127.0.0.1:0\"\n", " line 22: listen has no use in a process");
+        assertBad(proxy + "relay = 1\n", " line 22: relay is unknown in [distribution]");
+        String control =
+                proxy.replace("role = \"proxy\"", "role = \"control\"")
+                        + "listen = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\n";
+        assertBad(
+                control, " line 19: a control machine is one of the voters, which proxy-1 is not");
+        DaemonFile inUse = DaemonFile.read(file(proxy), 1);
+        Path moved = file(proxy.replace("7100", "7101"));
+        assertTrue(
+                assertThrows(BadInput.class, () -> DaemonFile.again(moved, inUse))
+                        .getMessage()
+                        .contains("distribution cannot change while the process runs"));
+    }
+
     @Test
     void tablesAreReadByTheirFormerNamesToo() throws Exception {
         String cooperation =
--- /dev/null
+++ b/src/test/java/holdproxy/rig/DistributionScheduleTest.java
@@ -0,0 +1,52 @@
+package holdproxy.rig;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import holdproxy.town.Event;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Real control machines, relays and proxies: published settings come to all of them, in their order. */
+class DistributionScheduleTest {
+    @TempDir Path folder;
+
+    @Test
+    void proxiesEndAtTheNewestVersionThoughEachRelayIsKilled() throws Exception {
+        Schedule schedule = Schedule.read(Path.of("rig/distribution/relays-killed.toml"));
+        try (Keeper keeper = Keeper.start(RigCommand.self("rig", "keep"));
+                RigTown town = new RigTown(schedule, folder, keeper, RigCommand::self)) {
+            assertEquals(List.of(), town.play().broken());
+        }
+        String history = Files.readString(folder.resolve("history.txt"));
+        assertTrue(history.contains("proxy-7"), history);
+        assertEquals(
+                schedule.toml(),
+                Schedule.read("again", schedule.toml()).toml(),
+                "it is written as it is read");
+    }
+
+    @Test
+    void anOlderVersionAfterANewerOneIsFound() {
+        List<Event> events =
+                List.of(
+                        said("starting name=a pid=1"),
+                        said("configuration in force epoch=5 number=2 sections=1"),
+                        said("configuration in force epoch=5 number=3 sections=1"),
+                        said("starting name=a pid=2"),
+                        said("configuration in force epoch=5 number=1 sections=1"));
+        assertEquals(List.of(), ConfigurationJudge.broken(events));
+        for (String late : List.of("epoch=5 number=1", "epoch=5 number=0", "epoch=4 number=9")) {
+            List<Event> broken = new java.util.ArrayList<>(events);
+            broken.add(said("configuration in force " + late + " sections=1"));
+            assertEquals(1, ConfigurationJudge.broken(broken).size(), late);
+        }
+    }
+
+    private static Event said(String what) {
+        return new Event(0, Event.Kind.SAID, "a", "", what);
+    }
+}
