--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -20,6 +20,8 @@
     /** What {@link Service} keeps is below the daemon's folder, where it looks for it by this variable. */
     private static final String KEPT_BELOW = "TMPDIR";
 
+    private static final long NS_PER_US = 1_000;
+
     private final Path file;
     private DaemonFile inUse;
     private MembershipService membership;
@@ -84,7 +86,8 @@
                             inUse.distribution(),
                             new PublishedConfiguration(
                                     inUse.name(), settings -> take(service, settings)),
-                            new FreshnessReporter(service.figures()),
+                            new FreshnessReporter(
+                                    service.figures(), () -> System.nanoTime() / NS_PER_US),
                             consensus);
         }
         EventLog.event("started", "name", inUse.name());
--- a/src/main/java/holdproxy/daemon/FleetVersions.java
+++ b/src/main/java/holdproxy/daemon/FleetVersions.java
@@ -1,9 +1,7 @@
 package holdproxy.daemon;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeSet;
-import java.util.stream.Collectors;
 
 /**
  * How far a fleet is, by what its control machines say together.
@@ -20,9 +18,23 @@
         return machines.stream().mapToLong(AdminApi.Versions::proxies).sum();
     }
 
-    /** Proxies that reject the state that they received last. */
-    long rejecting() {
-        return machines.stream().mapToLong(AdminApi.Versions::rejecting).sum();
+    /** Proxies that reject this version or a later one; those that reject an earlier one may take it yet. */
+    long rejectingAt(AdminApi.Published version) {
+        long count = 0;
+        for (AdminApi.Versions machine : machines) {
+            long named = 0;
+            for (AdminApi.RejectionView each : machine.rejections()) {
+                named += reaches(each.epoch(), each.number(), version) ? 1 : 0;
+            }
+            boolean allNamed = named == machine.rejections().size();
+            // of those that are not named nothing else is known
+            count += allNamed ? machine.rejecting() : named;
+        }
+        return count;
+    }
+
+    private static boolean reaches(long epoch, long number, AdminApi.Published version) {
+        return epoch > version.epoch() || epoch == version.epoch() && number >= version.number();
     }
 
     /** Proxies that have this version or a later one in force. */
@@ -30,10 +42,7 @@
         long count = 0;
         for (AdminApi.Versions machine : machines) {
             for (AdminApi.VersionCount each : machine.inForce()) {
-                boolean reached =
-                        each.epoch() > version.epoch()
-                                || each.epoch() == version.epoch()
-                                        && each.number() >= version.number();
+                boolean reached = reaches(each.epoch(), each.number(), version);
                 count += reached ? each.proxies() : 0;
             }
         }
@@ -44,26 +53,30 @@
     boolean isSettledAt(AdminApi.Published version, long expected) {
         return !machines.isEmpty()
                 && proxies() >= expected
-                && inForceAt(version) + rejecting() >= proxies();
+                && inForceAt(version) + rejectingAt(version) >= proxies();
     }
 
     /** {@code in force at n of m, rejected at k: names with their reasons}. */
     String summary(AdminApi.Published version) {
         String counts = "in force at " + inForceAt(version) + " of " + proxies();
-        if (rejecting() == 0) {
+        long rejecting = rejectingAt(version);
+        if (rejecting == 0) {
             return counts;
         }
-        List<String> reasons = new ArrayList<>();
+        TreeSet<String> reasons = new TreeSet<>();
         for (AdminApi.Versions machine : machines) {
-            machine.rejections()
-                    .forEach(each -> reasons.add(each.name() + " (" + each.reason() + ")"));
+            for (AdminApi.RejectionView each : machine.rejections()) {
+                if (reaches(each.epoch(), each.number(), version)) {
+                    reasons.add(each.name() + " (" + each.reason() + ")");
+                }
+            }
         }
-        long unnamed = rejecting() - reasons.size();
+        long unnamed = rejecting - reasons.size();
         return counts
                 + ", rejected at "
-                + rejecting()
+                + rejecting
                 + ": "
-                + new TreeSet<>(reasons).stream().collect(Collectors.joining(", "))
+                + String.join(", ", reasons)
                 + (unnamed > 0 ? " and " + unnamed + " more" : "");
     }
 
--- a/src/main/java/holdproxy/daemon/FreshnessReporter.java
+++ b/src/main/java/holdproxy/daemon/FreshnessReporter.java
@@ -3,6 +3,7 @@
 import holdproxy.console.Figures;
 import holdproxy.fanout.Position;
 import holdproxy.fanout.Relay;
+import java.util.function.LongSupplier;
 
 /** Tells operators which published state is in force and since when it is not known to be the newest. */
 final class FreshnessReporter {
@@ -16,17 +17,23 @@
     private static final long US_PER_MS = 1_000;
 
     private final Figures figures;
+    private final LongSupplier nowUs;
+    private final long startUs;
     private boolean stale;
 
-    FreshnessReporter(Figures figures) {
+    /** {@code nowUs}: the present moment in microseconds, which never goes back. */
+    FreshnessReporter(Figures figures, LongSupplier nowUs) {
         this.figures = figures;
+        this.nowUs = nowUs;
+        startUs = nowUs.getAsLong();
     }
 
     /** {@code ageUs}: as {@link Relay.Source#ageUs} has it. */
     void look(Position inForce, long ageUs) {
         boolean known = ageUs != Relay.Source.UNKNOWN_AGE_US;
+        long silentUs = known ? ageUs : nowUs.getAsLong() - startUs;
         figures.published(inForce.epoch(), inForce.number(), known ? ageUs / US_PER_S : -1);
-        boolean nowStale = ageUs >= STALE_US;
+        boolean nowStale = silentUs >= STALE_US;
         if (nowStale != stale) {
             stale = nowStale;
             EventLog.event(
--- a/src/main/java/holdproxy/daemon/PublishCommand.java
+++ b/src/main/java/holdproxy/daemon/PublishCommand.java
@@ -122,7 +122,9 @@
                 said = summary;
             }
             if (over) {
-                return !settled ? NOT_SETTLED : fleet.rejecting() > 0 ? REJECTED : IN_FORCE;
+                return !settled
+                        ? NOT_SETTLED
+                        : fleet.rejectingAt(version) > 0 ? REJECTED : IN_FORCE;
             }
             Thread.sleep(LOOK_MS);
         }
--- a/src/main/java/holdproxy/fanout/transport/MessageLink.java
+++ b/src/main/java/holdproxy/fanout/transport/MessageLink.java
@@ -143,6 +143,7 @@
     private void end() {
         if (!over) {
             over = true;
+            context.log().accept("link with " + peer + " ended: " + reason);
             listener.ended(this, reason);
         }
     }
@@ -156,7 +157,6 @@
         reason = describe(cause);
         if (!(cause instanceof IOException)) {
             context.counters().linksDropped.increment();
-            context.log().accept("link with " + peer + " ended: " + reason);
         }
         end();
         ctx.close();
--- a/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
+++ b/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
@@ -117,8 +117,7 @@
                         .connect(address);
         dialled.addListener(
                 connecting -> {
-                    if (!connecting.isSuccess()) {
-                        context.counters().dialsFailed.increment();
+                    if (!connecting.isSuccess() && number == linkNumber) {
                         fail(number, candidate, connecting.cause().getMessage());
                     }
                 });
@@ -126,12 +125,7 @@
 
     private void opening(long number, RelayCandidate candidate, SocketChannel channel) {
         MessageLink opened =
-                new MessageLink(
-                        channel,
-                        candidate.name() + " at " + candidate.address(),
-                        context,
-                        codec,
-                        new Receiving(number));
+                new MessageLink(channel, text(candidate), context, codec, new Receiving(number));
         opened.install();
         if (number == linkNumber) {
             link = opened;
@@ -142,15 +136,23 @@
 
     /** The rules hear of it later: they may be at work just now. */
     private void fail(long number, RelayCandidate candidate, String reason) {
+        context.counters().dialsFailed.increment();
+        context.log().accept(name + " cannot reach " + text(candidate) + ": " + reason);
         context.loop()
                 .execute(
                         () -> {
-                            subscriber.disconnected(
-                                    context.now(), number, candidate.name() + ": " + reason);
+                            subscriber.disconnected(context.now(), number, reason);
                             wake();
                         });
     }
 
+    /** How the log names a candidate. */
+    private static String text(RelayCandidate candidate) {
+        return candidate.name().equals(candidate.address())
+                ? candidate.name()
+                : candidate.name() + " at " + candidate.address();
+    }
+
     /** What the one connection brings. */
     private final class Receiving implements MessageLink.Listener {
         private final long number;
--- a/src/main/java/holdproxy/fanout/transport/TransportContext.java
+++ b/src/main/java/holdproxy/fanout/transport/TransportContext.java
@@ -15,7 +15,7 @@
  * @param nowUs the present moment in microseconds, which never goes back
  * @param addresses reads the address of a candidate; a {@link RuntimeException} where it is none
  * @param counters of all of them together
- * @param log takes a line for each link that ends because of what came or because the rules say so
+ * @param log takes a line for each link that ends, with what ended it, and for each dial that fails
  */
 public record TransportContext(
         EventLoop loop,
--- a/src/main/java/holdproxy/rig/DistributionRig.java
+++ b/src/main/java/holdproxy/rig/DistributionRig.java
@@ -4,6 +4,7 @@
 import holdproxy.town.Auditors;
 import holdproxy.town.DiscoveryService;
 import holdproxy.town.Event;
+import holdproxy.town.Timeline;
 import holdproxy.town.TownRecord;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -12,6 +13,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
@@ -39,23 +41,29 @@
     private final Links links;
     private final Keeper keeper;
     private final Function<String[], List<String>> program;
+    private final Timeline time;
     private final TownRecord record;
     private final List<InetSocketAddress> listens = new ArrayList<>();
     private final List<InetSocketAddress> admins = new ArrayList<>();
     private final List<Publishing> published = new ArrayList<>();
 
+    /** Completes when the last command has ended. */
+    private CompletableFuture<Void> last = CompletableFuture.completedFuture(null);
+
     DistributionRig(
             Schedule schedule,
             Path folder,
             Links links,
             Keeper keeper,
             Function<String[], List<String>> program,
+            Timeline time,
             TownRecord record) {
         this.schedule = schedule;
         this.folder = folder;
         this.links = links;
         this.keeper = keeper;
         this.program = program;
+        this.time = time;
         this.record = record;
         for (int i = 0; i < controls() + relays(); i++) {
             listens.add(links.free());
@@ -115,8 +123,20 @@
                                         listens.get(other))));
     }
 
-    /** Starts operators' command; its end is awaited by {@link #await}. */
-    void publish(Schedule.Publication publication, long nowUs) {
+    /** Has operators publish, once what they published before has come to its end; on the rig's loop. */
+    void publish(Schedule.Publication publication) {
+        last =
+                last.thenCompose(
+                        before -> {
+                            CompletableFuture<Void> ended = new CompletableFuture<>();
+                            start(publication)
+                                    .onExit()
+                                    .thenRun(() -> time.after(0, () -> ended.complete(null)));
+                            return ended;
+                        });
+    }
+
+    private Process start(Schedule.Publication publication) {
         int number = published.size();
         Path file = folder.resolve("publish-" + number + ".toml");
         List<String> words = new ArrayList<>(List.of("daemon", "publish"));
@@ -131,19 +151,26 @@
                             .start();
             keeper.keeps(process.toHandle());
             published.add(new Publishing(publication, number, process));
+            record.add(
+                    time.nowUs(),
+                    Event.Kind.FAULT,
+                    OPERATORS,
+                    "",
+                    "publish " + publication.settings());
+            return process;
         } catch (IOException e) {
             throw new UncheckedIOException("the command to publish cannot be started", e);
         }
-        record.add(nowUs, Event.Kind.FAULT, OPERATORS, "", "publish " + publication.settings());
     }
 
     private Path log(int number) {
         return folder.resolve("publish-" + number + ".log");
     }
 
-    /** Each command that did not end as the schedule says. */
+    /** Awaits the end of all that was to be published; each command that did not end as the schedule says. */
     List<Auditors.Broken> await()
             throws InterruptedException, ExecutionException, TimeoutException {
+        last.get(PATIENCE_S, TimeUnit.SECONDS);
         List<Auditors.Broken> broken = new ArrayList<>();
         for (Publishing each : published) {
             int code = each.process.onExit().get(PATIENCE_S, TimeUnit.SECONDS).exitValue();
--- a/src/main/java/holdproxy/rig/RigTown.java
+++ b/src/main/java/holdproxy/rig/RigTown.java
@@ -132,11 +132,7 @@
                     startUs = time.nowUs();
                     schedule.faults().forEach(f -> after(f.atS(), () -> happen(f)));
                     schedule.publications()
-                            .forEach(
-                                    p ->
-                                            after(
-                                                    p.atS(),
-                                                    () -> distribution.publish(p, time.nowUs())));
+                            .forEach(p -> after(p.atS(), () -> distribution.publish(p)));
                     if (!schedule.fleet().quiet()) {
                         clients.ask(time.nowUs() + (long) (schedule.seconds() * 1e6));
                     }
@@ -272,7 +268,8 @@
             meets.add(links.free());
         }
         if (schedule.fleet().relays() > 0) {
-            distribution = new DistributionRig(schedule, folder, links, keeper, program, record);
+            distribution =
+                    new DistributionRig(schedule, folder, links, keeper, program, time, record);
         }
         for (int i = 0; i < schedule.proxies(); i++) {
             proxies.add(proxy(i, names.get(i)));
--- a/src/test/java/holdproxy/rig/DistributionScheduleTest.java
+++ b/src/test/java/holdproxy/rig/DistributionScheduleTest.java
@@ -6,6 +6,7 @@
 import holdproxy.town.Event;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -22,7 +23,7 @@
             assertEquals(List.of(), town.play().broken());
         }
         String history = Files.readString(folder.resolve("history.txt"));
-        assertTrue(history.contains("proxy-7"), history);
+        assertTrue(history.contains("proxy-6"), history);
         assertEquals(
                 schedule.toml(),
                 Schedule.read("again", schedule.toml()).toml(),
@@ -40,7 +41,7 @@
                         said("configuration in force epoch=5 number=1 sections=1"));
         assertEquals(List.of(), ConfigurationJudge.broken(events));
         for (String late : List.of("epoch=5 number=1", "epoch=5 number=0", "epoch=4 number=9")) {
-            List<Event> broken = new java.util.ArrayList<>(events);
+            List<Event> broken = new ArrayList<>(events);
             broken.add(said("configuration in force " + late + " sections=1"));
             assertEquals(1, ConfigurationJudge.broken(broken).size(), late);
         }
