--- a/src/main/java/holdproxy/consensus/RaftGroup.java
+++ b/src/main/java/holdproxy/consensus/RaftGroup.java
@@ -277,8 +277,8 @@
     }
 
     /**
-     * For how long this voter has not heard the leader, in microseconds; 0 where it leads, {@link Long#MAX_VALUE}
-     * where it has never heard one.
+     * For how long this voter has not heard the leader, in microseconds; 0 where it leads, {@link
+     * Long#MAX_VALUE} where it has never heard one.
      */
     public long leaderSilentUs() {
         if (leading) {
--- a/src/main/java/holdproxy/console/Figures.java
+++ b/src/main/java/holdproxy/console/Figures.java
@@ -53,7 +53,10 @@
     /** Listed cache nodes that are avoided now. */
     public final Count poolEjected = new Count();
 
-    /** Where settings are published to a fleet: the version in force, and since when it is not known to be the newest. */
+    /**
+     * Where settings are published to a fleet: the version in force, and since when it is not known to be the
+     * newest.
+     */
     private volatile Published published;
 
     /** A version of the published state; {@code ageS}: -1 where it was never known to be the newest. */
--- a/src/main/java/holdproxy/daemon/AdminApi.java
+++ b/src/main/java/holdproxy/daemon/AdminApi.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * What operators' commands and control machines say to each other: JSON over HTTP. {@code POST /v1/changes} with a
- * {@link PublishRequest} gives a {@link Published} or a {@link Failure}, {@code GET /v1/versions} a {@link Versions}.
+ * What operators' commands and control machines say to each other: JSON over HTTP. {@code POST /v1/changes}
+ * with a {@link PublishRequest} gives a {@link Published} or a {@link Failure}, {@code GET /v1/versions} a
+ * {@link Versions}.
  */
 final class AdminApi {
     static final String CHANGES_PATH = "/v1/changes";
--- a/src/main/java/holdproxy/daemon/AdminServer.java
+++ b/src/main/java/holdproxy/daemon/AdminServer.java
@@ -27,7 +27,9 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
 
-/** Where a control machine takes operators' calls: {@link AdminApi} on HTTP, one request for each connection. */
+/**
+ * Where a control machine takes operators' calls: {@link AdminApi} on HTTP, one request for each connection.
+ */
 final class AdminServer implements AutoCloseable {
     private static final int MOST_CONNECTIONS = 32;
     private static final int IDLE_SECONDS = 30;
--- a/src/main/java/holdproxy/daemon/ConsensusPart.java
+++ b/src/main/java/holdproxy/daemon/ConsensusPart.java
@@ -121,7 +121,10 @@
         return group.leaderSilentUs();
     }
 
-    /** From now on this process asks for a lease whenever it is free; {@code listener} hears of it. On any thread. */
+    /**
+     * From now on this process asks for a lease whenever it is free; {@code listener} hears of it. On any
+     * thread.
+     */
     void want(String role, int leaseMs, LeaseListener listener) {
         loop.execute(
                 () -> {
--- a/src/main/java/holdproxy/daemon/DaemonFile.java
+++ b/src/main/java/holdproxy/daemon/DaemonFile.java
@@ -168,8 +168,8 @@
     }
 
     /**
-     * The proxy's configuration with published settings over those of this file, checked; a {@link BadInput} names
-     * the key that is at fault.
+     * The proxy's configuration with published settings over those of this file, checked; a {@link BadInput}
+     * names the key that is at fault.
      */
     Config with(Map<String, byte[]> published) {
         Map<String, Object> all = new HashMap<>(document);
--- a/src/main/java/holdproxy/daemon/DistributionSettings.java
+++ b/src/main/java/holdproxy/daemon/DistributionSettings.java
@@ -9,8 +9,8 @@
 import java.util.Locale;
 
 /**
- * The part of a daemon's file on the distribution of published changes, {@code [distribution]}. Whatever is missing,
- * unknown or out of its bounds is a {@link BadInput} with the file and the line.
+ * The part of a daemon's file on the distribution of published changes, {@code [distribution]}. Whatever is
+ * missing, unknown or out of its bounds is a {@link BadInput} with the file and the line.
  *
  * @param role what this process does for others
  * @param site whose relay serves it; of a control machine where it stands
--- a/src/main/java/holdproxy/daemon/PublishCommand.java
+++ b/src/main/java/holdproxy/daemon/PublishCommand.java
@@ -16,8 +16,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code holdproxy daemon publish CHANGE.toml}: publishes settings to the fleet and waits until each connected proxy
- * has them in force or has rejected them.
+ * {@code holdproxy daemon publish CHANGE.toml}: publishes settings to the fleet and waits until each
+ * connected proxy has them in force or has rejected them.
  */
 @Command(
         name = "publish",
--- a/src/main/java/holdproxy/daemon/PublishedConfiguration.java
+++ b/src/main/java/holdproxy/daemon/PublishedConfiguration.java
@@ -13,7 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * Puts published settings into force at this process's proxy, all of a state or nothing of it. On one event loop.
+ * Puts published settings into force at this process's proxy, all of a state or nothing of it. On one event
+ * loop.
  */
 final class PublishedConfiguration implements Subscriber.Consumer {
     /** The proxy that settings are for. */
--- a/src/main/java/holdproxy/daemon/PublishedSettings.java
+++ b/src/main/java/holdproxy/daemon/PublishedSettings.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 
 /**
- * Settings that operators publish to a whole fleet. Each top-level section of {@code [settings]} is one key of the
- * distributed state, its value a JSON text; a published section takes the place of the same one in a process's own
- * file.
+ * Settings that operators publish to a whole fleet. Each top-level section of {@code [settings]} is one key
+ * of the distributed state, its value a JSON text; a published section takes the place of the same one in a
+ * process's own file.
  */
 final class PublishedSettings {
     /** What the keys of published settings begin with; other keys are of other users. */
@@ -30,7 +30,9 @@
         return key.startsWith(PREFIX);
     }
 
-    /** The settings {@code own} with all that is published in place of theirs: tables key by key, lists whole. */
+    /**
+     * The settings {@code own} with all that is published in place of theirs: tables key by key, lists whole.
+     */
     static Map<String, Object> over(Map<String, Object> own, Map<String, byte[]> published) {
         Map<String, Object> all = new HashMap<>(own);
         published.forEach(
@@ -76,8 +78,8 @@
     }
 
     /**
-     * What a file asks to publish: each section below {@code [settings]}, and null for each one that {@code remove}
-     * names, for which processes go by their own files again.
+     * What a file asks to publish: each section below {@code [settings]}, and null for each one that {@code
+     * remove} names, for which processes go by their own files again.
      */
     static Map<String, byte[]> read(Path file) {
         String text;
--- a/src/main/java/holdproxy/daemon/RelayRole.java
+++ b/src/main/java/holdproxy/daemon/RelayRole.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Serves subscribers while this process has the role to, and listens only then: others find a closed port and try the
- * next candidate. On the context's event loop.
+ * Serves subscribers while this process has the role to, and listens only then: others find a closed port and
+ * try the next candidate. On the context's event loop.
  */
 final class RelayRole {
     private static final int BIND_AGAIN_MS = 500;
--- a/src/main/java/holdproxy/daemon/ReplicatedState.java
+++ b/src/main/java/holdproxy/daemon/ReplicatedState.java
@@ -9,12 +9,12 @@
 import java.util.List;
 
 /**
- * What the consensus group of a fleet agrees on: who holds which lease, and the log of published changes. Publications
- * carry the fencing token of the lease {@link #PUBLISHER}; one under an earlier token than that lease was last granted
- * with is refused, alike by every member.
+ * What the consensus group of a fleet agrees on: who holds which lease, and the log of published changes.
+ * Publications carry the fencing token of the lease {@link #PUBLISHER}; one under an earlier token than that
+ * lease was last granted with is refused, alike by every member.
  *
- * <p>Operations on the log are marked, those on leases are not: logs and snapshots of before have no log of changes and
- * are read as they were.
+ * <p>Operations on the log are marked, those on leases are not: logs and snapshots of before have no log of
+ * changes and are read as they were.
  */
 final class ReplicatedState implements StateMachine {
     /** Whose holder alone appends to the log of changes. */
@@ -53,7 +53,9 @@
         return List.of(CHANGES, ChangeLogOperations.append(publication));
     }
 
-    /** The operation that gives an empty log its epoch; its answer is for {@link ChangeLogOperations#result}. */
+    /**
+     * The operation that gives an empty log its epoch; its answer is for {@link ChangeLogOperations#result}.
+     */
     static List<Object> found(long epoch) {
         return List.of(CHANGES, ChangeLogOperations.found(epoch));
     }
--- a/src/main/java/holdproxy/daemon/SubscribedProcess.java
+++ b/src/main/java/holdproxy/daemon/SubscribedProcess.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A proxy or a site's relay: subscribes, puts what is published into force at its own proxy and, as a relay, serves
- * the site's proxies. On an event loop of its own.
+ * A proxy or a site's relay: subscribes, puts what is published into force at its own proxy and, as a relay,
+ * serves the site's proxies. On an event loop of its own.
  *
- * <p>Where there is a consensus group a relay serves while it holds the lease on its site's role, so that one relay of
- * a site serves at a time; the others stay subscribed and take over with what they hold.
+ * <p>Where there is a consensus group a relay serves while it holds the lease on its site's role, so that one
+ * relay of a site serves at a time; the others stay subscribed and take over with what they hold.
  */
 final class SubscribedProcess implements DistributionPart {
     private static final String RELAY_ROLE = "relay-";
--- a/src/main/java/holdproxy/fanout/ChangeLog.java
+++ b/src/main/java/holdproxy/fanout/ChangeLog.java
@@ -45,7 +45,9 @@
         return replica.position();
     }
 
-    /** The highest fencing token of a publication that was appended, or of a grant that the log was told of. */
+    /**
+     * The highest fencing token of a publication that was appended, or of a grant that the log was told of.
+     */
     public long highestToken() {
         return highestToken;
     }
@@ -66,7 +68,10 @@
         return position();
     }
 
-    /** The publisher's lease has been granted under this token: from now on publications under lower ones are refused. */
+    /**
+     * The publisher's lease has been granted under this token: from now on publications under lower ones are
+     * refused.
+     */
     public void fence(long token) {
         highestToken = Math.max(highestToken, token);
     }
@@ -130,8 +135,8 @@
     }
 
     /**
-     * All of it as plain values (texts, whole numbers, byte arrays, lists), in parts of at most this many bytes
-     * or one entry, change or identifier each.
+     * All of it as plain values (texts, whole numbers, byte arrays, lists), in parts of at most this many
+     * bytes or one entry, change or identifier each.
      */
     public List<Object> snapshot(int partBytes) {
         PlainParts parts = new PlainParts(partBytes);
--- a/src/main/java/holdproxy/fanout/transport/DueTimer.java
+++ b/src/main/java/holdproxy/fanout/transport/DueTimer.java
@@ -6,8 +6,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Ticks a state machine when it is due. A due time that moves later does not cancel the timer, which then ticks once
- * in vain: state machines are due at a new time with each message, and cancelling would cost more than the tick.
+ * Ticks a state machine when it is due. A due time that moves later does not cancel the timer, which then
+ * ticks once in vain: state machines are due at a new time with each message, and cancelling would cost more
+ * than the tick.
  */
 final class DueTimer {
     /** The due time of a state machine that waits for nothing. */
--- a/src/main/java/holdproxy/fanout/transport/FrameCodec.java
+++ b/src/main/java/holdproxy/fanout/transport/FrameCodec.java
@@ -9,8 +9,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Frames of messages: four bytes with the length of what follows, and the message. The last one is kept by identity,
- * so that a message which goes to many links is encoded once.
+ * Frames of messages: four bytes with the length of what follows, and the message. The last one is kept by
+ * identity, so that a message which goes to many links is encoded once.
  */
 final class FrameCodec {
     /** Bytes before a frame's content. */
--- a/src/main/java/holdproxy/fanout/transport/MessageLink.java
+++ b/src/main/java/holdproxy/fanout/transport/MessageLink.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection: messages out of a channel's frames and into them. What waits to be sent is bounded by the channel's
- * water mark and one frame: a channel that is not writable takes nothing more, and what the rules send meanwhile is
- * dropped, which they bear.
+ * One connection: messages out of a channel's frames and into them. What waits to be sent is bounded by the
+ * channel's water mark and one frame: a channel that is not writable takes nothing more, and what the rules
+ * send meanwhile is dropped, which they bear.
  */
 final class MessageLink extends SimpleChannelInboundHandler<ByteBuf> {
     /** So long a link that is to be closed may take to send what waits. */
--- a/src/main/java/holdproxy/fanout/transport/RelayServer.java
+++ b/src/main/java/holdproxy/fanout/transport/RelayServer.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A {@link Relay} on TCP: accepts subscribers, at most as many as the relay's settings say and a few that are being
- * refused. Every call is on the context's event loop, but for {@link #listen}.
+ * A {@link Relay} on TCP: accepts subscribers, at most as many as the relay's settings say and a few that are
+ * being refused. Every call is on the context's event loop, but for {@link #listen}.
  */
 public final class RelayServer implements AutoCloseable {
     /** Connections beyond the relay's subscribers, so that these can be told that it is full. */
--- a/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
+++ b/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
@@ -17,8 +17,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A {@link Subscriber} on TCP, with one connection at a time. Any number of them may share an event loop. Every call
- * is on the context's event loop.
+ * A {@link Subscriber} on TCP, with one connection at a time. Any number of them may share an event loop.
+ * Every call is on the context's event loop.
  */
 public final class SubscriberClient implements AutoCloseable {
     private static final int US_PER_MS = 1_000;
--- a/src/main/java/holdproxy/fanout/transport/TransportCounters.java
+++ b/src/main/java/holdproxy/fanout/transport/TransportCounters.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What one side of the fan-out's transport has carried since its start. Written on event loops, read on any thread;
- * many clients may share one instance.
+ * What one side of the fan-out's transport has carried since its start. Written on event loops, read on any
+ * thread; many clients may share one instance.
  */
 public final class TransportCounters {
     final LongAdder bytesReceived = new LongAdder();
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -444,8 +444,8 @@
 
     /**
      * Takes a configuration as SIGHUP does, whole or not at all: {@code checked} makes it, or throws a
-     * {@link BadInput}, one call after the other and none beside a SIGHUP. Returns why it is turned down, else
-     * null; on any thread.
+     * {@link BadInput}, one call after the other and none beside a SIGHUP. Returns why it is turned down,
+     * else null; on any thread.
      */
     public String take(Supplier<Config> checked) {
         return replace(checked, proxy, loop);
--- a/src/main/java/holdproxy/rig/ConfigurationJudge.java
+++ b/src/main/java/holdproxy/rig/ConfigurationJudge.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Whether each process put published versions into force in their order, none twice and no older one after a newer, by
- * what processes say: whatever the time.
+ * Whether each process put published versions into force in their order, none twice and no older one after a
+ * newer, by what processes say: whatever the time.
  */
 final class ConfigurationJudge {
     private static final String IN_ORDER = "versions in order";
--- a/src/main/java/holdproxy/rig/DistributionRig.java
+++ b/src/main/java/holdproxy/rig/DistributionRig.java
@@ -22,8 +22,9 @@
 import java.util.stream.Stream;
 
 /**
- * The distribution of published changes among a rig's daemons: the voters are control machines, those after them relays
- * of one site, and the others its proxies; and what operators publish, by the command that they have for it.
+ * The distribution of published changes among a rig's daemons: the voters are control machines, those after
+ * them relays of one site, and the others its proxies; and what operators publish, by the command that they
+ * have for it.
  */
 final class DistributionRig {
     /** Ends what a process's name has in the name of its link for changes. */
--- a/src/main/java/holdproxy/rig/Schedule.java
+++ b/src/main/java/holdproxy/rig/Schedule.java
@@ -48,7 +48,8 @@
      * @param drills how many leases they hold at a guarded resource
      * @param leaseMs of those
      * @param quiet no client asks for anything
-     * @param relays how many of them, those after the voters, relay published changes; 0: nothing is published
+     * @param relays how many of them, those after the voters, relay published changes; 0: nothing is
+     *     published
      */
     record Fleet(int voters, int drills, int leaseMs, boolean quiet, int relays) {
         static final Fleet NONE = new Fleet(0, 0, 1_000, false);
