--- a/src/main/java/holdproxy/net/Events.java
+++ b/src/main/java/holdproxy/net/Events.java
@@ -1,7 +1,7 @@
 package holdproxy.net;
 
 import java.util.ArrayDeque;
-import java.util.function.BooleanSupplier;
+import java.util.function.LongSupplier;
 
 /**
  * What the module is told, and when. It decides at the end of a turn of the loop, by all that had come until
@@ -10,18 +10,31 @@
  * in it. Its calls do not nest: what its actions bring about at once is delivered after its return.
  */
 final class Events {
+    /**
+     * No attempt may begin over 0.1 s after its client's end. What was read together with an event may be as
+     * old as this and one tick more, and there has to be time for the decision and the write as well.
+     */
+    static final long READ_AGAIN_US = 60_000;
+
     private final Transport transport;
     private final Log log;
-    private final BooleanSupplier late;
+    private final LongSupplier clock;
+    private final Lateness lateness;
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+
+    /** So many of those that wait came before the sockets were read once more, at {@link #readAgainUs}. */
+    private int readBehind;
+
+    private long readAgainUs;
     private boolean telling;
     private boolean delivering;
 
-    /** {@code late}: whether the loop has just stood still for long. */
-    Events(Transport transport, Log log, BooleanSupplier late) {
+    /** {@code clock}: microseconds, the one that {@code lateness} goes by. */
+    Events(Transport transport, Log log, LongSupplier clock, Lateness lateness) {
         this.transport = transport;
         this.log = log;
-        this.late = late;
+        this.clock = clock;
+        this.lateness = lateness;
     }
 
     /** In the order of their coming, at the end of this turn. */
@@ -29,7 +42,7 @@
         waiting.add(call);
         if (!delivering) {
             delivering = true;
-            transport.whenRead(this::deliver, late.getAsBoolean());
+            transport.whenRead(this::deliver, false);
         }
     }
 
@@ -43,13 +56,47 @@
     }
 
     private void deliver() {
+        boolean outdated = false;
         try {
-            for (Runnable next = waiting.poll(); next != null; next = waiting.poll()) {
-                tell(next);
+            while (!waiting.isEmpty() && !outdated) {
+                if (upToDate()) {
+                    tell(waiting.poll());
+                } else {
+                    outdated = true;
+                }
             }
         } finally {
-            delivering = false;
+            delivering = outdated;
         }
+        if (outdated) {
+            readAgain();
+        }
+    }
+
+    /**
+     * Whether the sockets were read so recently that the next event can be decided. Asked for each: a turn of
+     * many events may itself take long.
+     */
+    private boolean upToDate() {
+        long now = clock.getAsLong();
+        if (readBehind > 0 && now - readAgainUs <= READ_AGAIN_US) {
+            readBehind--;
+            return true;
+        }
+        readBehind = 0;
+        return lateness.sinceDueUs(now) <= READ_AGAIN_US;
+    }
+
+    /** At least the first of those that wait is told after it, so that no standstill holds them up for long. */
+    private void readAgain() {
+        int all = waiting.size();
+        transport.whenRead(
+                () -> {
+                    readBehind = all;
+                    readAgainUs = clock.getAsLong();
+                    deliver();
+                },
+                true);
     }
 
     private void tell(Runnable call) {
--- a/src/main/java/holdproxy/net/Lateness.java
+++ b/src/main/java/holdproxy/net/Lateness.java
@@ -39,6 +39,14 @@
         return late > TICK_US ? late : 0;
     }
 
+    /**
+     * How long ago the last tick that has run was due. The sockets have been read in full since then, or
+     * {@link #TICK_US} before it: input that is older than that in sum cannot lie unread.
+     */
+    long sinceDueUs(long now) {
+        return now - lastTickUs + lastLateUs;
+    }
+
     /** All time that the loop has stood still so far: a second clock, to take a difference of. */
     long totalUs(long now) {
         return totalUs + Math.max(0, now - dueUs);
--- a/src/main/java/holdproxy/net/NodeConnection.java
+++ b/src/main/java/holdproxy/net/NodeConnection.java
@@ -153,7 +153,6 @@
                 written.addListener(f -> written(a, f.isSuccess()));
             }
         }
-        begin();
     }
 
     private void written(Attempt a, boolean whole) {
@@ -166,13 +165,21 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         send();
+        if (!unsent.isEmpty() && sending.isEmpty()) {
+            pool.pools.proxy.events.add(this::begin); // as where it comes up
+        }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         up = true;
+        // the end of the client that waits for it may lie behind this in the same turn
+        pool.pools.proxy.events.add(this::beginFirst);
+    }
+
+    private void beginFirst() {
         begin();
-        if (wanted && line.isEmpty() && unsent.isEmpty() && !closed) {
+        if (wanted && !answered && line.isEmpty() && unsent.isEmpty() && !closed) {
             pool.idle(this); // nobody wants any more what it was opened for
         }
     }
--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -44,9 +44,6 @@
     /** A time-out is the proxy's own if its loop stood still for this part of the wait: 1 of so many. */
     private static final int OWN_PART = 4;
 
-    /** Nothing is sent on for who left 0.3 s ago: after a third of that ends are looked for first. */
-    private static final long LONG_STILL_US = 100_000;
-
     /** For so long a class that new settings have dropped is still served: its requests were under way. */
     private static final int DROPPED_MS = 5_000;
 
@@ -82,7 +79,7 @@
         this.log = log;
         lateness = new Lateness(now());
         Descriptors bound = Descriptors.of(config.sockets, transport != null && transport.shared());
-        events = new Events(transport, log, () -> justStoodStillUs(now()) > LONG_STILL_US);
+        events = new Events(transport, log, this::now, lateness);
         reception = new Reception(this, config.listen, loop, transport, log, bound.clients());
         settings = config.settings;
         kept = settings.classes;
--- a/src/main/java/holdproxy/net/Rehearsal.java
+++ b/src/main/java/holdproxy/net/Rehearsal.java
@@ -49,6 +49,7 @@
         int served = 0;
         EmbeddedChannel client = null;
         for (int i = 0; i < rounds; i++) {
+            proxy.tick(); // nobody runs its timers: without ticks it would take its loop for late
             if (i % ROUNDS_PER_CLIENT == 0) {
                 close(client);
                 client = new EmbeddedChannel(proxy.handlers());
--- a/src/test/java/holdproxy/net/CrossingsTest.java
+++ b/src/test/java/holdproxy/net/CrossingsTest.java
@@ -18,7 +18,6 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Supplier;
@@ -39,14 +38,6 @@
         client.expect("VA 1 O" + id, "1");
     }
 
-    /** Moves the module's clock, the loop having been on time. */
-    private static void pass(Fixture f, MockTicker clock, int ms) throws Exception {
-        clock.advance(ms, TimeUnit.MILLISECONDS);
-        for (int i = 0; i < 2; i++) {
-            f.loop.submit(f.proxy::tick).get();
-        }
-    }
-
     /** No time passes on the module's clock between an answer and the next request, whatever the machine does. */
     @Test
     void aSecondAnswerWithoutAnIdIsNotTakenForThatOfAWrite() throws Exception {
@@ -81,7 +72,7 @@
                     "SERVER_ERROR busy\r\n"); // it may be of what was asked before, and a1's is to
             // come
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
-            pass(f, clock, 1_000);
+            f.pass(clock, 1_000);
             client.send(Fixture.write("charge", "c1", 4000));
             Peer second = f.nodes.get(0).next();
             assertTrue(second.line().contains("Oc1 "));
@@ -99,7 +90,7 @@
             client.send(Fixture.read("a1", 4000));
             Peer node = f.nodes.get(0).next();
             served(client, node, "a1");
-            pass(f, clock, 1_000);
+            f.pass(clock, 1_000);
             client.send(Fixture.write("charge", "c1", 4000));
             node.line();
             node.expect("hello");
@@ -117,7 +108,7 @@
             client.send(Fixture.read("a1", 4000));
             Peer old = f.nodes.get(0).next();
             served(client, old, "a1");
-            pass(f, clock, 25_000); // of 30 s, a fifth of which is kept back
+            f.pass(clock, 25_000); // of 30 s, a fifth of which is kept back
             client.send(Fixture.read("a2", 4000));
             served(client, f.nodes.get(0).next(), "a2");
             old.expectEnd();
@@ -170,35 +161,6 @@
         }
     }
 
-    /** Holds the loop while all of it comes, in this order: one turn reads it then, as after a standstill. */
-    private static void inOneTurn(Fixture f, Coming all) throws Exception {
-        f.turn(); // else what was read last would be looked at first
-        held(f, () -> {}, all);
-    }
-
-    /** Holds the loop, which has begun with {@code first}, while all of it comes. */
-    private static void held(Fixture f, Runnable first, Coming all) throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
-        f.loop.execute(
-                () -> {
-                    first.run();
-                    stands.countDown();
-                    try {
-                        goesOn.await();
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                });
-        stands.await();
-        all.come();
-        goesOn.countDown();
-    }
-
-    private interface Coming {
-        void come() throws Exception;
-    }
-
     /** It may have been told long before: the loop is late by more than the grace, and reads the request first. */
     @Test
     void aDrainThatIsReadBehindARequestInOneTurnHoldsForIt() throws Exception {
@@ -209,8 +171,7 @@
             client.send(Fixture.read("a1", 4000));
             Peer drains = f.nodes.get(0).next();
             served(client, drains, "a1");
-            inOneTurn(
-                    f,
+            f.inOneTurn(
                     () -> {
                         client.send(Fixture.read("a2", 4000));
                         Fixture.chunk(
@@ -248,8 +209,7 @@
             assertTrue(refuses.line().contains("Oa3 "));
             int node =
                     f.nodes.get(0).address().endsWith(":" + drains.socket.getLocalPort()) ? 0 : 1;
-            inOneTurn(
-                    f,
+            f.inOneTurn(
                     () -> {
                         refuses.send("SERVER_ERROR busy\r\n");
                         Fixture.chunk(
@@ -273,9 +233,8 @@
             client.send(Fixture.read("a1", 4000));
             Peer old = f.nodes.get(0).next();
             served(client, old, "a1");
-            pass(f, clock, 1_000); // a write may go on it
-            inOneTurn(
-                    f,
+            f.pass(clock, 1_000); // a write may go on it
+            f.inOneTurn(
                     () -> {
                         client.send(Fixture.write("charge", "c1", 4000));
                         old.close();
@@ -434,9 +393,8 @@
             Peer client = f.client();
             client.send(Fixture.read("a1", 4000));
             served(client, f.nodes.get(0).next(), "a1");
-            pass(f, clock, 10);
-            inOneTurn(
-                    f,
+            f.pass(clock, 10);
+            f.inOneTurn(
                     () -> {
                         client.send(Fixture.read("a2", 4000));
                         client.close();
@@ -453,8 +411,7 @@
         try (Fixture f = new Fixture(1)) {
             List<Peer> late = new ArrayList<>();
             f.turn();
-            held(
-                    f,
+            f.held(
                     () -> f.proxy.end(0),
                     () -> {
                         for (int i = 0; i < 60; i++) {
--- /dev/null
+++ b/src/test/java/holdproxy/net/EventsTest.java
@@ -0,0 +1,115 @@
+package holdproxy.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandler;
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Supplier;
+import org.junit.jupiter.api.Test;
+
+/** How old what the sockets hold may be when an event is decided, with the clock and the turns in hand. */
+class EventsTest implements Transport {
+    private static final long MS = 1_000;
+
+    /** An end has to be seen within 0.1 s, and the last of it is for the write. */
+    private static final long MOST_AGE_US = 90 * MS;
+
+    private long nowUs;
+    private long readUs;
+    private final ArrayDeque<Runnable> afterReading = new ArrayDeque<>();
+    private final Lateness lateness = new Lateness(0);
+    private final List<Long> ages = new ArrayList<>();
+    private final Events events = new Events(this, null, () -> nowUs, lateness);
+
+    @Override
+    public void whenRead(Runnable task, boolean late) {
+        afterReading.add(task);
+    }
+
+    /** A turn that reads the sockets, runs what waits for it, and its tick if that is due. */
+    private void turn() {
+        readUs = nowUs;
+        for (int tasks = afterReading.size(); tasks > 0; tasks--) {
+            afterReading.poll().run();
+        }
+        if (lateness.sinceDueUs(nowUs) >= 2 * Lateness.TICK_US) {
+            lateness.ticked(nowUs);
+        }
+    }
+
+    /** An event whose decision takes so long. */
+    private void event(long takesUs) {
+        events.add(
+                () -> {
+                    ages.add(nowUs - readUs);
+                    nowUs += takesUs;
+                });
+    }
+
+    @Test
+    void manyEventsOfOneTurnAreNotAllDecidedByWhatItHasRead() {
+        lateness.ticked(nowUs);
+        for (int i = 0; i < 40; i++) {
+            event(10 * MS);
+        }
+        int turns = 0;
+        while (ages.size() < 40) {
+            int before = ages.size();
+            turn();
+            assertTrue(++turns == 1 || ages.size() > before, "each turn decides something");
+        }
+        assertTrue(ages.stream().allMatch(age -> age <= MOST_AGE_US), ages.toString());
+        assertTrue(turns <= 8, turns + " turns");
+    }
+
+    @Test
+    void anEventOfALoopOnTimeIsDecidedInItsTurn() {
+        for (int i = 0; i < 10; i++) {
+            nowUs += Lateness.TICK_US;
+            lateness.ticked(nowUs);
+            event(0);
+            turn();
+            assertEquals(i + 1, ages.size());
+        }
+    }
+
+    /** At whatever moment between two ticks the standstill begins, and however short of being told it is. */
+    @Test
+    void behindAStandstillOfOver60MsTheSocketsAreReadAgain() {
+        for (long beginsUs = 0; beginsUs < Lateness.TICK_US; beginsUs += MS) {
+            nowUs += 10 * Lateness.TICK_US;
+            lateness.ticked(nowUs);
+            lateness.ticked(nowUs);
+            nowUs += beginsUs;
+            long before = ages.size();
+            nowUs += 61 * MS;
+            event(0);
+            turn();
+            assertEquals(before, ages.size(), "it began " + beginsUs + " us behind a tick");
+            turn();
+            assertEquals(before + 1, ages.size());
+        }
+    }
+
+    @Override
+    public ChannelFuture connect(
+            InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
+        throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
+        throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public void endSending(Channel channel) {
+        throw new UnsupportedOperationException();
+    }
+}
--- a/src/test/java/holdproxy/net/Fixture.java
+++ b/src/test/java/holdproxy/net/Fixture.java
@@ -3,6 +3,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import io.netty.util.concurrent.MockTicker;
 import io.netty.util.concurrent.Ticker;
 import java.io.Closeable;
 import java.io.IOException;
@@ -11,6 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
@@ -98,6 +100,44 @@
         }
     }
 
+    /** What comes to the proxy while its loop is held. */
+    interface Coming {
+        void come() throws Exception;
+    }
+
+    /** Holds the loop while all of it comes, in this order: one turn reads it then, as after a standstill. */
+    void inOneTurn(Coming all) throws Exception {
+        turn(); // else what was read last would be looked at first
+        held(() -> {}, all);
+    }
+
+    /** Holds the loop, which has begun with {@code first}, while all of it comes. */
+    void held(Runnable first, Coming all) throws Exception {
+        CountDownLatch stands = new CountDownLatch(1);
+        CountDownLatch goesOn = new CountDownLatch(1);
+        loop.execute(
+                () -> {
+                    first.run();
+                    stands.countDown();
+                    try {
+                        goesOn.await();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
+        stands.await();
+        all.come();
+        goesOn.countDown();
+    }
+
+    /** Moves the module's clock, the loop having been on time. */
+    void pass(MockTicker clock, int ms) throws Exception {
+        clock.advance(ms, TimeUnit.MILLISECONDS);
+        for (int i = 0; i < 2; i++) {
+            loop.submit(proxy::tick).get();
+        }
+    }
+
     /** Requests taken and not ended. */
     long active() {
         turn();
--- /dev/null
+++ b/src/test/java/holdproxy/net/LateAttemptsTest.java
@@ -0,0 +1,113 @@
+package holdproxy.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.netty.util.concurrent.MockTicker;
+import io.netty.util.concurrent.Ticker;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Function;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * No attempt, first or further, begins over 0.1 s after its client's end, which lies unread behind what would
+ * begin it: the loop was late by a little more than that, and by less than what its ticks can tell.
+ */
+@Timeout(60)
+class LateAttemptsTest {
+    /** 20 ms of it pass until the next tick is due, by which the loop knows that it is late. */
+    private static final int STANDSTILL_MS = 110;
+
+    /** A dial has time: the test says when it is taken. */
+    private static final Function<String, String> PATIENT =
+            s ->
+                    s.replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":20000.0")
+                            .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":60000.0")
+                            .replace("\"deadlineMs\":5000.0", "\"deadlineMs\":30000.0");
+
+    private final MockTicker clock = Ticker.newMockTicker();
+
+    /** All of it comes in one turn, and then time passes on the module's clock. */
+    private void duringAStandstill(Fixture f, Fixture.Coming all) throws Exception {
+        f.pass(clock, 10);
+        f.inOneTurn(
+                () -> {
+                    all.come();
+                    clock.advance(STANDSTILL_MS, TimeUnit.MILLISECONDS);
+                });
+    }
+
+    private static void nothingBegan(Fixture f, int attemptsBefore) throws Exception {
+        assertEquals(0, f.active());
+        assertEquals(attemptsBefore, f.proxy.figures().tries.get());
+    }
+
+    @Test
+    void noFirstAttempt() throws Exception {
+        try (Fixture f = new Fixture(1, s -> s, 1024, clock)) {
+            Peer client = f.client();
+            client.send(Fixture.read("a1", 4000));
+            Peer node = f.nodes.get(0).next();
+            node.line();
+            node.send("VA 1 Oa1\r\n1\r\n");
+            client.expect("VA 1 Oa1", "1");
+            duringAStandstill(
+                    f,
+                    () -> {
+                        client.send(Fixture.read("a2", 4000));
+                        client.close();
+                    });
+            nothingBegan(f, 1);
+        }
+    }
+
+    /** Its end lies behind one more command, which is all that the turn of the failure reads of it. */
+    @Test
+    void noFurtherAttempt() throws Exception {
+        try (Fixture f = new Fixture(2, s -> s, 1024, clock)) {
+            Peer client = f.client();
+            client.send(Fixture.read("a1", 4000));
+            Peer node = f.next();
+            node.line();
+            duringAStandstill(
+                    f,
+                    () -> {
+                        node.send("SERVER_ERROR busy\r\n");
+                        client.send(Fixture.read("a2", 4000));
+                        client.close();
+                    });
+            nothingBegan(f, 1);
+        }
+    }
+
+    /** The connection comes up in the turn that reads the client's end behind it. */
+    @Test
+    void noAttemptThatWaitsForADial() throws Exception {
+        try (Peer.Deaf deaf = new Peer.Deaf();
+                Fixture f = new Fixture(0, PATIENT, 1024, clock)) {
+            Peer watch = f.watch();
+            Fixture.chunk(
+                    watch,
+                    Fixture.list(
+                            2,
+                            true,
+                            "{\"id\":\"s-0\",\"addr\":\""
+                                    + deaf.address()
+                                    + "\",\"zone\":\"east\",\"kind\":\"full\",\"cell\":1,\"state\":\"SERVING\","
+                                    + "\"weight\":1.0,\"started_ms\":0}"));
+            while (f.proxy.figures().poolSize.get() != 1) {
+                Thread.onSpinWait();
+            }
+            Peer client = f.client();
+            client.send(Fixture.read("a1", 20000));
+            assertEquals(1, f.active());
+            duringAStandstill(
+                    f,
+                    () -> {
+                        deaf.hear();
+                        client.close();
+                    });
+            nothingBegan(f, 0);
+        }
+    }
+}
