--- a/src/main/java/holdproxy/fanout/ChangeWindow.java
+++ b/src/main/java/holdproxy/fanout/ChangeWindow.java
@@ -1,20 +1,28 @@
 package holdproxy.fanout;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Iterator;
 import java.util.List;
 
 /** The last changes of one epoch without a gap, bounded by count and bytes. */
 final class ChangeWindow {
+    /** Dropped entries are cleared away once there are so many and they are the larger part. */
+    private static final int LEAST_CLEARED = 64;
+
+    /** A change, and the bytes of all since the last reset up to and with it. */
+    private record Entry(Change change, long bytesUpTo) {}
+
     private final int mostChanges;
     private final int mostBytes;
-    private final ArrayDeque<Change> changes = new ArrayDeque<>();
+    private final List<Entry> entries = new ArrayList<>();
+
+    /** Index of the first entry that is kept. */
+    private int first;
 
     /** The position before the first change that is kept. */
     private Position base = Position.NONE;
 
-    private long bytes;
+    private long bytesBefore;
+    private long bytesUpToNewest;
 
     ChangeWindow(FanoutSettings.Limits limits) {
         mostChanges = limits.windowChanges();
@@ -23,30 +31,27 @@
 
     /** Empty, at this position. */
     void reset(Position position) {
-        changes.clear();
-        bytes = 0;
+        entries.clear();
+        first = 0;
         base = position;
+        bytesBefore = 0;
+        bytesUpToNewest = 0;
     }
 
     Position newest() {
-        return changes.isEmpty() ? base : changes.peekLast().position();
-    }
-
-    /** The oldest position from which all changes are there. */
-    Position base() {
-        return base;
+        return base.plus(size());
     }
 
     int size() {
-        return changes.size();
+        return entries.size() - first;
     }
 
     long bytes() {
-        return bytes;
+        return bytesUpToNewest - bytesBefore;
     }
 
     List<Change> all() {
-        return List.copyOf(changes);
+        return after(base, Integer.MAX_VALUE);
     }
 
     /** One that does not follow the newest leaves only itself. */
@@ -54,15 +59,24 @@
         if (!change.predecessor().equals(newest())) {
             reset(change.predecessor());
         }
-        changes.add(change);
-        bytes += change.sizeBytes();
-        while (changes.size() > mostChanges || bytes > mostBytes) {
-            Change dropped = changes.removeFirst();
-            bytes -= dropped.sizeBytes();
-            base = dropped.position();
+        bytesUpToNewest += change.sizeBytes();
+        entries.add(new Entry(change, bytesUpToNewest));
+        while (size() > mostChanges || bytes() > mostBytes) {
+            dropFirst();
+        }
+        if (first >= LEAST_CLEARED && first > size()) {
+            entries.subList(0, first).clear();
+            first = 0;
         }
     }
 
+    private void dropFirst() {
+        Entry dropped = entries.set(first, null);
+        first++;
+        base = dropped.change.position();
+        bytesBefore = dropped.bytesUpTo;
+    }
+
     /** Whether all changes after this position are there (also where there are none). */
     boolean covers(Position held) {
         return held.epoch() == base.epoch()
@@ -70,12 +84,20 @@
                 && held.number() <= newest().number();
     }
 
-    /** Those after a position that it covers, as many as fit in so many bytes and at least one if there is one. */
+    /** Of all changes after a position that it covers. */
+    long bytesAfter(Position held) {
+        int index = indexAfter(held);
+        return bytesUpToNewest - (index == first ? bytesBefore : entries.get(index - 1).bytesUpTo);
+    }
+
+    /**
+     * Those after a position that it covers, as many as fit in so many bytes and at least one if there is one.
+     */
     List<Change> after(Position held, int withinBytes) {
         List<Change> result = new ArrayList<>();
         long size = 0;
-        for (Iterator<Change> each = iteratorAfter(held); each.hasNext(); ) {
-            Change change = each.next();
+        for (int i = indexAfter(held); i < entries.size(); i++) {
+            Change change = entries.get(i).change;
             size += change.sizeBytes();
             if (!result.isEmpty() && size > withinBytes) {
                 break;
@@ -85,21 +107,7 @@
         return result;
     }
 
-    /** From whichever end is nearer: those who are up to date ask for the last few. */
-    private Iterator<Change> iteratorAfter(Position held) {
-        long wanted = newest().number() - held.number();
-        if (wanted > changes.size() / 2) {
-            Iterator<Change> forward = changes.iterator();
-            for (long skip = held.number() - base.number(); skip > 0; skip--) {
-                forward.next();
-            }
-            return forward;
-        }
-        ArrayDeque<Change> last = new ArrayDeque<>();
-        Iterator<Change> backward = changes.descendingIterator();
-        for (long i = 0; i < wanted; i++) {
-            last.addFirst(backward.next());
-        }
-        return last.iterator();
+    private int indexAfter(Position held) {
+        return first + (int) (held.number() - base.number());
     }
 }
--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -20,8 +20,8 @@
  * relay. Every call is with the present moment in microseconds, which never goes back, and by one thread.
  *
  * <p>A subscriber has at most one batch or snapshot part unacknowledged, of at most the credit's bytes, so that
- * one that reads slowly costs a position and delays nobody. Those that are up to date get changes at once; those
- * that are behind share a token bucket: first all that need changes alone, then those that need a snapshot.
+ * one that reads slowly costs a position and delays nobody. Those that are behind by no more than a credit get
+ * changes at once; those that are further behind share a token bucket: first all that need changes alone, then those that need a snapshot.
  */
 public final class Relay {
     private static final long NEVER = Long.MAX_VALUE;
@@ -281,16 +281,32 @@
         return subscription.snapshot == null && source.replica().covers(subscription.sent);
     }
 
+    /** Whether changes are there, and are no more than the whole state. */
+    private boolean catchesUpByChanges(Subscription subscription) {
+        return coveredByWindow(subscription)
+                && (subscription.hadSnapshot || isNear(subscription.sent));
+    }
+
+    private boolean isNear(Position covered) {
+        Replica replica = source.replica();
+        return replica.bytesAfter(covered) <= Math.max(own.creditBytes(), replica.stateBytes());
+    }
+
     private void pumpLive(long nowUs, Subscription subscription) {
         if (mayNotSend(subscription) || hasEverything(subscription)) {
             return;
         }
         if (coveredByWindow(subscription)) {
-            sendBatch(nowUs, subscription, nextBatch(subscription));
-        } else {
-            subscription.live = false;
-            catchingUp.add(subscription);
+            Batch batch = nextBatch(subscription);
+            if (batch.last().equals(newest())) {
+                sendBatch(nowUs, subscription, batch);
+                return;
+            }
         }
+        // more than a credit behind: also the source may have caught up, for all subscribers at
+        // once
+        subscription.fallBehind();
+        catchingUp.add(subscription);
     }
 
     /** Spends the bucket: first on those that need changes alone, then on those that need a snapshot. */
@@ -318,7 +334,7 @@
             becomeLive(subscription);
             return true;
         }
-        if (mayNotSend(subscription) || !coveredByWindow(subscription)) {
+        if (mayNotSend(subscription) || !catchesUpByChanges(subscription)) {
             return true;
         }
         Batch batch = nextBatch(subscription);
@@ -334,7 +350,7 @@
 
     /** False where the bucket is empty. */
     private boolean pumpSnapshot(long nowUs, Subscription subscription) {
-        if (subscription.live || mayNotSend(subscription) || coveredByWindow(subscription)) {
+        if (subscription.live || mayNotSend(subscription) || catchesUpByChanges(subscription)) {
             return true;
         }
         if (subscription.snapshot == null
@@ -351,6 +367,7 @@
         subscription.sent(part, bytes, nowUs);
         if (part.isLast()) {
             subscription.sent = snapshot.position();
+            subscription.hadSnapshot = true;
             subscription.abandonSnapshot();
         }
         snapshotParts++;
@@ -403,13 +420,11 @@
 
     // ---- snapshots ----
 
-    /** One from which the window goes on for a good while yet, or a new one. */
+    /** The last one where the changes since are no more than the state, or a new one. */
     private FrozenSnapshot currentSnapshot() {
         FrozenSnapshot newest = snapshots.peekLast();
         Replica replica = source.replica();
-        if (newest != null
-                && replica.covers(newest.position())
-                && newest().number() - newest.position().number() <= replica.windowChanges() / 2) {
+        if (newest != null && replica.covers(newest.position()) && isNear(newest.position())) {
             return newest;
         }
         FrozenSnapshot frozen = FrozenSnapshot.of(replica, own.creditBytes());
--- a/src/main/java/holdproxy/fanout/Replica.java
+++ b/src/main/java/holdproxy/fanout/Replica.java
@@ -58,6 +58,11 @@
         return window.after(held, withinBytes);
     }
 
+    /** Of all changes after a position that is covered. */
+    public long bytesAfter(Position held) {
+        return window.bytesAfter(held);
+    }
+
     ChangeWindow window() {
         return window;
     }
--- a/src/main/java/holdproxy/fanout/Subscription.java
+++ b/src/main/java/holdproxy/fanout/Subscription.java
@@ -19,6 +19,9 @@
 
     int nextPart;
 
+    /** It has received one since it fell behind, and gets changes from there as long as the window has them. */
+    boolean hadSnapshot;
+
     /** The batch or part that waits for its acknowledgement, else null. */
     Message unacknowledged;
 
@@ -36,12 +39,17 @@
     void restart(Position from) {
         sent = from;
         held = from;
-        live = false;
+        fallBehind();
         abandonSnapshot();
         unacknowledged = null;
         unacknowledgedBytes = 0;
     }
 
+    void fallBehind() {
+        live = false;
+        hadSnapshot = false;
+    }
+
     void abandonSnapshot() {
         snapshot = null;
         nextPart = 0;
--- /dev/null
+++ b/src/main/java/holdproxy/lab/FanoutJudge.java
@@ -0,0 +1,319 @@
+package holdproxy.lab;
+
+import holdproxy.fanout.Change;
+import holdproxy.fanout.Message;
+import holdproxy.fanout.Position;
+import holdproxy.fanout.Publication;
+import holdproxy.fanout.Value;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import org.HdrHistogram.Histogram;
+
+/**
+ * Judges a fan-out by what was committed and what each process was given. Its history is its own: it shares no
+ * rule with the program, and compares positions by itself.
+ */
+final class FanoutJudge implements FanoutNetwork.Observer {
+    private static final int MOST_BROKEN = 50;
+
+    /** A heartbeat may have been on its way for as long as a link lives without one, and some more. */
+    private static final long AGE_SLACK_US = 4_000_000;
+
+    /** A subscription anew lets the relay send once more while the last batch is under way. */
+    private static final int CREDITS_UNDER_WAY = 2;
+
+    /** A committed change, and the whole state after it. */
+    private record Committed(
+            Position position, long atUs, long token, int bytes, Map<String, Value> state) {}
+
+    /** What a process in one life was given last. */
+    private static final class Given {
+        Position position;
+
+        Given(Position position) {
+            this.position = position;
+        }
+    }
+
+    /** Bytes on a connection that its lower end has not acknowledged. */
+    private static final class Credit {
+        final ArrayDeque<long[]> underWay = new ArrayDeque<>();
+        long sent;
+        long bytes;
+    }
+
+    private final SimulatedClock time;
+    private final int creditBytes;
+    private final Map<Position, Committed> history = new HashMap<>();
+    private final List<Committed> inOrder = new ArrayList<>();
+    private final Map<FanoutNode, Given> given = new HashMap<>();
+    private final Map<Long, Credit> credits = new HashMap<>();
+    private final Set<String> scrambled = new HashSet<>();
+    private final Map<String, TreeMap<Long, Long>> bytesBySecond = new HashMap<>();
+    private final Map<String, TreeMap<Long, Long>> bytesReceivedBySecond = new HashMap<>();
+    private final List<String> broken = new ArrayList<>();
+    private final Histogram inForceMs;
+    private long refusedPublications;
+
+    /** {@code inForceMs}: hears from each proxy how long after its commit a change was in force; null: none. */
+    FanoutJudge(SimulatedClock time, int creditBytes, Histogram inForceMs) {
+        this.time = time;
+        this.creditBytes = creditBytes;
+        this.inForceMs = inForceMs;
+    }
+
+    List<String> broken() {
+        return broken;
+    }
+
+    long refusedPublications() {
+        return refusedPublications;
+    }
+
+    void breaks(String what) {
+        if (broken.size() < MOST_BROKEN) {
+            broken.add(what + " at " + time.nowUs() / 1e6 + " s");
+        }
+    }
+
+    // ---- the history ----
+
+    /** The log was founded with this epoch. */
+    void founded(Position position) {
+        remember(new Committed(position, time.nowUs(), 0, 0, Map.of()));
+    }
+
+    /** The log has appended a publication. */
+    void committed(Position position, Publication publication) {
+        Committed before = inOrder.get(inOrder.size() - 1);
+        if (position.epoch() != before.position.epoch()
+                || position.number() != before.position.number() + 1) {
+            breaks("the log went from " + before.position + " to " + position);
+        }
+        if (publication.token() < before.token) {
+            breaks("the log took token " + publication.token() + " after " + before.token);
+        }
+        Map<String, Value> state = new TreeMap<>(before.state);
+        publication.deletes().forEach(state::remove);
+        state.putAll(publication.puts());
+        int bytes = 0;
+        for (Map.Entry<String, Value> put : publication.puts().entrySet()) {
+            bytes += put.getKey().length() + put.getValue().size();
+        }
+        remember(new Committed(position, time.nowUs(), publication.token(), bytes, state));
+    }
+
+    private void remember(Committed committed) {
+        history.put(committed.position, committed);
+        inOrder.add(committed);
+    }
+
+    /** The log has refused a publication under this token. */
+    void refused() {
+        refusedPublications++;
+    }
+
+    Position newest() {
+        return inOrder.get(inOrder.size() - 1).position;
+    }
+
+    long newestToken() {
+        return inOrder.get(inOrder.size() - 1).token;
+    }
+
+    // ---- what processes are given ----
+
+    /** A life of a process begins, with what it has kept of the one before. */
+    void began(FanoutNode node, Position kept) {
+        given.put(node, new Given(kept));
+    }
+
+    void offered(
+            FanoutNode node,
+            Position position,
+            SortedMap<String, Value> state,
+            List<Change> changes,
+            boolean accepted) {
+        Given last = given.get(node);
+        Committed committed = history.get(position);
+        if (committed == null) {
+            breaks(node.name + " was given " + position + ", which was never committed");
+            return;
+        }
+        if (!laterThan(position, last.position)) {
+            breaks(node.name + " was given " + position + " after " + last.position);
+        }
+        if (!changes.isEmpty()
+                && (position.epoch() != last.position.epoch()
+                        || position.number() - last.position.number() != changes.size())) {
+            breaks(
+                    node.name
+                            + " went from "
+                            + last.position
+                            + " to "
+                            + position
+                            + " by "
+                            + changes.size()
+                            + " changes");
+        }
+        if (!state.equals(committed.state)) {
+            breaks(node.name + " was given another state than " + position + " has");
+        }
+        if (accepted && inForceMs != null && node instanceof FanoutProcesses.Proxy) {
+            recordInForce(last.position, position);
+        }
+        last.position = position;
+    }
+
+    private static boolean laterThan(Position one, Position other) {
+        return one.epoch() > other.epoch()
+                || one.epoch() == other.epoch() && one.number() > other.number();
+    }
+
+    /** Every change since the position before has come into force now. */
+    private void recordInForce(Position before, Position now) {
+        if (before.epoch() != now.epoch()) {
+            return; // its first state
+        }
+        for (long number = before.number() + 1; number <= now.number(); number++) {
+            Committed committed = history.get(new Position(now.epoch(), number));
+            inForceMs.recordValue((time.nowUs() - committed.atUs) / 1000);
+        }
+    }
+
+    /** A process says that what it holds was the newest so long ago. */
+    void saysAge(String name, Position held, long ageUs) {
+        long wasNewestUs = time.nowUs() - ageUs - AGE_SLACK_US;
+        for (int i = inOrder.size() - 1; i >= 0; i--) {
+            Committed each = inOrder.get(i);
+            if (each.atUs <= wasNewestUs) {
+                if (laterThan(each.position, held)) {
+                    breaks(
+                            name
+                                    + " says that "
+                                    + held
+                                    + " is "
+                                    + ageUs / 1000
+                                    + " ms old, and "
+                                    + each.position
+                                    + " was committed at "
+                                    + each.atUs / 1e6
+                                    + " s");
+                }
+                return;
+            }
+        }
+    }
+
+    // ---- the wire ----
+
+    /** Credit is not judged on its links any more: messages arrive twice or never. */
+    void scrambles(String name) {
+        scrambled.add(name);
+    }
+
+    @Override
+    public void sentDown(FanoutNetwork.Connection connection, Message message, int bytes) {
+        bytesBySecond
+                .computeIfAbsent(connection.serverNode.name, n -> new TreeMap<>())
+                .merge(time.nowUs() / 1_000_000, (long) bytes, Long::sum);
+        bytesReceivedBySecond
+                .computeIfAbsent(connection.clientNode.name, n -> new TreeMap<>())
+                .merge(time.nowUs() / 1_000_000, (long) bytes, Long::sum);
+        Credit credit = credits.computeIfAbsent(connection.number, n -> new Credit());
+        boolean counts =
+                message instanceof Message.Batch || message instanceof Message.SnapshotPart;
+        credit.underWay.add(new long[] {credit.sent++, counts ? bytes : 0});
+        credit.bytes += counts ? bytes : 0;
+        if (credit.bytes > CREDITS_UNDER_WAY * creditBytes
+                && !scrambled.contains(connection.clientNode.name)) {
+            breaks(
+                    connection.serverNode.name
+                            + " has sent "
+                            + connection.clientNode.name
+                            + " "
+                            + credit.bytes
+                            + " bytes that it has not acknowledged");
+        }
+    }
+
+    @Override
+    public void arrivedUp(FanoutNetwork.Connection connection, Message message, long takenDown) {
+        Credit credit = credits.computeIfAbsent(connection.number, n -> new Credit());
+        while (!credit.underWay.isEmpty() && credit.underWay.peek()[0] < takenDown) {
+            credit.bytes -= credit.underWay.poll()[1];
+        }
+    }
+
+    /**
+     * No second saw a machine send more than its pace, its burst, the heartbeats and what was committed within
+     * the seconds before to each of its subscribers.
+     */
+    void judgePace(String name, long bytesPerSecond, long burst, int subscribers) {
+        Map<Long, Long> committedBytes = new HashMap<>();
+        Map<Long, Long> receivedBytes = bytesReceivedBySecond.getOrDefault(name, new TreeMap<>());
+        for (Committed each : inOrder) {
+            committedBytes.merge(each.atUs / 1_000_000, each.bytes + 200L, Long::sum);
+        }
+        for (Map.Entry<Long, Long> second :
+                bytesBySecond.getOrDefault(name, new TreeMap<>()).entrySet()) {
+            long live = 0;
+            long received = 0;
+            for (long back = 0; back <= 2; back++) {
+                live += committedBytes.getOrDefault(second.getKey() - back, 0L);
+                received += receivedBytes.getOrDefault(second.getKey() - back, 0L);
+            }
+            live = Math.max(live, received);
+            long bound = bytesPerSecond + burst + subscribers * (creditBytes + live + 200);
+            if (second.getValue() > bound) {
+                breaks(
+                        name
+                                + " sent "
+                                + second.getValue()
+                                + " bytes in second "
+                                + second.getKey()
+                                + ", more than "
+                                + bound);
+            }
+        }
+    }
+
+    /** The most bytes that a process sent in any second from then on. */
+    long mostBytesASecond(String name, long fromSecond) {
+        return bytesBySecond
+                .getOrDefault(name, new TreeMap<>())
+                .tailMap(fromSecond)
+                .values()
+                .stream()
+                .mapToLong(Long::longValue)
+                .max()
+                .orElse(0);
+    }
+
+    // ---- the end ----
+
+    void judgeEnd(String name, Position received, SortedMap<String, Value> state) {
+        if (!received.equals(newest())) {
+            breaks(name + " ends with " + received + " and not " + newest());
+        } else if (!state.equals(inOrder.get(inOrder.size() - 1).state)) {
+            breaks(name + " ends with another state than " + newest() + " has");
+        }
+    }
+
+    /** The state that a proxy's group bears last: what it has in force in the end. */
+    Position newestBorne(FanoutProcesses.Proxy proxy) {
+        for (int i = inOrder.size() - 1; i >= 0; i--) {
+            if (proxy.bears(new TreeMap<>(inOrder.get(i).state))) {
+                return inOrder.get(i).position;
+            }
+        }
+        return new Position(0, 0);
+    }
+}
--- a/src/main/java/holdproxy/lab/LabCommand.java
+++ b/src/main/java/holdproxy/lab/LabCommand.java
@@ -45,7 +45,8 @@
             StepCommand.class,
             MembershipCommand.class,
             ConsensusCommand.class,
-            LeaseCommand.class
+            LeaseCommand.class,
+            FanoutCommand.class
         })
 public final class LabCommand {
     private static final int SHOWN = 10;
