--- a/src/main/java/holdproxy/Main.java
+++ b/src/main/java/holdproxy/Main.java
@@ -23,6 +23,7 @@
 
     private Main() {}
 
+    /** Runs the command that the first argument names. */
     public static void main(String[] args) {
         boolean known = args.length == 1 || args.length > 1 && WITH_ARGUMENTS.contains(args[0]);
         String command = known ? args[0] : "";
--- /dev/null
+++ b/src/main/java/holdproxy/command/package-info.java
@@ -0,0 +1,2 @@
+/** What the command lines share: exit codes and error messages. */
+package holdproxy.command;
--- a/src/main/java/holdproxy/console/Figures.java
+++ b/src/main/java/holdproxy/console/Figures.java
@@ -23,14 +23,17 @@
     public static final class Count {
         private final AtomicLong value = new AtomicLong();
 
+        /** Adds to the figure. */
         public void add(long change) {
             value.lazySet(value.getPlain() + change); // one writer: nothing to compare with
         }
 
+        /** Replaces the figure. */
         public void set(long now) {
             value.lazySet(now);
         }
 
+        /** The present figure. */
         public long get() {
             return value.get();
         }
@@ -65,6 +68,7 @@
     /** By class; a class that the settings have dropped keeps its counts. */
     private final Map<String, Outcomes> outcomes = new ConcurrentSkipListMap<>();
 
+    /** The outcomes of one class of requests. */
     public Outcomes of(String requestClass) {
         return outcomes.computeIfAbsent(requestClass, name -> new Outcomes());
     }
--- a/src/main/java/holdproxy/console/Operations.java
+++ b/src/main/java/holdproxy/console/Operations.java
@@ -7,6 +7,7 @@
     /** Whether this process takes clients now. */
     boolean takesClients();
 
+    /** The figures that {@code vars} reports. */
     Figures figures();
 
     /**
--- a/src/main/java/holdproxy/input/BadInput.java
+++ b/src/main/java/holdproxy/input/BadInput.java
@@ -6,6 +6,7 @@
 
     private final String path;
 
+    /** {@code message}: what is wrong, and where. */
     public BadInput(String message) {
         this(message, null);
     }
--- a/src/main/java/holdproxy/input/SettingsText.java
+++ b/src/main/java/holdproxy/input/SettingsText.java
@@ -21,6 +21,7 @@
     private final Map<String, String> values = new HashMap<>();
     private final Set<String> asked = new HashSet<>();
 
+    /** Of JSON text. */
     public SettingsText(String text) {
         for (String line : text.split("\n")) {
             int eq = line.indexOf('=');
@@ -37,6 +38,7 @@
         values.putAll(pairs);
     }
 
+    /** The settings, checked. */
     public Router.Settings settings() {
         Router.Settings s = new Router.Settings();
         s.index = integer("index", 0, 0);
--- a/src/main/java/holdproxy/membership/Links.java
+++ b/src/main/java/holdproxy/membership/Links.java
@@ -54,6 +54,7 @@
 
     /** Takes frames, on the event loop; a {@link BadInput} from it ends the connection that they came by. */
     public interface Receiver {
+        /** A frame has come; the array is the receiver's own. */
         void received(byte[] frame);
     }
 
@@ -90,6 +91,7 @@
         receivers.put(kind, receiver);
     }
 
+    /** Accepts connections of other processes at this address. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -128,10 +130,12 @@
         return dropped;
     }
 
+    /** Frames sent, since the start. */
     public long sentFrames() {
         return sentFrames;
     }
 
+    /** Bytes sent, since the start. */
     public long sentBytes() {
         return sentBytes;
     }
--- a/src/main/java/holdproxy/membership/Membership.java
+++ b/src/main/java/holdproxy/membership/Membership.java
@@ -49,6 +49,7 @@
         /** Sends to a process, or to an address of which the process is not known yet (name null). */
         void send(String name, String address, Message message);
 
+        /** What is held of a process has changed. */
         void changed(Change change);
 
         /** A newer generation of this name runs elsewhere: this process is out of the fleet. */
@@ -188,6 +189,7 @@
         changedUs = nowUs;
     }
 
+    /** This process, as it announces itself. */
     public Member self() {
         return self;
     }
--- a/src/main/java/holdproxy/membership/MembershipService.java
+++ b/src/main/java/holdproxy/membership/MembershipService.java
@@ -46,6 +46,7 @@
 
     /** Hears what becomes known, on the event loop. */
     public interface Listener {
+        /** What is held of a process has changed. */
         void changed(Change change);
 
         /** A later generation of this name runs elsewhere: this one is out of the fleet. */
--- /dev/null
+++ b/src/main/java/holdproxy/package-info.java
@@ -0,0 +1,2 @@
+/** The program: picks the command that the first argument names. */
+package holdproxy;
--- /dev/null
+++ b/src/main/java/holdproxy/policy/package-info.java
@@ -0,0 +1,2 @@
+/** Routing decisions: which cache node, whether to retry, what to refuse. No I/O and no clock. */
+package holdproxy.policy;
--- a/src/main/java/holdproxy/rig/LinkState.java
+++ b/src/main/java/holdproxy/rig/LinkState.java
@@ -32,14 +32,17 @@
         }
     }
 
+    /** Delays data by a fixed, a random and a growing part, in milliseconds. */
     public static LinkState delayed(int delayMs, int jitterMs, int growthMs) {
         return new LinkState(false, false, delayMs, jitterMs, growthMs, 0, 0);
     }
 
+    /** Passes on so many bytes a second. */
     public static LinkState throttled(int bytesPerS) {
         return new LinkState(false, false, 0, 0, 0, bytesPerS, 0);
     }
 
+    /** Resets the connection after so many bytes. */
     public static LinkState torn(int afterBytes) {
         return new LinkState(false, false, 0, 0, 0, 0, afterBytes);
     }
--- a/src/main/java/holdproxy/rig/Relay.java
+++ b/src/main/java/holdproxy/rig/Relay.java
@@ -71,6 +71,7 @@
         return relay;
     }
 
+    /** Where it listens. */
     public InetSocketAddress address() {
         return address;
     }
--- a/src/main/java/holdproxy/sim/SimHost.java
+++ b/src/main/java/holdproxy/sim/SimHost.java
@@ -54,6 +54,7 @@
         String[] reportFields;
     }
 
+    /** Reads frames from one stream and answers on the other. */
     public SimHost(InputStream in, OutputStream out) {
         this.in = in;
         this.out = out;
--- a/src/main/java/holdproxy/toml/TomlPart.java
+++ b/src/main/java/holdproxy/toml/TomlPart.java
@@ -52,6 +52,7 @@
         return at == null ? start : at;
     }
 
+    /** An error that names the file and the line. */
     public BadInput bad(TomlPosition at, String why) {
         return new BadInput(file + (at == null ? "" : " line " + at.line()) + ": " + why);
     }
@@ -73,6 +74,7 @@
         return table.get(List.of(key));
     }
 
+    /** A text, or the fallback where it is not stated. */
     public String text(String key, String fallback) {
         Object value = value(key);
         if (value == null || value instanceof String) {
@@ -167,6 +169,7 @@
         return at;
     }
 
+    /** A number within bounds, or the fallback where it is not stated. */
     public double number(String key, double fallback, double least, double most) {
         Object value = value(key);
         if (value == null) {
@@ -188,6 +191,7 @@
                         + value);
     }
 
+    /** A number within bounds, which has to be stated. */
     public double needed(String key, double least, double most) {
         if (value(key) == null) {
             throw bad(start, key + " is missing from " + what);
@@ -195,6 +199,7 @@
         return number(key, 0, least, most);
     }
 
+    /** A whole number within bounds, or the fallback where it is not stated. */
     public int whole(String key, int fallback, int least, int most) {
         double value = number(key, fallback, least, most);
         if (value != Math.rint(value)) {
@@ -203,6 +208,7 @@
         return (int) value;
     }
 
+    /** A list; null where it is not stated. */
     public TomlArray array(String key) {
         Object value = value(key);
         if (value == null || value instanceof TomlArray) {
@@ -211,6 +217,7 @@
         throw bad(at(key), key + " in " + what + " is no list");
     }
 
+    /** A table, {@code [key]}; an empty one where there is none. */
     public TomlPart part(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
--- a/src/main/java/holdproxy/town/CacheNode.java
+++ b/src/main/java/holdproxy/town/CacheNode.java
@@ -108,6 +108,7 @@
     private long made;
     private int life;
 
+    /** A node that is not started yet. */
     public CacheNode(
             String name,
             int zone,
@@ -170,10 +171,12 @@
                 speed * from + " " + speed + " " + kind.coldUs);
     }
 
+    /** Whether it takes connections. */
     public boolean up() {
         return listener != null;
     }
 
+    /** Whether it has announced that it ends. */
     public boolean drains() {
         return draining;
     }
@@ -214,6 +217,7 @@
         planNext();
     }
 
+    /** Forgets the copy of a key. */
     public void drop(String key) {
         memory.remove(key);
     }
--- a/src/main/java/holdproxy/town/Clients.java
+++ b/src/main/java/holdproxy/town/Clients.java
@@ -58,6 +58,7 @@
     private long untilUs;
     private long wants;
 
+    /** Clients that ask nothing yet. */
     public Clients(
             Timeline loop,
             List<? extends Transport> networks,
--- a/src/main/java/holdproxy/town/DiscoveryService.java
+++ b/src/main/java/holdproxy/town/DiscoveryService.java
@@ -71,6 +71,7 @@
         this.callUs = callUs;
     }
 
+    /** Accepts calls at this address. */
     public void start(TownNetwork network, InetSocketAddress address) {
         this.network = network;
         network.listen(address, () -> new ChannelHandler[] {new HttpServerCodec(), new Call()});
@@ -155,6 +156,7 @@
                 change.state + " " + change.startedMs);
     }
 
+    /** An address as discovery states it: host, colon, port. */
     public static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/src/main/java/holdproxy/town/Event.java
+++ b/src/main/java/holdproxy/town/Event.java
@@ -10,6 +10,7 @@
  * @param detail what else there is to it, by kind
  */
 public record Event(long us, Kind kind, String where, String id, String detail) {
+    /** What happened. */
     public enum Kind {
         /** Somebody wants something; where: the club, id: what its tries' ids begin with, detail: class. */
         WANTED,
--- a/src/main/java/holdproxy/town/Front.java
+++ b/src/main/java/holdproxy/town/Front.java
@@ -21,10 +21,12 @@
         return doors.size() - 1;
     }
 
+    /** Where clients reach this proxy. */
     public InetSocketAddress address(int proxy) {
         return doors.get(proxy);
     }
 
+    /** Whether this proxy is given new connections. */
     public void use(int proxy, boolean use) {
         used.set(proxy, use);
     }
--- a/src/main/java/holdproxy/town/MemberRegister.java
+++ b/src/main/java/holdproxy/town/MemberRegister.java
@@ -46,10 +46,12 @@
         this.dropRepeatsUs = dropRepeatsUs;
     }
 
+    /** Has this node's copies dropped when their values change. */
     public void knows(CacheNode node) {
         nodes.add(node);
     }
 
+    /** Reads a value; {@code done} takes it. */
     public void fetch(String id, String key, Consumer<String> done) {
         take(new Work(id, key, null, null, done));
     }
--- a/src/main/java/holdproxy/town/Service.java
+++ b/src/main/java/holdproxy/town/Service.java
@@ -30,6 +30,7 @@
     private final Histogram servedMs = new Histogram(LONGEST_MS, 2);
     private final Second all = new Second();
 
+    /** Of a whole record. */
     public Service(List<Event> events) {
         RequestClass.ALL.forEach(c -> classes.put(c.name(), new Second()));
         Map<String, Want> open = new HashMap<>();
@@ -92,14 +93,17 @@
         return s.worthWanted == 0 ? 1 : s.worthInTime / s.worthWanted;
     }
 
+    /** The sums over all seconds. */
     public Second all() {
         return all;
     }
 
+    /** Second by second, from the first request. */
     public List<Second> seconds() {
         return seconds;
     }
 
+    /** The share of all requests that was served in time. */
     public double share() {
         return share(all);
     }
--- a/src/main/java/holdproxy/town/TownRecord.java
+++ b/src/main/java/holdproxy/town/TownRecord.java
@@ -14,6 +14,7 @@
     private final List<Event> events = new ArrayList<>();
     private final Consumer<Event> also;
 
+    /** Keeps events in memory alone. */
     public TownRecord() {
         this(e -> {});
     }
@@ -23,12 +24,14 @@
         this.also = also;
     }
 
+    /** Appends an event. */
     public void add(long us, Event.Kind kind, String where, String id, String detail) {
         Event event = new Event(us, kind, where, id, detail);
         events.add(event);
         also.accept(event);
     }
 
+    /** All events, in the order in which they were added. */
     public List<Event> events() {
         return Collections.unmodifiableList(events);
     }
--- a/src/main/java/holdproxy/town/ZoneReport.java
+++ b/src/main/java/holdproxy/town/ZoneReport.java
@@ -71,6 +71,7 @@
     private final List<Loss> losses = new ArrayList<>();
     private double coldPeak;
 
+    /** Of a whole record. */
     public ZoneReport(List<Event> events) {
         Map<String, String> zoneOf = new HashMap<>();
         Map<String, Long> wantedAt = new HashMap<>();
--- a/src/test/java/holdproxy/Awaiting.java
+++ b/src/test/java/holdproxy/Awaiting.java
@@ -10,9 +10,11 @@
 
     /** What is waited for. */
     public interface Condition {
+        /** Whether it has come about. */
         boolean holds() throws Exception;
     }
 
+    /** Waits until the condition holds; fails after so many seconds. */
     public static void await(long endS, Condition condition) throws Exception {
         long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(endS);
         while (!condition.holds()) {
