--- a/src/main/java/holdproxy/fanout/CandidateList.java
+++ b/src/main/java/holdproxy/fanout/CandidateList.java
@@ -40,7 +40,10 @@
         return find(candidate) != null;
     }
 
-    /** The first that is not avoided, else the one that is avoided for the shortest time; null: there is none. */
+    /**
+     * The first that is not avoided, else the one that is avoided for the shortest time; null:
+     * there is none.
+     */
     RelayCandidate choose(long nowUs) {
         Entry soonest = null;
         for (Entry entry : entries) {
--- a/src/main/java/holdproxy/fanout/ChangeLog.java
+++ b/src/main/java/holdproxy/fanout/ChangeLog.java
@@ -24,6 +24,7 @@
 
     private long highestToken;
 
+    /** An empty log that refuses what exceeds these limits. */
     public ChangeLog(FanoutSettings.Limits limits) {
         this(limits, Safeguard.all());
     }
--- a/src/main/java/holdproxy/fanout/ChangeLogOperations.java
+++ b/src/main/java/holdproxy/fanout/ChangeLogOperations.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Applies an agreed operation; one that this version does not know changes nothing and is refused. The same
-     * operation gives the same answer at every machine.
+     * Applies an agreed operation; one that this version does not know changes nothing and is
+     * refused. The same operation gives the same answer at every machine.
      */
     public static List<Object> apply(ChangeLog log, Object operation) {
         AppendResult result;
--- a/src/main/java/holdproxy/fanout/ChangeWindow.java
+++ b/src/main/java/holdproxy/fanout/ChangeWindow.java
@@ -91,7 +91,8 @@
     }
 
     /**
-     * Those after a position that it covers, as many as fit in so many bytes and at least one if there is one.
+     * Those after a position that it covers, as many as fit in so many bytes and at least one if
+     * there is one.
      */
     List<Change> after(Position held, int withinBytes) {
         List<Change> result = new ArrayList<>();
--- a/src/main/java/holdproxy/fanout/FanoutSettings.java
+++ b/src/main/java/holdproxy/fanout/FanoutSettings.java
@@ -249,7 +249,8 @@
      * @param sourceAgeUs a relay whose own source is silent for longer is left for another
      * @param reportIntervalUs between two acknowledgements that only report
      * @param keepaliveIntervalUs after which it acknowledges again as a sign of life
-     * @param askAgainUs without progress although the relay has more, after which it subscribes again; doubles
+     * @param askAgainUs without progress although the relay has more, after which it subscribes
+     *     again; doubles
      * @param askAgainMostUs to which it doubles
      */
     public record SubscriberSettings(
--- a/src/main/java/holdproxy/fanout/Message.java
+++ b/src/main/java/holdproxy/fanout/Message.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * What goes over a link between a subscriber and a relay. {@link Subscribe} and {@link Acknowledge} go up, the
- * others down. A control machine is a relay to those that subscribe at it.
+ * What goes over a link between a subscriber and a relay. {@link Subscribe} and {@link Acknowledge}
+ * go up, the others down. A control machine is a relay to those that subscribe at it.
  */
 public sealed interface Message {
 
--- a/src/main/java/holdproxy/fanout/MessageCodec.java
+++ b/src/main/java/holdproxy/fanout/MessageCodec.java
@@ -20,8 +20,9 @@
 import java.util.TreeSet;
 
 /**
- * Messages as CBOR: a list of the protocol's version, the kind's number and its fields in their order. A version
- * reads exactly its own fields: what it does not know could be part of a change, and must not get lost unseen.
+ * Messages as CBOR: a list of the protocol's version, the kind's number and its fields in their
+ * order. A version reads exactly its own fields: what it does not know could be part of a change,
+ * and must not get lost unseen.
  */
 public final class MessageCodec {
     /** Of the protocol; grows with every change to a message. */
@@ -39,6 +40,7 @@
 
     private final FanoutSettings.Limits limits;
 
+    /** A codec that refuses what exceeds these limits. */
     public MessageCodec(FanoutSettings.Limits limits) {
         this.limits = limits;
     }
--- a/src/main/java/holdproxy/fanout/Position.java
+++ b/src/main/java/holdproxy/fanout/Position.java
@@ -32,6 +32,7 @@
         return new Position(epoch, number + changes);
     }
 
+    /** Whether this position is later in the history than the other one. */
     public boolean isAfter(Position other) {
         return compareTo(other) > 0;
     }
--- a/src/main/java/holdproxy/fanout/ProtocolException.java
+++ b/src/main/java/holdproxy/fanout/ProtocolException.java
@@ -1,6 +1,9 @@
 package holdproxy.fanout;
 
-/** A frame or message that breaks the protocol; the link that it came by ends. The text names what is wrong. */
+/**
+ * A frame or message that breaks the protocol; the link that it came by ends. The text names what
+ * is wrong.
+ */
 public final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -22,11 +25,13 @@
 
     private final Kind kind;
 
+    /** {@code detail}: what is wrong and where, for the log. */
     public ProtocolException(Kind kind, String detail) {
         super(kind + ": " + detail);
         this.kind = kind;
     }
 
+    /** Which rule of the protocol is broken. */
     public Kind kind() {
         return kind;
     }
--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -16,12 +16,14 @@
 import java.util.Set;
 
 /**
- * Serves subscribers from a source: the local {@link ChangeLog} at a control machine, a {@link Subscriber} at a
- * relay. Every call is with the present moment in microseconds, which never goes back, and by one thread.
+ * Serves subscribers from a source: the local {@link ChangeLog} at a control machine, a {@link
+ * Subscriber} at a relay. Every call is with the present moment in microseconds, which never goes
+ * back, and by one thread.
  *
- * <p>A subscriber has at most one batch or snapshot part unacknowledged, of at most the credit's bytes, so that
- * one that reads slowly costs a position and delays nobody. Those that are behind by no more than a credit get
- * changes at once; those that are further behind share a token bucket: first all that need changes alone, then those that need a snapshot.
+ * <p>A subscriber has at most one batch or snapshot part unacknowledged, of at most the credit's
+ * bytes, so that one that reads slowly costs a position and delays nobody. Those that are behind by
+ * no more than a credit get changes at once; those that are further behind share a token bucket:
+ * first all that need changes alone, then those that need a snapshot.
  */
 public final class Relay {
     private static final long NEVER = Long.MAX_VALUE;
@@ -79,6 +81,7 @@
     private long droppedSilent;
     private long refused;
 
+    /** A relay with all of its rules; {@code nowUs} is the present moment. */
     public Relay(FanoutSettings settings, Source source, Output output, long nowUs) {
         this(settings, source, output, nowUs, Safeguard.all());
     }
@@ -169,6 +172,7 @@
         return CoverageReport.merge(reports, settings.limits());
     }
 
+    /** Figures for operators: position, age, subscribers and counters since the start. */
     public RelayStatus status(long nowUs) {
         return new RelayStatus(
                 newest(),
--- a/src/main/java/holdproxy/fanout/RendezvousOrder.java
+++ b/src/main/java/holdproxy/fanout/RendezvousOrder.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The order in which a subscriber prefers its candidates: its own site's first, then the others, each group by
- * rendezvous hashing of the two names. So a lost relay's subscribers spread over all that are left, and a new
- * relay takes its share from each.
+ * The order in which a subscriber prefers its candidates: its own site's first, then the others,
+ * each group by rendezvous hashing of the two names. So a lost relay's subscribers spread over all
+ * that are left, and a new relay takes its share from each.
  */
 public final class RendezvousOrder {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
--- a/src/main/java/holdproxy/fanout/Replica.java
+++ b/src/main/java/holdproxy/fanout/Replica.java
@@ -11,6 +11,7 @@
     private final KeyedState state = new KeyedState();
     private final ChangeWindow window;
 
+    /** An empty replica, whose window is bounded by these limits. */
     public Replica(FanoutSettings.Limits limits) {
         window = new ChangeWindow(limits);
     }
@@ -53,7 +54,10 @@
         return window.covers(held);
     }
 
-    /** Changes after a position that is covered, as many as fit in so many bytes and at least one if there is one. */
+    /**
+     * Changes after a position that is covered, as many as fit in so many bytes and at least one if
+     * there is one.
+     */
     public List<Change> after(Position held, int withinBytes) {
         return window.after(held, withinBytes);
     }
--- a/src/main/java/holdproxy/fanout/Safeguard.java
+++ b/src/main/java/holdproxy/fanout/Safeguard.java
@@ -3,7 +3,10 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Rules that the simulation disables one at a time, to show that each is needed and that its judges see it. */
+/**
+ * Rules that the simulation disables one at a time, to show that each is needed and that its judges
+ * see it.
+ */
 public enum Safeguard {
     /** A batch is applied only where it follows what is held. */
     PREDECESSOR_CHECK,
--- a/src/main/java/holdproxy/fanout/Subscriber.java
+++ b/src/main/java/holdproxy/fanout/Subscriber.java
@@ -14,12 +14,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Follows the history at one relay at a time: a proxy, or the half of a relay that faces the control machines.
- * Every call is with the present moment in microseconds, which never goes back, and by one thread.
+ * Follows the history at one relay at a time: a proxy, or the half of a relay that faces the
+ * control machines. Every call is with the present moment in microseconds, which never goes back,
+ * and by one thread.
  *
- * <p>It dials one candidate after another, subscribes from the position that it holds, and applies what follows
- * it. A relay that falls silent, offers an older epoch or is itself cut off from its source for long is left
- * for the next, after a pause of exponential backoff with full jitter.
+ * <p>It dials one candidate after another, subscribes from the position that it holds, and applies
+ * what follows it. A relay that falls silent, offers an older epoch or is itself cut off from its
+ * source for long is left for the next, after a pause of exponential backoff with full jitter.
  */
 public final class Subscriber implements Relay.Source {
     private static final long NEVER = Long.MAX_VALUE;
@@ -33,6 +34,7 @@
         /** Opens a link; answered by {@link Subscriber#connected} or {@link Subscriber#disconnected}. */
         void dial(long link, RelayCandidate candidate);
 
+        /** Sends a message by a link that is up; what cannot be sent may be dropped. */
         void send(long link, Message message);
 
         /** Ends a link, also one that is being dialled; {@link Subscriber#disconnected} need not follow. */
@@ -104,10 +106,16 @@
 
     private boolean isFreshnessKnown;
 
-    /** Until then messages may have lain here while this process stood still, and tell nothing of the time. */
+    /**
+     * Until then messages may have lain here while this process stood still, and tell nothing of
+     * the time.
+     */
     private long staleMessagesUntilUs;
 
-    /** The relay's newest position by its last heartbeat, and when that was known to be the newest there is. */
+    /**
+     * The relay's newest position by its last heartbeat, and when that was known to be the newest
+     * there is.
+     */
     private Position announced = Position.NONE;
 
     private long announcedFreshUs;
@@ -301,6 +309,7 @@
         return isFreshnessKnown ? Math.max(0, nowUs - freshUs) : UNKNOWN_AGE_US;
     }
 
+    /** Figures for operators: positions, age, relay and counters since the start. */
     public SubscriberStatus status(long nowUs) {
         return new SubscriberStatus(
                 replica.position(),
--- a/src/main/java/holdproxy/fanout/SubscriberStatus.java
+++ b/src/main/java/holdproxy/fanout/SubscriberStatus.java
@@ -5,8 +5,8 @@
  *
  * @param received position to which everything has come
  * @param inForce position of the last state that was accepted
- * @param ageUs for how long it has not known that what it received is the newest there is, in microseconds, or
- *     {@link Relay.Source#UNKNOWN_AGE_US}
+ * @param ageUs for how long it has not known that what it received is the newest there is, in
+ *     microseconds, or {@link Relay.Source#UNKNOWN_AGE_US}
  * @param relay that it is subscribed at, empty while there is none
  * @param rejection of the state at the position received, null where it was accepted
  * @param rejected states that were not accepted
--- a/src/main/java/holdproxy/fanout/Subscription.java
+++ b/src/main/java/holdproxy/fanout/Subscription.java
@@ -1,6 +1,9 @@
 package holdproxy.fanout;
 
-/** What a relay knows of one subscriber. It has no queue: what it gets next is read from the shared window. */
+/**
+ * What a relay knows of one subscriber. It has no queue: what it gets next is read from the shared
+ * window.
+ */
 final class Subscription {
     final long link;
     final String name;
@@ -19,7 +22,10 @@
 
     int nextPart;
 
-    /** It has received one since it fell behind, and gets changes from there as long as the window has them. */
+    /**
+     * It has received one since it fell behind, and gets changes from there as long as the window
+     * has them.
+     */
     boolean hadSnapshot;
 
     /** The batch or part that waits for its acknowledgement, else null. */
--- a/src/main/java/holdproxy/fanout/Value.java
+++ b/src/main/java/holdproxy/fanout/Value.java
@@ -26,6 +26,7 @@
         return bytes;
     }
 
+    /** Length in bytes. */
     public int size() {
         return bytes.length;
     }
--- a/src/main/java/holdproxy/fanout/transport/RelayServer.java
+++ b/src/main/java/holdproxy/fanout/transport/RelayServer.java
@@ -37,6 +37,7 @@
     private Channel listener;
     private boolean closed;
 
+    /** A server for a relay of its own that reads from this source; {@code listen} opens it. */
     public RelayServer(TransportContext context, Relay.Source source) {
         this.context =
                 new TransportContext(
--- a/src/main/java/holdproxy/fanout/transport/TransportCounters.java
+++ b/src/main/java/holdproxy/fanout/transport/TransportCounters.java
@@ -44,6 +44,7 @@
             long dialsFailed,
             long linksDropped) {}
 
+    /** All counters as they are now; on any thread. */
     public Snapshot snapshot() {
         return new Snapshot(
                 bytesReceived.sum(),
--- a/src/main/java/holdproxy/lab/FanoutJudge.java
+++ b/src/main/java/holdproxy/lab/FanoutJudge.java
@@ -17,8 +17,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Judges a fan-out by what was committed and what each process was given. Its history is its own: it shares no
- * rule with the program, and compares positions by itself.
+ * Judges a fan-out by what was committed and what each process was given. Its history is its own:
+ * it shares no rule with the program, and compares positions by itself.
  */
 final class FanoutJudge implements FanoutNetwork.Observer {
     private static final int MOST_BROKEN = 50;
@@ -62,7 +62,10 @@
     private final Histogram inForceMs;
     private long refusedPublications;
 
-    /** {@code inForceMs}: hears from each proxy how long after its commit a change was in force; null: none. */
+    /**
+     * {@code inForceMs}: hears from each proxy how long after its commit a change was in force;
+     * null: none.
+     */
     FanoutJudge(SimulatedClock time, int creditBytes, Histogram inForceMs) {
         this.time = time;
         this.creditBytes = creditBytes;
@@ -253,8 +256,8 @@
     }
 
     /**
-     * No second saw a machine send more than its pace, its burst, the heartbeats and what was committed within
-     * the seconds before to each of its subscribers.
+     * No second saw a machine send more than its pace, its burst, the heartbeats and what was
+     * committed within the seconds before to each of its subscribers.
      */
     void judgePace(String name, long bytesPerSecond, long burst, int subscribers) {
         Map<Long, Long> committedBytes = new HashMap<>();
--- a/src/main/java/holdproxy/lab/FanoutNetwork.java
+++ b/src/main/java/holdproxy/lab/FanoutNetwork.java
@@ -12,8 +12,9 @@
 import java.util.Set;
 
 /**
- * Connections between processes as TCP makes them: in order, and what is cut off arrives when the cut is over if
- * the connection still stands. Only a fault of its own repeats messages or changes their order.
+ * Connections between processes as TCP makes them: in order, and what is cut off arrives when the
+ * cut is over if the connection still stands. Only a fault of its own repeats messages or changes
+ * their order.
  */
 final class FanoutNetwork {
     private static final long NEAR_US = 300;
--- a/src/main/java/holdproxy/lab/FanoutSimulation.java
+++ b/src/main/java/holdproxy/lab/FanoutSimulation.java
@@ -27,9 +27,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A fleet of control machines, relays and proxies in virtual time. Changes go on all the time; faults drawn by
- * a seed come in the first half and are over before the last part, by the end of which every proxy has to hold
- * the newest state.
+ * A fleet of control machines, relays and proxies in virtual time. Changes go on all the time;
+ * faults drawn by a seed come in the first half and are over before the last part, by the end of
+ * which every proxy has to hold the newest state.
  */
 final class FanoutSimulation {
     private static final long SECOND_US = 1_000_000;
@@ -59,7 +59,10 @@
     private static final int BURST_CHANGES = 40;
     private static final long BURST_GAP_US = 50_000;
 
-    /** A control machine with a log that is over comes back after so long, and is removed after the second. */
+    /**
+     * A control machine with a log that is over comes back after so long, and is removed after the
+     * second.
+     */
     private static final long OUTDATED_BACK_US = 6 * SECOND_US;
 
     private static final long OUTDATED_REMOVED_US = 50 * SECOND_US;
@@ -295,7 +298,10 @@
                 around, at.name(), at.site(), new ChangeLog(settings.limits(), safeguards), 0);
     }
 
-    /** Told of what was agreed, a control machine knows how new its log is; those cut off are told nothing. */
+    /**
+     * Told of what was agreed, a control machine knows how new its log is; those cut off are told
+     * nothing.
+     */
     private void contact() {
         for (Control each : controls) {
             if (each != outdated && !each.over && reachesMajority(each)) {
@@ -442,6 +448,7 @@
             case ALL_AT_ONCE -> restartProxies(List.copyOf(living(proxies)), 0);
             case SITE_RESTARTED -> restartSite(anyRelay(), forUs / 4);
             case EPOCH_ANEW -> loseDisks();
+            default -> throw new IllegalStateException("no such fault: " + kind);
         }
     }
 
--- a/src/main/java/holdproxy/net/ConfigFileWatcher.java
+++ b/src/main/java/holdproxy/net/ConfigFileWatcher.java
@@ -6,9 +6,10 @@
 import java.util.Arrays;
 
 /**
- * Notices that the configuration file has changed, for processes that no SIGHUP reaches. It compares whole
- * contents, so that neither a clock nor the file system's times matter, and waits for a content to be the same
- * at two looks: a file that is being written is left alone until it stays as it is.
+ * Notices that the configuration file has changed, for processes that no SIGHUP reaches. It
+ * compares whole contents, so that neither a clock nor the file system's times matter, and waits
+ * for a content to be the same at two looks: a file that is being written is left alone until it
+ * stays as it is.
  *
  * <p>The first content counts as a change too: the file may have been replaced while the process started.
  */
@@ -25,7 +26,10 @@
     /** What was there when {@link #onChange} ran last. */
     private byte[] reported;
 
-    /** {@code onChange}: runs in {@link #look} for each content that has settled, also one that is no good. */
+    /**
+     * {@code onChange}: runs in {@link #look} for each content that has settled, also one that is
+     * no good.
+     */
     ConfigFileWatcher(Path file, Runnable onChange) {
         this.file = file;
         this.onChange = onChange;
--- a/src/main/java/holdproxy/net/Events.java
+++ b/src/main/java/holdproxy/net/Events.java
@@ -87,7 +87,10 @@
         return lateness.sinceDueUs(now) <= READ_AGAIN_US;
     }
 
-    /** At least the first of those that wait is told after it, so that no standstill holds them up for long. */
+    /**
+     * At least the first of those that wait is told after it, so that no standstill holds them up
+     * for long.
+     */
     private void readAgain() {
         int all = waiting.size();
         transport.whenRead(
--- a/src/main/java/holdproxy/net/HangupSignal.java
+++ b/src/main/java/holdproxy/net/HangupSignal.java
@@ -14,9 +14,9 @@
     private HangupSignal() {}
 
     /**
-     * Has each SIGHUP run this, on a thread of its own. Empty: it does. Otherwise the reason why it never will:
-     * a virtual machine that was started with the signal ignored leaves it so, as {@code nohup} asks for, and
-     * tells of it by naming "ignored" as the handler before this one.
+     * Has each SIGHUP run this, on a thread of its own. Empty: it does. Otherwise the reason why it
+     * never will: a virtual machine that was started with the signal ignored leaves it so, as
+     * {@code nohup} asks for, and tells of it by naming "ignored" as the handler before this one.
      */
     static Optional<String> handle(Runnable action) {
         try {
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -117,7 +117,10 @@
         return service;
     }
 
-    /** Has the configuration read again at SIGHUP, or by what the file itself shows where that cannot come. */
+    /**
+     * Has the configuration read again at SIGHUP, or by what the file itself shows where that
+     * cannot come.
+     */
     private static void followChanges(ConfigSource source, Runnable reload, Log log) {
         HangupSignal.handle(reload)
                 .ifPresent(
