--- a/src/main/java/holdproxy/Main.java
+++ b/src/main/java/holdproxy/Main.java
@@ -5,6 +5,7 @@
 import holdproxy.lab.LabCommand;
 import holdproxy.net.Service;
 import holdproxy.rig.RigCommand;
+import holdproxy.scale.ScaleCommand;
 import holdproxy.sim.SimHost;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
@@ -16,10 +17,10 @@
 /**
  * Command line: {@code serve} runs the real proxy, {@code simhost} the module on the simulator's wire,
  * {@code lab} towns in virtual time, {@code rig} real processes under faults, {@code daemon} the proxy with
- * the parts by which a fleet cooperates.
+ * the parts by which a fleet cooperates, {@code scale} measurements of how each part grows.
  */
 public final class Main {
-    private static final List<String> WITH_ARGUMENTS = List.of("daemon", "lab", "rig");
+    private static final List<String> WITH_ARGUMENTS = List.of("daemon", "lab", "rig", "scale");
 
     private Main() {}
 
@@ -38,10 +39,12 @@
                 }
             }
             case "rig" -> System.exit(RigCommand.run(Arrays.copyOfRange(args, 1, args.length)));
+            case "scale" -> System.exit(ScaleCommand.run(Arrays.copyOfRange(args, 1, args.length)));
             default -> {
                 System.err.println(
                         "usage: java -jar holdproxy.jar serve | simhost | daemon | lab | rig"
-                                + " (see daemon --help, lab --help, rig --help)");
+                                + " | scale"
+                                + " (see daemon --help, lab --help, rig --help, scale --help)");
                 System.exit(2);
             }
         }
--- a/src/main/java/holdproxy/lab/Plot.java
+++ b/src/main/java/holdproxy/command/Plot.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.command;
 
 import holdproxy.input.BadInput;
 import java.io.IOException;
@@ -9,7 +9,7 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /** A plot of lines over one axis, written as a picture. */
-final class Plot {
+public final class Plot {
     private static final int WIDTH = 1000;
     private static final int HEIGHT = 560;
 
@@ -18,14 +18,14 @@
     private final String yName;
     private final XYSeriesCollection lines = new XYSeriesCollection();
 
-    Plot(String title, String xName, String yName) {
+    public Plot(String title, String xName, String yName) {
         this.title = title;
         this.xName = xName;
         this.yName = yName;
         System.setProperty("java.awt.headless", "true");
     }
 
-    void line(String name, double[] x, double[] y) {
+    public void line(String name, double[] x, double[] y) {
         XYSeries line = new XYSeries(name);
         for (int i = 0; i < x.length; i++) {
             line.add(x[i], y[i]);
@@ -34,7 +34,7 @@
     }
 
     /** As PNG. */
-    void write(Path file) {
+    public void write(Path file) {
         try {
             ChartUtils.saveChartAsPNG(
                     file.toFile(),
--- a/src/main/java/holdproxy/lab/SimulatedClock.java
+++ b/src/main/java/holdproxy/lab/SimulatedClock.java
@@ -5,7 +5,7 @@
 import java.util.PriorityQueue;
 
 /** Virtual time: advances from task to task; tasks due at one moment run in the order they were given. */
-final class SimulatedClock implements Timeline {
+public final class SimulatedClock implements Timeline {
     private record Task(long us, long order, Runnable what) {}
 
     private final PriorityQueue<Task> tasks =
@@ -24,7 +24,7 @@
     }
 
     /** Runs all that is due until then. */
-    void run(long untilUs) {
+    public void run(long untilUs) {
         while (!tasks.isEmpty() && tasks.peek().us <= untilUs) {
             Task next = tasks.poll();
             nowUs = next.us;
--- a/src/main/java/holdproxy/lab/StepCommand.java
+++ b/src/main/java/holdproxy/lab/StepCommand.java
@@ -1,6 +1,7 @@
 package holdproxy.lab;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import holdproxy.command.Plot;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
--- a/src/main/java/holdproxy/net/Discovery.java
+++ b/src/main/java/holdproxy/net/Discovery.java
@@ -57,7 +57,19 @@
     /** An entry of a list with the address and name that the module does not need. */
     record Entry(Router.Node node, String name, InetSocketAddress address) {}
 
-    private final Proxy proxy;
+    /** Who takes the lists, and whose clock counts. */
+    interface Receiver {
+        /** Microseconds, never going back. */
+        long now();
+
+        /** A Unix time in milliseconds on that clock. */
+        long monotonic(long unixMs);
+
+        /** A list has come; none, with a kind that says so, where a call has failed. */
+        void nodes(Router.ListKind kind, List<Entry> entries);
+    }
+
+    private final Receiver receiver;
     private final Config config;
     private InetSocketAddress address;
     private List<?> zones;
@@ -73,8 +85,8 @@
     /** The watch before has fallen silent, so that the next call may find silence as well. */
     private boolean afterSilence;
 
-    Discovery(Proxy proxy, Config config, Transport transport, Log log) {
-        this.proxy = proxy;
+    Discovery(Receiver receiver, Config config, Transport transport, Log log) {
+        this.receiver = receiver;
         this.config = config;
         address = config.discovery;
         zones = config.zones;
@@ -96,7 +108,7 @@
     void start() {
         List<Entry> entries = entries(config.known);
         version = version(config.known);
-        proxy.nodes(Router.ListKind.CACHED, entries);
+        receiver.nodes(Router.ListKind.CACHED, entries);
     }
 
     /** The module asks for a watch: nothing where one is open, since each call costs list lines. */
@@ -133,6 +145,18 @@
         }
     }
 
+    /** The version of the list that is held. */
+    long version() {
+        return version;
+    }
+
+    /** Ends the watch without a word of it. */
+    void close() {
+        if (watch != null) {
+            watch.silently();
+        }
+    }
+
     void fetch() {
         new Call(PATH, false);
     }
@@ -177,7 +201,7 @@
         n.cell = (int) figure(m, "cell", 0);
         n.weight = figure(m, "weight", 1);
         double started = figure(m, "started_ms", 0);
-        n.startedUs = started > 0 ? proxy.monotonic((long) started) : Long.MIN_VALUE;
+        n.startedUs = started > 0 ? receiver.monotonic((long) started) : Long.MIN_VALUE;
         InetSocketAddress address =
                 n.state == Router.NodeState.GONE && !(m.get("addr") instanceof String)
                         ? null
@@ -238,7 +262,7 @@
         private boolean served;
 
         /** When no list was begun and not ended last. */
-        private long betweenUs = proxy.now();
+        private long betweenUs = receiver.now();
 
         Call(String path, boolean stream) {
             this.stream = stream;
@@ -302,7 +326,7 @@
             }
             log.line("discovery: " + why);
             afterSilence = kind == Router.ListKind.SILENT;
-            proxy.nodes(kind, List.of());
+            receiver.nodes(kind, List.of());
         }
 
         @Override
@@ -346,8 +370,8 @@
                 }
             }
             if (framing.between()) {
-                betweenUs = proxy.now();
-            } else if (proxy.now() - betweenUs > SILENCE_MS * 1000L) {
+                betweenUs = receiver.now();
+            } else if (receiver.now() - betweenUs > SILENCE_MS * 1000L) {
                 failed("a list does not end"); // the lines that say that it lives would keep it
                 // for ever
             }
@@ -373,7 +397,7 @@
                     return;
                 }
                 version = newVersion;
-                proxy.nodes(full ? Router.ListKind.FULL : Router.ListKind.DELTA, entries);
+                receiver.nodes(full ? Router.ListKind.FULL : Router.ListKind.DELTA, entries);
             } catch (BadInput e) {
                 failed("a list is skipped: " + e.getMessage());
             }
--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -88,7 +88,7 @@
             figures.of(c.name); // there is a figure before there is a request
         }
         pools = new NodePools(this, config, loop, log, bound.nodes(), transport);
-        discovery = new Discovery(this, config, transport, log);
+        discovery = new Discovery(new ListReceiver(), config, transport, log);
         members = new Members(this, pools, discovery, log, loop);
         router = new Choice(config.settings, config.seed, now(), this);
         counting = new Counting(router.tally, pools::counted, lateness);
@@ -434,6 +434,23 @@
         members.told(kind, entries);
     }
 
+    private final class ListReceiver implements Discovery.Receiver {
+        @Override
+        public long now() {
+            return Proxy.this.now();
+        }
+
+        @Override
+        public long monotonic(long unixMs) {
+            return Proxy.this.monotonic(unixMs);
+        }
+
+        @Override
+        public void nodes(Router.ListKind kind, List<Discovery.Entry> entries) {
+            Proxy.this.nodes(kind, entries);
+        }
+    }
+
     /** Operators' call, which holds from now on. */
     public void leaveOut(String node, boolean out) {
         members.leaveOut(node, out, now());
--- a/src/main/java/holdproxy/rig/DaemonText.java
+++ b/src/main/java/holdproxy/rig/DaemonText.java
@@ -11,20 +11,20 @@
 import java.util.stream.Collectors;
 
 /** What a daemon reads, its file, and what it writes, its log's lines. */
-final class DaemonText {
+public final class DaemonText {
     /** Of the platform's settings, those that the program has no use for: unknown in this file. */
     private static final List<String> WITHOUT_USE = List.of("domainType");
 
     private DaemonText() {}
 
     /** What a process says that it did. {@code clockUs}: its own monotonic clock. */
-    record Said(String clockUs, String what) {}
+    public record Said(String clockUs, String what) {}
 
     /**
      * What a daemon has to do with the others: where it listens, where it looks, its way to each by name, who
      * votes, and its drills at a resource.
      */
-    record CooperationText(
+    public record CooperationText(
             String listen,
             List<String> seeds,
             Map<String, String> routes,
@@ -59,7 +59,7 @@
     }
 
     /** A daemon's file with the settings of the platform's, {@code json}. */
-    static String of(
+    public static String of(
             String name,
             String listen,
             String discovery,
@@ -84,7 +84,7 @@
     }
 
     /** Of a line of its log, if it is an event and not a line of the proxy's in it. */
-    static Optional<Said> said(String line) {
+    public static Optional<Said> said(String line) {
         if (!line.startsWith("{")) {
             return Optional.empty();
         }
--- a/src/main/java/holdproxy/rig/Keeper.java
+++ b/src/main/java/holdproxy/rig/Keeper.java
@@ -17,7 +17,7 @@
  * its standard input, and kills those that still run when that input ends. A pid that another process has by
  * then is told apart by when it was started.
  */
-final class Keeper implements AutoCloseable {
+public final class Keeper implements AutoCloseable {
     private final Process process;
     private final OutputStream told;
 
@@ -27,7 +27,7 @@
     }
 
     /** Starts one with this command line, which has to come to {@link #keep}. */
-    static Keeper start(List<String> command) throws IOException {
+    public static Keeper start(List<String> command) throws IOException {
         return new Keeper(
                 new ProcessBuilder(command)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
@@ -36,7 +36,7 @@
     }
 
     /** From now on this process ends with the rig. */
-    synchronized void keeps(ProcessHandle child) throws IOException {
+    public synchronized void keeps(ProcessHandle child) throws IOException {
         told.write((child.pid() + " " + startedMs(child) + "\n").getBytes(StandardCharsets.UTF_8));
         told.flush();
     }
@@ -59,7 +59,7 @@
     }
 
     /** The keeper's own life; returns at the end of its input. */
-    static void keep(InputStream in) throws IOException {
+    public static void keep(InputStream in) throws IOException {
         Map<Long, Long> startedMs = new LinkedHashMap<>();
         BufferedReader lines =
                 new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
--- a/src/main/java/holdproxy/rig/LoopTimeline.java
+++ b/src/main/java/holdproxy/rig/LoopTimeline.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** The monotonic clock and the timers of a real event loop, from when this was made. */
-final class LoopTimeline implements Timeline {
+public final class LoopTimeline implements Timeline {
     private final EventLoop loop;
     private final long startNs = System.nanoTime();
 
-    LoopTimeline(EventLoop loop) {
+    public LoopTimeline(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/holdproxy/rig/RigCommand.java
+++ b/src/main/java/holdproxy/rig/RigCommand.java
@@ -8,7 +8,6 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -33,6 +32,7 @@
         })
 public final class RigCommand {
     private static final int SHOWN = 10;
+    private static final String HEAP = "80m";
 
     private RigCommand() {}
 
@@ -45,24 +45,7 @@
 
     /** This program with other arguments: the same Java, the same classes. */
     static List<String> self(String... words) {
-        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        List<String> command =
-                new ArrayList<>(
-                        List.of(
-                                java,
-                                "-XX:+UseSerialGC",
-                                "-XX:TieredStopAtLevel=1",
-                                "-Xmx80m",
-                                "-Djava.net.preferIPv4Stack=true",
-                                "-Dio.netty.leakDetection.level=disabled",
-                                "-cp",
-                                // where tests run in a jar that only names others, this names those
-                                System.getProperty(
-                                        "surefire.test.class.path",
-                                        System.getProperty("java.class.path")),
-                                "holdproxy.Main"));
-        command.addAll(List.of(words));
-        return command;
+        return ProgramLine.of(HEAP, List.of("-XX:TieredStopAtLevel=1"), words);
     }
 
     private static RigTown.Outcome play(Schedule schedule, Path folder) throws Exception {
--- a/src/main/java/holdproxy/rig/ServeProcess.java
+++ b/src/main/java/holdproxy/rig/ServeProcess.java
@@ -21,8 +21,8 @@
  * a file and to the rig; what is done to it is done by signals. Called on the rig's event loop, it calls back
  * there.
  */
-final class ServeProcess {
-    final String name;
+public final class ServeProcess {
+    public final String name;
     private final List<String> command;
     private final Map<String, String> env;
     private final Path log;
@@ -32,7 +32,7 @@
     private int life;
 
     /** {@code log}: a file that all its lives write to, one after another. */
-    ServeProcess(
+    public ServeProcess(
             String name,
             List<String> command,
             Map<String, String> env,
@@ -48,7 +48,7 @@
     }
 
     /** Starts a life; {@code said} gets each line, {@code ended} the exit code unless another has begun. */
-    void start(Consumer<String> said, IntConsumer ended) {
+    public void start(Consumer<String> said, IntConsumer ended) {
         int mine = ++life;
         try {
             ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
@@ -103,19 +103,19 @@
         }
     }
 
-    boolean runs() {
+    public boolean runs() {
         return process != null;
     }
 
     /** SIGKILL, whatever state it is in. */
-    void kill() {
+    public void kill() {
         if (runs()) {
             process.destroyForcibly();
         }
     }
 
     /** SIGTERM. */
-    void end() {
+    public void end() {
         if (runs()) {
             // by its handle: the process itself would also close the pipe that its last words come
             // by
@@ -124,12 +124,12 @@
     }
 
     /** SIGSTOP: it stands still until {@link #resume}. */
-    void hold() {
+    public void hold() {
         signal("STOP");
     }
 
     /** SIGCONT. */
-    void resume() {
+    public void resume() {
         signal("CONT");
     }
 
--- /dev/null
+++ b/src/main/java/holdproxy/scale/Findings.java
@@ -0,0 +1,24 @@
+package holdproxy.scale;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** What a measurement has found: slopes, times and verdicts. */
+record Findings(List<Series> series, List<Latencies> latencies, List<Verdict> verdicts) {
+    Findings() {
+        this(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+    }
+
+    Series add(Series one) {
+        series.add(one);
+        return one;
+    }
+
+    void judge(String rule, boolean kept, String detail) {
+        verdicts.add(new Verdict(rule, kept, detail));
+    }
+
+    boolean kept() {
+        return verdicts.stream().allMatch(Verdict::kept);
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/scale/MeasureSpec.java
@@ -0,0 +1,67 @@
+package holdproxy.scale;
+
+import holdproxy.toml.TomlPart;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import org.tomlj.TomlArray;
+
+/**
+ * One measurement of a run.
+ *
+ * @param kind what is measured
+ * @param sizes at each of which it is
+ * @param seconds for which a size is watched once it is steady
+ * @param nodes cache nodes in discovery's list
+ * @param proxies real ones
+ * @param line of the file where it stands
+ */
+record MeasureSpec(
+        MeasurementKind kind,
+        List<Integer> sizes,
+        double seconds,
+        int nodes,
+        int proxies,
+        int line) {
+    private static final int MOST_SIZE = 1_000_000;
+    private static final int MOST_NODES = 5_000;
+    private static final int MOST_REAL_PROXIES = 10;
+    private static final double LONGEST_S = 3_600;
+
+    static MeasureSpec read(TomlPart part) {
+        MeasurementKind kind = MeasurementKind.named(part.word("kind", MeasurementKind.NAMES));
+        List<Integer> sizes = sizes(part);
+        double seconds = part.number("seconds", 10, 0.1, LONGEST_S);
+        int nodes = part.whole("nodes", 100, 1, MOST_NODES);
+        int proxies = part.whole("proxies", 3, 1, MOST_REAL_PROXIES);
+        int line = part.at("kind").line();
+        part.done();
+        return new MeasureSpec(kind, sizes, seconds, nodes, proxies, line);
+    }
+
+    private static List<Integer> sizes(TomlPart part) {
+        TomlArray array = part.array("sizes");
+        if (array == null || array.isEmpty()) {
+            throw part.bad(part.at("sizes"), "sizes is missing from [[measure]]");
+        }
+        List<Integer> sizes = new ArrayList<>();
+        for (int i = 0; i < array.size(); i++) {
+            if (!(array.get(i) instanceof Long size) || size < 1 || size > MOST_SIZE) {
+                throw part.bad(
+                        array.inputPositionOf(i),
+                        String.format(
+                                Locale.ROOT,
+                                "sizes in [[measure]] has an entry that is no whole number from 1"
+                                        + " to %d: %s",
+                                MOST_SIZE,
+                                array.get(i)));
+            }
+            sizes.add(size.intValue());
+        }
+        return sizes;
+    }
+
+    int largest() {
+        return sizes.stream().mapToInt(size -> size).max().orElseThrow();
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/scale/MeasurementKind.java
@@ -0,0 +1,69 @@
+package holdproxy.scale;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.function.ToDoubleFunction;
+import java.util.function.ToLongFunction;
+
+/** What can be measured, and what the largest process of it needs. */
+enum MeasurementKind {
+    DISCOVERY_PROXIES(
+            "discovery-proxies",
+            new DiscoveryByProxies(),
+            s -> s.largest() + s.nodes() + Need.SPARE,
+            s -> Need.GB + s.largest() * Need.GB_PER_CONNECTION),
+    DISCOVERY_NODES(
+            "discovery-nodes",
+            new DiscoveryByNodes(),
+            s -> DiscoveryByNodes.WATCHES + Need.SPARE,
+            s -> Need.GB + (double) s.largest() * DiscoveryByNodes.WATCHES * Need.GB_PER_NAME);
+
+    static final List<String> NAMES = Arrays.stream(values()).map(kind -> kind.word).toList();
+
+    /** What processes need, about, so that a run which cannot fit is refused. */
+    private static final class Need {
+        /** Descriptors of any process besides its connections. */
+        static final int SPARE = 300;
+
+        /** Of all processes together besides what grows. */
+        static final double GB = 1.5;
+
+        /** A connection, its pipeline at both ends, and what it holds. */
+        static final double GB_PER_CONNECTION = 120e3 / 1e9;
+
+        static final double GB_PER_NAME = 400 / 1e9;
+    }
+
+    final String word;
+    final Measurement measurement;
+    private final ToLongFunction<MeasureSpec> descriptors;
+    private final ToDoubleFunction<MeasureSpec> memoryGb;
+
+    MeasurementKind(
+            String word,
+            Measurement measurement,
+            ToLongFunction<MeasureSpec> descriptors,
+            ToDoubleFunction<MeasureSpec> memoryGb) {
+        this.word = word;
+        this.measurement = measurement;
+        this.descriptors = descriptors;
+        this.memoryGb = memoryGb;
+    }
+
+    static MeasurementKind named(String word) {
+        return Arrays.stream(values())
+                .filter(kind -> kind.word.equals(word))
+                .findFirst()
+                .orElseThrow();
+    }
+
+    /** Descriptors of the process that needs the most of them. */
+    long descriptors(MeasureSpec spec) {
+        return descriptors.applyAsLong(spec);
+    }
+
+    /** Memory of all processes together, about. */
+    double memoryGb(MeasureSpec spec) {
+        return memoryGb.applyAsDouble(spec);
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -0,0 +1,150 @@
+package holdproxy.scale;
+
+import holdproxy.command.Commands;
+import holdproxy.input.BadInput;
+import holdproxy.rig.Keeper;
+import holdproxy.rig.ProgramLine;
+import io.netty.util.internal.logging.InternalLoggerFactory;
+import io.netty.util.internal.logging.JdkLoggerFactory;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Instant;
+import java.time.temporal.ChronoUnit;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/**
+ * {@code holdproxy scale}: how each part grows with the fleet. Exit codes: 0 all rules kept, 1 a rule was
+ * broken, 2 the command, a file of it or the machine was wrong.
+ */
+@Command(
+        name = "scale",
+        description = "Measures how each part of a fleet grows.",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            ScaleCommand.Run.class,
+            ScaleCommand.Tables.class,
+            ScaleCommand.Child.class,
+            ScaleCommand.Keep.class
+        })
+public final class ScaleCommand {
+    private ScaleCommand() {}
+
+    /** Runs a command line; returns its exit code. */
+    public static int run(String[] args) {
+        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
+        return Commands.run(new ScaleCommand(), args);
+    }
+
+    /** Plays a run whose machine has been checked. */
+    static Findings play(ScaleFile file, Path folder) throws Exception {
+        long startNs = System.nanoTime();
+        Findings findings = new Findings();
+        try (Keeper keeper = Keeper.start(ProgramLine.of("32m", List.of(), "scale", "keep"))) {
+            RunContext context =
+                    new RunContext(
+                            folder,
+                            keeper,
+                            text ->
+                                    System.err.printf(
+                                            Locale.ROOT,
+                                            "%6.1f s  %s%n",
+                                            RunContext.secondsSince(startNs),
+                                            text));
+            for (MeasureSpec each : file.measurements()) {
+                each.kind().measurement.measure(each, context, findings);
+            }
+        }
+        return findings;
+    }
+
+    /** {@code scale run FILE}: measures what a file names. */
+    @Command(
+            name = "run",
+            description = "Measures what a file names, and keeps the result.",
+            mixinStandardHelpOptions = true)
+    static final class Run implements Callable<Integer> {
+        @Parameters(paramLabel = "FILE.toml")
+        private Path file;
+
+        @Option(names = "--out", description = "where the result goes (scale/results/NAME.json)")
+        private Path out;
+
+        @Option(names = "--plot", description = "a picture of the slopes, PNG")
+        private Path plot;
+
+        @Option(names = "--logs", description = "a folder for logs and configurations")
+        private Path logs;
+
+        @Override
+        public Integer call() throws Exception {
+            ScaleFile scale = ScaleFile.read(file);
+            scale.check(Machine.openFiles(), Machine.availableGb());
+            String began = Instant.now().truncatedTo(ChronoUnit.SECONDS).toString();
+            String before = Machine.description();
+            Path folder =
+                    logs == null
+                            ? Files.createTempDirectory("scale")
+                            : Files.createDirectories(logs);
+            Findings findings = play(scale, folder);
+            String machine = before + ", at the end " + Machine.load();
+            Path to =
+                    out == null
+                            ? Files.createDirectories(Path.of("scale", "results"))
+                                    .resolve(scale.name() + ".json")
+                            : out;
+            ResultFile result = new ResultFile(scale.name(), began, machine, findings);
+            result.write(to);
+            System.out.print(SlopeTables.of(List.of(result)));
+            if (plot != null) {
+                SlopePicture.write(result, plot);
+            }
+            System.out.println("result in " + to + ", logs in " + folder);
+            return findings.kept() ? 0 : 1;
+        }
+    }
+
+    /** {@code scale tables RESULT...}: the tables of docs/CAPACITY.md. */
+    @Command(
+            name = "tables",
+            description = "Prints the tables of docs/CAPACITY.md from results.",
+            mixinStandardHelpOptions = true)
+    static final class Tables implements Callable<Integer> {
+        @Parameters(paramLabel = "RESULT.json", arity = "1..*")
+        private List<Path> files;
+
+        @Override
+        public Integer call() {
+            System.out.print(
+                    SlopeTables.of(files.stream().sorted().map(ResultFile::read).toList()));
+            return 0;
+        }
+    }
+
+    /** For the program's own use. */
+    @Command(
+            name = "child",
+            hidden = true,
+            subcommands = {DiscoveryChild.class, WatchesChild.class})
+    static final class Child implements Callable<Integer> {
+        @Override
+        public Integer call() {
+            throw new BadInput("scale child has no use by itself");
+        }
+    }
+
+    /** For the program's own use. */
+    @Command(name = "keep", hidden = true)
+    static final class Keep implements Callable<Integer> {
+        @Override
+        public Integer call() throws IOException {
+            Keeper.keep(System.in);
+            return 0;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/scale/ScaleFile.java
@@ -0,0 +1,88 @@
+package holdproxy.scale;
+
+import holdproxy.input.BadInput;
+import holdproxy.toml.TomlPart;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+
+/**
+ * A run as a TOML file states it; whatever is wrong is a {@link BadInput} with its line.
+ *
+ * @param file its name, for errors
+ * @param name of the run and of its result
+ * @param memoryGb that all processes of the run may have together
+ * @param measurements in their order
+ */
+record ScaleFile(String file, String name, double memoryGb, List<MeasureSpec> measurements) {
+    private static final double MEMORY_GB = 12;
+
+    static ScaleFile read(Path path) {
+        try {
+            return read(path.getFileName().toString(), Files.readString(path));
+        } catch (IOException e) {
+            throw new BadInput(
+                    "the run " + path + " cannot be read: " + e.getClass().getSimpleName());
+        }
+    }
+
+    static ScaleFile read(String file, String text) {
+        TomlPart top = TomlPart.parse(file, "the run", text);
+        String name = top.text("name", file.replace(".toml", ""));
+        double memoryGb = top.number("memory_gb", MEMORY_GB, 0.5, 1024);
+        List<MeasureSpec> measurements = new ArrayList<>();
+        top.parts("measure").forEach(part -> measurements.add(MeasureSpec.read(part)));
+        if (measurements.isEmpty()) {
+            throw top.bad(null, "[[measure]] is missing from the run");
+        }
+        top.done();
+        return new ScaleFile(file, name, memoryGb, List.copyOf(measurements));
+    }
+
+    /** Before anything is started: a run that the machine cannot bear is refused, with what is too low. */
+    void check(long openFiles, double availableGb) {
+        for (MeasureSpec each : measurements) {
+            String where = file + " line " + each.line() + ": ";
+            long descriptors = each.kind().descriptors(each);
+            if (descriptors > openFiles) {
+                throw new BadInput(
+                        where
+                                + "the open-files limit is too low: a process of "
+                                + each.kind().word
+                                + " at "
+                                + each.largest()
+                                + " needs "
+                                + descriptors
+                                + ", the limit is "
+                                + openFiles
+                                + " (ulimit -n)");
+            }
+            double needGb = each.kind().memoryGb(each);
+            if (needGb > memoryGb) {
+                throw new BadInput(
+                        String.format(
+                                Locale.ROOT,
+                                "%s%s at %d needs about %.1f GB, memory_gb is %.1f",
+                                where,
+                                each.kind().word,
+                                each.largest(),
+                                needGb,
+                                memoryGb));
+            }
+            if (needGb > availableGb) {
+                throw new BadInput(
+                        String.format(
+                                Locale.ROOT,
+                                "%s%s at %d needs about %.1f GB, this machine has %.1f GB left",
+                                where,
+                                each.kind().word,
+                                each.largest(),
+                                needGb,
+                                availableGb));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/scale/SlopePicture.java
@@ -0,0 +1,32 @@
+package holdproxy.scale;
+
+import holdproxy.command.Plot;
+import java.nio.file.Path;
+
+/** A picture of a run's slopes: each series in percent of its largest value, with its line beside it. */
+final class SlopePicture {
+    private static final double WHOLE = 100;
+
+    private SlopePicture() {}
+
+    static void write(ResultFile result, Path file) {
+        Plot plot = new Plot(result.run(), "n", "% of the series' largest value");
+        for (Series series : result.findings().series()) {
+            double most =
+                    series.points().stream().mapToDouble(p -> Math.abs(p.y())).max().orElse(1);
+            double[] x = series.points().stream().mapToDouble(Point::x).toArray();
+            double[] y = series.points().stream().mapToDouble(p -> WHOLE * p.y() / most).toArray();
+            plot.line(series.role() + ": " + series.quantity() + ", " + series.unit(), x, y);
+            Fit fit = series.fit();
+            double[] fitted =
+                    series.points().stream()
+                            .mapToDouble(p -> WHOLE * fit.at(p.x()) / most)
+                            .toArray();
+            plot.line(
+                    "line of " + series.role() + ": " + series.quantity() + ", " + series.unit(),
+                    x,
+                    fitted);
+        }
+        plot.write(file);
+    }
+}
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -75,7 +75,8 @@
                         "holdproxy.toml..",
                         "holdproxy.rig..",
                         "holdproxy.command..",
-                        "holdproxy.daemon..")
+                        "holdproxy.daemon..",
+                        "holdproxy.scale..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("picocli..", "org.tomlj..", "org.HdrHistogram..", "org.jfree..")
@@ -309,6 +310,24 @@
                 .check(MAIN);
     }
 
+    @Test
+    void onlyTheCommandLineKnowsTheScaleRuns() {
+        noClasses()
+                .that()
+                .resideOutsideOfPackages("holdproxy", "holdproxy.scale..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("holdproxy.scale..")
+                .check(MAIN);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("holdproxy.scale..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("org.apache.commons.math3..")
+                .check(MAIN);
+    }
+
     @Test
     void auditorsShareNoCodeWithTheProxy() {
         noClasses()
