--- a/src/main/java/holdproxy/membership/MessageCodec.java
+++ b/src/main/java/holdproxy/membership/MessageCodec.java
@@ -12,7 +12,7 @@
  * Messages as CBOR: a list of the message's parts in their order, each member a list of its own. Later
  * versions add parts at the end, which earlier ones pass over.
  */
-final class MessageCodec {
+public final class MessageCodec {
     private static final JSON CBOR = JSON.builder(new CBORFactory()).build();
     private static final int MOST_UPDATES = 128;
     private static final int LONGEST = 256;
@@ -20,7 +20,8 @@
 
     private MessageCodec() {}
 
-    static byte[] bytes(Message message) {
+    /** The message as one frame. */
+    public static byte[] bytes(Message message) {
         List<Object> updates = new ArrayList<>();
         message.updates().forEach(m -> updates.add(list(m)));
         try {
@@ -48,7 +49,7 @@
     }
 
     /** What these bytes say, or a {@link BadInput}. */
-    static Message message(byte[] bytes) {
+    public static Message message(byte[] bytes) {
         List<Object> parts;
         try {
             parts = CBOR.listFrom(bytes);
--- a/src/main/java/holdproxy/rig/ServeProcess.java
+++ b/src/main/java/holdproxy/rig/ServeProcess.java
@@ -114,6 +114,11 @@
         }
     }
 
+    /** SIGHUP. */
+    public void hangUp() {
+        signal("HUP");
+    }
+
     /** SIGTERM. */
     public void end() {
         if (runs()) {
--- /dev/null
+++ b/src/main/java/holdproxy/scale/AskersChild.java
@@ -0,0 +1,165 @@
+package holdproxy.scale;
+
+import holdproxy.consensus.RaftGroup;
+import holdproxy.input.BadInput;
+import holdproxy.lease.LeaseClient;
+import holdproxy.lease.LeaseTable;
+import holdproxy.membership.Links;
+import holdproxy.membership.MembershipService;
+import holdproxy.net.Config;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.concurrent.TimeUnit;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/**
+ * Hollow askers: each runs the real lease client and the part of the consensus group that asks its voters, on
+ * connections of its own, and is no member. Commands: stats.
+ */
+@Command(name = "askers", hidden = true)
+final class AskersChild extends ChildCommand {
+    /** As every daemon asks for. */
+    private static final String ROLE = "planner";
+
+    private static final int LEASE_MS = 3_000;
+
+    /** The first byte of a frame for the consensus group, as the daemon writes it. */
+    private static final byte OF_GROUP = 0;
+
+    @Option(names = "--count", required = true)
+    private int count;
+
+    /** Where the first of them listens; the others do at the addresses after it. */
+    @Option(names = "--fleet", required = true)
+    private int fleet;
+
+    @Option(names = "--voter", required = true)
+    private List<String> voters;
+
+    private final List<Asker> askers = new ArrayList<>();
+    private long startNs;
+    private long refused;
+
+    /** Where an asker is reached. */
+    static InetSocketAddress address(int fleet, int asker) {
+        return LoopbackNetwork.address(
+                5 + fleet, asker / 250, asker % 250 + 1, Port.ASKERS.number());
+    }
+
+    static String name(int asker) {
+        return "asker-" + asker;
+    }
+
+    @Override
+    void begin() {
+        startNs = System.nanoTime();
+        Map<String, InetSocketAddress> routes = new HashMap<>();
+        List<String> names = new ArrayList<>();
+        for (int i = 0; i < voters.size(); i++) {
+            names.add("daemon-" + i);
+            routes.put("daemon-" + i, Config.address(voters.get(i), "a voter"));
+        }
+        for (int i = 0; i < count; i++) {
+            askers.add(new Asker(i, names, routes));
+        }
+    }
+
+    @Override
+    void handle(String[] words, Map<String, Object> answer) throws Exception {
+        if (!words[0].equals("stats")) {
+            throw unknown(words);
+        }
+        answer.put("frames", askers.stream().mapToLong(a -> a.links.sentFrames()).sum());
+        answer.put("bytes", askers.stream().mapToLong(a -> a.links.sentBytes()).sum());
+        answer.put("holding", askers.stream().filter(a -> a.holds).count());
+        answer.put("unread", refused);
+    }
+
+    private final class Asker implements RaftGroup.Host, LeaseClient.Host {
+        private final Links links;
+        private final RaftGroup group;
+        private boolean holds;
+
+        Asker(int number, List<String> names, Map<String, InetSocketAddress> routes) {
+            links = new Links(loop, routes, text -> Config.address(text, "an address"), line -> {});
+            links.listen(address(fleet, number));
+            links.receive(MembershipService.CONSENSUS, this::received);
+            LeaseTable table = new LeaseTable();
+            group = new RaftGroup(name(number), names, this, new Random(number), table);
+            LeaseClient client =
+                    new LeaseClient(name(number), 1, group, table, this, new Random(number));
+            // spread, as processes start
+            loop.schedule(
+                    () -> client.want(ROLE, LEASE_MS),
+                    (long) number * LEASE_MS / Math.max(1, count),
+                    TimeUnit.MILLISECONDS);
+        }
+
+        private void received(byte[] frame) {
+            if (frame.length > 0 && frame[0] == OF_GROUP) {
+                byte[] rest = new byte[frame.length - 1];
+                System.arraycopy(frame, 1, rest, 0, rest.length);
+                try {
+                    group.received(rest);
+                } catch (BadInput e) {
+                    refused++;
+                }
+            }
+        }
+
+        @Override
+        public long nowUs() {
+            return (System.nanoTime() - startNs) / 1000;
+        }
+
+        @Override
+        public void after(long us, Runnable task) {
+            loop.schedule(task, Math.max(0, us), TimeUnit.MICROSECONDS);
+        }
+
+        @Override
+        public void send(String to, byte[] frame) {
+            links.send(
+                    to,
+                    "",
+                    MembershipService.CONSENSUS,
+                    ByteBuffer.allocate(1 + frame.length).put(OF_GROUP).put(frame).array());
+        }
+
+        @Override
+        public void leads(boolean now) {
+            // it has no vote
+        }
+
+        @Override
+        public void failed(RuntimeException failure) {
+            // it has no part of the library that could
+        }
+
+        @Override
+        public void out(String why) {
+            // it has no vote
+        }
+
+        @Override
+        public void tellFree(String to, String duty, long token) {
+            // only a voter's lease client tells others
+        }
+
+        @Override
+        public void granted(String duty, long token) {
+            holds = true;
+        }
+
+        @Override
+        public void ended(String duty, long token, String why) {
+            holds = false;
+        }
+    }
+}
--- a/src/main/java/holdproxy/scale/ChildProcess.java
+++ b/src/main/java/holdproxy/scale/ChildProcess.java
@@ -47,7 +47,9 @@
         Path log = folder.resolve(name + ".log");
         try {
             Process process =
-                    new ProcessBuilder(ProgramLine.of(heap, List.of(), all.toArray(String[]::new)))
+                    new ProcessBuilder(
+                                    ProgramLine.of(
+                                            heap, Port.options(), all.toArray(String[]::new)))
                             .redirectError(log.toFile())
                             .start();
             keeper.keeps(process.toHandle());
--- /dev/null
+++ b/src/main/java/holdproxy/scale/ConnectionsByNodes.java
@@ -0,0 +1,172 @@
+package holdproxy.scale;
+
+import holdproxy.rig.LoopTimeline;
+import holdproxy.town.CacheNode;
+import holdproxy.town.Clients;
+import holdproxy.town.DiscoveryService;
+import holdproxy.town.Front;
+import holdproxy.town.Load;
+import holdproxy.town.MemberRegister;
+import holdproxy.town.ProxyConfig;
+import holdproxy.town.TownRecord;
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+
+/** Connections between real proxies under load and all nodes, by the number of nodes. */
+final class ConnectionsByNodes implements Measurement {
+    private static final String ALL_TO_ALL = "every proxy may connect to every node";
+
+    /** Of a proxy's configuration: what it may have open together. */
+    private static final double MOST_SOCKETS = 1024;
+
+    private static final Load LOAD = new Load(400, 1, 20_000, 0.9, 0, List.of(1.0));
+    private static final int REGISTER_SLOTS = 400;
+    private static final long REGISTER_US = 5_000;
+    private static final int FIRST_FLEET = 30;
+
+    @Override
+    public void measure(MeasureSpec spec, RunContext context, Findings findings) throws Exception {
+        Series perProxy = findings.add(series("proxy", "open connections to nodes", MOST_SOCKETS));
+        Series perNode =
+                findings.add(series("cache node", "open connections for each proxy", Double.NaN));
+        Series resident =
+                findings.add(
+                        Series.of(
+                                "proxy",
+                                "whole daemon under 400 requests/s in all",
+                                "MB resident",
+                                "nodes",
+                                ALL_TO_ALL,
+                                TargetFleet.NODES,
+                                Double.NaN));
+        int number = FIRST_FLEET;
+        for (int size : spec.sizes()) {
+            context.say("%s: %d nodes, %d real proxies", spec.kind().word, size, spec.proxies());
+            try (NodeCluster cluster = new NodeCluster(size, number);
+                    DaemonFleet fleet = new DaemonFleet(context, number)) {
+                fleet.start(spec.proxies(), 0, cluster.discovery, context);
+                cluster.ask(fleet, spec.seconds());
+                RunContext.pause(spec.seconds());
+                double open = cluster.openConnections();
+                perProxy.add(size, open / spec.proxies());
+                perNode.add(size, open / spec.proxies() / size);
+                resident.add(
+                        size,
+                        fleet.daemons().stream()
+                                .mapToDouble(d -> d.usage().residentMb())
+                                .average()
+                                .orElse(0));
+                findings.judge(
+                        "no proxy holds more connections than its bound at " + size + " nodes",
+                        open / spec.proxies() <= MOST_SOCKETS,
+                        open + " at " + spec.proxies() + " proxies");
+            }
+            number++;
+        }
+    }
+
+    private static Series series(String role, String quantity, double budget) {
+        return Series.of(
+                role, quantity, "connections", "nodes", ALL_TO_ALL, TargetFleet.NODES, budget);
+    }
+
+    /** Emulated nodes, each at an address of its own, with discovery and clients. */
+    private static final class NodeCluster implements AutoCloseable {
+        private static final int KEYS_KEPT = 2_000;
+        private static final int CONNECTIONS = 20_000;
+        private final EventLoop loop =
+                new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+        private final LoopTimeline time = new LoopTimeline(loop);
+        private final TownRecord record = new TownRecord();
+        private final LoopbackNetwork nodes = new LoopbackNetwork(loop, null);
+        private final LoopbackNetwork others = new LoopbackNetwork(loop, null);
+        private final InetSocketAddress discovery;
+
+        NodeCluster(int size, int number) throws Exception {
+            discovery = LoopbackNetwork.address(6, number, 1, Port.DISCOVERY.number());
+            loop.submit(() -> build(size, number)).get();
+        }
+
+        private void build(int size, int number) {
+            DiscoveryService service =
+                    new DiscoveryService(
+                            time, record, 0, proxy -> true, (proxy, address) -> address);
+            MemberRegister register =
+                    new MemberRegister(
+                            time,
+                            record,
+                            REGISTER_SLOTS,
+                            REGISTER_US,
+                            ProxyConfig.REPEATS_DROPPED_US);
+            CacheNode.Kind kind =
+                    new CacheNode.Kind(
+                            DiscoveryChild.KIND,
+                            8,
+                            1,
+                            64,
+                            200,
+                            LOAD.workMs() * 1000,
+                            1,
+                            1,
+                            KEYS_KEPT,
+                            60_000_000,
+                            CONNECTIONS,
+                            0);
+            for (int i = 0; i < size; i++) {
+                InetSocketAddress address =
+                        LoopbackNetwork.address(
+                                7 + number, i / 250, i % 250 + 1, Port.NODES.number());
+                CacheNode node =
+                        new CacheNode(
+                                "node-" + i,
+                                0,
+                                address,
+                                kind,
+                                time,
+                                nodes,
+                                record,
+                                register,
+                                new SplittableRandom(i));
+                node.startCold();
+                service.set(node.name, address, DiscoveryChild.ZONE, kind.name(), "SERVING", 0);
+            }
+            service.start(others, discovery);
+        }
+
+        void ask(DaemonFleet fleet, double seconds) throws Exception {
+            loop.submit(
+                            () -> {
+                                Front front = new Front();
+                                fleet.daemons()
+                                        .forEach(d -> front.use(front.door(d.clients, 0), true));
+                                Clients clients =
+                                        new Clients(
+                                                time,
+                                                List.of(others),
+                                                record,
+                                                new SplittableRandom(1),
+                                                LOAD,
+                                                ProxyConfig.clubNames(1),
+                                                front,
+                                                fleet.daemons().size());
+                                clients.takenWhenWritten();
+                                clients.ask(time.nowUs() + (long) (seconds * 1e6));
+                            })
+                    .get();
+        }
+
+        int openConnections() throws Exception {
+            return loop.submit(nodes::accepted).get();
+        }
+
+        @Override
+        public void close() {
+            loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/scale/ControlChild.java
@@ -0,0 +1,74 @@
+package holdproxy.scale;
+
+import holdproxy.fanout.AppendResult;
+import holdproxy.fanout.ChangeLog;
+import holdproxy.fanout.FanoutSettings;
+import holdproxy.fanout.Publication;
+import holdproxy.fanout.Relay;
+import holdproxy.fanout.Replica;
+import holdproxy.fanout.Value;
+import holdproxy.fanout.transport.RelayServer;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import picocli.CommandLine.Command;
+
+/** A control machine: the log of changes, in memory, and a relay of it. Commands: commit, stats. */
+@Command(name = "control", hidden = true)
+final class ControlChild extends FanoutChild {
+    /** The state is a configuration of 5 kB. */
+    static final int KEYS = 25;
+
+    private static final long TOKEN = 1;
+
+    private final ChangeLog log = new ChangeLog(FanoutSettings.DEFAULTS.limits());
+    private RelayServer server;
+
+    @Override
+    void begin() {
+        log.found(1);
+        for (int i = 0; i < KEYS; i++) {
+            append(0);
+        }
+        server =
+                new RelayServer(
+                        context(),
+                        new Relay.Source() {
+                            @Override
+                            public Replica replica() {
+                                return log.replica();
+                            }
+
+                            @Override
+                            public long ageUs(long nowUs) {
+                                return 0;
+                            }
+                        });
+        server.listen(topology().control());
+    }
+
+    private void append(long committedUnixUs) {
+        long number = log.position().number() + 1;
+        TreeMap<String, Value> puts = new TreeMap<>();
+        puts.put("key-" + number % KEYS, new CommitStamp(number, committedUnixUs).value());
+        AppendResult result =
+                log.append(new Publication(TOKEN, "change-" + number, puts, new TreeSet<>()));
+        if (!(result instanceof AppendResult.Appended)) {
+            throw new IllegalStateException("the log refuses: " + result);
+        }
+    }
+
+    @Override
+    void handle(String[] words, Map<String, Object> answer) throws Exception {
+        switch (words[0]) {
+            case "commit" -> {
+                append(CommitStamp.unixUs());
+                server.advanced();
+            }
+            case "stats" -> count(answer);
+            default -> throw unknown(words);
+        }
+        answer.put("number", log.position().number());
+        answer.put("in_force", server.relay().report().inForceAt(log.position()));
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/scale/DaemonFleet.java
@@ -0,0 +1,244 @@
+package holdproxy.scale;
+
+import holdproxy.rig.DaemonText;
+import holdproxy.rig.Keeper;
+import holdproxy.rig.ProgramLine;
+import holdproxy.rig.ServeProcess;
+import holdproxy.town.ProxyConfig;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.TimeUnit;
+import java.util.function.IntFunction;
+import java.util.function.Predicate;
+
+/** Real daemons, one process each, with their configurations and what they log. */
+final class DaemonFleet implements AutoCloseable {
+    private static final String HEAP = "80m";
+    private static final String LISTENING = "listening on ";
+    private static final long END_S = 20;
+
+    /** One of them. */
+    static final class Daemon {
+        final String name;
+        final InetSocketAddress clients;
+        final Path file;
+        private final ServeProcess process;
+        private final List<String> lines = new ArrayList<>();
+        private volatile boolean ended;
+        private volatile long pid;
+
+        private Daemon(String name, InetSocketAddress clients, Path file, ServeProcess process) {
+            this.name = name;
+            this.clients = clients;
+            this.file = file;
+            this.process = process;
+        }
+
+        private void said(String line) {
+            synchronized (lines) {
+                lines.add(line);
+            }
+            if (pid == 0) {
+                DaemonText.said(line)
+                        .filter(said -> said.what().startsWith("starting "))
+                        .ifPresent(said -> pid = Long.parseLong(field(said.what(), "pid")));
+            }
+        }
+
+        /** How many lines there are of which this is so. */
+        long count(Predicate<String> so) {
+            synchronized (lines) {
+                return lines.stream().filter(so).count();
+            }
+        }
+
+        /** The last event whose text begins so; null where there is none. */
+        DaemonText.Said last(String beginning) {
+            synchronized (lines) {
+                for (int i = lines.size() - 1; i >= 0; i--) {
+                    DaemonText.Said said = DaemonText.said(lines.get(i)).orElse(null);
+                    if (said != null && said.what().startsWith(beginning)) {
+                        return said;
+                    }
+                }
+                return null;
+            }
+        }
+
+        ProcessUsage usage() {
+            return ProcessUsage.of(pid);
+        }
+
+        void hangUp() {
+            process.hangUp();
+        }
+    }
+
+    private final Path folder;
+    private final Keeper keeper;
+    private final ExecutorService loop = Executors.newSingleThreadExecutor();
+    private final List<Daemon> daemons = new ArrayList<>();
+    private final Map<String, String> routes = new LinkedHashMap<>();
+
+    /** The text of each daemon's configuration, by the attempts that it allows. */
+    private final Map<Daemon, IntFunction<String>> writing = new LinkedHashMap<>();
+
+    private final int number;
+
+    /** {@code number}: of this fleet among those of a run, for its addresses. */
+    DaemonFleet(RunContext context, int number) throws IOException {
+        this.number = number;
+        folder = Files.createDirectories(context.folder().resolve("daemons-" + number));
+        keeper = context.keeper();
+    }
+
+    /** The value of {@code name=value} in an event's text. */
+    static String field(String text, String name) {
+        for (String word : text.split(" ")) {
+            if (word.startsWith(name + "=")) {
+                return word.substring(name.length() + 1);
+            }
+        }
+        throw new IllegalStateException("no " + name + " in the event " + text);
+    }
+
+    /** Where a process that is none of these is reached. */
+    void route(String name, InetSocketAddress address) {
+        routes.put(name, HollowWatches.text(address));
+    }
+
+    /** {@code voters}: how many of them form the consensus group. */
+    void start(int count, int voters, InetSocketAddress discovery, RunContext context)
+            throws Exception {
+        List<String> names = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            names.add("daemon-" + i);
+        }
+        for (int i = 0; i < count; i++) {
+            daemons.add(daemon(i, names, names.subList(0, voters), discovery));
+        }
+        for (Daemon each : daemons.subList(0, voters)) {
+            found(each);
+        }
+        for (Daemon each : daemons) {
+            loop.submit(() -> each.process.start(each::said, code -> each.ended = true)).get();
+        }
+        context.await(
+                "all daemons listen",
+                () -> daemons.stream().allMatch(d -> d.count(l -> l.contains(LISTENING)) > 0));
+    }
+
+    InetSocketAddress memberAddress(int i) {
+        return LoopbackNetwork.address(4, number, i + 1, Port.MEMBERS.number());
+    }
+
+    private Daemon daemon(
+            int i, List<String> names, List<String> voters, InetSocketAddress discovery) {
+        InetSocketAddress clients =
+                LoopbackNetwork.address(4, number, i + 1, Port.CLIENTS.number());
+        Map<String, String> ways = new LinkedHashMap<>(routes);
+        for (int other = 0; other < names.size(); other++) {
+            if (other != i) {
+                ways.put(names.get(other), HollowWatches.text(memberAddress(other)));
+            }
+        }
+        DaemonText.PeersText peers =
+                new DaemonText.PeersText(
+                        HollowWatches.text(memberAddress(i)),
+                        List.of(HollowWatches.text(memberAddress(0))),
+                        ways,
+                        voters,
+                        0,
+                        1_000,
+                        "");
+        Path file = folder.resolve(names.get(i) + ".toml");
+        Path own = folder.resolve(names.get(i));
+        Daemon daemon =
+                new Daemon(
+                        names.get(i),
+                        clients,
+                        file,
+                        new ServeProcess(
+                                names.get(i),
+                                ProgramLine.of(
+                                        HEAP,
+                                        List.of("-XX:TieredStopAtLevel=1"),
+                                        "daemon",
+                                        "--config",
+                                        file.toString()),
+                                Map.of(),
+                                folder.resolve(names.get(i) + ".log"),
+                                keeper,
+                                loop));
+        writing.put(
+                daemon,
+                attempts ->
+                        DaemonText.of(
+                                daemon.name,
+                                HollowWatches.text(clients),
+                                HollowWatches.text(discovery),
+                                own,
+                                peers,
+                                new ProxyConfig(
+                                                i,
+                                                names.size(),
+                                                0,
+                                                List.of(DiscoveryChild.ZONE),
+                                                1,
+                                                1,
+                                                List.of(1.0),
+                                                100_000)
+                                        .json(daemon.name, 1, ProxyConfig.NO_LIST, attempts)));
+        write(daemon, ProxyConfig.ATTEMPTS);
+        return daemon;
+    }
+
+    /** Writes its configuration, with so many attempts. */
+    void write(Daemon daemon, int attempts) {
+        try {
+            Files.writeString(daemon.file, writing.get(daemon).apply(attempts));
+        } catch (IOException e) {
+            throw new UncheckedIOException(
+                    "the configuration of " + daemon.name + " cannot be written", e);
+        }
+    }
+
+    private void found(Daemon daemon) throws IOException, InterruptedException {
+        Process founding =
+                new ProcessBuilder(
+                                ProgramLine.of(
+                                        HEAP, List.of(), "daemon", "found", daemon.file.toString()))
+                        .redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("found-" + daemon.name + ".log").toFile())
+                        .start();
+        keeper.keeps(founding.toHandle());
+        if (founding.waitFor() != 0) {
+            throw new IllegalStateException(
+                    "no consensus group can be founded: see the logs in " + folder);
+        }
+    }
+
+    List<Daemon> daemons() {
+        return daemons;
+    }
+
+    @Override
+    public void close() throws Exception {
+        loop.submit(() -> daemons.forEach(d -> d.process.end())).get();
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(END_S);
+        while (!daemons.stream().allMatch(d -> d.ended) && System.nanoTime() < endNs) {
+            RunContext.pause(0.05);
+        }
+        loop.submit(() -> daemons.forEach(d -> d.process.kill())).get();
+        loop.shutdown();
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/scale/DecisionByNodes.java
@@ -0,0 +1,190 @@
+package holdproxy.scale;
+
+import holdproxy.policy.Choice;
+import holdproxy.policy.Router;
+import java.util.ArrayDeque;
+import java.util.Comparator;
+import java.util.PriorityQueue;
+import java.util.Queue;
+import java.util.SplittableRandom;
+
+/** The decision module by the number of nodes: processor time of a request, heap for a node. */
+final class DecisionByNodes implements Measurement {
+    private static final String MODULE = "decision module, two hashed candidates a key";
+    private static final int WARM_UP = 200_000;
+    private static final int REQUESTS = 300_000;
+    private static final int KEYS = 1_000_000;
+    private static final double REQUESTS_PER_S = TargetFleet.REQUESTS_PER_S / TargetFleet.PROXIES;
+    private static final long ANSWER_US = 5_000;
+    private static final long MS = 1_000;
+    private static final int HELD = 20;
+
+    @Override
+    public void measure(MeasureSpec spec, RunContext context, Findings findings) {
+        Series cost = findings.add(series("one request decided", "us of CPU"));
+        Series list = findings.add(series("one whole list taken", "us of CPU"));
+        Series heap = findings.add(series("nodes held by the module", "kB"));
+        for (int size : spec.sizes()) {
+            context.say("%s: %d nodes", spec.kind().word, size);
+            Load load = new Load(size);
+            load.requests(WARM_UP);
+            long startNs = CpuClock.ns();
+            load.requests(REQUESTS);
+            cost.add(size, (CpuClock.ns() - startNs) / 1e3 / REQUESTS);
+            startNs = CpuClock.ns();
+            for (int i = 0; i < HELD; i++) {
+                load.list();
+            }
+            list.add(size, (CpuClock.ns() - startNs) / 1e3 / HELD);
+            heap.add(size, heldKb(size));
+        }
+    }
+
+    private static Series series(String quantity, String unit) {
+        return Series.of("proxy", quantity, unit, "nodes", MODULE, TargetFleet.NODES, Double.NaN);
+    }
+
+    private static double heldKb(int size) {
+        long before = Heap.usedBytes();
+        Load[] loads = new Load[HELD];
+        for (int i = 0; i < HELD; i++) {
+            loads[i] = new Load(size);
+        }
+        double held = (Heap.usedBytes() - before) / 1024.0 / HELD;
+        return loads[HELD - 1] == null ? 0 : held;
+    }
+
+    private static Router.Settings settings() {
+        Router.RequestClass read = new Router.RequestClass();
+        read.effect = Router.Effect.SAFE;
+        read.aimUs = 500 * MS;
+        read.deadlineUs = 1_500 * MS;
+        Router.Settings settings = new Router.Settings();
+        settings.classes = new Router.RequestClass[] {read};
+        settings.tenants = new Router.Tenant[] {new Router.Tenant()};
+        settings.maxAttempts = 3;
+        settings.secondCopies = true;
+        settings.mayCancel = true;
+        settings.tickUs = 5 * MS;
+        settings.coldFrom = 0.2;
+        settings.coldUs = 20_000 * MS;
+        return settings;
+    }
+
+    private record Timer(long atUs, long label) {}
+
+    private record Answer(long atUs, long request) {}
+
+    /** Requests one after another at the rate of a proxy of the target fleet, each answered after 5 ms. */
+    private static final class Load implements Router.Actions {
+        private final SplittableRandom random = new SplittableRandom(1);
+        private final Choice module;
+        private final Router.Node[] nodes;
+        private final Router.Request request = new Router.Request();
+        private final Router.Report report = new Router.Report();
+        private final Queue<Answer> answers = new ArrayDeque<>();
+        private final PriorityQueue<Timer> timers =
+                new PriorityQueue<>(Comparator.comparingLong(Timer::atUs));
+        private long nowUs;
+        private long id;
+
+        Load(int size) {
+            nodes = new Router.Node[size];
+            for (int i = 0; i < size; i++) {
+                nodes[i] = new Router.Node();
+                nodes[i].id = random.nextInt();
+            }
+            module = new Choice(settings(), 1, 0, this);
+            list();
+        }
+
+        void list() {
+            module.onNodes(nowUs, Router.ListKind.FULL, nodes, nodes.length, this);
+        }
+
+        void requests(int count) {
+            for (int i = 0; i < count; i++) {
+                nowUs += (long) (1e6 / REQUESTS_PER_S);
+                due();
+                request.id = ++id;
+                request.key = 1 + random.nextInt(KEYS);
+                request.dueUs = nowUs + 1_000 * MS;
+                module.onRequest(nowUs, request, this);
+            }
+        }
+
+        private void due() {
+            while (!timers.isEmpty() && timers.peek().atUs <= nowUs) {
+                module.onTimer(nowUs, timers.poll().label, this);
+            }
+            while (!answers.isEmpty() && answers.peek().atUs <= nowUs) {
+                Answer answer = answers.poll();
+                module.onOutcome(
+                        nowUs,
+                        answer.request,
+                        0,
+                        Router.Outcome.OK,
+                        ANSWER_US,
+                        true,
+                        Router.CacheNote.HIT,
+                        report,
+                        this);
+            }
+        }
+
+        @Override
+        public void send(long to, int node, long timeoutUs) {
+            answers.add(new Answer(nowUs + ANSWER_US, to));
+        }
+
+        @Override
+        public void timer(long delayUs, long label) {
+            timers.add(new Timer(nowUs + delayUs, label));
+        }
+
+        @Override
+        public void refuse(long refused, long retryAfterUs) {
+            // nobody waits for it
+        }
+
+        @Override
+        public void fail(long failed) {
+            // nobody waits for it
+        }
+
+        @Override
+        public void cancel(long cancelled, int attempt) {
+            // the answer comes all the same
+        }
+
+        @Override
+        public void probe(int node) {
+            // there are none
+        }
+
+        @Override
+        public void closeIdle(int node) {
+            // there are no connections
+        }
+
+        @Override
+        public void subscribe() {
+            // the list is given
+        }
+
+        @Override
+        public void fetchNodes() {
+            // the list is given
+        }
+
+        @Override
+        public void tell(int router, byte[] data) {
+            // there is no other
+        }
+
+        @Override
+        public void log(String line) {
+            // nobody reads it
+        }
+    }
+}
--- a/src/main/java/holdproxy/scale/DiscoveryByNodes.java
+++ b/src/main/java/holdproxy/scale/DiscoveryByNodes.java
@@ -26,7 +26,8 @@
             try (HollowWatches watches = new HollowWatches(context, WATCHES, size, START_OVER_S)) {
                 context.say("%s: %d watches of %d nodes", spec.kind().word, WATCHES, size);
                 context.await("all watches hold the list", () -> watches.allAt(size));
-                bytes.add(size, (double) watches.stats().bytes() / WATCHES);
+                HollowWatches.Stats first = watches.stats();
+                bytes.add(size, (double) first.bytes() / first.lists());
                 heap.add(size, watches.heapMb() * 1024 / WATCHES);
                 for (int i = 0; i < WARM_UP; i++) {
                     again(watches, context);
--- a/src/main/java/holdproxy/scale/DiscoveryByProxies.java
+++ b/src/main/java/holdproxy/scale/DiscoveryByProxies.java
@@ -59,12 +59,14 @@
                 start.add(size, watches.stats().bytes());
                 RunContext.pause(SETTLE_S);
                 HollowWatches.Stats before = watches.stats();
+                long beforeNs = System.nanoTime();
                 ProcessUsage proxies = watches.usage();
                 ProcessUsage discovery = watches.discovery.usage();
                 RunContext.pause(spec.seconds());
                 idleCpu.add(size, watches.usage().cpuPercentSince(proxies));
                 served.add(size, watches.discovery.usage().cpuPercentSince(discovery));
-                idleBytes.add(size, (watches.stats().bytes() - before.bytes()) / spec.seconds());
+                long bytes = watches.stats().bytes() - before.bytes();
+                idleBytes.add(size, bytes / RunContext.secondsSince(beforeNs));
                 heap.add(size, watches.heapMb());
                 changes(
                         spec,
--- /dev/null
+++ b/src/main/java/holdproxy/scale/FanoutFaults.java
@@ -0,0 +1,108 @@
+package holdproxy.scale;
+
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+
+/** Faults of the fan-out while changes go on, one after another; each is over before the next. */
+final class FanoutFaults {
+    private static final double BETWEEN_CHANGES_S = 0.5;
+    private static final double BEFORE_S = 2;
+    private static final double STOPPED_S = 10;
+
+    private final MeasureSpec spec;
+    private final RunContext context;
+    private final Findings findings;
+    private final HollowFanout fanout;
+    private final int size;
+    private ChildProcess stopped;
+
+    FanoutFaults(MeasureSpec spec, RunContext context, Findings findings, HollowFanout fanout) {
+        this.spec = spec;
+        this.context = context;
+        this.findings = findings;
+        this.fanout = fanout;
+        size = fanout.topology.proxies();
+    }
+
+    void cause() throws Exception {
+        phase("a relay killed", () -> fanout.firstRelay().kill(), spec.seconds());
+        fanout.startFirstRelay();
+        phase("a relay stopped for 10 s", () -> stop(fanout.firstRelay()), STOPPED_S);
+        phase("a slow reader", () -> stop(fanout.slow()), STOPPED_S);
+        phase("a zone's proxies restarted", this::restartZone, spec.seconds());
+        phase("all proxies started at once", () -> fanout.restart(0, size), spec.seconds());
+    }
+
+    private interface Fault {
+        void happen() throws Exception;
+    }
+
+    /** Changes before, while and after; what is stopped goes on when the time is over. */
+    private void phase(String name, Fault fault, double seconds) throws Exception {
+        context.say("%d proxies: %s", size, name);
+        fanout.latencies(fanout.proxies());
+        commit(BEFORE_S);
+        long startNs = System.nanoTime();
+        fault.happen();
+        commit(seconds);
+        boolean slow = name.contains("slow");
+        if (slow) {
+            slowReader(startNs);
+        }
+        resume();
+        long number = fanout.commit();
+        double backS =
+                context.await("all hold the last change after " + name, () -> fanout.allAt(number));
+        context.say("all hold the last change %.2f s after the end of: %s", backS, name);
+        FanoutByProxies.add(
+                findings,
+                "with " + name,
+                size,
+                fanout.latencies(slow ? List.of(fanout.slow()) : fanout.proxies()));
+        FanoutByProxies.judge(findings, "with " + name, size, number, fanout);
+    }
+
+    /** The others are not delayed by those that take nothing. */
+    private void slowReader(long startNs) throws InterruptedException {
+        long number = fanout.commit();
+        double seconds =
+                context.await("all others hold the last change", () -> fanout.manyAt(number));
+        context.say(
+                "others hold it %.2f s later, %.1f s after the stop",
+                seconds, RunContext.secondsSince(startNs));
+        FanoutByProxies.add(
+                findings, "others beside a slow reader", size, fanout.latencies(fanout.many()));
+    }
+
+    private void commit(double seconds) throws InterruptedException {
+        long startNs = System.nanoTime();
+        do {
+            fanout.commit();
+            RunContext.pause(BETWEEN_CHANGES_S);
+        } while (RunContext.secondsSince(startNs) < seconds);
+    }
+
+    private void restartZone() {
+        fanout.restart(0, FanoutTopology.PROXIES_PER_ZONE);
+    }
+
+    private void stop(ChildProcess child) throws Exception {
+        stopped = child;
+        signal(child, "STOP");
+    }
+
+    private void resume() throws Exception {
+        if (stopped != null) {
+            signal(stopped, "CONT");
+            stopped = null;
+        }
+    }
+
+    /** Java has no way to send these. */
+    private static void signal(ChildProcess child, String signal) throws Exception {
+        Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(child.pid())).start();
+        if (!kill.waitFor(10, TimeUnit.SECONDS)) {
+            throw new IllegalStateException("the program kill does not end");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/scale/FanoutTopology.java
@@ -0,0 +1,61 @@
+package holdproxy.scale;
+
+import holdproxy.fanout.RelayCandidate;
+import holdproxy.fanout.RendezvousOrder;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Who is where in a run of the fan-out: one control machine, a relay for each zone, and the proxies of the
+ * zones one after another.
+ *
+ * @param run its number, so that no two runs use the same addresses
+ * @param proxies hollow ones
+ */
+record FanoutTopology(int run, int proxies) {
+    /** As in the target fleet. */
+    static final int PROXIES_PER_ZONE = 138;
+
+    static final String CONTROL = "control";
+    private static final int FIRST_NETWORK = 64;
+    private static final int HOSTS = 250;
+    private static final int RELAYS_PER_PROXY = 4;
+
+    int relays() {
+        return Math.max(2, (proxies + PROXIES_PER_ZONE - 1) / PROXIES_PER_ZONE);
+    }
+
+    int zone(int proxy) {
+        return Math.min(relays() - 1, proxy / PROXIES_PER_ZONE);
+    }
+
+    InetSocketAddress control() {
+        return LoopbackNetwork.address(FIRST_NETWORK + run, 255, 1, Port.RELAYS.number());
+    }
+
+    InetSocketAddress relay(int zone) {
+        return LoopbackNetwork.address(
+                FIRST_NETWORK + run, zone / HOSTS, zone % HOSTS + 1, Port.RELAYS.number());
+    }
+
+    static String zoneName(int zone) {
+        return "zone-" + zone;
+    }
+
+    List<RelayCandidate> ofRelays() {
+        return List.of(new RelayCandidate(CONTROL, HollowWatches.text(control()), ""));
+    }
+
+    /** Its own zone's relay first, then those of the zones that follow. */
+    List<RelayCandidate> ofProxy(String name, int zone) {
+        List<RelayCandidate> candidates = new ArrayList<>();
+        for (int i = 0; i < Math.min(RELAYS_PER_PROXY, relays()); i++) {
+            int other = (zone + i) % relays();
+            candidates.add(
+                    new RelayCandidate(
+                            "relay-" + other, HollowWatches.text(relay(other)), zoneName(other)));
+        }
+        return RendezvousOrder.of(name, zoneName(zone), candidates);
+    }
+}
--- /dev/null
+++ b/src/main/java/holdproxy/scale/HollowFanout.java
@@ -0,0 +1,200 @@
+package holdproxy.scale;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.ToLongFunction;
+import org.HdrHistogram.Histogram;
+
+/**
+ * A control machine, a relay for each zone, and the hollow proxies behind them. The first zone's relay has a
+ * process of its own, to be killed or stopped, as have the last few proxies.
+ */
+final class HollowFanout implements AutoCloseable {
+    private static final AtomicInteger NEXT_RUN = new AtomicInteger();
+    private static final int MOST_PER_PROCESS = 3_300;
+    private static final int RELAY_PROCESSES = 3;
+    private static final String HEAP = "900m";
+    private static final String RELAY_HEAP = "400m";
+
+    /** Proxies in a process of their own, which can be stopped. */
+    static final int SLOW = 10;
+
+    final FanoutTopology topology;
+    final ChildProcess control;
+    private final RunContext context;
+    private final List<ChildProcess> relays = new ArrayList<>();
+    private final List<ChildProcess> proxies = new ArrayList<>();
+    private final ChildProcess slow;
+    private ChildProcess firstRelay;
+
+    HollowFanout(RunContext context, int size, double startOverS) {
+        this.context = context;
+        topology = new FanoutTopology(NEXT_RUN.getAndIncrement(), size);
+        control = child("control", RELAY_HEAP, List.of("control"));
+        control.ask("stats"); // it listens when it answers
+        startFirstRelay();
+        int others = topology.relays() - 1;
+        int processes = Math.min(RELAY_PROCESSES, others);
+        for (int i = 0; i < processes; i++) {
+            relays.add(part("relays", RELAY_HEAP, 1, others, i, processes, List.of()));
+        }
+        relays.forEach(relay -> relay.ask("stats"));
+        List<String> pace =
+                List.of("--start-over-s", String.format(Locale.ROOT, "%.3f", startOverS));
+        int many = size - SLOW;
+        int parts = (many + MOST_PER_PROCESS - 1) / MOST_PER_PROCESS;
+        for (int i = 0; i < parts; i++) {
+            proxies.add(part("subscribers", HEAP, 0, many, i, parts, pace));
+        }
+        slow = part("subscribers", RELAY_HEAP, many, SLOW, 0, 1, pace);
+    }
+
+    /** One of so many parts of {@code count} from {@code first} on, about the same for each. */
+    private ChildProcess part(
+            String kind,
+            String heap,
+            int first,
+            int count,
+            int part,
+            int parts,
+            List<String> more) {
+        int from = first + count * part / parts;
+        int to = first + count * (part + 1) / parts;
+        List<String> words =
+                new ArrayList<>(List.of(kind, "--first", "" + from, "--count", "" + (to - from)));
+        words.addAll(more);
+        return child(kind + "-" + from, heap, words);
+    }
+
+    private ChildProcess child(String name, String heap, List<String> words) {
+        List<String> all = new ArrayList<>(words);
+        all.addAll(List.of("--run", "" + topology.run(), "--proxies", "" + topology.proxies()));
+        return ChildProcess.start(
+                "fanout-" + topology.run() + "-" + name,
+                context.folder(),
+                heap,
+                context.keeper(),
+                all.toArray(String[]::new));
+    }
+
+    void startFirstRelay() {
+        firstRelay = part("relays", RELAY_HEAP, 0, 1, 0, 1, List.of());
+        firstRelay.ask("stats");
+    }
+
+    ChildProcess firstRelay() {
+        return firstRelay;
+    }
+
+    ChildProcess slow() {
+        return slow;
+    }
+
+    /** All that serve, those of the first zone too. */
+    List<ChildProcess> relays() {
+        List<ChildProcess> all = new ArrayList<>(relays);
+        all.add(firstRelay);
+        return all;
+    }
+
+    List<ChildProcess> proxies() {
+        List<ChildProcess> all = new ArrayList<>(proxies);
+        all.add(slow);
+        return all;
+    }
+
+    /** Commits one change; returns its number. */
+    long commit() {
+        return control.ask("commit").whole("number");
+    }
+
+    /**
+     * What all hollow proxies together count.
+     *
+     * @param received bytes of the fan-out that came, and {@code sent} that went
+     */
+    record Stats(
+            long least,
+            long most,
+            long disorders,
+            long moves,
+            long snapshots,
+            long rejected,
+            long received,
+            long sent) {}
+
+    Stats stats() {
+        return stats(proxies());
+    }
+
+    /** Of those that run on while the last few are stopped. */
+    Stats statsOfMany() {
+        return stats(proxies);
+    }
+
+    private static Stats stats(List<ChildProcess> children) {
+        List<JsonPart> all = ask(children, "stats");
+        return new Stats(
+                all.stream().mapToLong(s -> s.whole("least_number")).min().orElse(0),
+                all.stream().mapToLong(s -> s.whole("most_number")).max().orElse(0),
+                sum(all, s -> s.whole("disorders")),
+                sum(all, s -> s.whole("moves")),
+                sum(all, s -> s.whole("snapshots")),
+                sum(all, s -> s.whole("rejected")),
+                sum(all, s -> s.whole("received")),
+                sum(all, s -> s.whole("sent")));
+    }
+
+    static List<JsonPart> ask(List<ChildProcess> children, String command) {
+        children.forEach(child -> child.tell(command));
+        return children.stream().map(child -> child.answer(command)).toList();
+    }
+
+    static long sum(List<JsonPart> all, ToLongFunction<JsonPart> figure) {
+        return all.stream().mapToLong(figure).sum();
+    }
+
+    boolean allAt(long number) {
+        Stats stats = stats();
+        return stats.least() == number && stats.most() == number;
+    }
+
+    boolean manyAt(long number) {
+        Stats stats = statsOfMany();
+        return stats.least() == number && stats.most() == number;
+    }
+
+    /** All values since this was asked last. */
+    Histogram latencies(List<ChildProcess> children) {
+        Histogram all = Latencies.histogram();
+        ask(children, "latencies").forEach(a -> all.add(Latencies.decoded(a.text("histogram"))));
+        return all;
+    }
+
+    /** Those of the proxies that can be stopped are not among them. */
+    List<ChildProcess> many() {
+        return List.copyOf(proxies);
+    }
+
+    /** Proxies of these numbers begin anew, with nothing kept. */
+    void restart(int from, int to) {
+        ask(proxies(), "restart " + from + " " + to);
+    }
+
+    static ProcessUsage usage(List<ChildProcess> children) {
+        return children.stream().map(ChildProcess::usage).reduce(ProcessUsage::plus).orElseThrow();
+    }
+
+    static double heapMb(List<ChildProcess> children) {
+        return ask(children, "heap").stream().mapToDouble(a -> a.number("heap_mb")).sum();
+    }
+
+    @Override
+    public void close() {
+        proxies().forEach(ChildProcess::close);
+        relays().forEach(ChildProcess::close);
+        control.close();
+    }
+}
--- a/src/main/java/holdproxy/scale/HollowWatches.java
+++ b/src/main/java/holdproxy/scale/HollowWatches.java
@@ -12,7 +12,6 @@
 final class HollowWatches implements AutoCloseable {
     private static final int MOST_PER_PROCESS = 3_300;
     private static final String HEAP = "900m";
-    private static final int PORT = 15_000;
 
     /** So that no address is used again while connections of the run before wait for their last packets. */
     private static final AtomicInteger NEXT = new AtomicInteger(2);
@@ -22,7 +21,7 @@
 
     HollowWatches(RunContext context, int watches, int nodes, double startOverS) {
         int number = NEXT.getAndIncrement();
-        InetSocketAddress address = LoopbackNetwork.address(0, 1, number, PORT);
+        InetSocketAddress address = LoopbackNetwork.address(0, 1, number, Port.DISCOVERY.number());
         discovery =
                 ChildProcess.start(
                         "discovery-" + number,
--- a/src/main/java/holdproxy/scale/LoopbackNetwork.java
+++ b/src/main/java/holdproxy/scale/LoopbackNetwork.java
@@ -125,7 +125,8 @@
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             writtenBytes += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
-            ctx.write(message, promise);
+            // the emulator's parts leave flushing to their network
+            ctx.writeAndFlush(message, promise);
         }
     }
 }
--- a/src/main/java/holdproxy/scale/MeasurementKind.java
+++ b/src/main/java/holdproxy/scale/MeasurementKind.java
@@ -16,7 +16,30 @@
             "discovery-nodes",
             new DiscoveryByNodes(),
             s -> DiscoveryByNodes.WATCHES + Need.SPARE,
-            s -> Need.GB + (double) s.largest() * DiscoveryByNodes.WATCHES * Need.GB_PER_NAME);
+            s -> Need.GB + (double) s.largest() * DiscoveryByNodes.WATCHES * Need.GB_PER_NAME),
+    MEMBERSHIP(
+            "membership",
+            new MembershipBySize(),
+            s -> Need.SPARE,
+            s -> Need.GB + (double) s.largest() * s.largest() * Need.GB_PER_MEMBER),
+    CONSENSUS(
+            "consensus",
+            new ConsensusByAskers(),
+            s -> s.largest() * 5 + Need.SPARE,
+            s -> Need.GB + s.largest() * Need.GB_PER_CONNECTION),
+    STATE("state", new StateByNodes(), s -> Need.SPARE, s -> Need.GB),
+    DECISION("decision", new DecisionByNodes(), s -> Need.SPARE, s -> Need.GB),
+    CONNECTIONS(
+            "connections",
+            new ConnectionsByNodes(),
+            s -> s.largest() * (1 + s.proxies()) + Need.SPARE,
+            s -> Need.GB + (double) s.largest() * s.proxies() * Need.GB_PER_CONNECTION),
+    RELOAD("reload", new ReloadByCount(), s -> Need.SPARE, s -> Need.GB),
+    FANOUT(
+            "fanout",
+            new FanoutByProxies(),
+            s -> s.largest() + Need.SPARE,
+            s -> Need.GB + s.largest() * Need.GB_PER_CONNECTION);
 
     static final List<String> NAMES = Arrays.stream(values()).map(kind -> kind.word).toList();
 
@@ -32,6 +55,7 @@
         static final double GB_PER_CONNECTION = 120e3 / 1e9;
 
         static final double GB_PER_NAME = 400 / 1e9;
+        static final double GB_PER_MEMBER = 1_500 / 1e9;
     }
 
     final String word;
--- /dev/null
+++ b/src/main/java/holdproxy/scale/MembershipBySize.java
@@ -0,0 +1,202 @@
+package holdproxy.scale;
+
+import holdproxy.lab.TrialTime;
+import holdproxy.membership.Change;
+import holdproxy.membership.Member;
+import holdproxy.membership.Membership;
+import holdproxy.membership.Message;
+import holdproxy.membership.MessageCodec;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+
+/**
+ * Membership by the number of members: the real rules and codec of every member in one thread, in virtual
+ * time; then a third of them ends at once.
+ */
+final class MembershipBySize implements Measurement {
+    private static final String SWIM = "gossip membership (SWIM with Lifeguard), flat";
+    private static final String ROLE = "member (every process)";
+    private static final int SEEDS = 3;
+    private static final long SECOND_US = 1_000_000;
+    private static final long LEAST_DELAY_US = 200;
+    private static final int DELAY_SPREAD_US = 2_000;
+    private static final long LONGEST_US = 600 * SECOND_US;
+
+    /** Of a frame besides its message, as {@code Links} writes it. */
+    private static final int FRAME_BYTES = 6;
+
+    private static final int LOST_PART = 3;
+
+    /** From here on the trial of a loss takes more time than it tells. */
+    private static final int MOST_FOR_LOSS = 400;
+
+    @Override
+    public void measure(MeasureSpec spec, RunContext context, Findings findings) {
+        Series messages = findings.add(series("messages sent", "1/s", Double.NaN));
+        Series bytes = findings.add(series("bytes sent", "B/s", TargetFleet.PROXY_BYTES_PER_S));
+        Series cpu =
+                findings.add(
+                        series(
+                                "rules and codec, without sockets",
+                                "% of a core",
+                                TargetFleet.PROXY_CPU_PERCENT));
+        Series heap = findings.add(series("members held", "kB", TargetFleet.PROXY_MB * 1024));
+        Series joined =
+                findings.add(series("until all know all, started together", "s", Double.NaN));
+        Series lost = findings.add(series("until all know that a third is gone", "s", Double.NaN));
+        for (int size : spec.sizes()) {
+            long heapBefore = Heap.usedBytes();
+            Fleet fleet = new Fleet(size);
+            joined.add(size, fleet.runUntilAllKnowAll());
+            context.say("%s: %d members know each other", spec.kind().word, size);
+            fleet.run(SECOND_US * 5);
+            fleet.resetCounts();
+            long cpuNs = CpuClock.ns();
+            fleet.run((long) (spec.seconds() * SECOND_US));
+            double perProcess = 1 / spec.seconds() / size;
+            cpu.add(size, (CpuClock.ns() - cpuNs) / 1e9 * perProcess * 100);
+            messages.add(size, fleet.messages * perProcess);
+            bytes.add(size, fleet.bytes * perProcess);
+            heap.add(size, (Heap.usedBytes() - heapBefore) / 1024.0 / size);
+            findings.judge(
+                    "every member knows every other at " + size,
+                    fleet.allKnowAll(),
+                    size + " members");
+            if (size <= MOST_FOR_LOSS) {
+                lost.add(size, fleet.loseSome());
+            }
+        }
+    }
+
+    private static Series series(String quantity, String unit, double budget) {
+        return Series.of(ROLE, quantity, unit, "members", SWIM, TargetFleet.PROXIES, budget);
+    }
+
+    /** All members, in virtual time. */
+    private static final class Fleet {
+        private final TrialTime time = new TrialTime();
+        private final Random random = new Random(1);
+        private final Map<String, Process> byAddress = new HashMap<>();
+        private final List<Process> processes = new ArrayList<>();
+        private long messages;
+        private long bytes;
+
+        Fleet(int size) {
+            List<String> seeds = new ArrayList<>();
+            for (int i = 0; i < Math.min(SEEDS, size); i++) {
+                seeds.add(address(i));
+            }
+            for (int i = 0; i < size; i++) {
+                processes.add(new Process(i, seeds));
+            }
+        }
+
+        private static String address(int number) {
+            return "10.0." + number / 250 + "." + (number % 250 + 1) + ":7000";
+        }
+
+        void run(long us) {
+            time.run(time.nowUs() + us);
+        }
+
+        void resetCounts() {
+            messages = 0;
+            bytes = 0;
+        }
+
+        boolean allKnowAll() {
+            long alive = processes.stream().filter(p -> !p.over).count();
+            return processes.stream().filter(p -> !p.over).allMatch(p -> p.live() == alive - 1);
+        }
+
+        double runUntilAllKnowAll() {
+            long startUs = time.nowUs();
+            while (!allKnowAll() && time.nowUs() - startUs < LONGEST_US) {
+                run(SECOND_US / 2);
+            }
+            return (time.nowUs() - startUs) / (double) SECOND_US;
+        }
+
+        double loseSome() {
+            for (int i = 0; i < processes.size() / LOST_PART; i++) {
+                processes.get(processes.size() - 1 - i).over = true;
+            }
+            return runUntilAllKnowAll();
+        }
+
+        private final class Process implements Membership.Output {
+            private final Membership rules;
+            private boolean over;
+            private long wakingUs = Long.MAX_VALUE;
+
+            Process(int number, List<String> seeds) {
+                String address = address(number);
+                byAddress.put(address, this);
+                rules =
+                        new Membership(
+                                Membership.Settings.USUAL,
+                                "proxy-" + number,
+                                address,
+                                1,
+                                seeds,
+                                new Random(random.nextLong()),
+                                time.nowUs(),
+                                this);
+                wake();
+            }
+
+            int live() {
+                return (int) rules.others().stream().filter(Member::live).count();
+            }
+
+            private void wake() {
+                long dueUs = Math.max(rules.dueUs(), time.nowUs());
+                if (dueUs < wakingUs) {
+                    wakingUs = dueUs;
+                    time.after(dueUs - time.nowUs(), () -> woken(dueUs));
+                }
+            }
+
+            private void woken(long dueUs) {
+                if (dueUs != wakingUs || over) {
+                    return;
+                }
+                wakingUs = Long.MAX_VALUE;
+                if (rules.dueUs() <= time.nowUs()) {
+                    rules.tick(time.nowUs());
+                }
+                wake();
+            }
+
+            @Override
+            public void send(String name, String address, Message message) {
+                byte[] frame = MessageCodec.bytes(message);
+                messages++;
+                bytes += frame.length + FRAME_BYTES;
+                Process to = byAddress.get(address);
+                time.after(
+                        LEAST_DELAY_US + random.nextInt(DELAY_SPREAD_US), () -> to.received(frame));
+            }
+
+            private void received(byte[] frame) {
+                if (!over) {
+                    rules.received(time.nowUs(), MessageCodec.message(frame));
+                    wake();
+                }
+            }
+
+            @Override
+            public void changed(Change change) {
+                // who lives is asked of the rules
+            }
+
+            @Override
+            public void superseded(Member by) {
+                over = true;
+            }
+        }
+    }
+}
--- a/src/main/java/holdproxy/scale/ScaleCommand.java
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -130,7 +130,14 @@
     @Command(
             name = "child",
             hidden = true,
-            subcommands = {DiscoveryChild.class, WatchesChild.class})
+            subcommands = {
+                DiscoveryChild.class,
+                WatchesChild.class,
+                AskersChild.class,
+                ControlChild.class,
+                RelaysChild.class,
+                SubscribersChild.class
+            })
     static final class Child implements Callable<Integer> {
         @Override
         public Integer call() {
--- /dev/null
+++ b/src/main/java/holdproxy/scale/SubscribersChild.java
@@ -0,0 +1,187 @@
+package holdproxy.scale;
+
+import holdproxy.fanout.Change;
+import holdproxy.fanout.FanoutSettings;
+import holdproxy.fanout.Position;
+import holdproxy.fanout.Replica;
+import holdproxy.fanout.Subscriber;
+import holdproxy.fanout.SubscriberStatus;
+import holdproxy.fanout.Value;
+import holdproxy.fanout.transport.SubscriberClient;
+import holdproxy.fanout.transport.TransportContext;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import java.util.SortedMap;
+import java.util.concurrent.TimeUnit;
+import java.util.function.ToLongFunction;
+import org.HdrHistogram.Histogram;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/**
+ * Thousands of hollow proxies that follow the fan-out: each has a connection and runs the real subscriber.
+ * What comes is checked: nothing twice, out of order or left out. Commands: stats, latencies, restart.
+ */
+@Command(name = "subscribers", hidden = true)
+final class SubscribersChild extends FanoutChild {
+    private static final long US = 1_000_000;
+
+    @Option(names = "--first", required = true)
+    private int first;
+
+    @Option(names = "--count", required = true)
+    private int count;
+
+    @Option(names = "--start-over-s", defaultValue = "0")
+    private double startOverS;
+
+    private final List<HollowProxy> hollow = new ArrayList<>();
+    private TransportContext context;
+    private Histogram inForce = Latencies.histogram();
+    private long disorders;
+    private long endedMoves;
+
+    @Override
+    void begin() {
+        context = context();
+        for (int i = 0; i < count; i++) {
+            hollow.add(new HollowProxy(first + i));
+        }
+        hollow.forEach(
+                each ->
+                        loop.schedule(
+                                each::start,
+                                (long) ((each.number - first) * startOverS * US / count),
+                                TimeUnit.MICROSECONDS));
+    }
+
+    @Override
+    void handle(String[] words, Map<String, Object> answer) throws Exception {
+        switch (words[0]) {
+            case "stats" -> stats(answer);
+            case "latencies" -> {
+                answer.put("histogram", Latencies.encoded(inForce));
+                inForce = Latencies.histogram();
+            }
+            case "restart" -> {
+                int from = Integer.parseInt(words[1]);
+                int to = Integer.parseInt(words[2]);
+                for (int i = 0; i < hollow.size(); i++) {
+                    HollowProxy each = hollow.get(i);
+                    if (each.number >= from && each.number < to) {
+                        hollow.set(i, each.restarted());
+                    }
+                }
+            }
+            default -> throw unknown(words);
+        }
+    }
+
+    private void stats(Map<String, Object> answer) {
+        count(answer);
+        answer.put(
+                "least_number",
+                hollow.stream().mapToLong(p -> p.inForce().number()).min().orElse(0));
+        answer.put(
+                "most_number",
+                hollow.stream().mapToLong(p -> p.inForce().number()).max().orElse(0));
+        answer.put("disorders", disorders);
+        answer.put("moves", endedMoves + sum(SubscriberStatus::moves));
+        answer.put("snapshots", sum(SubscriberStatus::snapshots));
+        answer.put("gaps", sum(SubscriberStatus::gaps));
+        answer.put("rejected", sum(SubscriberStatus::rejected));
+    }
+
+    private long sum(ToLongFunction<SubscriberStatus> figure) {
+        return hollow.stream().mapToLong(p -> figure.applyAsLong(p.status())).sum();
+    }
+
+    private final class HollowProxy implements Subscriber.Consumer {
+        private final int number;
+        private final SubscriberClient client;
+        private Position last = Position.NONE;
+
+        HollowProxy(int number) {
+            this.number = number;
+            client =
+                    new SubscriberClient(
+                            context,
+                            "proxy-" + number,
+                            new Replica(FanoutSettings.DEFAULTS.limits()),
+                            this,
+                            null,
+                            new Random(number));
+        }
+
+        void start() {
+            FanoutTopology topology = topology();
+            client.candidates(topology.ofProxy("proxy-" + number, topology.zone(number)));
+        }
+
+        /** A new process of the same proxy, with nothing kept. */
+        HollowProxy restarted() {
+            endedMoves += status().moves();
+            client.close();
+            HollowProxy next = new HollowProxy(number);
+            next.start();
+            return next;
+        }
+
+        Position inForce() {
+            return last;
+        }
+
+        SubscriberStatus status() {
+            return client.subscriber().status(context.nowUs().getAsLong());
+        }
+
+        @Override
+        public Optional<String> offer(
+                long nowUs,
+                Position position,
+                SortedMap<String, Value> state,
+                List<Change> changes) {
+            check(position, changes);
+            long unixUs = CommitStamp.unixUs();
+            if (changes.isEmpty()) {
+                state.values().forEach(value -> inForceSince(CommitStamp.of(value), unixUs));
+            } else {
+                changes.forEach(
+                        change ->
+                                change.puts()
+                                        .values()
+                                        .forEach(
+                                                value ->
+                                                        inForceSince(
+                                                                CommitStamp.of(value), unixUs)));
+            }
+            last = position;
+            return Optional.empty();
+        }
+
+        /** Every change follows the one before; only a snapshot may leave some out. */
+        private void check(Position position, List<Change> changes) {
+            Position next = last;
+            boolean inOrder = position.isAfter(last);
+            for (Change change : changes) {
+                inOrder &= change.position().equals(next.next());
+                next = change.position();
+            }
+            if (!inOrder || !changes.isEmpty() && !next.equals(position)) {
+                disorders++;
+            }
+        }
+
+        /** Of what a process that has just begun finds, nothing was committed while it lived. */
+        private void inForceSince(CommitStamp stamp, long unixUs) {
+            if (stamp.committedUnixUs() > 0
+                    && stamp.number() > last.number()
+                    && last.number() > 0) {
+                Latencies.record(inForce, unixUs - stamp.committedUnixUs());
+            }
+        }
+    }
+}
