--- a/src/main/java/holdproxy/net/Discovery.java
+++ b/src/main/java/holdproxy/net/Discovery.java
@@ -67,6 +67,9 @@
 
         /** A list has come; none, with a kind that says so, where a call has failed. */
         void nodes(Router.ListKind kind, List<Entry> entries);
+
+        /** Discovery cannot be connected to. */
+        void unreachable();
     }
 
     private final Receiver receiver;
@@ -295,7 +298,7 @@
                                     f.channel().writeAndFlush(get);
                                 } else {
                                     failed("no connection");
-                                    proxy.members().discoveryUnreachable();
+                                    receiver.unreachable();
                                 }
                             });
         }
--- a/src/main/java/holdproxy/net/DiscoveryWatch.java
+++ b/src/main/java/holdproxy/net/DiscoveryWatch.java
@@ -82,5 +82,10 @@
             listener.list(
                     kind == Router.ListKind.FULL, discovery.version(), entries.size(), lastStarted);
         }
+
+        @Override
+        public void unreachable() {
+            // the failed call itself is told by its list
+        }
     }
 }
--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -449,6 +449,11 @@
         public void nodes(Router.ListKind kind, List<Discovery.Entry> entries) {
             Proxy.this.nodes(kind, entries);
         }
+
+        @Override
+        public void unreachable() {
+            members.discoveryUnreachable();
+        }
     }
 
     /** Operators' call, which holds from now on. */
--- a/src/main/java/holdproxy/scale/CommitStamp.java
+++ b/src/main/java/holdproxy/scale/CommitStamp.java
@@ -13,6 +13,7 @@
     /** Bytes of a change of the configuration, as the target fleet's are. */
     static final int CHANGE_BYTES = 200;
 
+    private static final String PREFIX = "change-";
     private static final long US = 1_000_000;
 
     static long unixUs() {
@@ -20,6 +21,15 @@
         return now.getEpochSecond() * US + now.getNano() / 1000;
     }
 
+    /** Whether the value of this key is one; others are settings, for real daemons to take. */
+    static boolean isOne(String key) {
+        return key.startsWith(PREFIX);
+    }
+
+    String key(int keys) {
+        return PREFIX + number % keys;
+    }
+
     Value value() {
         String text = number + " " + committedUnixUs + " ";
         return Value.of(text + "x".repeat(CHANGE_BYTES - text.length()));
--- a/src/main/java/holdproxy/scale/ControlChild.java
+++ b/src/main/java/holdproxy/scale/ControlChild.java
@@ -19,6 +19,9 @@
     /** The state is a configuration of 5 kB. */
     static final int KEYS = 25;
 
+    /** One that real daemons take from what is published, another value with each change. */
+    private static final String SETTING = "settings/tickMs";
+
     private static final long TOKEN = 1;
 
     private final ChangeLog log = new ChangeLog(FanoutSettings.DEFAULTS.limits());
@@ -50,7 +53,9 @@
     private void append(long committedUnixUs) {
         long number = log.position().number() + 1;
         TreeMap<String, Value> puts = new TreeMap<>();
-        puts.put("key-" + number % KEYS, new CommitStamp(number, committedUnixUs).value());
+        CommitStamp stamp = new CommitStamp(number, committedUnixUs);
+        puts.put(stamp.key(KEYS), stamp.value());
+        puts.put(SETTING, Value.of(number % 2 == 0 ? "5.0" : "6.0"));
         AppendResult result =
                 log.append(new Publication(TOKEN, "change-" + number, puts, new TreeSet<>()));
         if (!(result instanceof AppendResult.Appended)) {
@@ -62,8 +67,10 @@
     void handle(String[] words, Map<String, Object> answer) throws Exception {
         switch (words[0]) {
             case "commit" -> {
-                append(CommitStamp.unixUs());
+                long unixUs = CommitStamp.unixUs();
+                append(unixUs);
                 server.advanced();
+                answer.put("committed_us", unixUs);
             }
             case "stats" -> count(answer);
             default -> throw unknown(words);
--- a/src/main/java/holdproxy/scale/DaemonFleet.java
+++ b/src/main/java/holdproxy/scale/DaemonFleet.java
@@ -17,6 +17,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import java.util.function.IntFunction;
 import java.util.function.Predicate;
 
@@ -61,6 +62,12 @@
             }
         }
 
+        void lines(Consumer<String> reader) {
+            synchronized (lines) {
+                lines.forEach(reader);
+            }
+        }
+
         /** The last event whose text begins so; null where there is none. */
         DaemonText.Said last(String beginning) {
             synchronized (lines) {
@@ -93,6 +100,7 @@
     private final Map<Daemon, IntFunction<String>> writing = new LinkedHashMap<>();
 
     private final int number;
+    private IntFunction<String> section = i -> "";
 
     /** {@code number}: of this fleet among those of a run, for its addresses. */
     DaemonFleet(RunContext context, int number) throws IOException {
@@ -101,6 +109,11 @@
         keeper = context.keeper();
     }
 
+    /** What their files say besides, by their numbers. */
+    void section(IntFunction<String> section) {
+        this.section = section;
+    }
+
     /** The value of {@code name=value} in an event's text. */
     static String field(String text, String name) {
         for (String word : text.split(" ")) {
@@ -183,21 +196,26 @@
                 daemon,
                 attempts ->
                         DaemonText.of(
-                                daemon.name,
-                                HollowWatches.text(clients),
-                                HollowWatches.text(discovery),
-                                own,
-                                peers,
-                                new ProxyConfig(
-                                                i,
-                                                names.size(),
-                                                0,
-                                                List.of(DiscoveryChild.ZONE),
-                                                1,
-                                                1,
-                                                List.of(1.0),
-                                                100_000)
-                                        .json(daemon.name, 1, ProxyConfig.NO_LIST, attempts)));
+                                        daemon.name,
+                                        HollowWatches.text(clients),
+                                        HollowWatches.text(discovery),
+                                        own,
+                                        peers,
+                                        new ProxyConfig(
+                                                        i,
+                                                        names.size(),
+                                                        0,
+                                                        List.of(DiscoveryChild.ZONE),
+                                                        1,
+                                                        1,
+                                                        List.of(1.0),
+                                                        100_000)
+                                                .json(
+                                                        daemon.name,
+                                                        1,
+                                                        ProxyConfig.NO_LIST,
+                                                        attempts))
+                                + section.apply(i));
         write(daemon, ProxyConfig.ATTEMPTS);
         return daemon;
     }
--- a/src/main/java/holdproxy/scale/FanoutByProxies.java
+++ b/src/main/java/holdproxy/scale/FanoutByProxies.java
@@ -1,13 +1,14 @@
 package holdproxy.scale;
 
 import java.util.List;
+import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
 /** The fan-out of versioned changes by the number of proxies, without and with faults. */
 final class FanoutByProxies implements Measurement {
     private static final String FANOUT = "fan-out tree of versioned changes, a relay for each zone";
     private static final double START_OVER_S = 5;
-    private static final double SETTLE_S = 8;
+    private static final double SETTLE_S = 5;
     private static final double BETWEEN_CHANGES_S = 0.5;
 
     private static final double RELAYS = TargetFleet.ZONES;
@@ -21,12 +22,16 @@
     public void measure(MeasureSpec spec, RunContext context, Findings findings) throws Exception {
         Slopes slopes = new Slopes(findings);
         for (int size : spec.sizes()) {
-            try (HollowFanout fanout = new HollowFanout(context, size, START_OVER_S)) {
+            try (HollowFanout fanout =
+                    new HollowFanout(context, size, spec.proxies(), START_OVER_S)) {
                 context.say(
                         "%s: %d proxies, %d relays start",
                         spec.kind().word, size, fanout.topology.relays());
+                long startNs = System.nanoTime();
                 context.await("all proxies hold the state", () -> fanout.allAt(ControlChild.KEYS));
-                RunContext.pause(SETTLE_S);
+                awaitCalm(context, fanout);
+                slopes.started.add(size, RunContext.secondsSince(startNs));
+                context.say("%d proxies stay where they are", size);
                 slopes.held(size, fanout);
                 watch(Load.IDLE, spec, size, fanout, slopes);
                 fanout.latencies(fanout.proxies());
@@ -34,13 +39,37 @@
                 context.await("all proxies hold the last change", () -> fanout.allAt(number));
                 add(findings, "without faults", size, fanout.latencies(fanout.proxies()));
                 judge(findings, "without faults", size, number, fanout);
-                if (spec.faults()) {
-                    new FanoutFaults(spec, context, findings, fanout).cause();
-                }
+                new FanoutFaults(spec, context, findings, fanout).cause();
+                Histogram real = fanout.realLatencies();
+                addReal(findings, spec, size, real);
             }
         }
     }
 
+    /** Until no proxy has moved from one relay to another for a while. */
+    private static void awaitCalm(RunContext context, HollowFanout fanout)
+            throws InterruptedException {
+        long[] last = {-1, System.nanoTime()};
+        context.await(
+                "no proxy moves to another relay",
+                () -> {
+                    long moves = fanout.stats().moves();
+                    if (moves != last[0]) {
+                        last[0] = moves;
+                        last[1] = System.nanoTime();
+                    }
+                    return RunContext.secondsSince(last[1]) > SETTLE_S;
+                });
+    }
+
+    private static void addReal(Findings findings, MeasureSpec spec, int size, Histogram values) {
+        String what =
+                "fan-out: commit to in force at %d real daemons beside %d hollow proxies, all"
+                        + " phases";
+        findings.latencies()
+                .add(new Latencies(String.format(Locale.ROOT, what, spec.proxies(), size), values));
+    }
+
     static void add(Findings findings, String when, int size, Histogram values) {
         findings.latencies()
                 .add(
@@ -121,6 +150,7 @@
 
     /** The slopes of all roles. */
     private static final class Slopes {
+        private final Series started;
         private final Series proxyHeap;
         private final Series proxyIdleBytes;
         private final Series proxyIdleCpu;
@@ -142,6 +172,12 @@
             double cores = TargetFleet.PROXY_CPU_PERCENT * TargetFleet.PROXIES;
             double bytes = TargetFleet.PROXY_BYTES_PER_S * TargetFleet.PROXIES;
             double megabytes = TargetFleet.PROXY_MB * TargetFleet.PROXIES;
+            started =
+                    proxy(
+                            findings,
+                            "until all hold the state and stay, started within 5 s",
+                            "s",
+                            Double.NaN);
             proxyHeap = proxy(findings, "subscribers held, all together", "MB", megabytes);
             proxyIdleBytes = proxy(findings, "idle, all together", "B/s", bytes);
             proxyIdleCpu = proxy(findings, "idle, all together", "% of a core", cores);
--- a/src/main/java/holdproxy/scale/FanoutFaults.java
+++ b/src/main/java/holdproxy/scale/FanoutFaults.java
@@ -25,27 +25,36 @@
     }
 
     void cause() throws Exception {
-        phase("a relay killed", () -> fanout.firstRelay().kill(), spec.seconds());
+        for (FanoutFault fault : spec.faults()) {
+            switch (fault) {
+                case RELAY_KILLED -> killRelay();
+                case RELAY_STOPPED -> phase(fault, () -> stop(fanout.firstRelay()), STOPPED_S);
+                case SLOW_READER -> phase(fault, () -> stop(fanout.slow()), STOPPED_S);
+                case ZONE_RESTARTED -> phase(fault, this::restartZone, spec.seconds());
+                default -> phase(fault, () -> fanout.restart(0, size), spec.seconds());
+            }
+        }
+    }
+
+    private void killRelay() throws Exception {
+        phase(FanoutFault.RELAY_KILLED, () -> fanout.firstRelay().kill(), spec.seconds());
         fanout.startFirstRelay();
-        phase("a relay stopped for 10 s", () -> stop(fanout.firstRelay()), STOPPED_S);
-        phase("a slow reader", () -> stop(fanout.slow()), STOPPED_S);
-        phase("a zone's proxies restarted", this::restartZone, spec.seconds());
-        phase("all proxies started at once", () -> fanout.restart(0, size), spec.seconds());
     }
 
-    private interface Fault {
-        void happen() throws Exception;
+    private interface Action {
+        void run() throws Exception;
     }
 
     /** Changes before, while and after; what is stopped goes on when the time is over. */
-    private void phase(String name, Fault fault, double seconds) throws Exception {
+    private void phase(FanoutFault fault, Action action, double seconds) throws Exception {
+        String name = fault.description;
         context.say("%d proxies: %s", size, name);
         fanout.latencies(fanout.proxies());
         commit(BEFORE_S);
         long startNs = System.nanoTime();
-        fault.happen();
+        action.run();
         commit(seconds);
-        boolean slow = name.contains("slow");
+        boolean slow = fault == FanoutFault.SLOW_READER;
         if (slow) {
             slowReader(startNs);
         }
--- a/src/main/java/holdproxy/scale/HollowFanout.java
+++ b/src/main/java/holdproxy/scale/HollowFanout.java
@@ -1,8 +1,10 @@
 package holdproxy.scale;
 
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.ToLongFunction;
 import org.HdrHistogram.Histogram;
@@ -27,9 +29,13 @@
     private final List<ChildProcess> relays = new ArrayList<>();
     private final List<ChildProcess> proxies = new ArrayList<>();
     private final ChildProcess slow;
+    private final Map<Long, Long> committedUnixUs = new HashMap<>();
+    private final RealSubscribers real;
     private ChildProcess firstRelay;
 
-    HollowFanout(RunContext context, int size, double startOverS) {
+    /** So many hollow proxies, started over some seconds, and real ones. */
+    HollowFanout(RunContext context, int size, int realProxies, double startOverS)
+            throws Exception {
         this.context = context;
         topology = new FanoutTopology(NEXT_RUN.getAndIncrement(), size);
         control = child("control", RELAY_HEAP, List.of("control"));
@@ -49,6 +55,7 @@
             proxies.add(part("subscribers", HEAP, 0, many, i, parts, pace));
         }
         slow = part("subscribers", RELAY_HEAP, many, SLOW, 0, 1, pace);
+        real = new RealSubscribers(context, topology, realProxies);
     }
 
     /** One of so many parts of {@code count} from {@code first} on, about the same for each. */
@@ -107,7 +114,9 @@
 
     /** Commits one change; returns its number. */
     long commit() {
-        return control.ask("commit").whole("number");
+        JsonPart committed = control.ask("commit");
+        committedUnixUs.put(committed.whole("number"), committed.whole("committed_us"));
+        return committed.whole("number");
     }
 
     /**
@@ -158,7 +167,7 @@
 
     boolean allAt(long number) {
         Stats stats = stats();
-        return stats.least() == number && stats.most() == number;
+        return stats.least() == number && stats.most() == number && real.allAt(number);
     }
 
     boolean manyAt(long number) {
@@ -173,6 +182,15 @@
         return all;
     }
 
+    /** Of the real proxies, of all changes so far. */
+    Histogram realLatencies() {
+        return real.latencies(committedUnixUs);
+    }
+
+    RealSubscribers real() {
+        return real;
+    }
+
     /** Those of the proxies that can be stopped are not among them. */
     List<ChildProcess> many() {
         return List.copyOf(proxies);
@@ -192,7 +210,8 @@
     }
 
     @Override
-    public void close() {
+    public void close() throws Exception {
+        real.close();
         proxies().forEach(ChildProcess::close);
         relays().forEach(ChildProcess::close);
         control.close();
--- a/src/main/java/holdproxy/scale/MeasureSpec.java
+++ b/src/main/java/holdproxy/scale/MeasureSpec.java
@@ -14,7 +14,7 @@
  * @param seconds for which a size is watched once it is steady
  * @param nodes cache nodes in discovery's list
  * @param proxies real ones
- * @param faults whether they are caused as well, where the kind knows some
+ * @param faults that are caused one after another, where the kind knows some
  * @param line of the file where it stands
  */
 record MeasureSpec(
@@ -23,7 +23,7 @@
         double seconds,
         int nodes,
         int proxies,
-        boolean faults,
+        List<FanoutFault> faults,
         int line) {
     private static final int MOST_SIZE = 1_000_000;
     private static final int MOST_NODES = 5_000;
@@ -36,7 +36,8 @@
         double seconds = part.number("seconds", 10, 0.1, LONGEST_S);
         int nodes = part.whole("nodes", 100, 1, MOST_NODES);
         int proxies = part.whole("proxies", 3, 1, MOST_REAL_PROXIES);
-        boolean faults = part.flag("faults");
+        List<FanoutFault> faults =
+                part.texts("faults", FanoutFault::named).stream().map(FanoutFault::named).toList();
         int line = part.at("kind").line();
         part.done();
         return new MeasureSpec(kind, sizes, seconds, nodes, proxies, faults, line);
--- /dev/null
+++ b/src/main/java/holdproxy/scale/RealSubscribers.java
@@ -0,0 +1,99 @@
+package holdproxy.scale;
+
+import holdproxy.toml.TomlText;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Map;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.HdrHistogram.Histogram;
+
+/** Real daemons that follow the fan-out as proxies, each at the relays of a zone. */
+final class RealSubscribers implements AutoCloseable {
+    private static final InetSocketAddress NOWHERE = LoopbackNetwork.address(0, 0, 1, 1);
+    private static final int FIRST_FLEET = 100;
+    private static final Pattern IN_FORCE =
+            Pattern.compile(
+                    "\"timestamp\":(\\d+).*\"number\":\"(\\d+)\".*\"configuration in force\"");
+
+    private final DaemonFleet fleet;
+
+    /** Starts so many. */
+    RealSubscribers(RunContext context, FanoutTopology topology, int count) throws Exception {
+        fleet = new DaemonFleet(context, FIRST_FLEET + topology.run());
+        fleet.section(i -> section(topology, i));
+        fleet.start(count, 0, NOWHERE, context);
+    }
+
+    private static String section(FanoutTopology topology, int number) {
+        int zone = number % topology.relays();
+        List<String> upstream =
+                topology.ofProxy("daemon-" + number, zone).stream()
+                        .map(relay -> TomlText.quoted(relay.address()))
+                        .toList();
+        return "[distribution]\nrole = \"proxy\"\nsite = "
+                + TomlText.quoted(FanoutTopology.zoneName(zone))
+                + "\nupstream = "
+                + upstream
+                + "\n";
+    }
+
+    /** Whether each has this change in force, and has had no older one after a newer. */
+    boolean allAt(long number) {
+        return fleet.daemons().stream().allMatch(daemon -> at(daemon) == number);
+    }
+
+    /** Of the last change that it has said to be in force; -1: they went backwards. */
+    private static long at(DaemonFleet.Daemon daemon) {
+        long[] last = {0};
+        daemon.lines(
+                line -> {
+                    Matcher inForce = IN_FORCE.matcher(line);
+                    if (inForce.find() && last[0] >= 0) {
+                        long number = Long.parseLong(inForce.group(2));
+                        last[0] = number > last[0] ? number : -1;
+                    }
+                });
+        return last[0];
+    }
+
+    /** Each change's time until it was in force at each of them, of those committed then (by number, us). */
+    Histogram latencies(Map<Long, Long> committedUnixUs) {
+        Histogram all = Latencies.histogram();
+        for (DaemonFleet.Daemon daemon : fleet.daemons()) {
+            long[] last = {0};
+            daemon.lines(
+                    line -> {
+                        Matcher inForce = IN_FORCE.matcher(line);
+                        if (inForce.find()) {
+                            long unixUs = Long.parseLong(inForce.group(1)) * 1000;
+                            long number = Long.parseLong(inForce.group(2));
+                            for (long each = last[0] + 1; each <= number; each++) {
+                                Long committed = committedUnixUs.get(each);
+                                if (committed != null && last[0] > 0) {
+                                    Latencies.record(all, unixUs - committed);
+                                }
+                            }
+                            last[0] = number;
+                        }
+                    });
+        }
+        return all;
+    }
+
+    int count() {
+        return fleet.daemons().size();
+    }
+
+    double residentMb() {
+        return fleet.daemons().stream()
+                .mapToDouble(d -> d.usage().residentMb())
+                .average()
+                .orElse(0);
+    }
+
+    @Override
+    public void close() throws Exception {
+        fleet.close();
+    }
+}
--- a/src/main/java/holdproxy/scale/SubscribersChild.java
+++ b/src/main/java/holdproxy/scale/SubscribersChild.java
@@ -102,7 +102,7 @@
     private final class HollowProxy implements Subscriber.Consumer {
         private final int number;
         private final SubscriberClient client;
-        private Position last = Position.NONE;
+        private final DeliveryCheck check = new DeliveryCheck();
 
         HollowProxy(int number) {
             this.number = number;
@@ -131,7 +131,7 @@
         }
 
         Position inForce() {
-            return last;
+            return check.last();
         }
 
         SubscriberStatus status() {
@@ -144,44 +144,30 @@
                 Position position,
                 SortedMap<String, Value> state,
                 List<Change> changes) {
-            check(position, changes);
             long unixUs = CommitStamp.unixUs();
+            long before = check.last().number();
+            if (!check.follows(position, changes)) {
+                disorders++;
+            }
             if (changes.isEmpty()) {
-                state.values().forEach(value -> inForceSince(CommitStamp.of(value), unixUs));
+                inForceSince(before, state, unixUs);
             } else {
-                changes.forEach(
-                        change ->
-                                change.puts()
-                                        .values()
-                                        .forEach(
-                                                value ->
-                                                        inForceSince(
-                                                                CommitStamp.of(value), unixUs)));
+                changes.forEach(change -> inForceSince(before, change.puts(), unixUs));
             }
-            last = position;
             return Optional.empty();
         }
 
-        /** Every change follows the one before; only a snapshot may leave some out. */
-        private void check(Position position, List<Change> changes) {
-            Position next = last;
-            boolean inOrder = position.isAfter(last);
-            for (Change change : changes) {
-                inOrder &= change.position().equals(next.next());
-                next = change.position();
-            }
-            if (!inOrder || !changes.isEmpty() && !next.equals(position)) {
-                disorders++;
-            }
-        }
-
         /** Of what a process that has just begun finds, nothing was committed while it lived. */
-        private void inForceSince(CommitStamp stamp, long unixUs) {
-            if (stamp.committedUnixUs() > 0
-                    && stamp.number() > last.number()
-                    && last.number() > 0) {
-                Latencies.record(inForce, unixUs - stamp.committedUnixUs());
-            }
+        private void inForceSince(long before, SortedMap<String, Value> values, long unixUs) {
+            values.forEach(
+                    (key, value) -> {
+                        if (before > 0 && CommitStamp.isOne(key)) {
+                            CommitStamp stamp = CommitStamp.of(value);
+                            if (stamp.number() > before) {
+                                Latencies.record(inForce, unixUs - stamp.committedUnixUs());
+                            }
+                        }
+                    });
         }
     }
 }
