--- a/src/main/java/holdproxy/command/Plot.java
+++ b/src/main/java/holdproxy/command/Plot.java
@@ -18,6 +18,7 @@
     private final String yName;
     private final XYSeriesCollection lines = new XYSeriesCollection();
 
+    /** An empty picture; the names of the axes say their units. */
     public Plot(String title, String xName, String yName) {
         this.title = title;
         this.xName = xName;
@@ -25,6 +26,7 @@
         System.setProperty("java.awt.headless", "true");
     }
 
+    /** Adds a line through these points; both arrays have the same length. */
     public void line(String name, double[] x, double[] y) {
         XYSeries line = new XYSeries(name);
         for (int i = 0; i < x.length; i++) {
--- a/src/main/java/holdproxy/rig/LoopTimeline.java
+++ b/src/main/java/holdproxy/rig/LoopTimeline.java
@@ -9,6 +9,7 @@
     private final EventLoop loop;
     private final long startNs = System.nanoTime();
 
+    /** A timeline that runs its tasks on this event loop, by the system clock. */
     public LoopTimeline(EventLoop loop) {
         this.loop = loop;
     }
--- a/src/main/java/holdproxy/rig/ServeProcess.java
+++ b/src/main/java/holdproxy/rig/ServeProcess.java
@@ -103,6 +103,7 @@
         }
     }
 
+    /** Whether a process has been started that has not ended. */
     public boolean runs() {
         return process != null;
     }
--- a/src/main/java/holdproxy/scale/AskersChild.java
+++ b/src/main/java/holdproxy/scale/AskersChild.java
@@ -148,7 +148,7 @@
         }
 
         @Override
-        public void tellFree(String to, String duty, long token) {
+        public void notifyFree(String to, String duty, long token) {
             // only a voter's lease client tells others
         }
 
--- a/src/main/java/holdproxy/scale/DaemonFleet.java
+++ b/src/main/java/holdproxy/scale/DaemonFleet.java
@@ -164,8 +164,8 @@
                 ways.put(names.get(other), HollowWatches.text(memberAddress(other)));
             }
         }
-        DaemonText.PeersText peers =
-                new DaemonText.PeersText(
+        DaemonText.CooperationText peers =
+                new DaemonText.CooperationText(
                         HollowWatches.text(memberAddress(i)),
                         List.of(HollowWatches.text(memberAddress(0))),
                         ways,
--- a/src/main/java/holdproxy/scale/DeliveryCheck.java
+++ b/src/main/java/holdproxy/scale/DeliveryCheck.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Whether what a proxy is offered is the history: each state newer than the one before, each change right after
- * its predecessor. Only a snapshot, which comes without changes, may leave some out.
+ * Whether what a proxy is offered is the history: each state newer than the one before, each change
+ * right after its predecessor. Only a snapshot, which comes without changes, may leave some out.
  */
 final class DeliveryCheck {
     private Position last = Position.NONE;
--- a/src/main/java/holdproxy/scale/MembershipBySize.java
+++ b/src/main/java/holdproxy/scale/MembershipBySize.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-import holdproxy.lab.TrialTime;
+import holdproxy.lab.SimulatedClock;
 import holdproxy.membership.Change;
 import holdproxy.membership.Member;
 import holdproxy.membership.Membership;
@@ -77,7 +77,7 @@
 
     /** All members, in virtual time. */
     private static final class Fleet {
-        private final TrialTime time = new TrialTime();
+        private final SimulatedClock time = new SimulatedClock();
         private final Random random = new Random(1);
         private final Map<String, Process> byAddress = new HashMap<>();
         private final List<Process> processes = new ArrayList<>();
