--- a/src/main/java/holdproxy/consensus/RaftGroup.java
+++ b/src/main/java/holdproxy/consensus/RaftGroup.java
@@ -1,14 +1,12 @@
 package holdproxy.consensus;
 
 import holdproxy.input.BadInput;
-import io.microraft.MembershipChangeMode;
 import io.microraft.Ordered;
 import io.microraft.RaftConfig;
 import io.microraft.RaftEndpoint;
 import io.microraft.RaftNode;
 import io.microraft.RaftNodeStatus;
 import io.microraft.RaftRole;
-import io.microraft.lifecycle.RaftNodeLifecycleAware;
 import io.microraft.model.message.AppendEntriesRequest;
 import io.microraft.model.message.InstallSnapshotRequest;
 import io.microraft.model.message.RaftMessage;
@@ -16,19 +14,15 @@
 import io.microraft.report.RaftNodeReportListener;
 import io.microraft.transport.Transport;
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Objects;
 import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.Consumer;
 
 /**
  * A process's part in a consensus group: a voter keeps the log, everybody else asks the voters. Time, chance,
@@ -41,9 +35,6 @@
     /** In every frame of the group: not to be changed. */
     private static final String GROUP = "council";
 
-    /** What a leader begins its term with; no state machine has an operation like it. */
-    private static final String NEW_TERM = "a new term";
-
     private static final int ELECTION_MS = 1_000;
     private static final int HEARTBEAT_S = 1;
     private static final int SILENCE_S = 5;
@@ -53,21 +44,9 @@
     /** Entries in one frame; each is at most a published change of 64 KiB, and a frame holds 1 MiB. */
     private static final int MOST_ENTRIES_AT_ONCE = 12;
 
-    private static final int MOST_ASKED = 1_000;
-
-    /** One voter is waited for so long before the next is asked. */
-    private static final long ASK_US = 300_000;
-
-    /** And after it has said that it does not lead, and knows nobody who does. */
-    private static final long AGAIN_US = 30_000;
-
     private static final long STEP_DOWN_US = 500_000;
     private static final long ADMIT_US = 500_000;
 
-    /** Four times as long as a leader may be silent, seen so often in turn. */
-    private static final long STUCK_US = 4_000_000;
-
-    private static final int STUCK_LOOKS = 3;
     private static final long LOOK_US = 500_000;
 
     /** What the process around it offers. */
@@ -91,9 +70,6 @@
         void out(String why);
     }
 
-    private record Asked(
-            Object operation, long endUs, CompletableFuture<Object> answer, String to) {}
-
     private final String name;
     private final List<String> voters;
 
@@ -102,25 +78,18 @@
 
     private final Host host;
     private final Random random;
+    private final ProposalRouter proposals;
+    private final LeaderWatch leaderWatch = new LeaderWatch();
     private final StateMachine stateMachine;
     private final ScaledClock clock;
-    private final Map<Long, Asked> asked = new HashMap<>();
     private RaftNode node;
     private Voter self;
-    private long asks;
-    private String leader = "";
-    private int nextVoter;
     private boolean leading;
     private boolean failed;
     private boolean ended;
 
     /** Of the node in use: what an earlier one still reports is nothing any more. */
-    private Machine machine;
-
-    private long heardLeaderUs;
-
-    /** Whether it ever heard a leader, or was one, since it began. */
-    private boolean knewLeader;
+    private StateMachineAdapter adapter;
 
     /**
      * {@code voters}: names of those that may be asked, this process among them or not.
@@ -134,9 +103,7 @@
         this.random = random;
         this.stateMachine = stateMachine;
         clock = new ScaledClock(host);
-        nextVoter = random.nextInt(Math.max(1, voters.size()));
-        // not from 0: an answer to an earlier generation of this name may still be under way
-        asks = random.nextLong() >>> 2;
+        proposals = new ProposalRouter(name, others, voters.size(), host, random, new LocalNode());
     }
 
     /**
@@ -187,7 +154,7 @@
     public void begin(Disk disk) {
         if (voters.contains(name)) {
             open(disk);
-            watch(disk, 0);
+            watch(disk);
         }
     }
 
@@ -196,25 +163,19 @@
      * leader's arrives while it asks others whether to stand for election. Begun again from its disk, as
      * after a crash, it is free of that.
      */
-    private void watch(Disk disk, int before) {
+    private void watch(Disk disk) {
         if (ended || !votes()) {
             return;
         }
-        boolean waits =
-                node.getTerm().getLeaderEndpoint() != null
-                        && !leading
-                        && host.nowUs() - heardLeaderUs > STUCK_US;
-        int times = waits ? before + 1 : 0;
-        if (times == STUCK_LOOKS) {
-            machine = null;
+        boolean follows = node.getTerm().getLeaderEndpoint() != null && !leading;
+        if (leaderWatch.isStuck(follows, host.nowUs())) {
+            adapter = null;
             node.terminate();
             stateMachine.clear();
-            heardLeaderUs = host.nowUs();
+            leaderWatch.restarted(host.nowUs());
             open(disk);
-            times = 0;
         }
-        int now = times;
-        host.after(LOOK_US, () -> watch(disk, now));
+        host.after(LOOK_US, () -> watch(disk));
     }
 
     private void open(Disk disk) {
@@ -223,7 +184,7 @@
             kept.onFailure(this::diskFailed);
             boolean isNew = kept.localVoter() == null;
             self = isNew ? new Voter(name, random.nextLong() >>> 1 | 1) : kept.localVoter();
-            machine = new Machine();
+            adapter = new StateMachineAdapter(stateMachine, this::terminated);
             RaftNode.RaftNodeBuilder builder =
                     RaftNode.newBuilder()
                             .setGroupId(GROUP)
@@ -232,9 +193,9 @@
                             .setClock(clock)
                             .setRandom(random)
                             .setTransport(new Outward())
-                            .setStateMachine(machine)
+                            .setStateMachine(adapter)
                             .setStore(kept)
-                            .setRaftNodeReportListener(new Heard(machine));
+                            .setRaftNodeReportListener(new Heard(adapter));
             if (isNew) {
                 builder.setLocalEndpoint(self).setInitialGroupMembers(initialVoters(voters));
             } else {
@@ -281,10 +242,7 @@
      * Long#MAX_VALUE} where it has never heard one.
      */
     public long leaderSilentUs() {
-        if (leading) {
-            return 0;
-        }
-        return knewLeader ? host.nowUs() - heardLeaderUs : Long.MAX_VALUE;
+        return leading ? 0 : leaderWatch.silentUs(host.nowUs());
     }
 
     /** Whether it takes part in votes. */
@@ -349,74 +307,10 @@
      * than once.
      */
     public CompletableFuture<Object> propose(Object operation, long withinUs) {
-        CompletableFuture<Object> answer = new CompletableFuture<>();
-        if (asked.size() >= MOST_ASKED) {
-            answer.completeExceptionally(new IOException("too much is asked at once"));
-            return answer;
-        }
-        ask(operation, host.nowUs() + withinUs, answer);
-        return answer;
-    }
-
-    private void ask(Object operation, long endUs, CompletableFuture<Object> answer) {
-        if (answer.isDone()) {
-            return;
-        }
-        if (host.nowUs() >= endUs) {
-            answer.completeExceptionally(
-                    new IOException("the consensus group has not answered in time"));
-            return;
-        }
-        if (leading) {
-            boolean[] over = {false};
-            replicate(
-                    operation,
-                    (value, why) -> {
-                        if (why == null) {
-                            answer.complete(value);
-                        } else if (!over[0]) {
-                            over[0] = true;
-                            host.after(AGAIN_US, () -> ask(operation, endUs, answer));
-                        }
-                    });
-            // a leader without a majority never hears of it
-            host.after(
-                    Math.min(ASK_US * 4, endUs - host.nowUs()),
-                    () -> {
-                        if (!over[0]) {
-                            over[0] = true;
-                            ask(operation, endUs, answer);
-                        }
-                    });
-            return;
-        }
-        if (others.isEmpty()) {
-            host.after(ASK_US, () -> ask(operation, endUs, answer));
-            return;
-        }
-        String to =
-                others.contains(leader)
-                        ? leader
-                        : others.get(Math.floorMod(nextVoter++, others.size()));
-        long number = ++asks;
-        asked.put(number, new Asked(operation, endUs, answer, to));
-        host.send(to, RaftCodec.bytes(Arrays.asList("ask", name, number, operation)));
-        host.after(
-                Math.min(ASK_US, endUs - host.nowUs()),
-                () -> {
-                    Asked mine = asked.remove(number);
-                    if (mine != null) {
-                        leader = leader.equals(mine.to) ? "" : leader;
-                        ask(operation, endUs, answer);
-                    }
-                });
-    }
-
-    private interface Result {
-        void of(Object value, Throwable failed);
+        return proposals.propose(operation, withinUs);
     }
 
-    private void replicate(Object operation, Result result) {
+    private void replicate(Object operation, ProposalRouter.Result result) {
         Object known = stateMachine.atOnce(operation);
         if (known != null) {
             host.after(0, () -> result.of(known, null));
@@ -436,8 +330,8 @@
         RaftCodec.Parts p = RaftCodec.parts(frame);
         switch (p.text()) {
             case "raft" -> raft(p.text(), p.value());
-            case "ask" -> asks(p.text(), p.number(), p.value());
-            case "answer" -> answered(p.number(), p.flag(), p.value(), p.text());
+            case "ask" -> asked(p.text(), p.number(), p.value());
+            case "answer" -> proposals.answered(p.number(), p.flag(), p.value(), p.text());
             case "admit" -> admit(p.voter());
             default -> throw new BadInput("a frame for the consensus group is of no known kind");
         }
@@ -451,16 +345,18 @@
             boolean leads =
                     read instanceof AppendEntriesRequest || read instanceof InstallSnapshotRequest;
             if (leads && read.getSender().equals(node.getTerm().getLeaderEndpoint())) {
-                heardLeaderUs = host.nowUs();
-                knewLeader = true;
+                leaderWatch.heard(host.nowUs());
             }
             node.handle(read);
         }
     }
 
-    private void asks(String who, long number, Object operation) {
+    private void asked(String who, long number, Object operation) {
         if (!leading || ended) {
-            host.send(who, RaftCodec.bytes(Arrays.asList("answer", number, false, null, leader)));
+            host.send(
+                    who,
+                    RaftCodec.bytes(
+                            Arrays.asList("answer", number, false, null, proposals.leader())));
             return;
         }
         replicate(
@@ -474,23 +370,7 @@
                                                 number,
                                                 why == null,
                                                 value,
-                                                why == null ? name : leader))));
-    }
-
-    private void answered(long number, boolean done, Object value, String whoLeads) {
-        Asked mine = asked.remove(number);
-        if (mine == null) {
-            return; // too late: it was asked for again
-        }
-        leader = whoLeads;
-        if (done) {
-            mine.answer.complete(value);
-        } else {
-            // nobody may lead for a moment: not at once again
-            host.after(
-                    whoLeads.isEmpty() || whoLeads.equals(mine.to) ? AGAIN_US : 0,
-                    () -> ask(mine.operation, mine.endUs, mine.answer));
-        }
+                                                why == null ? name : proposals.leader()))));
     }
 
     // ---- members ----
@@ -505,36 +385,17 @@
         host.after(ADMIT_US, this::askToBeAdmitted);
     }
 
-    /** A step at a time: out with what this name was before, in with what it is, first without a vote. */
     private void admit(Voter newcomer) {
-        if (!leading || ended || newcomer == null || !voters.contains(newcomer.name())) {
-            return;
-        }
-        var members = node.getEffectiveMembers();
-        if (members.getLogIndex() != node.getCommittedMembers().getLogIndex()) {
-            return; // a change is under way; it asks again
-        }
-        Optional<RaftEndpoint> before =
-                members.getMembers().stream()
-                        .filter(
-                                s ->
-                                        ((Voter) s).name().equals(newcomer.name())
-                                                && !s.equals(newcomer))
-                        .findFirst();
-        if (before.isPresent()) {
-            change(before.get(), MembershipChangeMode.REMOVE_MEMBER, members.getLogIndex());
-        } else if (!members.getMembers().contains(newcomer)) {
-            change(newcomer, MembershipChangeMode.ADD_LEARNER, members.getLogIndex());
-        } else if (!members.getVotingMembers().contains(newcomer)) {
-            change(
-                    newcomer,
-                    MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER,
-                    members.getLogIndex());
+        if (leading && !ended && newcomer != null && voters.contains(newcomer.name())) {
+            VoterAdmission.step(node, newcomer);
         }
     }
 
-    private void change(RaftEndpoint who, MembershipChangeMode mode, long index) {
-        node.changeMembership(who, mode, index); // where it fails the newcomer asks again
+    private void terminated(StateMachineAdapter of) {
+        if (!ended && !failed && adapter == of) {
+            lead(false);
+            host.out("another has been let in in its place");
+        }
     }
 
     // ---- what MicroRaft is given ----
@@ -557,52 +418,32 @@
         }
     }
 
-    private final class Machine
-            implements io.microraft.statemachine.StateMachine, RaftNodeLifecycleAware {
-        @Override
-        public Object runOperation(long index, Object operation) {
-            return NEW_TERM.equals(operation) ? null : stateMachine.apply(index, operation);
-        }
-
+    private final class LocalNode implements ProposalRouter.LocalNode {
         @Override
-        public void takeSnapshot(long index, Consumer<Object> parts) {
-            stateMachine.snapshot().forEach(parts);
+        public boolean leads() {
+            return leading;
         }
 
         @Override
-        public void installSnapshot(long index, List<Object> parts) {
-            stateMachine.restore(new ArrayList<>(parts));
-        }
-
-        @Override
-        public Object getNewTermOperation() {
-            // without an entry of its own term a leader can commit nothing of the terms before
-            return NEW_TERM;
-        }
-
-        @Override
-        public void onRaftNodeTerminate() {
-            if (!ended && !failed && machine == this) {
-                lead(false);
-                host.out("another has been let in in its place");
-            }
+        public void replicate(Object operation, ProposalRouter.Result result) {
+            RaftGroup.this.replicate(operation, result);
         }
     }
 
     private final class Heard implements RaftNodeReportListener {
-        private final Machine of;
+        private final StateMachineAdapter of;
 
-        Heard(Machine of) {
+        Heard(StateMachineAdapter of) {
             this.of = of;
         }
 
         @Override
         public void accept(RaftNodeReport report) {
-            if (machine != of) {
+            if (adapter != of) {
                 return;
             }
             RaftEndpoint now = report.getTerm().getLeaderEndpoint();
-            leader = now == null || failed ? "" : ((Voter) now).name();
+            proposals.leader(now == null || failed ? "" : ((Voter) now).name());
             lead(!failed && Objects.equals(now, self) && report.getRole() == RaftRole.LEADER);
         }
     }
@@ -610,8 +451,7 @@
     private void lead(boolean now) {
         if (leading != now) {
             leading = now;
-            heardLeaderUs = host.nowUs();
-            knewLeader = true;
+            leaderWatch.heard(host.nowUs());
             host.leads(now);
         }
     }
