--- a/src/test/java/holdproxy/net/Peer.java
+++ b/src/test/java/holdproxy/net/Peer.java
@@ -86,7 +86,12 @@
         private final List<Peer> all = new CopyOnWriteArrayList<>();
 
         Listener() throws IOException {
-            server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
+            this(0);
+        }
+
+        /** On this port, which another listener may have had before; 0: any. */
+        Listener(int port) throws IOException {
+            server = new ServerSocket(port, 64, InetAddress.getLoopbackAddress());
             Thread thread = new Thread(this::accept, "listener");
             thread.setDaemon(true);
             thread.start();
@@ -108,6 +113,10 @@
             return "127.0.0.1:" + server.getLocalPort();
         }
 
+        int port() {
+            return server.getLocalPort();
+        }
+
         Peer next() throws InterruptedException {
             Peer p = accepted.poll(WAIT_MS, TimeUnit.MILLISECONDS);
             if (p == null) {
