--- a/src/main/java/holdproxy/scale/ConnectionsByNodes.java
+++ b/src/main/java/holdproxy/scale/ConnectionsByNodes.java
@@ -24,7 +24,10 @@
     /** Of a proxy's configuration: what it may have open together. */
     private static final double MOST_SOCKETS = 1024;
 
-    private static final Load LOAD = new Load(400, 1, 20_000, 0.9, 0, List.of(1.0));
+    /** Of all proxies together, what one of the target fleet has to serve. */
+    private static final double REQUESTS_PER_S = 738;
+
+    private static final Load LOAD = new Load(REQUESTS_PER_S, 1, 20_000, 0.9, 0, List.of(1.0));
     private static final int REGISTER_SLOTS = 400;
     private static final long REGISTER_US = 5_000;
     private static final int FIRST_FLEET = 30;
@@ -38,7 +41,7 @@
                 findings.add(
                         Series.of(
                                 "proxy",
-                                "whole daemon under 400 requests/s in all",
+                                "whole daemon under load",
                                 "MB resident",
                                 "nodes",
                                 ALL_TO_ALL,
--- a/src/main/java/holdproxy/scale/ReloadByCount.java
+++ b/src/main/java/holdproxy/scale/ReloadByCount.java
@@ -12,6 +12,9 @@
     private static final InetSocketAddress NOWHERE = LoopbackNetwork.address(0, 0, 1, 1);
     private static final int FLEET = 1;
 
+    /** A daemon's log holds back what comes more often. */
+    private static final double BETWEEN_S = 0.3;
+
     /** Reloads until the code is compiled. */
     private static final int WARM_UP = 60;
 
@@ -73,6 +76,7 @@
             Latencies.record(inForce, (System.nanoTime() - startNs) / 1000);
             bytes += Files.size(daemon.file);
         }
+        RunContext.pause(BETWEEN_S);
         return bytes;
     }
 }
--- a/src/main/java/holdproxy/scale/ScaleCommand.java
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -14,6 +14,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
+import java.util.function.Consumer;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -41,8 +42,8 @@
         return Commands.run(new ScaleCommand(), args);
     }
 
-    /** Plays a run whose machine has been checked. */
-    static Findings play(ScaleFile file, Path folder) throws Exception {
+    /** Plays a run whose machine has been checked; {@code kept} takes what is known after each measurement. */
+    static Findings play(ScaleFile file, Path folder, Consumer<Findings> kept) throws Exception {
         long startNs = System.nanoTime();
         Findings findings = new Findings();
         try (Keeper keeper = Keeper.start(ProgramLine.of("32m", List.of(), "scale", "keep"))) {
@@ -58,6 +59,7 @@
                                             text));
             for (MeasureSpec each : file.measurements()) {
                 each.kind().measurement.measure(each, context, findings);
+                kept.accept(findings);
             }
         }
         return findings;
@@ -91,15 +93,13 @@
                     logs == null
                             ? Files.createTempDirectory("scale")
                             : Files.createDirectories(logs);
-            Findings findings = play(scale, folder);
-            String machine = before + ", at the end " + Machine.load();
             Path to =
                     out == null
                             ? Files.createDirectories(Path.of("scale", "results"))
                                     .resolve(scale.name() + ".json")
                             : out;
-            ResultFile result = new ResultFile(scale.name(), began, machine, findings);
-            result.write(to);
+            Findings findings = play(scale, folder, f -> result(scale, began, before, f).write(to));
+            ResultFile result = ResultFile.read(to);
             System.out.print(SlopeTables.of(List.of(result)));
             if (plot != null) {
                 SlopePicture.write(result, plot);
@@ -107,6 +107,12 @@
             System.out.println("result in " + to + ", logs in " + folder);
             return findings.kept() ? 0 : 1;
         }
+
+        private static ResultFile result(
+                ScaleFile scale, String began, String before, Findings findings) {
+            String machine = before + ", at the end " + Machine.load();
+            return new ResultFile(scale.name(), began, machine, findings);
+        }
     }
 
     /** {@code scale tables RESULT...}: the tables of docs/CAPACITY.md. */
--- a/src/main/java/holdproxy/scale/SlopeTables.java
+++ b/src/main/java/holdproxy/scale/SlopeTables.java
@@ -1,15 +1,34 @@
 package holdproxy.scale;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.stream.Collectors;
 
 /** The tables of {@code docs/CAPACITY.md}, in Markdown: the same text for the same results. */
 final class SlopeTables {
     private static final int LEAST_POINTS = 3;
 
+    private static final int FITTED_COLUMNS = 5;
+    private static final List<String> SLOPE_COLUMNS =
+            List.of(
+                    "quantity",
+                    "unit",
+                    "n",
+                    "measured, by n",
+                    "a",
+                    "b",
+                    "r²",
+                    "a + b n at the target (95%)",
+                    "of that each",
+                    "target n",
+                    "extrapolated",
+                    "budget",
+                    "run");
+
     private SlopeTables() {}
 
     static String of(List<ResultFile> results) {
@@ -24,61 +43,50 @@
     private record Row(ResultFile result, Series series) {}
 
     private static void slopes(List<ResultFile> results, StringBuilder text) {
-        Map<String, List<Row>> byRole = new LinkedHashMap<>();
+        Map<String, List<Row>> groups = new LinkedHashMap<>();
         for (ResultFile result : results) {
             for (Series series : result.findings().series()) {
-                byRole.computeIfAbsent(series.role(), role -> new ArrayList<>())
+                String group = series.role() + ": " + series.mechanism();
+                groups.computeIfAbsent(group, name -> new ArrayList<>())
                         .add(new Row(result, series));
             }
         }
-        byRole.forEach(
-                (role, rows) -> {
-                    text.append("### ").append(role).append("\n\n");
-                    line(
-                            text,
-                            "quantity",
-                            "unit",
-                            "n",
-                            "a ± error",
-                            "b ± error",
-                            "r²",
-                            "measured at n",
-                            "target n",
-                            "at the target (95%)",
-                            "beyond the largest",
-                            "budget",
-                            "mechanism",
-                            "run");
-                    line(
-                            text, "---", "---", "---", "---:", "---:", "---:", "---", "---:",
-                            "---:", "---:", "---:", "---", "---");
-                    rows.forEach(row -> slope(row, text));
+        groups.forEach(
+                (group, rows) -> {
+                    text.append("### ").append(group).append("\n\n");
+                    line(text, SLOPE_COLUMNS);
+                    line(text, Collections.nCopies(SLOPE_COLUMNS.size(), "---"));
+                    rows.forEach(row -> line(text, slope(row)));
                     text.append('\n');
                 });
     }
 
-    private static void slope(Row row, StringBuilder text) {
+    private static List<String> slope(Row row) {
         Series s = row.series();
+        List<String> cells =
+                new ArrayList<>(List.of(s.quantity(), s.unit(), s.variable(), measured(s)));
         Fit fit = s.fit();
-        boolean fitted = s.points().size() >= LEAST_POINTS;
-        String sizes = String.join(", ", s.points().stream().map(p -> figure(p.x())).toList());
-        line(
-                text,
-                s.quantity(),
-                s.unit(),
-                s.variable(),
-                fitted ? figure(fit.a()) + " ± " + figure(fit.aError()) : "not fitted",
-                fitted ? figure(fit.b()) + " ± " + figure(fit.bError()) : "not fitted",
-                fitted ? String.format(Locale.ROOT, "%.3f", fit.r2()) : "",
-                sizes,
-                figure(s.target()),
-                fitted
-                        ? figure(fit.at(s.target())) + " ± " + figure(fit.errorAt(s.target()))
-                        : "not fitted",
-                s.largest() >= s.target() ? "none" : "x " + figure(s.target() / s.largest()),
-                budget(s, fit, fitted),
-                s.mechanism(),
-                row.result().run());
+        if (s.points().size() < LEAST_POINTS) {
+            cells.addAll(Collections.nCopies(FITTED_COLUMNS, "not fitted"));
+        } else {
+            double target = fit.at(s.target());
+            cells.add(figure(fit.a()) + " ± " + figure(fit.aError()));
+            cells.add(figure(fit.b()) + " ± " + figure(fit.bError()));
+            cells.add(String.format(Locale.ROOT, "%.3f", fit.r2()));
+            cells.add(figure(target) + " ± " + figure(fit.errorAt(s.target())));
+            cells.add(figure(target / s.target()));
+        }
+        cells.add(figure(s.target()));
+        cells.add(s.largest() >= s.target() ? "no" : figure(s.target() / s.largest()) + " times");
+        cells.add(budget(s, fit, s.points().size() >= LEAST_POINTS));
+        cells.add(row.result().run());
+        return cells;
+    }
+
+    private static String measured(Series series) {
+        return series.points().stream()
+                .map(point -> figure(point.x()) + ": " + figure(point.y()))
+                .collect(Collectors.joining("; "));
     }
 
     private static String budget(Series s, Fit fit, boolean fitted) {
@@ -133,6 +141,10 @@
     }
 
     private static void line(StringBuilder text, String... cells) {
+        line(text, List.of(cells));
+    }
+
+    private static void line(StringBuilder text, List<String> cells) {
         text.append("| ").append(String.join(" | ", cells)).append(" |\n");
     }
 
