--- a/src/main/java/holdproxy/lab/FanoutSimulation.java
+++ b/src/main/java/holdproxy/lab/FanoutSimulation.java
@@ -443,7 +443,7 @@
                 harmed(any(proxies)).standStill(forUs + 5 * SECOND_US);
                 publishBurst(BURST_CHANGES);
             }
-            case CONTROL_LOST -> endControl(any(controls), forUs);
+            case CONTROL_LOST -> endControl(any(currentControls()), forUs);
             case DUPLICATES_AND_REORDERING -> scramble(forUs);
             case ALL_AT_ONCE -> restartProxies(List.copyOf(living(proxies)), 0);
             case SITE_RESTARTED -> restartSite(anyRelay(), forUs / 4);
@@ -461,6 +461,11 @@
         return living.get(random.nextInt(living.size()));
     }
 
+    /** Those whose log is not over. */
+    private List<Control> currentControls() {
+        return controls.stream().filter(control -> control != outdated).toList();
+    }
+
     private SiteRelay anyRelay() {
         return any(relays);
     }
--- a/src/test/java/holdproxy/fanout/RelayTest.java
+++ b/src/test/java/holdproxy/fanout/RelayTest.java
@@ -58,16 +58,16 @@
     }
 
     private void publish(long nowUs, int valueBytes) {
-        published++;
-        log.append(
-                new Publication(
-                        1,
-                        "id-" + published,
-                        new TreeMap<>(Map.of("key-" + published, Value.of(new byte[valueBytes]))),
-                        new TreeSet<>()));
+        append("key-" + (published + 1), valueBytes);
         relay.advanced(nowUs);
     }
 
+    private void append(String key, int valueBytes) {
+        published++;
+        TreeMap<String, Value> puts = new TreeMap<>(Map.of(key, Value.of(new byte[valueBytes])));
+        log.append(new Publication(1, "id-" + published, puts, new TreeSet<>()));
+    }
+
     private void subscribe(long nowUs, long link, Position held) {
         relay.receive(nowUs, link, new Subscribe("proxy-" + link, held));
     }
@@ -200,6 +200,34 @@
         assertTrue(sent(1, SnapshotPart.class).size() >= 1);
     }
 
+    @Test
+    void aSourceThatCatchesUpDoesNotFloodThoseThatWereUpToDate() {
+        log.found(5);
+        subscribe(0, 1, at(0));
+        subscribe(0, 2, at(0));
+        for (int i = 0; i < 6; i++) {
+            append("key-" + i, 30_000);
+        }
+        relay.advanced(1);
+        assertEquals(1, sent(1, Batch.class).size());
+        assertEquals(0, sent(2, Batch.class).size());
+        assertEquals(2, relay.status(1).catchingUp());
+    }
+
+    @Test
+    void whoLacksMoreThanTheWholeStateGetsTheState() {
+        log.found(5);
+        for (int i = 0; i < 6; i++) {
+            append("the same key", 30_000);
+        }
+        subscribe(0, 1, at(0));
+        assertEquals(at(6), sent(1, SnapshotPart.class).get(0).position());
+        assertEquals(0, sent(1, Batch.class).size());
+        subscribe(0, 2, at(5));
+        relay.tick(SECOND);
+        assertEquals(1, sent(2, Batch.class).size());
+    }
+
     @Test
     void moreThanTheBoundAndHolderOfALaterEpochAreRefused() {
         log.found(5);
