--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -179,34 +179,21 @@
             Consumer<String> lines) {
         Time time = Time.system();
         try {
-            Proxy proxy =
-                    loop.submit(
-                                    () ->
-                                            new Proxy(
-                                                    config,
-                                                    loop,
-                                                    time,
-                                                    new Sockets(loop, inherited),
-                                                    new Log(time, lines)))
-                            .get();
-            loop.submit(
+            return loop.submit(
                             () -> {
+                                Proxy proxy =
+                                        new Proxy(
+                                                config,
+                                                loop,
+                                                time,
+                                                new Sockets(loop, inherited),
+                                                new Log(time, lines));
+                                // in the same turn: the first call goes by the list that is held
                                 proxy.begin();
-                                if (kept != null) {
-                                    // before anything is sent: what the process before this one was
-                                    // told holds here too
-                                    kept.all(
-                                            (node, out, at) ->
-                                                    proxy.members()
-                                                            .restore(
-                                                                    node,
-                                                                    out,
-                                                                    proxy.monotonic(at)));
-                                }
-                                return null;
+                                restore(proxy, kept);
+                                return proxy;
                             })
                     .get();
-            return proxy;
         } catch (ExecutionException e) {
             throw new BadInput("cannot start: " + e.getCause().getMessage());
         } catch (InterruptedException e) {
@@ -214,6 +201,13 @@
         }
     }
 
+    /** Before anything is sent: what the process before this one was told holds here too. */
+    private static void restore(Proxy proxy, KeptOut kept) throws IOException {
+        if (kept != null) {
+            kept.all((node, out, at) -> proxy.members().restore(node, out, proxy.monotonic(at)));
+        }
+    }
+
     static void listen(Proxy proxy, Config config, EventLoop loop, boolean inherited) {
         try {
             awaitFirstList(proxy, config, inherited);
--- a/src/main/java/holdproxy/scale/ScaleCommand.java
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -42,7 +42,10 @@
         return Commands.run(new ScaleCommand(), args);
     }
 
-    /** Plays a run whose machine has been checked; {@code kept} takes what is known after each measurement. */
+    /**
+     * Plays a run whose machine has been checked; {@code kept} takes what is known after each
+     * measurement.
+     */
     static Findings play(ScaleFile file, Path folder, Consumer<Findings> kept) throws Exception {
         long startNs = System.nanoTime();
         Findings findings = new Findings();
