--- a/src/main/java/holdproxy/scale/ScaleCommand.java
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -42,10 +42,7 @@
         return Commands.run(new ScaleCommand(), args);
     }
 
-    /**
-     * Plays a run whose machine has been checked; {@code kept} takes what is known after each
-     * measurement.
-     */
+    /** Plays a run whose machine has been checked; {@code kept} takes what is known after each part. */
     static Findings play(ScaleFile file, Path folder, Consumer<Findings> kept) throws Exception {
         long startNs = System.nanoTime();
         Findings findings = new Findings();
