--- a/src/test/java/holdproxy/net/SignalTest.java
+++ b/src/test/java/holdproxy/net/SignalTest.java
@@ -137,7 +137,10 @@
         assertEquals(0, process.exitValue());
     }
 
-    /** The words of the run line before the program's own, under a parent that ignores the signal. */
+    /**
+     * The words of the run line before the program's own, under a parent that ignores SIGHUP and nothing else:
+     * a build that runs in the background of a shell has SIGINT ignored as well.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "INT"})
     void theRunLineHasAllSignalsHeeded(String end) throws Exception {
@@ -147,6 +150,8 @@
         start(
                 "127.0.0.1:0",
                 List.of(
+                        "env",
+                        "--default-signal=INT,TERM",
                         "sh",
                         "-c",
                         "trap '' HUP; exec sh -c '" + before + "\"$@\"' sh \"$@\"",
