--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -368,7 +368,7 @@
             return false;
         }
         SnapshotPart part = snapshot.part(subscription.nextPart++);
-        subscription.sent(part, bytes, nowUs);
+        subscription.sent(part, nowUs);
         if (part.isLast()) {
             subscription.sent = snapshot.position();
             subscription.hadSnapshot = true;
@@ -408,7 +408,7 @@
     }
 
     private void sendBatch(long nowUs, Subscription subscription, Batch batch) {
-        subscription.sent(batch, bytes(batch), nowUs);
+        subscription.sent(batch, nowUs);
         subscription.sent = batch.last();
         batches++;
         output.send(subscription.link, batch);
--- a/src/main/java/holdproxy/fanout/Subscription.java
+++ b/src/main/java/holdproxy/fanout/Subscription.java
@@ -31,7 +31,9 @@
     /** The batch or part that waits for its acknowledgement, else null. */
     Message unacknowledged;
 
-    int unacknowledgedBytes;
+    /** A second batch or part has been sent while one was unacknowledged. */
+    boolean repeats;
+
     long sentUs;
     long heardUs;
     CoverageReport report = CoverageReport.EMPTY;
@@ -41,14 +43,19 @@
         this.name = name;
     }
 
-    /** It goes on from this position; what was under way does not count. */
+    /**
+     * It goes on from this position. What was under way may have been lost, so that it is sent once more; who
+     * subscribes again without acknowledging that waits, and is dropped in the end as any slow reader.
+     */
     void restart(Position from) {
         sent = from;
         held = from;
         fallBehind();
         abandonSnapshot();
-        unacknowledged = null;
-        unacknowledgedBytes = 0;
+        if (unacknowledged != null && !repeats) {
+            unacknowledged = null;
+            repeats = true;
+        }
     }
 
     void fallBehind() {
@@ -61,19 +68,21 @@
         nextPart = 0;
     }
 
-    void sent(Message message, int bytes, long nowUs) {
+    void sent(Message message, long nowUs) {
         if (unacknowledged == null) {
             sentUs = nowUs;
         }
         unacknowledged = message;
-        unacknowledgedBytes += bytes;
     }
 
     void acknowledged(Message.Acknowledge acknowledge) {
         held = acknowledge.received();
+        if (snapshot == null && held.epoch() == sent.epoch() && held.isAfter(sent)) {
+            sent = held;
+        }
         if (unacknowledged != null && covers(acknowledge)) {
             unacknowledged = null;
-            unacknowledgedBytes = 0;
+            repeats = false;
         }
     }
 
