--- a/src/main/java/holdproxy/lab/FanoutSimulation.java
+++ b/src/main/java/holdproxy/lab/FanoutSimulation.java
@@ -303,20 +303,7 @@
      * nothing.
      */
     private void contact() {
-        for (Control each : controls) {
-            if (each != outdated && !each.over && reachesMajority(each)) {
-                List<List<Object>> agreed = operations;
-                time.after(
-                        network.delayUs(each, controls.get(0)),
-                        () ->
-                                each.run(
-                                        () ->
-                                                each.catchUp(
-                                                        agreed == operations
-                                                                ? operations
-                                                                : List.of())));
-            }
-        }
+        replicate();
         time.after(CONTACT_US, this::contact);
     }
 
