--- a/src/main/java/holdproxy/net/Answer.java
+++ b/src/main/java/holdproxy/net/Answer.java
@@ -7,26 +7,26 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** One answer of a cache node. */
+/** A response from a cache node. */
 final class Answer {
     final Router.Outcome outcome;
 
-    /** The id that it names; null on an error line. */
+    /** The opaque id that it echoes; null on an error line. */
     String opaque;
 
     String receipt;
     byte[] value;
 
-    /** Its value is too large to be held and follows in pieces, of so many bytes together; else 0. */
+    /** Length of a value that is too large to buffer and follows in pieces; 0 if there is none. */
     int follows;
 
     Router.CacheNote note = Router.CacheNote.NONE;
     private String load;
 
-    /** Set where the node broke the protocol: what it sends after this cannot be told apart. */
+    /** Set when the node violated the protocol: what it sends after this cannot be decoded. */
     boolean broken;
 
-    /** The end of a value that came in pieces. */
+    /** Marks the end of a value that was delivered in pieces. */
     static final Object PIECED = new Object();
 
     private Answer(Router.Outcome outcome) {
@@ -45,7 +45,7 @@
                     double value = Double.parseDouble(field.substring(eq + 1));
                     SettingsText.report(field.substring(0, eq), value, report);
                 } catch (NumberFormatException e) {
-                    // a figure that is none tells nothing
+                    // ignore a malformed load value
                 }
             }
         }
@@ -55,7 +55,10 @@
         return value != null || follows > 0;
     }
 
-    /** The lines for the client, but for what follows; what the node tells the proxy alone is left out. */
+    /**
+     * Encodes the response for the client. A value that follows in pieces is not included, nor are flags that
+     * are meant for the proxy only.
+     */
     ByteBuf encode(ByteBufAllocator alloc) {
         int length = value == null ? follows : value.length;
         ByteBuf out =
@@ -121,7 +124,7 @@
                             a.note = t.equals("h1") ? Router.CacheNote.HIT : Router.CacheNote.MISS;
                     case 'Z' -> fetching = true;
                     case 'L' -> a.load = t.substring(1);
-                    default -> {} // a flag not known here
+                    default -> {} // ignore unknown flags
                 }
             }
             if (fetching && a.note == Router.CacheNote.MISS) {
--- a/src/main/java/holdproxy/net/Attempt.java
+++ b/src/main/java/holdproxy/net/Attempt.java
@@ -3,30 +3,30 @@
 import holdproxy.policy.Router;
 import io.netty.util.concurrent.Future;
 
-/** One sending of a request to a cache node: from the module's wish to exactly one outcome. */
+/** One attempt at a request on one cache node, from the router's decision to its single outcome. */
 final class Attempt {
     final Exchange exchange;
     final int number;
     final long sentUs;
 
-    /** For how long the loop had ever stood still when it was sent. */
+    /** Total time that the event loop had been stalled when the attempt was sent. */
     final long stoodStillUs;
 
-    /** How long the proxy waits for it. */
+    /** How long the proxy waits for the response. */
     final long waitUs;
 
-    /** Whether its last byte has gone to the kernel: from there on it may run. */
+    /** Whether its last byte has been handed to the kernel; from then on the node may execute it. */
     boolean written;
 
     boolean over;
 
-    /** Its outcome proves that the node did no work on it. */
+    /** Whether its outcome proves that the node did no work on it. */
     boolean neverRan;
 
-    /** When its last byte has to be out at the latest; one that is late is broken off before that. */
+    /** Deadline for sending its last byte; an attempt that misses it is aborted before that byte is sent. */
     final long lastByteByUs;
 
-    /** What the first bytes of a value that is relayed took, less our own standstills; -1: none have come. */
+    /** Latency of the first bytes of a streamed value, less event loop stalls; -1 until they arrive. */
     long firstBytesUs = -1;
 
     NodeConnection connection;
@@ -41,7 +41,7 @@
         lastByteByUs = exchange.lastByteByUs();
     }
 
-    /** What a broken connection means for it. */
+    /** The outcome if its connection breaks. */
     Router.Outcome broken() {
         return written ? Router.Outcome.RESET : Router.Outcome.CONNECT_FAILED;
     }
--- a/src/main/java/holdproxy/net/ClientSession.java
+++ b/src/main/java/holdproxy/net/ClientSession.java
@@ -11,37 +11,43 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** One client connection: its requests in order, each with one answer, written in that order. */
+/** One client connection. Each request gets exactly one response, written in request order. */
 final class ClientSession extends SimpleChannelInboundHandler<Object> {
-    /** So many may wait for their answers; those that come on top are refused, each in its turn. */
+    /** Requests that may wait for their responses; further ones are refused, in order. */
     private static final int MOST_WAITING = 128;
 
     private static final String BUSY = "SERVER_ERROR busy";
     private static final String FAILED = "SERVER_ERROR failed";
 
-    /** One that takes nothing of its answers for so long has gone, though its end may never come. */
+    /** A client that takes none of its responses for this long is gone, though it may never disconnect. */
     private static final int UNTAKEN_MS = 10_000;
 
     private static final int LINGER_MS = 500;
     private static final int LINGER_MOST_MS = 10_000;
 
-    /** One that has sent no whole command is owed an error or its end within 3 s; it holds a place. */
+    /**
+     * A client that sends no complete command must get an error or be disconnected within 3 s, because it
+     * occupies a connection.
+     */
     static final int UNHEARD_MS = 2500;
 
-    /** Within 6 s where much is sent: for as long as more of it has come within this time. */
+    /**
+     * A client that is sending a large value must be disconnected within 6 s. It keeps its connection up to
+     * this limit as long as it has sent more of the value within {@link #AT_WORK_MS}.
+     */
     private static final int UNHEARD_LARGE_MS = 5_500;
 
     private static final int AT_WORK_MS = 400;
 
-    /** A request's place in the order of answers. */
+    /** A request's position in the response order. */
     static final class Slot {
         private ByteBuf answer;
         private Exchange exchange;
 
-        /** Gives the answer as it comes; null where it is given whole. */
+        /** Streams the value; null for a response that is written whole. */
         private Relay relay;
 
-        /** Not one request but so many running that were refused for want of room: counted and not held. */
+        /** This slot stands for this many consecutive refused requests, which are counted but not stored. */
         private int refused;
 
         private boolean due() {
@@ -55,10 +61,10 @@
     private Future<?> unheard;
     private Future<?> stuck;
 
-    /** When more of a large value came last. */
+    /** When the last part of a large value arrived. */
     private long moreUs = Long.MIN_VALUE / 2;
 
-    /** Bytes of whole answers that the client has not taken. */
+    /** Bytes of complete responses that have not been written to the client's socket. */
     private int untaken;
 
     private boolean unread;
@@ -85,7 +91,7 @@
         proxy.reception.opened(this);
     }
 
-    /** A client that is at work on a large value has longer. */
+    /** Ends a connection without a complete command; a client still sending a large value gets more time. */
     private void unheard(ChannelHandlerContext ctx, int afterMs) {
         if (proxy.now() - moreUs <= AT_WORK_MS * 1000L && afterMs < UNHEARD_LARGE_MS) {
             unheard =
@@ -95,7 +101,7 @@
                                     AT_WORK_MS,
                                     TimeUnit.MILLISECONDS);
         } else {
-            // the answer to a command that crosses it too: such a one is not sent on
+            // also the response to a command that arrives meanwhile, which is not forwarded
             channel.write(line("CLIENT_ERROR no command"));
             end();
         }
@@ -105,7 +111,7 @@
         return slots.isEmpty();
     }
 
-    /** No place is left for this connection: its requests are refused, and it ends after the first. */
+    /** The connection limit is reached: this connection is closed after refusing its first request. */
     void refuse() {
         refusing = true;
     }
@@ -118,8 +124,8 @@
         }
         unheard.cancel(false);
         if (unread) {
-            return; // behind a lost framing, or after the end of our sending: the client asks again
-            // elsewhere
+            // framing is lost or output is shut down: the client has to retry elsewhere
+            return;
         }
         if (closing || slots.size() >= MOST_WAITING) {
             turnAway(message);
@@ -145,9 +151,9 @@
     }
 
     /**
-     * No room, or no time before its end. The connection is read on in any case: else it would not be seen
-     * that the client has left, and what it waits for would still be sent on. So whatever comes on top is
-     * refused in its turn, and bounded memory is a matter of counting.
+     * Refuses a request because too many are waiting or the connection is closing. Reading goes on even then:
+     * otherwise the client's disconnect would go unnoticed and its waiting requests would still be sent to
+     * nodes. Refused requests are only counted, which bounds memory, and are answered in order.
      */
     private void turnAway(Object message) {
         if (message instanceof Command.Fault f && f.close()) {
@@ -190,8 +196,8 @@
                                     () -> {
                                         if (slots.isEmpty()
                                                 || slots.peek().relay
-                                                        == null) { // a relay looks after its own
-                                            // client
+                                                        == null) {
+                                            // a relay watches its client itself
                                             channel.close();
                                         }
                                     },
@@ -209,9 +215,9 @@
     }
 
     /**
-     * The one answer of this place; it goes out once those before it have. False: an error stands in its
-     * place, since clients that do not take their answers must not fill our memory with them, nor cost
-     * those that do theirs.
+     * Sets the response of a slot; it is written once those before it have been. Returns false if an error
+     * replaced it: clients that do not read their responses must neither fill the proxy's memory nor take
+     * room from clients that do.
      */
     boolean answer(Slot slot, ByteBuf answer) {
         if (slot.answer != null || !channel.isActive()) {
@@ -235,10 +241,10 @@
         proxy.untaken(change);
     }
 
-    /** Writes what is answered and due while the client takes it, and lets a relay go on whose turn it is. */
+    /** Writes ready responses in order while the channel is writable, then resumes a relay that is first. */
     private void advance() {
         if (advancing) {
-            return; // a flush made room: the loop below goes on
+            return; // called from a flush in the loop below, which continues
         }
         advancing = true;
         boolean any = false;
@@ -260,7 +266,7 @@
         }
     }
 
-    /** The answer of the first place, or one of its refusals; false where it has none yet. */
+    /** Writes the response, or one refusal, of the first slot; returns false if it has none yet. */
     private boolean writeFirst() {
         Slot first = slots.peek();
         if (first.answer != null) {
@@ -300,7 +306,7 @@
         channel.flush();
     }
 
-    /** The relay whose turn it was has written all of its value. */
+    /** The relay of the first slot has written its whole value. */
     void relayed(Slot slot) {
         slots.remove(slot);
         if (!slots.isEmpty() && slots.peek().relay != null) {
@@ -314,7 +320,7 @@
         channel.close();
     }
 
-    /** Ends the connection once what was read from it is answered; what still comes is refused. */
+    /** Closes the connection once all requests read from it are answered; later ones are refused. */
     void close() {
         closing = true;
         if (slots.isEmpty()) {
@@ -323,8 +329,9 @@
     }
 
     /**
-     * Closing with bytes unread would make the kernel send a reset, which can overtake the last answer: the
-     * sending is ended first, and the connection closed when the client has ended its own or been given time.
+     * Shuts down output, and closes the connection when the client closes its side or a delay has passed.
+     * Closing at once with unread input would make the kernel send a reset, which can overtake the last
+     * response.
      */
     private void end() {
         if (ending || !channel.isActive()) {
@@ -332,7 +339,7 @@
         }
         ending = true;
         unread = true;
-        // a slow client still takes what was written before
+        // completes after all earlier writes, so that a slow client still gets them
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
                 .addListener(
                         f -> {
@@ -368,6 +375,6 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close(); // a broken client connection ends alone
+        ctx.close(); // an I/O error affects this connection only
     }
 }
--- a/src/main/java/holdproxy/net/Command.java
+++ b/src/main/java/holdproxy/net/Command.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One {@code mg} or {@code ms} of a client: what the module is told of it, and its bytes for a node. */
+/** An {@code mg} or {@code ms} command of a client: its attributes for the router, its bytes for a node. */
 final class Command {
     private static final byte[] CRLF = {'\r', '\n'};
     private static final int LONGEST_KEY = 250;
@@ -24,8 +24,8 @@
     final long key;
 
     /**
-     * How long the client waits from its sending on, in milliseconds. 0 is a time too, and has passed: read
-     * as none stated, it would hold the request for a client that leaves at once.
+     * How long the client waits after sending, in milliseconds, or {@link #NOT_STATED}. 0 is a time that has
+     * already passed: treated as not stated, it would hold the request for a client that leaves at once.
      */
     final int waitMs;
 
@@ -38,7 +38,7 @@
     private final String afterWait;
     private byte[] value;
 
-    /** A command that cannot be understood; the message is for the client. */
+    /** Thrown for a malformed command; the message is sent to the client. */
     static final class Bad extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Indexes of the classes and tenants of the settings by their names; they change with the settings. */
+    /** Indexes of the settings' classes and tenants by name; replaced whenever the settings change. */
     record Names(Map<String, Integer> classes, Map<String, Integer> tenants) {
         Names() {
             this(new HashMap<>(), new HashMap<>());
@@ -103,7 +103,7 @@
                 case "h" -> hint = figure(text);
                 case "size" -> size = figure(text);
                 case "r" -> again = text.equals("1");
-                default -> {} // passed on unread
+                default -> {} // forwarded without being interpreted
             }
         }
         if (!names.classes.containsKey(type) || who < 0 || wait < NOT_STATED) {
@@ -142,12 +142,12 @@
                 return v;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
         throw new Bad("bad figure in P");
     }
 
-    /** The key as the module's number: the same at every proxy, so that all pick the same nodes for it. */
+    /** The key as a number for the router. It is the same at every proxy, so that all pick the same nodes. */
     private static long key(String text) {
         long number = 0;
         boolean hex = text.length() <= 16;
@@ -159,7 +159,7 @@
             hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
         }
         long key = hex ? number : hash;
-        return key != 0 ? key : 1; // 0 would say that there is none
+        return key != 0 ? key : 1; // 0 means no key
     }
 
     void fill(Router.Request q) {
@@ -171,12 +171,12 @@
         q.write = write;
     }
 
-    /** Whether its value goes to a node in slices behind {@link #encode}. */
+    /** Whether its value is sent to a node in slices after {@link #encode}. */
     boolean large() {
         return valueBytes() > MetaDecoder.LARGEST_WHOLE;
     }
 
-    /** Up to so many bytes of its value from there on, with its end behind the last ones. */
+    /** Up to {@code most} bytes of the value starting at {@code from}; the last slice ends with CRLF. */
     ByteBuf slice(int from, int most) {
         int bytes = Math.min(most, value.length - from);
         ByteBuf slice = Unpooled.wrappedBuffer(value, from, bytes);
@@ -184,7 +184,7 @@
         return last ? Unpooled.wrappedBuffer(slice, Unpooled.wrappedBuffer(CRLF)) : slice;
     }
 
-    /** The command for a node that the proxy will wait for so long, with its value unless that is large. */
+    /** The command for a node, stating how long the proxy waits; includes the value unless it is large. */
     ByteBuf encode(ByteBufAllocator alloc, long waitUs) {
         String wait =
                 afterWait == null ? "" : Long.toString(Math.max(1, waitUs / 1000)) + afterWait;
@@ -200,7 +200,10 @@
         return out;
     }
 
-    /** Reads commands off a client's connection: each is a Command, a {@link Greeting} or a {@link Fault}. */
+    /**
+     * Decodes commands from a client connection: each becomes a Command, a {@link TooMuch}, a
+     * {@link Greeting} or a {@link Fault}. {@link #MORE} is emitted as parts of a large value arrive.
+     */
     static final class Decoder extends MetaDecoder {
         private final Names names;
         private Command pending;
@@ -211,7 +214,7 @@
         private int length;
         private boolean tooMuch;
 
-        /** {@code room}: what values that are still coming may hold. */
+        /** {@code room}: the memory available to values that are still arriving. */
         Decoder(Names names, Room room) {
             this.names = names;
             this.room = room;
@@ -266,11 +269,11 @@
         void piece(ByteBuf in, int bytes, List<Object> out) {
             if (tooMuch || !room.take(bytes)) {
                 give();
-                tooMuch =
-                        true; // it is read to its end, where the next command begins, but not held
+                // the rest is read, to find the next command, but not stored
+                tooMuch = true;
                 in.skipBytes(bytes);
             } else {
-                // grown as its bytes come, and not as its header says
+                // grows with the bytes received, not to the length that the header states
                 if (large.length < held + bytes) {
                     large =
                             Arrays.copyOf(
@@ -292,7 +295,7 @@
         @Override
         void pieced(List<Object> out) {
             byte[] value = large;
-            give(); // whoever takes the command over takes the room for it at once
+            give(); // whoever accepts the command reserves memory for it right away
             if (tooMuch && pendingFault == null) {
                 out.add(new TooMuch(pending));
                 pending = null;
@@ -315,15 +318,15 @@
         }
     }
 
-    /** More has come of a large value: its client is at work. */
+    /** Another part of a large value has arrived: the client is still sending. */
     static final Object MORE = new Object();
 
-    /** A command whose value there was no room for. */
+    /** A command whose value was discarded for lack of memory. */
     record TooMuch(Command command) {}
 
-    /** {@code mn}: whether the proxy is there. */
+    /** {@code mn}: a check that the proxy responds. */
     record Greeting() {}
 
-    /** A line for a client that did not keep to the protocol, and whether nothing after it can be read. */
+    /** Error line for a protocol violation by a client; {@code close}: nothing after it can be decoded. */
     record Fault(String line, boolean close) {}
 }
--- a/src/main/java/holdproxy/net/Events.java
+++ b/src/main/java/holdproxy/net/Events.java
@@ -4,15 +4,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the module is told, and when. It decides at the end of a turn of the loop, by all that had come until
- * then: what is read first may have come last, or be the older by as long as the loop stood still. So nothing
- * is sent to a node whose drain or end lies behind the request in that turn, nor for a client that has left
- * in it. Its calls do not nest: what its actions bring about at once is delivered after its return.
+ * Delivers events to the router at the end of an event loop iteration, once all sockets have been read. The
+ * order of reading is not the order of arrival, and after a stall of the loop, input may be as old as the
+ * stall. Waiting for the end ensures that no request is sent to a node whose drain or disconnect is read
+ * later in the same iteration, or for a client whose disconnect is. Calls to the router do not nest: events
+ * that its own actions cause are delivered after it returns.
  */
 final class Events {
     /**
-     * No attempt may begin over 0.1 s after its client's end. What was read together with an event may be as
-     * old as this and one tick more, and there has to be time for the decision and the write as well.
+     * No attempt may start more than 0.1 s after its client disconnected. Input that was read together with
+     * an event may be up to one tick older than this limit, and the decision and the write take time too.
      */
     static final long READ_AGAIN_US = 60_000;
 
@@ -22,14 +23,14 @@
     private final Lateness lateness;
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
 
-    /** So many of those that wait came before the sockets were read once more, at {@link #readAgainUs}. */
+    /** Number of events that were queued before the sockets were read again, at {@link #readAgainUs}. */
     private int readBehind;
 
     private long readAgainUs;
     private boolean telling;
     private boolean delivering;
 
-    /** {@code clock}: microseconds, the one that {@code lateness} goes by. */
+    /** {@code clock}: in microseconds, the same clock that {@code lateness} uses. */
     Events(Transport transport, Log log, LongSupplier clock, Lateness lateness) {
         this.transport = transport;
         this.log = log;
@@ -37,7 +38,7 @@
         this.lateness = lateness;
     }
 
-    /** In the order of their coming, at the end of this turn. */
+    /** Queues an event, delivered in order of arrival at the end of this iteration. */
     void add(Runnable call) {
         waiting.add(call);
         if (!delivering) {
@@ -46,7 +47,7 @@
         }
     }
 
-    /** A list goes before what waits: nothing is decided by an older one than has come. */
+    /** A node list is delivered ahead of queued events, so that no decision uses an outdated list. */
     void list(Runnable call) {
         if (telling) {
             add(call);
@@ -74,8 +75,8 @@
     }
 
     /**
-     * Whether the sockets were read so recently that the next event can be decided. Asked for each: a turn of
-     * many events may itself take long.
+     * Whether the sockets were read recently enough to deliver the next event. Checked for each event, since
+     * delivering many of them may itself take long.
      */
     private boolean upToDate() {
         long now = clock.getAsLong();
@@ -88,8 +89,8 @@
     }
 
     /**
-     * At least the first of those that wait is told after it, so that no standstill holds them up
-     * for long.
+     * Reads the sockets again before delivering the rest. At least the first queued event is delivered then,
+     * so that repeated stalls cannot hold events up for long.
      */
     private void readAgain() {
         int all = waiting.size();
--- a/src/main/java/holdproxy/net/Exchange.java
+++ b/src/main/java/holdproxy/net/Exchange.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that was taken: its command, its client's place in line, and its attempts. */
+/** An accepted request: its command, its slot in the client's response order, and its attempts. */
 final class Exchange {
     final long id;
     final Command command;
@@ -13,13 +13,13 @@
     final ClientSession.Slot slot;
     final long dueUs;
 
-    /** As the settings had it when it came. */
+    /** From the settings at the time of the request. */
     final int maxAttempts;
 
-    /** Whether it may run twice, likewise. */
+    /** Whether the request may be executed twice, from the same settings. */
     final boolean repeatable;
 
-    /** For so long after the sending of an attempt that may have run another one does nothing, likewise. */
+    /** How long after sending an attempt that may have run a repeat has no effect, from the same settings. */
     private final long repeatWindowUs;
 
     final List<Attempt> attempts = new ArrayList<>(2);
@@ -45,7 +45,7 @@
         repeatWindowUs = type.repeatWindowUs;
     }
 
-    /** When the last byte of a next attempt has to be out: from then on it might run a second time. */
+    /** Deadline for sending the last byte of the next attempt: later it might be executed a second time. */
     long lastByteByUs() {
         long by = Long.MAX_VALUE;
         for (Attempt a : attempts) {
--- a/src/main/java/holdproxy/net/MetaDecoder.java
+++ b/src/main/java/holdproxy/net/MetaDecoder.java
@@ -6,11 +6,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Lines, each perhaps with a block of bytes after it: the framing of the memcache text protocol. */
+/** Framing of the memcache text protocol: lines, each optionally followed by a data block. */
 abstract class MetaDecoder extends ByteToMessageDecoder {
     static final int LONGEST_LINE = 2048;
 
-    /** Up to this size a value is held until it is whole. */
+    /** Values up to this size are buffered until complete. */
     static final int LARGEST_WHOLE = 64 * 1024;
 
     static final int LARGEST_VALUE = 4 << 20;
@@ -18,23 +18,23 @@
 
     private int block = NO_BLOCK;
 
-    /** What is still to come of a block that is taken in pieces. */
+    /** Bytes still to be read of a block that is delivered in pieces. */
     private int left;
 
     private boolean lost;
 
-    /** A line without its end; returns the length of the block that follows, or {@link #NO_BLOCK}. */
+    /** Takes a line without its terminator; returns the length of its data block, or {@link #NO_BLOCK}. */
     abstract int line(String line, List<Object> out);
 
     abstract void block(byte[] value, List<Object> out);
 
-    /** So many more bytes of a block over {@link #LARGEST_WHOLE}, to be read off {@code in}. */
+    /** The next {@code bytes} bytes of a block over {@link #LARGEST_WHOLE}, to be read from {@code in}. */
     abstract void piece(ByteBuf in, int bytes, List<Object> out);
 
-    /** All of such a block has come. */
+    /** A block that is delivered in pieces is complete. */
     abstract void pieced(List<Object> out);
 
-    /** The peer no longer keeps to the framing: what it sends from here on is thrown away. */
+    /** The peer violated the framing; further input from it is discarded. */
     abstract void broken(String why, List<Object> out);
 
     @Override
@@ -85,7 +85,7 @@
         int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
         int length = (end < 0 ? in.writerIndex() : end) - in.readerIndex();
         if (length > LONGEST_LINE) {
-            lose("line too long", out); // or memory would grow with what a peer likes to send
+            lose("line too long", out); // bounds the memory that a peer can make the proxy use
         } else if (end >= 0) {
             String line = in.readString(length, StandardCharsets.ISO_8859_1);
             in.skipBytes(1);
@@ -105,7 +105,7 @@
         broken(why, out);
     }
 
-    /** A decimal number of at most nine digits, or a negative one where it is none. */
+    /** Parses a decimal number of at most nine digits; returns a negative value for anything else. */
     static int number(String text) {
         if (text.isEmpty() || text.length() > 9) {
             return -2;
--- a/src/main/java/holdproxy/net/Reception.java
+++ b/src/main/java/holdproxy/net/Reception.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Where clients come in: their connections within one bound, from listening to the end of the last one. */
+/** Accepts client connections up to a limit, from listening until the last connection has closed. */
 final class Reception {
-    /** After SIGTERM new connections still come for 0.4 s; what comes after 0.7 s may be cut off. */
+    /** After SIGTERM new connections still arrive for 0.4 s; those that arrive after 0.7 s may be cut off. */
     private static final long DRAIN_OPEN_MS = 500;
 
-    /** So often it is looked, a millisecond apart, whether the kernel has more connections for us. */
+    /** Maximum number of checks, 1 ms apart, for connections still waiting in the kernel's accept queue. */
     private static final int LAST_LOOKS = 100;
 
     private final Proxy proxy;
@@ -26,15 +26,15 @@
     private final Log log;
     private final int most;
 
-    /** In the order of their coming, so that a run in virtual time can be played again. */
+    /** In order of arrival, so that runs in virtual time are reproducible. */
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
 
-    /** Idle connections, longest first. */
+    /** Idle connections, longest idle first. */
     private final Set<ClientSession> idle = new LinkedHashSet<>();
 
     private final Promise<Void> drained;
 
-    /** Connections that ever came. */
+    /** Number of connections accepted so far. */
     private long opened;
 
     private Channel listener;
@@ -42,7 +42,7 @@
     private volatile boolean listening;
     private volatile boolean draining;
 
-    /** {@code most}: connections that it keeps. */
+    /** {@code most}: the maximum number of open connections. */
     Reception(
             Proxy proxy,
             InetSocketAddress place,
@@ -59,7 +59,10 @@
         drained = loop.newPromise();
     }
 
-    /** On the loop: no client is accepted before it is known where. Null: it was told to end. */
+    /**
+     * Must run on the event loop, so that no client is accepted before the listener is set. Returns null if
+     * shutdown has already begun.
+     */
     ChannelFuture listen() {
         if (draining) {
             return null;
@@ -70,7 +73,7 @@
         return bound;
     }
 
-    /** Whether it still takes connections, also while it ends. */
+    /** Whether it accepts connections, which may still be so during shutdown. */
     boolean listens() {
         return listener != null;
     }
@@ -79,7 +82,7 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** From when it listens until it is told to end. On any thread. */
+    /** Whether it listens and shutdown has not begun. May be called on any thread. */
     boolean takesClients() {
         return listening && !draining;
     }
@@ -90,8 +93,7 @@
         opened++;
         sessions.add(s);
         if (sessions.size() > most) {
-            // between requests a connection may be closed: the one that has been idle longest makes
-            // room
+            // a connection may be closed between requests: the longest idle one makes room
             if (!idle.isEmpty()) {
                 ClientSession oldest = idle.iterator().next();
                 idle.remove(oldest);
@@ -100,8 +102,8 @@
                 s.refuse();
             }
             if (sessions.size() > most + Descriptors.REFUSING) {
-                s.abort(); // descriptors: past the bound nothing could be opened, not even
-                // to a node
+                // out of descriptors, not even a connection to a node could be opened
+                s.abort();
             }
         }
         idle.add(s);
@@ -129,17 +131,18 @@
         finishDrain();
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
-    /** As at SIGTERM; done once every connection has ended. */
+    /** Shuts down as on SIGTERM; the future completes once every connection has closed. */
     Future<Void> end() {
         return end(DRAIN_OPEN_MS);
     }
 
     /**
-     * Serves on while new connections still come, then ends each connection after its answers. Where another
-     * process takes what comes, nothing more is accepted, and a connection ends right behind an answer: its
-     * client is then least likely to be sending. What idles until the time is over ends then.
+     * Accepts new connections for {@code openMs}, then closes each connection once its requests are answered.
+     * If the listening socket is shared, the other process accepts the new connections, and this one closes
+     * each of its own right after a response, when the client is least likely to be sending. Connections that
+     * stay idle are closed after {@code openMs}.
      */
     Future<Void> end(long openMs) {
         loop.execute(
@@ -155,7 +158,7 @@
                                     + sessions.size()
                                     + " connections");
                     if (listener == null) {
-                        finishDrain(); // it has not listened yet: nobody was taken
+                        finishDrain(); // it never listened, so there are no clients
                         return;
                     }
                     handingOver = transport.shared();
@@ -170,8 +173,9 @@
     }
 
     /**
-     * Not before a turn that brought no connection: after a standstill of the loop many may lie in the
-     * kernel, and closed with the listener, or accepted and not read yet, they would have no answer.
+     * Stops listening, but not before a check that finds no new connection. After a stall of the event loop
+     * many may wait in the kernel; closed with the listener, or accepted but not yet read, they would get no
+     * response.
      */
     private void stopListening(long openedBefore, int looks) {
         if (looks > 0 && opened != openedBefore) {
--- a/src/main/java/holdproxy/net/Relay.java
+++ b/src/main/java/holdproxy/net/Relay.java
@@ -6,15 +6,15 @@
 import java.util.ArrayDeque;
 
 /**
- * A value too large to be held, passed on as it comes: from a node's connection to a client's place in line.
- * The node is read from only while the client takes what it gives, so that no relay holds more than some
- * 64 KiB at its client's and what was read at once.
+ * Streams a value that is too large to buffer from a node connection to a client's response slot. The node
+ * is read only while the client takes the data, so that a relay holds no more than about 64 KiB in its
+ * client's output buffer plus the data of one read.
  */
 final class Relay {
-    /** A node that gives nothing for so long has gone silent. */
+    /** A node that sends nothing for this long is considered unreachable. */
     private static final long NODE_SILENT_US = 5_000_000;
 
-    /** So has a client that takes nothing. */
+    /** A client that takes nothing for this long is considered gone. */
     private static final long CLIENT_SILENT_US = 10_000_000;
 
     private static final int LOOK_MS = 500;
@@ -26,12 +26,12 @@
     private final ClientSession session;
     private final ClientSession.Slot slot;
 
-    /** What has come before it is this value's turn. */
+    /** Data received but not yet passed to the client's connection. */
     private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
 
     private final Future<?> look;
 
-    /** Handed to the client's connection and not taken yet. */
+    /** Bytes passed to the client's connection but not yet written to its socket. */
     private long held;
 
     private boolean whole;
@@ -53,7 +53,7 @@
         pump();
     }
 
-    /** More of the value; it is taken over. */
+    /** The next part of the value; takes ownership of the buffer. */
     void more(ByteBuf bytes) {
         if (over) {
             bytes.release();
@@ -64,14 +64,14 @@
         pump();
     }
 
-    /** All of it has come, and its framing was right. */
+    /** The value is complete and correctly framed. */
     void whole() {
         whole = true;
         waiting.add(Unpooled.wrappedBuffer(new byte[] {'\r', '\n'}));
         pump();
     }
 
-    /** Passes on what the client's connection has room for, and reads on where it has. */
+    /** Writes as much as the client's connection has room for, and pauses or resumes reading the node. */
     void pump() {
         if (over) {
             return;
@@ -100,7 +100,7 @@
 
     private void read(boolean on) {
         if (on && !reading) {
-            movedUs = proxy.now(); // it could not give anything until now
+            movedUs = proxy.now(); // the node could not send anything until now
         }
         reading = on;
         node.read(on);
@@ -125,7 +125,10 @@
                         });
     }
 
-    /** A cut-off machine says nothing for ever, a client may take nothing; neither can before its turn. */
+    /**
+     * Detects a stalled transfer: an unreachable node never closes its connection, and a client may stop
+     * reading. The time before the value's turn does not count, since nothing can be transferred then.
+     */
     private void look() {
         boolean turn = session.turnOf(slot);
         boolean ofNode = reading && !whole;
@@ -137,14 +140,17 @@
                             ? "node " + node.pool.name + " fell silent in the middle of a value"
                             : "a client takes nothing of its value: closed");
             if (ofNode) {
-                node.close(); // which ends this
+                node.close(); // this also ends the relay
             } else {
                 session.abort();
             }
         }
     }
 
-    /** The node's connection has ended, or broken the protocol: the client can tell, as its own ends. */
+    /**
+     * The node's connection closed, or the node violated the protocol. The client's connection is closed too,
+     * which shows the client that its value is incomplete.
+     */
     void brokenOff() {
         if (!over) {
             ended();
@@ -153,7 +159,7 @@
         }
     }
 
-    /** Nobody is left to pass it on to. */
+    /** The client has disconnected. */
     void clientGone() {
         if (!over) {
             ended();
--- a/src/main/java/holdproxy/net/Relays.java
+++ b/src/main/java/holdproxy/net/Relays.java
@@ -3,9 +3,9 @@
 import holdproxy.console.Figures;
 import io.netty.buffer.ByteBufAllocator;
 
-/** The values that are passed on as they come: how such a request begins and ends, and what all hold. */
+/** Starts and finishes streamed values, and keeps count of the memory that all of them hold. */
 final class Relays {
-    /** They may hold so much together; past that only one that holds nothing of its own goes on. */
+    /** Limit for all relays together; above it, only relays that hold nothing continue to read. */
     private static final long MOST_HELD_BYTES = 12L << 20;
 
     private final Proxy proxy;
@@ -15,7 +15,10 @@
         this.proxy = proxy;
     }
 
-    /** A node has begun such a value: from here on the request is this attempt's. Null: it is answered. */
+    /**
+     * Called when a node begins such a value: from here on only this attempt can answer the request. Returns
+     * null if the request has been answered already.
+     */
     Relay begin(Attempt a, Answer answer, NodeConnection node) {
         Exchange x = a.exchange;
         if (x.answered) {
@@ -29,7 +32,7 @@
         return new Relay(proxy, this, a, node, answer.encode(ByteBufAllocator.DEFAULT));
     }
 
-    /** The client has taken the last byte of its value, or will not. */
+    /** The value was written to its end if {@code whole}; otherwise the client did not take all of it. */
     void taken(Exchange x, boolean whole) {
         Figures.Outcomes outcomes = ended(x);
         if (whole) {
@@ -37,7 +40,7 @@
         }
     }
 
-    /** A node broke off in the middle of a value. */
+    /** A node failed in the middle of a value. */
     void broken(Exchange x) {
         ended(x).errors.add(1);
     }
--- a/src/main/java/holdproxy/net/Room.java
+++ b/src/main/java/holdproxy/net/Room.java
@@ -1,6 +1,6 @@
 package holdproxy.net;
 
-/** Bytes that may be held for one purpose, by all connections together. */
+/** A memory budget, in bytes, that all connections share for one purpose. */
 final class Room {
     private final long most;
     private long taken;
@@ -9,7 +9,7 @@
         this.most = most;
     }
 
-    /** Whether there is room for so many more; then they are taken. */
+    /** Reserves this many bytes if they are available; returns whether it did. */
     boolean take(int bytes) {
         if (taken + bytes > most) {
             return false;
