--- a/src/main/java/holdproxy/net/ClientSession.java
+++ b/src/main/java/holdproxy/net/ClientSession.java
@@ -47,7 +47,7 @@
         /** Streams the value; null for a response that is written whole. */
         private Relay relay;
 
-        /** This slot stands for this many consecutive refused requests, which are counted but not stored. */
+        /** Consecutive refused requests that this slot stands for, counted but not stored; 0: none. */
         private int refused;
 
         private boolean due() {
--- a/src/test/java/holdproxy/net/ClientSessionTest.java
+++ b/src/test/java/holdproxy/net/ClientSessionTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Peers that send no proper request, on a clock that the test moves. */
+/** Clients that send no complete command or too many requests, or that read no responses; on a mock clock. */
 class ClientSessionTest {
     @TempDir Path folder;
     private final EmbeddedNodes nodes = new EmbeddedNodes();
@@ -79,7 +79,7 @@
         assertTrue(peer.isActive());
     }
 
-    /** The error is the answer to a command that comes while it is on its way: such a one is not sent on. */
+    /** The error already sent is the response to a command that arrives after it, which is not forwarded. */
     @Test
     void aCommandThatCrossesTheErrorIsNotSentOn() {
         List<ChannelPromise> held = new ArrayList<>();
@@ -91,7 +91,7 @@
                                     ChannelHandlerContext ctx,
                                     Object message,
                                     ChannelPromise promise) {
-                                held.add(promise); // the socket takes nothing for now
+                                held.add(promise); // the socket accepts nothing yet
                                 ctx.write(message);
                             }
                         });
@@ -104,7 +104,7 @@
                                 new InetSocketAddress("127.0.0.1", 100))));
         peer.pipeline().addLast(proxy.handlers());
         peer.freezeTime();
-        peer.pipeline().fireChannelActive(); // it came up before there was anyone to tell
+        peer.pipeline().fireChannelActive(); // became active before the handlers were added
         pass(peer, 2999);
         assertTrue(said(peer).startsWith("CLIENT_ERROR "));
         peer.writeInbound(
@@ -116,7 +116,7 @@
         assertFalse(peer.isActive());
     }
 
-    /** Each is answered, in order, however many come on top; what is held of those is a count. */
+    /** Every request is answered in order, however many exceed the limit; those are only counted. */
     @Test
     void whatComesOnTopOfWhatOneConnectionMayHaveWaitingIsRefusedInItsTurn() {
         proxy.nodes(
@@ -133,7 +133,7 @@
         }
         peer.writeInbound(Unpooled.copiedBuffer(many, StandardCharsets.ISO_8859_1));
         int taken = (int) proxy.figures().active.get();
-        assertTrue(taken <= 128, taken + " are taken");
+        assertTrue(taken <= 128, taken + " requests were accepted");
         for (EmbeddedChannel node : List.copyOf(nodes.all)) {
             for (String text = Rehearsal.text(node);
                     text.contains(" O");
@@ -158,7 +158,7 @@
         assertTrue(peer.isActive());
     }
 
-    /** A client whose socket takes nothing, behind so many requests for large values. */
+    /** A client whose socket accepts no data, after this many requests for large values. */
     private EmbeddedChannel hog(int requests, String value) {
         EmbeddedChannel hog =
                 new EmbeddedChannel(
@@ -215,10 +215,10 @@
         EmbeddedChannel peer = peer("mn\r\n");
         peer.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         peer.runPendingTasks();
+        // the data block is too long, which breaks the framing
         peer.writeInbound(
                 Rehearsal.bytes(
-                        "mn\r\nms k 3 Od Pc=charge,t=acme,d=900,k=1\r\nabcdefg\r\n")); // framing
-        // lost
+                        "mn\r\nms k 3 Od Pc=charge,t=acme,d=900,k=1\r\nabcdefg\r\n"));
         pass(peer, 9_000);
         assertTrue(peer.isActive());
         pass(peer, 1_001);
--- a/src/test/java/holdproxy/net/DepartureTest.java
+++ b/src/test/java/holdproxy/net/DepartureTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A client leaves while its request waits: it is given up at once, in whatever state it waits, and not sent on. */
+/** When a client disconnects, its requests are dropped at once, whatever they wait for, and not sent on. */
 @Timeout(60)
 class DepartureTest {
     private static final Function<String, String> NO_CANCELLING =
             s -> s.replace("\"mayCancel\":true", "\"mayCancel\":false");
 
-    /** A dial has time: the test says when it is taken. */
+    /** Timeouts so long that a dial can wait until the test accepts it. */
     private static final Function<String, String> PATIENT =
             s ->
                     NO_CANCELLING
@@ -25,13 +25,13 @@
                             .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":60000.0")
                             .replace("\"deadlineMs\":5000.0", "\"deadlineMs\":30000.0");
 
-    /** What the requests of a departed client wait for fails now: nothing may follow from that. */
+    /** Fails what the requests of a disconnected client waited for, which must have no further effect. */
     private static void nothingFollows(Fixture f, Peer node, int attempts) throws Exception {
-        assertEquals(0, f.active(), "requests of a client that has left are still open");
+        assertEquals(0, f.active(), "requests of a disconnected client are still open");
         node.send("SERVER_ERROR busy\r\n");
         f.turn();
         assertEquals(attempts, f.proxy.figures().tries.get());
-        assertEquals(0, f.proxy.open(), "an attempt is out for nobody");
+        assertEquals(0, f.proxy.open(), "an attempt is still open for a disconnected client");
     }
 
     @Test
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Waits until new connections are refused: the listener is closed, and the open ones are told to end. */
+    /** Waits until the listener is closed, when the open connections have been asked to close as well. */
     private static void ended(Fixture f) throws Exception {
         while (f.loop.submit(f.proxy::listens).get()) {
             Thread.onSpinWait();
@@ -67,7 +67,7 @@
             Peer node = f.next();
             node.line();
             f.turn();
-            assertTrue(f.active() >= 100, f.active() + " are taken");
+            assertTrue(f.active() >= 100, f.active() + " requests were accepted");
             client.close();
             assertEquals(0, f.active());
         }
@@ -90,11 +90,11 @@
                                 try {
                                     of1.send("x".repeat(4_000_000));
                                 } catch (java.io.IOException e) {
-                                    // given up, as it should be
+                                    // expected: the proxy closes the connection
                                 }
                             });
             feeding.start();
-            // the value waits for the client once the proxy no longer reads its node
+            // the proxy holds data of the value that the client has not read
             while (f.loop.submit(f.proxy.relays::held).get() == 0) {
                 Thread.onSpinWait();
             }
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Has whichever connection brings a command answer it; returns that command. */
+    /** Responds to the command on whichever connection receives one; returns the command. */
     private static String answered(Peer one, Peer two) throws Exception {
         for (long end = System.nanoTime() + 10_000_000_000L;
                 System.nanoTime() < end;
@@ -170,7 +170,10 @@
         }
     }
 
-    /** The loop stood still while it was dialed: by how long a dial may take the module reckons its windows. */
+    /**
+     * The loop stalled during the dial. The router bases its time windows on the dial timeout, so an attempt
+     * must not start after it.
+     */
     @Test
     void whatHasWaitedLongerThanADialMayTakeIsNotBegun() throws Exception {
         MockTicker clock = Ticker.newMockTicker();
@@ -182,7 +185,7 @@
             Peer client = f.client();
             client.send(Fixture.write("submit", "k1", 29000));
             f.turn();
-            clock.advance(21, TimeUnit.SECONDS); // of 20 s
+            clock.advance(21, TimeUnit.SECONDS); // the dial timeout is 20 s
             Peer late = deaf.hear();
             assertTrue(client.line().startsWith("SERVER_ERROR"));
             assertEquals(0, f.proxy.figures().tries.get());
--- a/src/test/java/holdproxy/net/EventsTest.java
+++ b/src/test/java/holdproxy/net/EventsTest.java
@@ -13,11 +13,11 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-/** How old what the sockets hold may be when an event is decided, with the clock and the turns in hand. */
+/** How old unread input may be when an event is delivered; the test controls clock and event loop. */
 class EventsTest implements Transport {
     private static final long MS = 1_000;
 
-    /** An end has to be seen within 0.1 s, and the last of it is for the write. */
+    /** A disconnect must be noticed within 0.1 s; the rest of that time is left for the write. */
     private static final long MOST_AGE_US = 90 * MS;
 
     private long nowUs;
@@ -32,7 +32,7 @@
         afterReading.add(task);
     }
 
-    /** A turn that reads the sockets, runs what waits for it, and its tick if that is due. */
+    /** One event loop iteration: reads the sockets, runs the waiting tasks, and the tick if it is due. */
     private void turn() {
         readUs = nowUs;
         for (int tasks = afterReading.size(); tasks > 0; tasks--) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** An event whose decision takes so long. */
+    /** An event that takes this long to handle. */
     private void event(long takesUs) {
         events.add(
                 () -> {
@@ -62,10 +62,10 @@
         while (ages.size() < 40) {
             int before = ages.size();
             turn();
-            assertTrue(++turns == 1 || ages.size() > before, "each turn decides something");
+            assertTrue(++turns == 1 || ages.size() > before, "an iteration delivered no event");
         }
         assertTrue(ages.stream().allMatch(age -> age <= MOST_AGE_US), ages.toString());
-        assertTrue(turns <= 8, turns + " turns");
+        assertTrue(turns <= 8, turns + " iterations");
     }
 
     @Test
@@ -79,7 +79,7 @@
         }
     }
 
-    /** At whatever moment between two ticks the standstill begins, and however short of being told it is. */
+    /** Wherever between two ticks the stall begins, and though no tick has run since. */
     @Test
     void behindAStandstillOfOver60MsTheSocketsAreReadAgain() {
         for (long beginsUs = 0; beginsUs < Lateness.TICK_US; beginsUs += MS) {
@@ -91,7 +91,7 @@
             nowUs += 61 * MS;
             event(0);
             turn();
-            assertEquals(before, ages.size(), "it began " + beginsUs + " us behind a tick");
+            assertEquals(before, ages.size(), "the stall began " + beginsUs + " us after a tick");
             turn();
             assertEquals(before + 1, ages.size());
         }
--- a/src/test/java/holdproxy/net/LargeWriteTest.java
+++ b/src/test/java/holdproxy/net/LargeWriteTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Values that go out to a node in slices, while the node takes them. */
+/** Large values are sent to a node in slices, as fast as the node takes them. */
 @Timeout(60)
 class LargeWriteTest {
     private static final int BYTES = 4 << 20;
@@ -43,7 +43,7 @@
         return "ms 7f3a9c21e0b4d655 " + bytes + " Ok1 Pc=submit,t=acme,d=50000,k=5c0f\r\n";
     }
 
-    /** Room in the socket that a flush makes is told of within that flush. */
+    /** Reports a change of writability from within each write. */
     static final class RoomAtOnce extends ChannelOutboundHandlerAdapter {
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
@@ -117,7 +117,7 @@
         assertArrayEquals(wanted, came.toByteArray());
     }
 
-    /** A clock that, once told to, has 60 ms pass between any two looks at it. */
+    /** A clock that, once switched on, advances by 60 ms at every reading. */
     private static final class Moving implements Ticker {
         private final MockTicker clock = Ticker.newMockTicker();
         private volatile boolean moves;
@@ -145,11 +145,11 @@
         try {
             return from.line() != null;
         } catch (SocketException e) {
-            return false; // reset
+            return false; // connection reset
         }
     }
 
-    /** It may have run, and is repeated within its window of 5 s; its 128 slices take 7 s. */
+    /** The first attempt may have run; the repeat window is 5 s, and sending the 128 slices takes 7 s. */
     @Test
     void aRepeatWhoseLastByteWouldComeBehindItsWindowIsBrokenOff() throws Exception {
         Moving clock = new Moving();
@@ -176,7 +176,7 @@
             first.reset();
             Peer second = f.next();
             assertTrue(second.line().contains("Ok1 "));
-            assertFalse(whole(second), "all of it came");
+            assertFalse(whole(second), "the whole value was received");
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
             assertEquals(1, f.proxy.figures().tries.get());
         }
--- a/src/test/java/holdproxy/net/LastWordTest.java
+++ b/src/test/java/holdproxy/net/LastWordTest.java
@@ -33,26 +33,27 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Whatever nodes, the network and the loop itself do, each request that was read has one end: its answer, in its
- * turn, by the first turn of the loop after it is due; or, where a value has begun, that or its connection's
- * end. Moments, silences and standstills of up to 3 s are drawn by seeds; the clock is the test's.
+ * Whatever nodes, the network and the event loop do, each request that was read has exactly one outcome: its
+ * response, in order, by the first loop iteration after its deadline; or, once a value has begun, the rest of
+ * that value or a closed connection. Timing, unresponsive nodes and loop stalls of up to 3 s are drawn from
+ * seeds; the test controls the clock.
  */
 class LastWordTest {
     private static final int SEEDS = 300;
     private static final int STEPS = 60;
 
-    /** What the proxy adds to the time that a client waits before it says the last word itself. */
+    /** How long after a client's waiting time the proxy fails a request that is still open. */
     private static final long GUARD_US = 15_000;
 
-    /** A value that has begun and goes no further ends its connection after 5 s, looked at each half second. */
+    /** A stalled value closes the client's connection after 5 s, checked every 500 ms. */
     private static final long RELAY_US = 5_500_000;
 
     @TempDir Path folder;
 
-    /** A request that was read, and when it has to have its end, unless those before it have none. */
+    /** A request that was read, and the deadline of its outcome unless earlier requests are still open. */
     private record Owed(String id, long byUs) {}
 
-    /** One proxy, its clients and nodes, by one seed. */
+    /** One proxy with its clients and nodes, driven by one seed. */
     private final class Town implements Transport {
         private final SplittableRandom random;
         private final MockTicker ticker = Ticker.newMockTicker();
@@ -113,7 +114,7 @@
             ChannelPromise never = dead.newPromise();
             timers.eventLoop()
                     .schedule(
-                            () -> never.tryFailure(new ConnectTimeoutException("silent")),
+                            () -> never.tryFailure(new ConnectTimeoutException("no response")),
                             timeoutMs,
                             TimeUnit.MILLISECONDS);
             return never;
@@ -144,8 +145,7 @@
                         answer(node);
                     }
                 }
-                // mostly on time; now and then the loop stands still, with input waiting and timers
-                // due
+                // mostly on time; now and then the loop stalls with input waiting and timers due
                 boolean still = random.nextInt(12) == 0;
                 pass(step >= STEPS - 20 ? 700 : random.nextInt(still ? 3_000 : 60));
                 clients.forEach(Client::judge);
@@ -167,7 +167,7 @@
             clients.forEach(c -> c.channel.runScheduledPendingTasks());
         }
 
-        /** What a node makes of what has come to it. */
+        /** Has a node react to the command that it has received, if any. */
         private void answer(EmbeddedChannel node) {
             StringBuilder came = new StringBuilder();
             for (ByteBuf b = node.readOutbound(); b != null; b = node.readOutbound()) {
@@ -184,10 +184,10 @@
                 case 0 -> node.writeInbound(bytes("SERVER_ERROR busy\r\n"));
                 case 1 -> node.writeInbound(bytes("SERVER_ERROR failed\r\n"));
                 case 2 -> node.close();
-                case 3 -> node.writeInbound(bytes("VA 5 O" + id + "\r\nhel")); // and nothing more
+                case 3 -> node.writeInbound(bytes("VA 5 O" + id + "\r\nhel")); // incomplete
                 case 4 -> node.writeInbound(bytes("VA 70000 O" + id + "\r\n" + "x".repeat(1000)));
                 case 5 -> node.writeInbound(bytes("what is this\r\n"));
-                case 6 -> {} // silent for ever
+                case 6 -> {} // never responds
                 default ->
                         node.writeInbound(
                                 bytes(
@@ -197,7 +197,7 @@
             }
         }
 
-        /** A connection that asks without waiting, and what it is owed, in order. */
+        /** A connection that sends requests without waiting, and its open requests in order. */
         private final class Client {
             private final EmbeddedChannel channel =
                     EmbeddedChannel.builder().ticker(ticker).build();
@@ -209,8 +209,8 @@
                 channel.pipeline()
                         .addLast(planted == null ? new ChannelOutboundHandlerAdapter() : planted);
                 channel.pipeline().addLast(proxy.handlers());
-                channel.pipeline()
-                        .fireChannelActive(); // it came up before there was anyone to tell
+                // became active before the handlers were added
+                channel.pipeline().fireChannelActive();
             }
 
             void ask() {
@@ -228,20 +228,19 @@
                 owed.add(new Owed(id, time.us() + waitMs * 1000L + GUARD_US));
             }
 
-            /** After a turn of the loop at this moment. */
+            /** Checks the output and the deadlines after a loop iteration at the current time. */
             void judge() {
                 for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
                     said += b.toString(StandardCharsets.ISO_8859_1);
                     b.release();
                 }
                 while (said.contains("\r\n") && answered()) {
-                    // the next one
+                    // continue with the next response
                 }
                 if (!channel.isActive()) {
-                    // a connection may end under a value that broke off, and between requests; not
-                    // else
+                    // a connection may close only between requests or in the middle of a value
                     if (!owed.isEmpty() && begunUs < 0) {
-                        broken.add("ended without an answer to " + owed);
+                        broken.add("closed without a response to " + owed);
                     }
                     ended += owed.size();
                     owed.clear();
@@ -251,20 +250,20 @@
                 if (first != null
                         && time.us() > Math.max(first.byUs, begunUs < 0 ? 0 : begunUs + RELAY_US)) {
                     broken.add(
-                            "no end at "
+                            "no outcome at "
                                     + time.us()
                                     + ": "
                                     + first
                                     + " of "
                                     + owed
-                                    + ", said "
+                                    + ", output "
                                     + said);
                 }
             }
 
             private boolean answered() {
                 if (owed.isEmpty()) {
-                    broken.add("nobody waits for " + said);
+                    broken.add("response without a request: " + said);
                     said = "";
                     return false;
                 }
@@ -280,7 +279,7 @@
                 Owed due = owed.poll();
                 ended++;
                 if (line.contains(" O") && !line.contains(" O" + due.id)) {
-                    broken.add(due + " is answered with " + line);
+                    broken.add(due + " got the response " + line);
                 }
                 return true;
             }
@@ -300,13 +299,13 @@
             Town town = played(seed, null);
             assertEquals(List.of(), town.broken, "seed " + seed);
             assertEquals(town.asked, town.ended, "seed " + seed);
-            assertEquals(0, town.proxy.open(), "left open by seed " + seed);
+            assertEquals(0, town.proxy.open(), "requests left open, seed " + seed);
             asked += town.asked;
         }
         assertTrue(asked > 30 * SEEDS, asked + " requests");
     }
 
-    /** Loses the third answer on each connection. */
+    /** Drops the third response that is written. */
     @ChannelHandler.Sharable
     private static final class Losing extends ChannelOutboundHandlerAdapter {
         private int written;
@@ -328,8 +327,7 @@
         for (long seed = 1; seed <= 20; seed++) {
             found += played(seed, new Losing()).broken.isEmpty() ? 0 : 1;
         }
-        assertTrue(
-                found >= 18,
-                found + " of 20"); // the third answer may be one that no other comes behind
+        // the dropped response may be the last one of its connection
+        assertTrue(found >= 18, found + " of 20");
     }
 }
--- a/src/test/java/holdproxy/net/LateAttemptsTest.java
+++ b/src/test/java/holdproxy/net/LateAttemptsTest.java
@@ -10,15 +10,16 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * No attempt, first or further, begins over 0.1 s after its client's end, which lies unread behind what would
- * begin it: the loop was late by a little more than that, and by less than what its ticks can tell.
+ * No attempt starts more than 0.1 s after its client disconnected. The disconnect is still unread behind the
+ * input that would start the attempt, because the loop stalled for a little over 0.1 s, part of which its
+ * ticks cannot detect.
  */
 @Timeout(60)
 class LateAttemptsTest {
-    /** 20 ms of it pass until the next tick is due, by which the loop knows that it is late. */
+    /** 20 ms of it pass before the next tick is due, by which the loop detects that it is late. */
     private static final int STANDSTILL_MS = 110;
 
-    /** A dial has time: the test says when it is taken. */
+    /** Timeouts so long that a dial can wait until the test accepts it. */
     private static final Function<String, String> PATIENT =
             s ->
                     s.replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":20000.0")
@@ -27,7 +28,7 @@
 
     private final MockTicker clock = Ticker.newMockTicker();
 
-    /** All of it comes in one turn, and then time passes on the module's clock. */
+    /** Has all input read in one loop iteration, with the stall passing on the proxy's clock meanwhile. */
     private void duringAStandstill(Fixture f, Fixture.Coming all) throws Exception {
         f.pass(clock, 10);
         f.inOneTurn(
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Its end lies behind one more command, which is all that the turn of the failure reads of it. */
+    /** The disconnect follows another command, which is all that the iteration of the failure reads. */
     @Test
     void noFurtherAttempt() throws Exception {
         try (Fixture f = new Fixture(2, s -> s, 1024, clock)) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /** The connection comes up in the turn that reads the client's end behind it. */
+    /** The node connection opens in the iteration that reads the client's disconnect after it. */
     @Test
     void noAttemptThatWaitsForADial() throws Exception {
         try (Peer.Deaf deaf = new Peer.Deaf();
--- a/src/test/java/holdproxy/net/RelayTest.java
+++ b/src/test/java/holdproxy/net/RelayTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Values over 64 KiB in memory: passed on as they come, held back for slow clients, on a clock moved by hand. */
+/** Values over 64 KiB: reads are streamed as fast as the client takes them, writes are buffered. */
 class RelayTest {
     private static final int MIB = 1 << 20;
 
@@ -65,7 +65,7 @@
         return Rehearsal.bytes(text);
     }
 
-    /** A value of that size, in which no piece is like another and lines of the protocol stand. */
+    /** A value of this size whose pieces all differ and which contains lines of the protocol. */
     private static byte[] value(int size) {
         byte[] value = new byte[size];
         for (int i = 0; i < size; i++) {
@@ -96,7 +96,7 @@
         return all.toByteArray();
     }
 
-    /** Asks for a value and has the node that is asked begin it; returns that node. */
+    /** Requests a value and has the node that receives the command begin it; returns that node. */
     private EmbeddedChannel begun(String id, int size) {
         client.writeInbound(bytes(Fixture.read(id, 900)));
         EmbeddedChannel node = asked();
@@ -104,7 +104,7 @@
         return node;
     }
 
-    /** The node that has just been sent a command. */
+    /** The node that has just received a command. */
     private EmbeddedChannel asked() {
         return nodes.stream().filter(n -> taken(n).length > 0).findFirst().orElseThrow();
     }
@@ -147,7 +147,7 @@
         assertEquals(10 + "VA 1048576 Oa1\r\n".length(), taken(client).length);
         assertEquals("0/0/0 active 1", counts());
         for (int i = 0; i < 3; i++) {
-            pass(1000); // its 900 ms are over: what the node still gives is not cut off
+            pass(1000); // past the deadline of 900 ms, the value still continues
             node.writeInbound(Unpooled.wrappedBuffer(value, 10 + i, 1));
             assertEquals(1, taken(client).length);
         }
@@ -181,7 +181,7 @@
         byte[] value = value(MIB);
         node.writeInbound(Unpooled.wrappedBuffer(value, 0, 1000));
         assertEquals(0, taken(client).length);
-        assertFalse(node.config().isAutoRead(), "the node is not read from meanwhile");
+        assertFalse(node.config().isAutoRead(), "the node must not be read meanwhile");
         slow.writeInbound(bytes("VA 1 Oslow\r\n1\r\n"));
         assertEquals("VA 1 Oslow\r\n1\r\nVA 1048576 Oa1\r\n".length() + 1000, taken(client).length);
         assertTrue(node.config().isAutoRead());
@@ -201,7 +201,7 @@
             first.writeInbound(Unpooled.wrappedBuffer(new byte[1000]));
         }
         assertTrue(client.isActive());
-        assertTrue(second.isActive(), "its connection may serve others already");
+        assertTrue(second.isActive(), "the node connection may already serve other requests");
         first.writeInbound(Unpooled.wrappedBuffer(new byte[MIB - 15_000]), bytes("\r\n"));
         assertEquals(
                 "VA 1048576 Oa1\r\nVA 70000 Oa2\r\n".length() + MIB + 70_000 + 4,
@@ -215,7 +215,7 @@
         byte[] value = value(MIB);
         room(false);
         assertFalse(node.config().isAutoRead());
-        node.writeInbound(Unpooled.wrappedBuffer(value, 0, 1000)); // was under way
+        node.writeInbound(Unpooled.wrappedBuffer(value, 0, 1000)); // was already in flight
         int before = taken(client).length;
         assertEquals("VA 1048576 Oa1\r\n".length(), before);
         pass(1500);
@@ -251,7 +251,7 @@
         pass(4_500);
         assertTrue(client.isActive());
         pass(1_500);
-        assertFalse(client.isActive(), "it can tell that its value is not whole");
+        assertFalse(client.isActive(), "the client must see that its value is incomplete");
         assertEquals("0/0/1 active 0", counts());
         assertEquals(0, proxy.open());
     }
@@ -271,7 +271,7 @@
         assertEquals(
                 MIB + "VA 1048576 Oa2\r\n".length(),
                 taken(client).length,
-                "nothing that says it is whole");
+                "the terminating CRLF must not be passed on");
         assertEquals("0/0/2 active 0", counts());
         assertEquals(0, proxy.open());
     }
@@ -288,7 +288,7 @@
 
     @Test
     void onceItHasBegunNoOtherAttemptMayAnswer() {
-        for (int i = 0; i < 60; i++) { // what these earn pays for a second copy
+        for (int i = 0; i < 60; i++) { // earn the budget for a second copy
             begun("e" + i, 70_000)
                     .writeInbound(Unpooled.wrappedBuffer(new byte[70_000]), bytes("\r\n"));
             taken(client);
@@ -299,7 +299,7 @@
         pass(500);
         EmbeddedChannel second = asked();
         second.writeInbound(bytes("VA " + MIB + " Oa1\r\n"), Unpooled.wrappedBuffer(value(1000)));
-        assertFalse(first.isActive(), "the other one is told at once");
+        assertFalse(first.isActive(), "the other attempt must be cancelled at once");
         assertEquals("VA 1048576 Oa1\r\n".length() + 1000, taken(client).length);
         second.writeInbound(Unpooled.wrappedBuffer(new byte[MIB - 1000]), bytes("\r\n"));
         assertEquals(MIB - 1000 + 2, taken(client).length);
@@ -329,18 +329,18 @@
         proxy.nodes(Router.ListKind.FULL, entries.subList(0, 1));
         String write = "ms 7f " + MIB + " Ow1 Pc=charge,t=acme,d=4000\r\n";
         client.writeInbound(bytes("mg 7f v Oa1 Pc=lookup,t=acme,d=900\r\n"));
-        EmbeddedChannel node = asked(); // of the same key: its connection will be used again
+        EmbeddedChannel node = asked(); // same key, so its connection is reused
         node.writeInbound(bytes("VA 1 Oa1\r\n1\r\n"));
         taken(client);
-        ticker.advance(
-                100, TimeUnit.MILLISECONDS); // a write goes on it once no second answer can come
+        // a write may reuse the connection once no second response can arrive on it
+        ticker.advance(100, TimeUnit.MILLISECONDS);
         proxy.tick();
         proxy.tick();
         client.writeInbound(bytes(write), Unpooled.wrappedBuffer(new byte[MIB]));
         node.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         client.writeInbound(bytes("\r\n"));
-        assertTrue(taken(node).length < 100, "no more than its head");
-        assertEquals(1, proxy.figures().tries.get(), "it is no try until it is whole");
+        assertTrue(taken(node).length < 100, "only the command line may be sent");
+        assertEquals(1, proxy.figures().tries.get(), "counted before it was sent completely");
         node.unsafe().outboundBuffer().setUserDefinedWritability(1, true);
         node.runPendingTasks();
         assertEquals(MIB + 2, taken(node).length);
@@ -350,7 +350,7 @@
     @Test
     void moreThanThereIsRoomForIsRefusedAndTheNextCommandIsRead() {
         List<EmbeddedChannel> clients = new ArrayList<>();
-        for (int i = 0; i < 5; i++) { // there is room for four
+        for (int i = 0; i < 5; i++) { // there is memory for four
             EmbeddedChannel c = new EmbeddedChannel(proxy.handlers());
             c.writeInbound(bytes("ms 7f " + 4 * MIB + " Ow" + i + " Pc=charge,t=acme,d=4000\r\n"));
             c.writeInbound(Unpooled.wrappedBuffer(new byte[4 * MIB]));
@@ -360,7 +360,7 @@
         String answer = new String(taken(clients.get(4)), StandardCharsets.ISO_8859_1);
         assertTrue(answer.matches("SERVER_ERROR busy [0-9]+\r\nMN\r\n"), answer);
         assertEquals(1, proxy.figures().of("charge").shed.get());
-        clients.get(0).close(); // in the middle of its value, which is held no longer
+        clients.get(0).close(); // in the middle of its value, which frees the memory
         clients.get(4).writeInbound(bytes("ms 7f " + 4 * MIB + " Ox Pc=charge,t=acme,d=4000\r\n"));
         clients.get(4).writeInbound(Unpooled.wrappedBuffer(new byte[4 * MIB]), bytes("\r\n"));
         assertEquals(1, nodes.size());
--- a/src/test/java/holdproxy/net/ServingTest.java
+++ b/src/test/java/holdproxy/net/ServingTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** One proxy, scripted clients and cache nodes: answers, their order, and what each kind of failure becomes. */
+/** A proxy with scripted clients and nodes: responses, their order, and the result of each failure. */
 @Timeout(60)
 class ServingTest {
 
-    /** The next command at a node, its waiting time checked and taken out. */
+    /** The next command at a node, with its waiting time checked and removed. */
     private static String command(Peer node, int mostWait) throws IOException {
         String line = node.line();
         assertTrue(line != null && line.contains(",d="), line);
@@ -141,7 +141,7 @@
         }
     }
 
-    /** The connection that came to one of the nodes; {@code before} came to all together earlier. */
+    /** The next connection to any node; {@code before}: the connections that all nodes had so far. */
     private static Peer other(Fixture f, int before) throws Exception {
         long end = System.nanoTime() + 10_000_000_000L;
         while (f.nodes.stream().mapToInt(Peer.Listener::count).sum() <= before) {
@@ -221,9 +221,8 @@
             Peer patient = f.client();
             client.send(Fixture.write("charge", "c1", 400));
             patient.send(Fixture.write("charge", "c2", 4900));
-            assertTrue(
-                    client.line()
-                            .startsWith("SERVER_ERROR busy ")); // which promises that it never ran
+            // busy promises that the request was not executed
+            assertTrue(client.line().startsWith("SERVER_ERROR busy "));
             Peer node = deaf.hear();
             assertEquals(
                     "ms 7f3a9c21e0b4d655 5 Oc2 Pc=charge,t=acme,d=,k=5c0f", command(node, 4900));
@@ -233,7 +232,7 @@
         }
     }
 
-    /** Has the proxy told of a node in place of all others, and waits until it knows. */
+    /** Sends the proxy a list with only this node, and waits until it has taken effect. */
     private static void onlyNode(Fixture f, Peer.Deaf node) throws Exception {
         Peer watch = f.watch();
         String entry =
@@ -241,8 +240,8 @@
                         .replace("s-0", "s-9")
                         .replace(f.nodes.get(0).address(), node.address());
         Fixture.chunk(watch, Fixture.list(2, true, entry));
-        Fixture.chunk(
-                watch, "{}"); // no list: it ends the watch, after the one before it was taken in
+        // not a list: ends the watch, after the list before it has been processed
+        Fixture.chunk(watch, "{}");
         watch.expectEnd();
     }
 
@@ -322,7 +321,7 @@
                         s ->
                                 s.replace("\"multiplex\":1", "\"multiplex\":4")
                                         .replace("\"secondCopies\":false", "\"secondCopies\":true"),
-                        128)) { // 24 are for nodes
+                        128)) { // 24 of them are for nodes
             Peer client = f.client();
             Peer patient = f.client();
             client.send(Fixture.write("charge", "c1", 2000));
@@ -358,8 +357,8 @@
 
     @Test
     void answersThatCannotBeReadSayNothingOfCapacityAndTheirTenantIsNotRefused() throws Exception {
-        // without a quota each capacity failure counts in full; more nodes than requests, so that
-        // one is left
+        // without a quota each capacity failure counts in full; more nodes than requests, so that a
+        // node is left for each
         try (Fixture f =
                 new Fixture(6, s -> s.replace("\"quotaPerS\":50.0", "\"quotaPerS\":0.0"), 1024)) {
             Peer client = f.client();
@@ -438,7 +437,7 @@
             Peer node = f.nodes.get(0).next();
             command(node, 4000);
             Future<Void> end = f.proxy.end(1500);
-            Peer late = f.client(); // still comes, since the front learns of the end only later
+            Peer late = f.client(); // the front learns of the shutdown only later
             late.send("mn\r\n");
             late.expect("MN");
             idle.expectEnd();
