--- a/src/main/java/holdproxy/net/ClientSession.java
+++ b/src/main/java/holdproxy/net/ClientSession.java
@@ -197,7 +197,7 @@
                                         if (slots.isEmpty()
                                                 || slots.peek().relay
                                                         == null) {
-                                            // a relay watches its client itself
+                                            // a streamed value has its own check
                                             channel.close();
                                         }
                                     },
@@ -241,7 +241,7 @@
         proxy.untaken(change);
     }
 
-    /** Writes ready responses in order while the channel is writable, then resumes a relay that is first. */
+    /** Writes ready responses in order while the channel is writable, then resumes a streamed value. */
     private void advance() {
         if (advancing) {
             return; // called from a flush in the loop below, which continues
@@ -284,7 +284,7 @@
         return true;
     }
 
-    // ---- for relays ----
+    // ---- for streamed values ----
 
     void relay(Slot slot, Relay relay) {
         slot.relay = relay;
@@ -306,7 +306,7 @@
         channel.flush();
     }
 
-    /** The relay of the first slot has written its whole value. */
+    /** The streamed value of the first slot has been written to its end. */
     void relayed(Slot slot) {
         slots.remove(slot);
         if (!slots.isEmpty() && slots.peek().relay != null) {
--- a/src/main/java/holdproxy/net/Relay.java
+++ b/src/main/java/holdproxy/net/Relay.java
@@ -7,8 +7,8 @@
 
 /**
  * Streams a value that is too large to buffer from a node connection to a client's response slot. The node
- * is read only while the client takes the data, so that a relay holds no more than about 64 KiB in its
- * client's output buffer plus the data of one read.
+ * is read only while the client takes the data, so that each value takes no more than about 64 KiB in
+ * its client's output buffer plus the data of one read.
  */
 final class Relay {
     /** A node that sends nothing for this long is considered unreachable. */
@@ -127,7 +127,7 @@
 
     /**
      * Detects a stalled transfer: an unreachable node never closes its connection, and a client may stop
-     * reading. The time before the value's turn does not count, since nothing can be transferred then.
+     * reading. Time spent waiting for earlier responses does not count.
      */
     private void look() {
         boolean turn = session.turnOf(slot);
@@ -140,7 +140,7 @@
                             ? "node " + node.pool.name + " fell silent in the middle of a value"
                             : "a client takes nothing of its value: closed");
             if (ofNode) {
-                node.close(); // this also ends the relay
+                node.close(); // also ends the transfer
             } else {
                 session.abort();
             }
--- a/src/main/java/holdproxy/net/Relays.java
+++ b/src/main/java/holdproxy/net/Relays.java
@@ -5,7 +5,7 @@
 
 /** Starts and finishes streamed values, and keeps count of the memory that all of them hold. */
 final class Relays {
-    /** Limit for all relays together; above it, only relays that hold nothing continue to read. */
+    /** Limit for all streamed values together; above it, only those that hold nothing are read on. */
     private static final long MOST_HELD_BYTES = 12L << 20;
 
     private final Proxy proxy;
