--- a/src/main/java/holdproxy/net/ClientSession.java
+++ b/src/main/java/holdproxy/net/ClientSession.java
@@ -194,9 +194,7 @@
                     ctx.executor()
                             .schedule(
                                     () -> {
-                                        if (slots.isEmpty()
-                                                || slots.peek().relay
-                                                        == null) {
+                                        if (slots.isEmpty() || slots.peek().relay == null) {
                                             // a streamed value has its own check
                                             channel.close();
                                         }
--- a/src/main/java/holdproxy/net/Command.java
+++ b/src/main/java/holdproxy/net/Command.java
@@ -176,7 +176,7 @@
         return valueBytes() > MetaDecoder.LARGEST_WHOLE;
     }
 
-    /** Up to {@code most} bytes of the value starting at {@code from}; the last slice ends with CRLF. */
+    /** The next slice of the value, limited in size; the last one ends with CRLF. */
     ByteBuf slice(int from, int most) {
         int bytes = Math.min(most, value.length - from);
         ByteBuf slice = Unpooled.wrappedBuffer(value, from, bytes);
@@ -214,7 +214,7 @@
         private int length;
         private boolean tooMuch;
 
-        /** {@code room}: the memory available to values that are still arriving. */
+        /** The last parameter is the memory budget for values that are still arriving. */
         Decoder(Names names, Room room) {
             this.names = names;
             this.room = room;
--- a/src/main/java/holdproxy/net/Reception.java
+++ b/src/main/java/holdproxy/net/Reception.java
@@ -24,6 +24,8 @@
     private final EventLoop loop;
     private final Transport transport;
     private final Log log;
+
+    /** Maximum number of open connections. */
     private final int most;
 
     /** In order of arrival, so that runs in virtual time are reproducible. */
@@ -42,7 +44,6 @@
     private volatile boolean listening;
     private volatile boolean draining;
 
-    /** {@code most}: the maximum number of open connections. */
     Reception(
             Proxy proxy,
             InetSocketAddress place,
--- a/src/test/java/holdproxy/net/ClientSessionTest.java
+++ b/src/test/java/holdproxy/net/ClientSessionTest.java
@@ -217,8 +217,7 @@
         peer.runPendingTasks();
         // the data block is too long, which breaks the framing
         peer.writeInbound(
-                Rehearsal.bytes(
-                        "mn\r\nms k 3 Od Pc=charge,t=acme,d=900,k=1\r\nabcdefg\r\n"));
+                Rehearsal.bytes("mn\r\nms k 3 Od Pc=charge,t=acme,d=900,k=1\r\nabcdefg\r\n"));
         pass(peer, 9_000);
         assertTrue(peer.isActive());
         pass(peer, 1_001);
