--- a/src/main/java/holdproxy/net/Answer.java
+++ b/src/main/java/holdproxy/net/Answer.java
@@ -27,7 +27,7 @@
     boolean broken;
 
     /** Marks the end of a value that was delivered in pieces. */
-    static final Object PIECED = new Object();
+    static final Object VALUE_END = new Object();
 
     private Answer(Router.Outcome outcome) {
         this.outcome = outcome;
@@ -82,14 +82,14 @@
         private Answer pending;
 
         @Override
-        int line(String line, List<Object> out) {
+        int onLine(String line, List<Object> out) {
             String[] tokens = line.split(" ");
             switch (tokens.length == 0 ? "" : tokens[0]) {
                 case "VA" -> {
                     pending = new Answer(Router.Outcome.OK);
-                    flags(pending, tokens, 2);
-                    int length = tokens.length < 2 ? -2 : number(tokens[1]);
-                    if (length > LARGEST_WHOLE && length <= LARGEST_VALUE) {
+                    parseFlags(pending, tokens, 2);
+                    int length = tokens.length < 2 ? -2 : parseNumber(tokens[1]);
+                    if (length > MAX_BUFFERED_VALUE_BYTES && length <= MAX_VALUE_BYTES) {
                         pending.follows = length;
                         out.add(pending);
                         pending = null;
@@ -98,22 +98,22 @@
                 }
                 case "HD" -> {
                     Answer a = new Answer(Router.Outcome.OK);
-                    flags(a, tokens, 1);
+                    parseFlags(a, tokens, 1);
                     out.add(a);
                 }
                 case "SERVER_ERROR" -> {
                     boolean busy = tokens.length > 1 && tokens[1].equals("busy");
                     Answer a = new Answer(busy ? Router.Outcome.OVERLOADED : Router.Outcome.ERROR);
-                    flags(a, tokens, 2);
+                    parseFlags(a, tokens, 2);
                     a.opaque = null;
                     out.add(a);
                 }
-                default -> broken(line, out);
+                default -> onProtocolError(line, out);
             }
             return NO_BLOCK;
         }
 
-        private static void flags(Answer a, String[] tokens, int from) {
+        private static void parseFlags(Answer a, String[] tokens, int from) {
             boolean fetching = false;
             for (int i = from; i < tokens.length; i++) {
                 String t = tokens[i];
@@ -133,24 +133,24 @@
         }
 
         @Override
-        void block(byte[] value, List<Object> out) {
+        void onBlock(byte[] value, List<Object> out) {
             pending.value = value;
             out.add(pending);
             pending = null;
         }
 
         @Override
-        void piece(ByteBuf in, int bytes, List<Object> out) {
+        void onBlockPart(ByteBuf in, int bytes, List<Object> out) {
             out.add(in.readRetainedSlice(bytes));
         }
 
         @Override
-        void pieced(List<Object> out) {
-            out.add(PIECED);
+        void onBlockEnd(List<Object> out) {
+            out.add(VALUE_END);
         }
 
         @Override
-        void broken(String why, List<Object> out) {
+        void onProtocolError(String why, List<Object> out) {
             Answer a = new Answer(Router.Outcome.ERROR);
             a.broken = true;
             a.receipt = why;
--- a/src/main/java/holdproxy/net/ClientSession.java
+++ b/src/main/java/holdproxy/net/ClientSession.java
@@ -14,30 +14,30 @@
 /** One client connection. Each request gets exactly one response, written in request order. */
 final class ClientSession extends SimpleChannelInboundHandler<Object> {
     /** Requests that may wait for their responses; further ones are refused, in order. */
-    private static final int MOST_WAITING = 128;
+    private static final int MAX_WAITING = 128;
 
     private static final String BUSY = "SERVER_ERROR busy";
     private static final String FAILED = "SERVER_ERROR failed";
 
     /** A client that takes none of its responses for this long is gone, though it may never disconnect. */
-    private static final int UNTAKEN_MS = 10_000;
+    private static final int UNWRITABLE_TIMEOUT_MS = 10_000;
 
     private static final int LINGER_MS = 500;
-    private static final int LINGER_MOST_MS = 10_000;
+    private static final int MAX_LINGER_MS = 10_000;
 
     /**
      * A client that sends no complete command must get an error or be disconnected within 3 s, because it
      * occupies a connection.
      */
-    static final int UNHEARD_MS = 2500;
+    static final int FIRST_COMMAND_TIMEOUT_MS = 2500;
 
     /**
      * A client that is sending a large value must be disconnected within 6 s. It keeps its connection up to
-     * this limit as long as it has sent more of the value within {@link #AT_WORK_MS}.
+     * this limit as long as it has sent more of the value within {@link #MAX_PART_GAP_MS}.
      */
-    private static final int UNHEARD_LARGE_MS = 5_500;
+    private static final int LARGE_COMMAND_TIMEOUT_MS = 5_500;
 
-    private static final int AT_WORK_MS = 400;
+    private static final int MAX_PART_GAP_MS = 400;
 
     /** A request's position in the response order. */
     static final class Slot {
@@ -45,12 +45,12 @@
         private Exchange exchange;
 
         /** Streams the value; null for a response that is written whole. */
-        private Relay relay;
+        private Relay stream;
 
         /** Consecutive refused requests that this slot stands for, counted but not stored; 0: none. */
         private int refused;
 
-        private boolean due() {
+        private boolean ready() {
             return answer != null || refused > 0;
         }
     }
@@ -58,20 +58,20 @@
     private final Proxy proxy;
     private final ArrayDeque<Slot> slots = new ArrayDeque<>();
     private Channel channel;
-    private Future<?> unheard;
-    private Future<?> stuck;
+    private Future<?> firstCommandTimer;
+    private Future<?> unwritableTimer;
 
     /** When the last part of a large value arrived. */
-    private long moreUs = Long.MIN_VALUE / 2;
+    private long lastPartUs = Long.MIN_VALUE / 2;
 
     /** Bytes of complete responses that have not been written to the client's socket. */
-    private int untaken;
+    private int unwrittenBytes;
 
-    private boolean unread;
+    private boolean ignoringInput;
     private boolean closing;
     private boolean refusing;
-    private boolean ending;
-    private boolean advancing;
+    private boolean outputClosing;
+    private boolean writing;
 
     ClientSession(Proxy proxy) {
         this.proxy = proxy;
@@ -84,26 +84,29 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        unheard =
+        firstCommandTimer =
                 ctx.executor()
                         .schedule(
-                                () -> unheard(ctx, UNHEARD_MS), UNHEARD_MS, TimeUnit.MILLISECONDS);
+                                () -> onFirstCommandTimeout(ctx, FIRST_COMMAND_TIMEOUT_MS),
+                                FIRST_COMMAND_TIMEOUT_MS,
+                                TimeUnit.MILLISECONDS);
         proxy.reception.opened(this);
     }
 
     /** Ends a connection without a complete command; a client still sending a large value gets more time. */
-    private void unheard(ChannelHandlerContext ctx, int afterMs) {
-        if (proxy.now() - moreUs <= AT_WORK_MS * 1000L && afterMs < UNHEARD_LARGE_MS) {
-            unheard =
+    private void onFirstCommandTimeout(ChannelHandlerContext ctx, int afterMs) {
+        if (proxy.now() - lastPartUs <= MAX_PART_GAP_MS * 1000L
+                && afterMs < LARGE_COMMAND_TIMEOUT_MS) {
+            firstCommandTimer =
                     ctx.executor()
                             .schedule(
-                                    () -> unheard(ctx, afterMs + AT_WORK_MS),
-                                    AT_WORK_MS,
+                                    () -> onFirstCommandTimeout(ctx, afterMs + MAX_PART_GAP_MS),
+                                    MAX_PART_GAP_MS,
                                     TimeUnit.MILLISECONDS);
         } else {
             // also the response to a command that arrives meanwhile, which is not forwarded
             channel.write(line("CLIENT_ERROR no command"));
-            end();
+            shutDownOutput();
         }
     }
 
@@ -112,29 +115,29 @@
     }
 
     /** The connection limit is reached: this connection is closed after refusing its first request. */
-    void refuse() {
+    void refuseRequests() {
         refusing = true;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
-        if (message == Command.MORE) {
-            moreUs = proxy.now();
+        if (message == Command.VALUE_PART) {
+            lastPartUs = proxy.now();
             return;
         }
-        unheard.cancel(false);
-        if (unread) {
+        firstCommandTimer.cancel(false);
+        if (ignoringInput) {
             // framing is lost or output is shut down: the client has to retry elsewhere
             return;
         }
-        if (closing || slots.size() >= MOST_WAITING) {
-            turnAway(message);
+        if (closing || slots.size() >= MAX_WAITING) {
+            refuseExcess(message);
             return;
         }
         Slot slot = new Slot();
         slots.add(slot);
         proxy.reception.busy(this);
-        if (message instanceof Command.TooMuch t) {
+        if (message instanceof Command.ValueDropped t) {
             answer(slot, proxy.shed(t.command()));
         } else if (refusing && message instanceof Command c) {
             closing = true;
@@ -144,7 +147,7 @@
         } else if (message instanceof Command.Greeting) {
             answer(slot, "MN");
         } else if (message instanceof Command.Fault f) {
-            unread |= f.close();
+            ignoringInput |= f.close();
             closing |= f.close();
             answer(slot, f.line());
         }
@@ -155,13 +158,13 @@
      * otherwise the client's disconnect would go unnoticed and its waiting requests would still be sent to
      * nodes. Refused requests are only counted, which bounds memory, and are answered in order.
      */
-    private void turnAway(Object message) {
+    private void refuseExcess(Object message) {
         if (message instanceof Command.Fault f && f.close()) {
-            unread = true;
+            ignoringInput = true;
             closing = true;
         } else if (message instanceof Command c) {
             proxy.shed(c);
-        } else if (message instanceof Command.TooMuch t) {
+        } else if (message instanceof Command.ValueDropped t) {
             proxy.shed(t.command());
         }
         Slot last = slots.peekLast();
@@ -171,35 +174,35 @@
         }
         last.refused++;
         if (slots.peek() == last) {
-            advance();
+            writeReady();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        watchTaking(ctx);
-        if (!slots.isEmpty() && slots.peek().relay != null) {
-            slots.peek().relay.pump();
+        updateUnwritableTimer(ctx);
+        if (!slots.isEmpty() && slots.peek().stream != null) {
+            slots.peek().stream.pump();
         } else if (!slots.isEmpty() && channel.isWritable()) {
-            advance();
+            writeReady();
         }
     }
 
-    private void watchTaking(ChannelHandlerContext ctx) {
-        if (stuck != null && channel.isWritable()) {
-            stuck.cancel(false);
-            stuck = null;
-        } else if (stuck == null && !channel.isWritable()) {
-            stuck =
+    private void updateUnwritableTimer(ChannelHandlerContext ctx) {
+        if (unwritableTimer != null && channel.isWritable()) {
+            unwritableTimer.cancel(false);
+            unwritableTimer = null;
+        } else if (unwritableTimer == null && !channel.isWritable()) {
+            unwritableTimer =
                     ctx.executor()
                             .schedule(
                                     () -> {
-                                        if (slots.isEmpty() || slots.peek().relay == null) {
+                                        if (slots.isEmpty() || slots.peek().stream == null) {
                                             // a streamed value has its own check
                                             channel.close();
                                         }
                                     },
-                                    UNTAKEN_MS,
+                                    UNWRITABLE_TIMEOUT_MS,
                                     TimeUnit.MILLISECONDS);
         }
     }
@@ -223,42 +226,42 @@
             return true;
         }
         int size = answer.readableBytes();
-        boolean room = size <= FAILED.length() || proxy.untakenRoom(size, untaken == 0);
-        if (!room) {
+        boolean accepted = size <= FAILED.length() || proxy.untakenRoom(size, unwrittenBytes == 0);
+        if (!accepted) {
             answer.release();
         }
-        slot.answer = room ? answer : line(FAILED);
+        slot.answer = accepted ? answer : line(FAILED);
         slot.exchange = null;
-        untaken(slot.answer.readableBytes());
-        advance();
-        return room;
+        addUnwritten(slot.answer.readableBytes());
+        writeReady();
+        return accepted;
     }
 
-    private void untaken(int change) {
-        untaken += change;
+    private void addUnwritten(int change) {
+        unwrittenBytes += change;
         proxy.untaken(change);
     }
 
     /** Writes ready responses in order while the channel is writable, then resumes a streamed value. */
-    private void advance() {
-        if (advancing) {
+    private void writeReady() {
+        if (writing) {
             return; // called from a flush in the loop below, which continues
         }
-        advancing = true;
+        writing = true;
         boolean any = false;
         while (!slots.isEmpty() && channel.isWritable() && writeFirst()) {
             any = true;
-            if (slots.isEmpty() || !channel.isWritable() || !slots.peek().due()) {
+            if (slots.isEmpty() || !channel.isWritable() || !slots.peek().ready()) {
                 channel.flush();
             }
         }
-        advancing = false;
+        writing = false;
         if (!slots.isEmpty()) {
-            if (any && slots.peek().relay != null) {
-                slots.peek().relay.pump();
+            if (any && slots.peek().stream != null) {
+                slots.peek().stream.pump();
             }
         } else if (closing) {
-            end();
+            shutDownOutput();
         } else {
             proxy.reception.idle(this);
         }
@@ -270,7 +273,7 @@
         if (first.answer != null) {
             slots.poll();
             int size = first.answer.readableBytes();
-            channel.write(first.answer).addListener(f -> untaken(-size));
+            channel.write(first.answer).addListener(f -> addUnwritten(-size));
         } else if (first.refused > 0) {
             if (--first.refused == 0) {
                 slots.poll();
@@ -284,15 +287,15 @@
 
     // ---- for streamed values ----
 
-    void relay(Slot slot, Relay relay) {
-        slot.relay = relay;
+    void setStream(Slot slot, Relay stream) {
+        slot.stream = stream;
     }
 
-    boolean turnOf(Slot slot) {
+    boolean isFirst(Slot slot) {
         return slots.peek() == slot;
     }
 
-    boolean hasRoom() {
+    boolean isWritable() {
         return channel.isWritable();
     }
 
@@ -305,12 +308,12 @@
     }
 
     /** The streamed value of the first slot has been written to its end. */
-    void relayed(Slot slot) {
+    void streamFinished(Slot slot) {
         slots.remove(slot);
-        if (!slots.isEmpty() && slots.peek().relay != null) {
-            slots.peek().relay.pump();
+        if (!slots.isEmpty() && slots.peek().stream != null) {
+            slots.peek().stream.pump();
         } else {
-            advance();
+            writeReady();
         }
     }
 
@@ -322,7 +325,7 @@
     void close() {
         closing = true;
         if (slots.isEmpty()) {
-            end();
+            shutDownOutput();
         }
     }
 
@@ -331,39 +334,39 @@
      * Closing at once with unread input would make the kernel send a reset, which can overtake the last
      * response.
      */
-    private void end() {
-        if (ending || !channel.isActive()) {
+    private void shutDownOutput() {
+        if (outputClosing || !channel.isActive()) {
             return;
         }
-        ending = true;
-        unread = true;
+        outputClosing = true;
+        ignoringInput = true;
         // completes after all earlier writes, so that a slow client still gets them
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
                 .addListener(
                         f -> {
-                            proxy.reception.endSending(channel);
+                            proxy.reception.shutDownOutput(channel);
                             channel.eventLoop()
                                     .schedule(
                                             () -> channel.close(),
                                             LINGER_MS,
                                             TimeUnit.MILLISECONDS);
                         });
-        channel.eventLoop().schedule(() -> channel.close(), LINGER_MOST_MS, TimeUnit.MILLISECONDS);
+        channel.eventLoop().schedule(() -> channel.close(), MAX_LINGER_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        unheard.cancel(false);
-        if (stuck != null) {
-            stuck.cancel(false);
+        firstCommandTimer.cancel(false);
+        if (unwritableTimer != null) {
+            unwritableTimer.cancel(false);
         }
         proxy.reception.closed(this);
         for (Slot s : slots) {
             if (s.answer != null) {
-                untaken(-s.answer.readableBytes());
+                addUnwritten(-s.answer.readableBytes());
                 s.answer.release();
-            } else if (s.relay != null) {
-                s.relay.clientGone();
+            } else if (s.stream != null) {
+                s.stream.clientGone();
             } else if (s.exchange != null) {
                 proxy.clientGone(s.exchange);
             }
--- a/src/main/java/holdproxy/net/Command.java
+++ b/src/main/java/holdproxy/net/Command.java
@@ -14,8 +14,8 @@
 /** An {@code mg} or {@code ms} command of a client: its attributes for the router, its bytes for a node. */
 final class Command {
     private static final byte[] CRLF = {'\r', '\n'};
-    private static final int LONGEST_KEY = 250;
-    private static final int LONGEST_ID = 64;
+    private static final int MAX_KEY_LENGTH = 250;
+    private static final int MAX_ID_LENGTH = 64;
 
     final boolean write;
     final String opaque;
@@ -39,10 +39,10 @@
     private byte[] value;
 
     /** Thrown for a malformed command; the message is sent to the client. */
-    static final class Bad extends Exception {
+    static final class MalformedCommandException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Bad(String message) {
+        MalformedCommandException(String message) {
             super(message, null, false, false);
         }
     }
@@ -67,11 +67,12 @@
         }
     }
 
-    Command(String line, String[] tokens, boolean write, Names names) throws Bad {
+    Command(String line, String[] tokens, boolean write, Names names)
+            throws MalformedCommandException {
         this.write = write;
         String keyText = tokens[1];
-        if (keyText.isEmpty() || keyText.length() > LONGEST_KEY) {
-            throw new Bad("bad key");
+        if (keyText.isEmpty() || keyText.length() > MAX_KEY_LENGTH) {
+            throw new MalformedCommandException("bad key");
         }
         String id = null;
         String fields = null;
@@ -82,39 +83,39 @@
                 fields = tokens[i].substring(1);
             }
         }
-        if (id == null || id.length() == 1 || id.length() > LONGEST_ID || fields == null) {
-            throw new Bad("O and P are needed");
+        if (id == null || id.length() == 1 || id.length() > MAX_ID_LENGTH || fields == null) {
+            throw new MalformedCommandException("O and P are needed");
         }
         opaque = id;
-        key = key(keyText);
+        key = numericKey(keyText);
         String type = "";
-        int who = names.tenants.isEmpty() ? 0 : -1;
+        int tenantIndex = names.tenants.isEmpty() ? 0 : -1;
         int wait = NOT_STATED;
         double hint = 0;
         double size = 0;
-        boolean again = false;
+        boolean isRepeat = false;
         for (String field : fields.split(",")) {
             int eq = field.indexOf('=');
             String text = field.substring(eq + 1);
             switch (eq < 0 ? "" : field.substring(0, eq)) {
                 case "c" -> type = text;
-                case "t" -> who = names.tenants.getOrDefault(text, who);
-                case "d" -> wait = MetaDecoder.number(text);
-                case "h" -> hint = figure(text);
-                case "size" -> size = figure(text);
-                case "r" -> again = text.equals("1");
+                case "t" -> tenantIndex = names.tenants.getOrDefault(text, tenantIndex);
+                case "d" -> wait = MetaDecoder.parseNumber(text);
+                case "h" -> hint = parseAmount(text);
+                case "size" -> size = parseAmount(text);
+                case "r" -> isRepeat = text.equals("1");
                 default -> {} // forwarded without being interpreted
             }
         }
-        if (!names.classes.containsKey(type) || who < 0 || wait < NOT_STATED) {
-            throw new Bad("c, t or d is not known here");
+        if (!names.classes.containsKey(type) || tenantIndex < 0 || wait < NOT_STATED) {
+            throw new MalformedCommandException("c, t or d is not known here");
         }
         requestClass = type;
-        tenant = who;
+        tenant = tenantIndex;
         waitMs = wait;
         costUs = hint;
         sizeBytes = size;
-        repeat = again;
+        repeat = isRepeat;
         int at = line.indexOf(" P" + fields) + 2;
         int d = fields.startsWith("d=") ? 2 : fields.indexOf(",d=") + 3;
         if (d < 3 && !fields.startsWith("d=")) {
@@ -135,7 +136,7 @@
         return value == null ? 0 : value.length;
     }
 
-    private static double figure(String text) throws Bad {
+    private static double parseAmount(String text) throws MalformedCommandException {
         try {
             double v = Double.parseDouble(text);
             if (v >= 0 && v < 1e12) {
@@ -144,11 +145,11 @@
         } catch (NumberFormatException e) {
             // reported below
         }
-        throw new Bad("bad figure in P");
+        throw new MalformedCommandException("bad figure in P");
     }
 
     /** The key as a number for the router. It is the same at every proxy, so that all pick the same nodes. */
-    private static long key(String text) {
+    private static long numericKey(String text) {
         long number = 0;
         boolean hex = text.length() <= 16;
         long hash = 0xcbf29ce484222325L;
@@ -173,12 +174,12 @@
 
     /** Whether its value is sent to a node in slices after {@link #encode}. */
     boolean large() {
-        return valueBytes() > MetaDecoder.LARGEST_WHOLE;
+        return valueBytes() > MetaDecoder.MAX_BUFFERED_VALUE_BYTES;
     }
 
     /** The next slice of the value, limited in size; the last one ends with CRLF. */
-    ByteBuf slice(int from, int most) {
-        int bytes = Math.min(most, value.length - from);
+    ByteBuf slice(int from, int maxBytes) {
+        int bytes = Math.min(maxBytes, value.length - from);
         ByteBuf slice = Unpooled.wrappedBuffer(value, from, bytes);
         boolean last = from + bytes == value.length;
         return last ? Unpooled.wrappedBuffer(slice, Unpooled.wrappedBuffer(CRLF)) : slice;
@@ -201,27 +202,27 @@
     }
 
     /**
-     * Decodes commands from a client connection: each becomes a Command, a {@link TooMuch}, a
-     * {@link Greeting} or a {@link Fault}. {@link #MORE} is emitted as parts of a large value arrive.
+     * Decodes commands from a client connection: each becomes a Command, a {@link ValueDropped}, a
+     * {@link Greeting} or a {@link Fault}. {@link #VALUE_PART} is emitted as parts of a large value arrive.
      */
     static final class Decoder extends MetaDecoder {
         private final Names names;
         private Command pending;
         private String pendingFault;
-        private final Room room;
-        private byte[] large = EMPTY;
-        private int held;
+        private final Room budget;
+        private byte[] buffer = EMPTY;
+        private int received;
         private int length;
-        private boolean tooMuch;
+        private boolean discarding;
 
         /** The last parameter is the memory budget for values that are still arriving. */
-        Decoder(Names names, Room room) {
+        Decoder(Names names, Room budget) {
             this.names = names;
-            this.room = room;
+            this.budget = budget;
         }
 
         @Override
-        int line(String line, List<Object> out) {
+        int onLine(String line, List<Object> out) {
             String[] tokens = line.split(" ");
             String verb = tokens.length == 0 ? "" : tokens[0];
             boolean write = verb.equals("ms");
@@ -238,14 +239,14 @@
         }
 
         private int request(String line, String[] tokens, boolean write, List<Object> out) {
-            length = write ? number(tokens[2]) : NO_BLOCK;
+            length = write ? parseNumber(tokens[2]) : NO_BLOCK;
             try {
                 pending = new Command(line, tokens, write, names);
                 pendingFault = null;
                 if (!write) {
                     out.add(pending);
                 }
-            } catch (Bad e) {
+            } catch (MalformedCommandException e) {
                 pendingFault = "CLIENT_ERROR " + e.getMessage();
                 if (!write) {
                     out.add(new Fault(pendingFault, false));
@@ -255,7 +256,7 @@
         }
 
         @Override
-        void block(byte[] value, List<Object> out) {
+        void onBlock(byte[] value, List<Object> out) {
             if (pendingFault != null) {
                 out.add(new Fault(pendingFault, false));
             } else {
@@ -266,63 +267,64 @@
         }
 
         @Override
-        void piece(ByteBuf in, int bytes, List<Object> out) {
-            if (tooMuch || !room.take(bytes)) {
-                give();
+        void onBlockPart(ByteBuf in, int bytes, List<Object> out) {
+            if (discarding || !budget.take(bytes)) {
+                releaseBuffer();
                 // the rest is read, to find the next command, but not stored
-                tooMuch = true;
+                discarding = true;
                 in.skipBytes(bytes);
             } else {
                 // grows with the bytes received, not to the length that the header states
-                if (large.length < held + bytes) {
-                    large =
+                if (buffer.length < received + bytes) {
+                    buffer =
                             Arrays.copyOf(
-                                    large,
-                                    Math.min(length, Math.max(2 * large.length, held + bytes)));
+                                    buffer,
+                                    Math.min(
+                                            length, Math.max(2 * buffer.length, received + bytes)));
                 }
-                in.readBytes(large, held, bytes);
-                held += bytes;
+                in.readBytes(buffer, received, bytes);
+                received += bytes;
             }
-            out.add(MORE);
+            out.add(VALUE_PART);
         }
 
-        private void give() {
-            room.give(held);
-            held = 0;
-            large = EMPTY;
+        private void releaseBuffer() {
+            budget.give(received);
+            received = 0;
+            buffer = EMPTY;
         }
 
         @Override
-        void pieced(List<Object> out) {
-            byte[] value = large;
-            give(); // whoever accepts the command reserves memory for it right away
-            if (tooMuch && pendingFault == null) {
-                out.add(new TooMuch(pending));
+        void onBlockEnd(List<Object> out) {
+            byte[] value = buffer;
+            releaseBuffer(); // whoever accepts the command reserves memory for it right away
+            if (discarding && pendingFault == null) {
+                out.add(new ValueDropped(pending));
                 pending = null;
             } else {
-                block(value, out);
+                onBlock(value, out);
             }
-            tooMuch = false;
+            discarding = false;
         }
 
         @Override
         protected void handlerRemoved0(ChannelHandlerContext ctx) {
-            give();
+            releaseBuffer();
         }
 
         @Override
-        void broken(String why, List<Object> out) {
-            give();
+        void onProtocolError(String why, List<Object> out) {
+            releaseBuffer();
             pending = null;
             out.add(new Fault("CLIENT_ERROR " + why, true));
         }
     }
 
     /** Another part of a large value has arrived: the client is still sending. */
-    static final Object MORE = new Object();
+    static final Object VALUE_PART = new Object();
 
     /** A command whose value was discarded for lack of memory. */
-    record TooMuch(Command command) {}
+    record ValueDropped(Command command) {}
 
     /** {@code mn}: a check that the proxy responds. */
     record Greeting() {}
--- a/src/main/java/holdproxy/net/Events.java
+++ b/src/main/java/holdproxy/net/Events.java
@@ -15,20 +15,20 @@
      * No attempt may start more than 0.1 s after its client disconnected. Input that was read together with
      * an event may be up to one tick older than this limit, and the decision and the write take time too.
      */
-    static final long READ_AGAIN_US = 60_000;
+    static final long MAX_INPUT_AGE_US = 60_000;
 
     private final Transport transport;
     private final Log log;
     private final LongSupplier clock;
     private final Lateness lateness;
-    private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
 
-    /** Number of events that were queued before the sockets were read again, at {@link #readAgainUs}. */
-    private int readBehind;
+    /** Number of events that were queued before the sockets were read again, at {@link #lastReadUs}. */
+    private int queuedBeforeRead;
 
-    private long readAgainUs;
-    private boolean telling;
-    private boolean delivering;
+    private long lastReadUs;
+    private boolean inRouterCall;
+    private boolean deliveryScheduled;
 
     /** {@code clock}: in microseconds, the same clock that {@code lateness} uses. */
     Events(Transport transport, Log log, LongSupplier clock, Lateness lateness) {
@@ -40,34 +40,34 @@
 
     /** Queues an event, delivered in order of arrival at the end of this iteration. */
     void add(Runnable call) {
-        waiting.add(call);
-        if (!delivering) {
-            delivering = true;
+        queue.add(call);
+        if (!deliveryScheduled) {
+            deliveryScheduled = true;
             transport.whenRead(this::deliver, false);
         }
     }
 
     /** A node list is delivered ahead of queued events, so that no decision uses an outdated list. */
     void list(Runnable call) {
-        if (telling) {
+        if (inRouterCall) {
             add(call);
         } else {
-            tell(call);
+            invoke(call);
         }
     }
 
     private void deliver() {
         boolean outdated = false;
         try {
-            while (!waiting.isEmpty() && !outdated) {
+            while (!queue.isEmpty() && !outdated) {
                 if (upToDate()) {
-                    tell(waiting.poll());
+                    invoke(queue.poll());
                 } else {
                     outdated = true;
                 }
             }
         } finally {
-            delivering = outdated;
+            deliveryScheduled = outdated;
         }
         if (outdated) {
             readAgain();
@@ -80,12 +80,12 @@
      */
     private boolean upToDate() {
         long now = clock.getAsLong();
-        if (readBehind > 0 && now - readAgainUs <= READ_AGAIN_US) {
-            readBehind--;
+        if (queuedBeforeRead > 0 && now - lastReadUs <= MAX_INPUT_AGE_US) {
+            queuedBeforeRead--;
             return true;
         }
-        readBehind = 0;
-        return lateness.sinceDueUs(now) <= READ_AGAIN_US;
+        queuedBeforeRead = 0;
+        return lateness.sinceDueUs(now) <= MAX_INPUT_AGE_US;
     }
 
     /**
@@ -93,25 +93,25 @@
      * so that repeated stalls cannot hold events up for long.
      */
     private void readAgain() {
-        int all = waiting.size();
+        int all = queue.size();
         transport.whenRead(
                 () -> {
-                    readBehind = all;
-                    readAgainUs = clock.getAsLong();
+                    queuedBeforeRead = all;
+                    lastReadUs = clock.getAsLong();
                     deliver();
                 },
                 true);
     }
 
-    private void tell(Runnable call) {
-        telling = true;
+    private void invoke(Runnable call) {
+        inRouterCall = true;
         try {
             call.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             log.line("fault: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
         } finally {
-            telling = false;
+            inRouterCall = false;
         }
     }
 }
--- a/src/main/java/holdproxy/net/MetaDecoder.java
+++ b/src/main/java/holdproxy/net/MetaDecoder.java
@@ -8,40 +8,40 @@
 
 /** Framing of the memcache text protocol: lines, each optionally followed by a data block. */
 abstract class MetaDecoder extends ByteToMessageDecoder {
-    static final int LONGEST_LINE = 2048;
+    static final int MAX_LINE_LENGTH = 2048;
 
     /** Values up to this size are buffered until complete. */
-    static final int LARGEST_WHOLE = 64 * 1024;
+    static final int MAX_BUFFERED_VALUE_BYTES = 64 * 1024;
 
-    static final int LARGEST_VALUE = 4 << 20;
+    static final int MAX_VALUE_BYTES = 4 << 20;
     static final int NO_BLOCK = -1;
 
-    private int block = NO_BLOCK;
+    private int blockLength = NO_BLOCK;
 
     /** Bytes still to be read of a block that is delivered in pieces. */
-    private int left;
+    private int remaining;
 
-    private boolean lost;
+    private boolean framingLost;
 
     /** Takes a line without its terminator; returns the length of its data block, or {@link #NO_BLOCK}. */
-    abstract int line(String line, List<Object> out);
+    abstract int onLine(String onLine, List<Object> out);
 
-    abstract void block(byte[] value, List<Object> out);
+    abstract void onBlock(byte[] value, List<Object> out);
 
-    /** The next {@code bytes} bytes of a block over {@link #LARGEST_WHOLE}, to be read from {@code in}. */
-    abstract void piece(ByteBuf in, int bytes, List<Object> out);
+    /** The next bytes of a block over {@link #MAX_BUFFERED_VALUE_BYTES}, to be read from {@code in}. */
+    abstract void onBlockPart(ByteBuf in, int bytes, List<Object> out);
 
     /** A block that is delivered in pieces is complete. */
-    abstract void pieced(List<Object> out);
+    abstract void onBlockEnd(List<Object> out);
 
     /** The peer violated the framing; further input from it is discarded. */
-    abstract void broken(String why, List<Object> out);
+    abstract void onProtocolError(String why, List<Object> out);
 
     @Override
     protected final void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (lost) {
+        if (framingLost) {
             in.skipBytes(in.readableBytes());
-        } else if (block != NO_BLOCK) {
+        } else if (blockLength != NO_BLOCK) {
             decodeBlock(in, out);
         } else {
             decodeLine(in, out);
@@ -49,64 +49,65 @@
     }
 
     private void decodeBlock(ByteBuf in, List<Object> out) {
-        if (block > LARGEST_WHOLE) {
-            decodePieces(in, out);
+        if (blockLength > MAX_BUFFERED_VALUE_BYTES) {
+            decodeBlockParts(in, out);
             return;
         }
-        if (in.readableBytes() < block + 2) {
+        if (in.readableBytes() < blockLength + 2) {
             return;
         }
-        byte[] value = new byte[block];
+        byte[] value = new byte[blockLength];
         in.readBytes(value);
-        block = NO_BLOCK;
+        blockLength = NO_BLOCK;
         if (in.readByte() != '\r' || in.readByte() != '\n') {
-            lose("bad data chunk", out);
+            failFraming("bad data chunk", out);
             return;
         }
-        block(value, out);
+        onBlock(value, out);
     }
 
-    private void decodePieces(ByteBuf in, List<Object> out) {
-        if (left > 0) {
-            int bytes = Math.min(left, in.readableBytes());
-            left -= bytes;
-            piece(in, bytes, out);
+    private void decodeBlockParts(ByteBuf in, List<Object> out) {
+        if (remaining > 0) {
+            int bytes = Math.min(remaining, in.readableBytes());
+            remaining -= bytes;
+            onBlockPart(in, bytes, out);
         } else if (in.readableBytes() >= 2) {
-            block = NO_BLOCK;
+            blockLength = NO_BLOCK;
             if (in.readByte() != '\r' || in.readByte() != '\n') {
-                lose("bad data chunk", out);
+                failFraming("bad data chunk", out);
                 return;
             }
-            pieced(out);
+            onBlockEnd(out);
         }
     }
 
     private void decodeLine(ByteBuf in, List<Object> out) {
         int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
         int length = (end < 0 ? in.writerIndex() : end) - in.readerIndex();
-        if (length > LONGEST_LINE) {
-            lose("line too long", out); // bounds the memory that a peer can make the proxy use
+        if (length > MAX_LINE_LENGTH) {
+            failFraming(
+                    "line too long", out); // bounds the memory that a peer can make the proxy use
         } else if (end >= 0) {
             String line = in.readString(length, StandardCharsets.ISO_8859_1);
             in.skipBytes(1);
-            block = line(line.endsWith("\r") ? line.substring(0, length - 1) : line, out);
-            if (block > LARGEST_VALUE) {
-                lose("object too large", out);
-            } else if (block != NO_BLOCK && block < 0) {
-                lose("bad data length", out);
+            blockLength = onLine(line.endsWith("\r") ? line.substring(0, length - 1) : line, out);
+            if (blockLength > MAX_VALUE_BYTES) {
+                failFraming("object too large", out);
+            } else if (blockLength != NO_BLOCK && blockLength < 0) {
+                failFraming("bad data length", out);
             }
-            left = Math.max(0, block);
+            remaining = Math.max(0, blockLength);
         }
     }
 
-    private void lose(String why, List<Object> out) {
-        lost = true;
-        block = NO_BLOCK;
-        broken(why, out);
+    private void failFraming(String why, List<Object> out) {
+        framingLost = true;
+        blockLength = NO_BLOCK;
+        onProtocolError(why, out);
     }
 
     /** Parses a decimal number of at most nine digits; returns a negative value for anything else. */
-    static int number(String text) {
+    static int parseNumber(String text) {
         if (text.isEmpty() || text.length() > 9) {
             return -2;
         }
--- a/src/main/java/holdproxy/net/Reception.java
+++ b/src/main/java/holdproxy/net/Reception.java
@@ -14,19 +14,19 @@
 /** Accepts client connections up to a limit, from listening until the last connection has closed. */
 final class Reception {
     /** After SIGTERM new connections still arrive for 0.4 s; those that arrive after 0.7 s may be cut off. */
-    private static final long DRAIN_OPEN_MS = 500;
+    private static final long ACCEPT_WHILE_DRAINING_MS = 500;
 
     /** Maximum number of checks, 1 ms apart, for connections still waiting in the kernel's accept queue. */
-    private static final int LAST_LOOKS = 100;
+    private static final int MAX_ACCEPT_CHECKS = 100;
 
     private final Proxy proxy;
-    private final InetSocketAddress place;
+    private final InetSocketAddress listenAddress;
     private final EventLoop loop;
     private final Transport transport;
     private final Log log;
 
     /** Maximum number of open connections. */
-    private final int most;
+    private final int maxConnections;
 
     /** In order of arrival, so that runs in virtual time are reproducible. */
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
@@ -37,26 +37,26 @@
     private final Promise<Void> drained;
 
     /** Number of connections accepted so far. */
-    private long opened;
+    private long accepted;
 
     private Channel listener;
-    private boolean handingOver;
+    private boolean sharedListener;
     private volatile boolean listening;
     private volatile boolean draining;
 
     Reception(
             Proxy proxy,
-            InetSocketAddress place,
+            InetSocketAddress listenAddress,
             EventLoop loop,
             Transport transport,
             Log log,
-            int most) {
+            int maxConnections) {
         this.proxy = proxy;
-        this.place = place;
+        this.listenAddress = listenAddress;
         this.loop = loop;
         this.transport = transport;
         this.log = log;
-        this.most = most;
+        this.maxConnections = maxConnections;
         drained = loop.newPromise();
     }
 
@@ -68,7 +68,7 @@
         if (draining) {
             return null;
         }
-        ChannelFuture bound = transport.listen(place, proxy::handlers);
+        ChannelFuture bound = transport.listen(listenAddress, proxy::handlers);
         listener = bound.channel();
         bound.addListener(f -> listening = f.isSuccess());
         return bound;
@@ -91,18 +91,18 @@
     // ---- connections ----
 
     void opened(ClientSession s) {
-        opened++;
+        accepted++;
         sessions.add(s);
-        if (sessions.size() > most) {
+        if (sessions.size() > maxConnections) {
             // a connection may be closed between requests: the longest idle one makes room
             if (!idle.isEmpty()) {
                 ClientSession oldest = idle.iterator().next();
                 idle.remove(oldest);
                 oldest.close();
             } else {
-                s.refuse();
+                s.refuseRequests();
             }
-            if (sessions.size() > most + Descriptors.REFUSING) {
+            if (sessions.size() > maxConnections + Descriptors.REFUSING) {
                 // out of descriptors, not even a connection to a node could be opened
                 s.abort();
             }
@@ -116,13 +116,13 @@
 
     void idle(ClientSession s) {
         idle.add(s);
-        if (draining && (listener == null || handingOver)) {
+        if (draining && (listener == null || sharedListener)) {
             idle.remove(s);
             s.close();
         }
     }
 
-    void endSending(Channel channel) {
+    void shutDownOutput(Channel channel) {
         transport.endSending(channel);
     }
 
@@ -136,7 +136,7 @@
 
     /** Shuts down as on SIGTERM; the future completes once every connection has closed. */
     Future<Void> end() {
-        return end(DRAIN_OPEN_MS);
+        return end(ACCEPT_WHILE_DRAINING_MS);
     }
 
     /**
@@ -162,12 +162,14 @@
                         finishDrain(); // it never listened, so there are no clients
                         return;
                     }
-                    handingOver = transport.shared();
-                    if (handingOver) {
+                    sharedListener = transport.shared();
+                    if (sharedListener) {
                         listener.config().setAutoRead(false);
                     }
                     loop.schedule(
-                            () -> stopListening(-1, LAST_LOOKS), openMs, TimeUnit.MILLISECONDS);
+                            () -> stopListening(-1, MAX_ACCEPT_CHECKS),
+                            openMs,
+                            TimeUnit.MILLISECONDS);
                     loop.schedule(proxy::lastWord, proxy.lastWordMs(), TimeUnit.MILLISECONDS);
                 });
         return drained;
@@ -178,13 +180,14 @@
      * many may wait in the kernel; closed with the listener, or accepted but not yet read, they would get no
      * response.
      */
-    private void stopListening(long openedBefore, int looks) {
-        if (looks > 0 && opened != openedBefore) {
-            long now = opened;
-            loop.schedule(() -> stopListening(now, looks - 1), 1, TimeUnit.MILLISECONDS);
+    private void stopListening(long acceptedBefore, int checksLeft) {
+        if (checksLeft > 0 && accepted != acceptedBefore) {
+            long acceptedNow = accepted;
+            loop.schedule(
+                    () -> stopListening(acceptedNow, checksLeft - 1), 1, TimeUnit.MILLISECONDS);
             return;
         }
-        if (!handingOver) {
+        if (!sharedListener) {
             listener.close();
         }
         listener = null;
--- a/src/main/java/holdproxy/net/Relay.java
+++ b/src/main/java/holdproxy/net/Relay.java
@@ -12,95 +12,95 @@
  */
 final class Relay {
     /** A node that sends nothing for this long is considered unreachable. */
-    private static final long NODE_SILENT_US = 5_000_000;
+    private static final long NODE_TIMEOUT_US = 5_000_000;
 
     /** A client that takes nothing for this long is considered gone. */
-    private static final long CLIENT_SILENT_US = 10_000_000;
+    private static final long CLIENT_TIMEOUT_US = 10_000_000;
 
-    private static final int LOOK_MS = 500;
+    private static final int STALL_CHECK_MS = 500;
 
     private final Proxy proxy;
-    private final Relays all;
+    private final Relays streams;
     private final Attempt attempt;
     private final NodeConnection node;
     private final ClientSession session;
     private final ClientSession.Slot slot;
 
     /** Data received but not yet passed to the client's connection. */
-    private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
+    private final ArrayDeque<ByteBuf> pending = new ArrayDeque<>();
 
-    private final Future<?> look;
+    private final Future<?> stallCheck;
 
     /** Bytes passed to the client's connection but not yet written to its socket. */
-    private long held;
+    private long unwrittenBytes;
 
-    private boolean whole;
-    private boolean over;
+    private boolean complete;
+    private boolean finished;
     private boolean reading = true;
-    private long movedUs;
+    private long lastProgressUs;
 
-    Relay(Proxy proxy, Relays all, Attempt attempt, NodeConnection node, ByteBuf head) {
+    Relay(Proxy proxy, Relays streams, Attempt attempt, NodeConnection node, ByteBuf head) {
         this.proxy = proxy;
         this.attempt = attempt;
         this.node = node;
-        this.all = all;
+        this.streams = streams;
         session = attempt.exchange.session;
         slot = attempt.exchange.slot;
-        movedUs = proxy.now();
-        waiting.add(head);
-        look = proxy.every(LOOK_MS, this::look);
-        session.relay(slot, this);
+        lastProgressUs = proxy.now();
+        pending.add(head);
+        stallCheck = proxy.every(STALL_CHECK_MS, this::checkStall);
+        session.setStream(slot, this);
         pump();
     }
 
     /** The next part of the value; takes ownership of the buffer. */
     void more(ByteBuf bytes) {
-        if (over) {
+        if (finished) {
             bytes.release();
             return;
         }
-        movedUs = proxy.now();
-        waiting.add(bytes);
+        lastProgressUs = proxy.now();
+        pending.add(bytes);
         pump();
     }
 
     /** The value is complete and correctly framed. */
     void whole() {
-        whole = true;
-        waiting.add(Unpooled.wrappedBuffer(new byte[] {'\r', '\n'}));
+        complete = true;
+        pending.add(Unpooled.wrappedBuffer(new byte[] {'\r', '\n'}));
         pump();
     }
 
     /** Writes as much as the client's connection has room for, and pauses or resumes reading the node. */
     void pump() {
-        if (over) {
+        if (finished) {
             return;
         }
-        boolean turn = session.turnOf(slot);
-        if (turn) {
+        boolean first = session.isFirst(slot);
+        if (first) {
             boolean any = false;
-            while (!over && !waiting.isEmpty() && session.hasRoom()) {
-                write(waiting.poll());
+            while (!finished && !pending.isEmpty() && session.isWritable()) {
+                write(pending.poll());
                 any = true;
             }
             if (any) {
                 session.flush();
             }
-            if (whole && waiting.isEmpty() && !over) {
-                ended();
-                session.relayed(slot);
+            if (complete && pending.isEmpty() && !finished) {
+                finish();
+                session.streamFinished(slot);
                 return;
             }
         }
-        if (!whole && !over) {
-            boolean room = session.hasRoom() && (held == 0 || all.room());
-            read(turn && room && waiting.isEmpty());
+        if (!complete && !finished) {
+            boolean writable = session.isWritable() && (unwrittenBytes == 0 || streams.hasRoom());
+            setReading(first && writable && pending.isEmpty());
         }
     }
 
-    private void read(boolean on) {
+    private void setReading(boolean on) {
         if (on && !reading) {
-            movedUs = proxy.now(); // the node could not send anything until now
+            lastProgressUs = proxy.now(); // the node could not send anything until now
         }
         reading = on;
         node.read(on);
@@ -108,18 +108,18 @@
 
     private void write(ByteBuf bytes) {
         int size = bytes.readableBytes();
-        boolean last = whole && waiting.isEmpty();
-        held += size;
-        all.hold(size);
+        boolean last = complete && pending.isEmpty();
+        unwrittenBytes += size;
+        streams.addHeld(size);
         session.write(bytes)
                 .addListener(
                         f -> {
-                            held -= size;
-                            all.hold(-size);
-                            movedUs = proxy.now();
+                            unwrittenBytes -= size;
+                            streams.addHeld(-size);
+                            lastProgressUs = proxy.now();
                             if (last) {
-                                all.taken(attempt.exchange, f.isSuccess());
-                            } else if (held == 0) {
+                                streams.finished(attempt.exchange, f.isSuccess());
+                            } else if (unwrittenBytes == 0) {
                                 pump();
                             }
                         });
@@ -129,17 +129,19 @@
      * Detects a stalled transfer: an unreachable node never closes its connection, and a client may stop
      * reading. Time spent waiting for earlier responses does not count.
      */
-    private void look() {
-        boolean turn = session.turnOf(slot);
-        boolean ofNode = reading && !whole;
-        if (!turn) {
-            movedUs = proxy.now();
-        } else if (!over && proxy.now() - movedUs > (ofNode ? NODE_SILENT_US : CLIENT_SILENT_US)) {
+    private void checkStall() {
+        boolean first = session.isFirst(slot);
+        boolean waitingForNode = reading && !complete;
+        if (!first) {
+            lastProgressUs = proxy.now();
+        } else if (!finished
+                && proxy.now() - lastProgressUs
+                        > (waitingForNode ? NODE_TIMEOUT_US : CLIENT_TIMEOUT_US)) {
             proxy.log(
-                    ofNode
+                    waitingForNode
                             ? "node " + node.pool.name + " fell silent in the middle of a value"
                             : "a client takes nothing of its value: closed");
-            if (ofNode) {
+            if (waitingForNode) {
                 node.close(); // also ends the transfer
             } else {
                 session.abort();
@@ -152,26 +154,26 @@
      * which shows the client that its value is incomplete.
      */
     void brokenOff() {
-        if (!over) {
-            ended();
-            all.broken(attempt.exchange);
+        if (!finished) {
+            finish();
+            streams.nodeFailed(attempt.exchange);
             session.abort();
         }
     }
 
     /** The client has disconnected. */
     void clientGone() {
-        if (!over) {
-            ended();
-            all.taken(attempt.exchange, false);
+        if (!finished) {
+            finish();
+            streams.finished(attempt.exchange, false);
             node.abandon(attempt);
         }
     }
 
-    private void ended() {
-        over = true;
-        look.cancel(false);
-        for (ByteBuf b = waiting.poll(); b != null; b = waiting.poll()) {
+    private void finish() {
+        finished = true;
+        stallCheck.cancel(false);
+        for (ByteBuf b = pending.poll(); b != null; b = pending.poll()) {
             b.release();
         }
     }
--- a/src/main/java/holdproxy/net/Relays.java
+++ b/src/main/java/holdproxy/net/Relays.java
@@ -6,10 +6,10 @@
 /** Starts and finishes streamed values, and keeps count of the memory that all of them hold. */
 final class Relays {
     /** Limit for all streamed values together; above it, only those that hold nothing are read on. */
-    private static final long MOST_HELD_BYTES = 12L << 20;
+    private static final long MAX_HELD_BYTES = 12L << 20;
 
     private final Proxy proxy;
-    private long held;
+    private long heldBytes;
 
     Relays(Proxy proxy) {
         this.proxy = proxy;
@@ -33,32 +33,32 @@
     }
 
     /** The value was written to its end if {@code whole}; otherwise the client did not take all of it. */
-    void taken(Exchange x, boolean whole) {
-        Figures.Outcomes outcomes = ended(x);
+    void finished(Exchange x, boolean whole) {
+        Figures.Outcomes outcomes = finish(x);
         if (whole) {
             outcomes.ok.add(1);
         }
     }
 
     /** A node failed in the middle of a value. */
-    void broken(Exchange x) {
-        ended(x).errors.add(1);
+    void nodeFailed(Exchange x) {
+        finish(x).errors.add(1);
     }
 
-    private Figures.Outcomes ended(Exchange x) {
+    private Figures.Outcomes finish(Exchange x) {
         proxy.figures().active.add(-1);
         return proxy.outcomes(x.command);
     }
 
-    void hold(int change) {
-        held += change;
+    void addHeld(int change) {
+        heldBytes += change;
     }
 
-    long held() {
-        return held;
+    long heldBytes() {
+        return heldBytes;
     }
 
-    boolean room() {
-        return held < MOST_HELD_BYTES;
+    boolean hasRoom() {
+        return heldBytes < MAX_HELD_BYTES;
     }
 }
--- a/src/main/java/holdproxy/net/Room.java
+++ b/src/main/java/holdproxy/net/Room.java
@@ -2,23 +2,23 @@
 
 /** A memory budget, in bytes, that all connections share for one purpose. */
 final class Room {
-    private final long most;
-    private long taken;
+    private final long limitBytes;
+    private long reservedBytes;
 
-    Room(long most) {
-        this.most = most;
+    Room(long limitBytes) {
+        this.limitBytes = limitBytes;
     }
 
     /** Reserves this many bytes if they are available; returns whether it did. */
     boolean take(int bytes) {
-        if (taken + bytes > most) {
+        if (reservedBytes + bytes > limitBytes) {
             return false;
         }
-        taken += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
     void give(int bytes) {
-        taken -= bytes;
+        reservedBytes -= bytes;
     }
 }
--- a/src/test/java/holdproxy/net/LateAttemptsTest.java
+++ b/src/test/java/holdproxy/net/AttemptAfterDisconnectTest.java
@@ -15,12 +15,12 @@
  * ticks cannot detect.
  */
 @Timeout(60)
-class LateAttemptsTest {
+class AttemptAfterDisconnectTest {
     /** 20 ms of it pass before the next tick is due, by which the loop detects that it is late. */
-    private static final int STANDSTILL_MS = 110;
+    private static final int STALL_MS = 110;
 
     /** Timeouts so long that a dial can wait until the test accepts it. */
-    private static final Function<String, String> PATIENT =
+    private static final Function<String, String> LONG_TIMEOUTS =
             s ->
                     s.replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":20000.0")
                             .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":60000.0")
@@ -29,16 +29,16 @@
     private final MockTicker clock = Ticker.newMockTicker();
 
     /** Has all input read in one loop iteration, with the stall passing on the proxy's clock meanwhile. */
-    private void duringAStandstill(Fixture f, Fixture.Coming all) throws Exception {
+    private void duringAStall(Fixture f, Fixture.Coming all) throws Exception {
         f.pass(clock, 10);
         f.inOneTurn(
                 () -> {
                     all.come();
-                    clock.advance(STANDSTILL_MS, TimeUnit.MILLISECONDS);
+                    clock.advance(STALL_MS, TimeUnit.MILLISECONDS);
                 });
     }
 
-    private static void nothingBegan(Fixture f, int attemptsBefore) throws Exception {
+    private static void assertNoNewAttempt(Fixture f, int attemptsBefore) throws Exception {
         assertEquals(0, f.active());
         assertEquals(attemptsBefore, f.proxy.figures().tries.get());
     }
@@ -52,13 +52,13 @@
             node.line();
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
-            duringAStandstill(
+            duringAStall(
                     f,
                     () -> {
                         client.send(Fixture.read("a2", 4000));
                         client.close();
                     });
-            nothingBegan(f, 1);
+            assertNoNewAttempt(f, 1);
         }
     }
 
@@ -70,14 +70,14 @@
             client.send(Fixture.read("a1", 4000));
             Peer node = f.next();
             node.line();
-            duringAStandstill(
+            duringAStall(
                     f,
                     () -> {
                         node.send("SERVER_ERROR busy\r\n");
                         client.send(Fixture.read("a2", 4000));
                         client.close();
                     });
-            nothingBegan(f, 1);
+            assertNoNewAttempt(f, 1);
         }
     }
 
@@ -85,7 +85,7 @@
     @Test
     void noAttemptThatWaitsForADial() throws Exception {
         try (Peer.Deaf deaf = new Peer.Deaf();
-                Fixture f = new Fixture(0, PATIENT, 1024, clock)) {
+                Fixture f = new Fixture(0, LONG_TIMEOUTS, 1024, clock)) {
             Peer watch = f.watch();
             Fixture.chunk(
                     watch,
@@ -102,13 +102,13 @@
             Peer client = f.client();
             client.send(Fixture.read("a1", 20000));
             assertEquals(1, f.active());
-            duringAStandstill(
+            duringAStall(
                     f,
                     () -> {
                         deaf.hear();
                         client.close();
                     });
-            nothingBegan(f, 0);
+            assertNoNewAttempt(f, 0);
         }
     }
 }
--- a/src/test/java/holdproxy/net/DepartureTest.java
+++ b/src/test/java/holdproxy/net/ClientDisconnectTest.java
@@ -12,12 +12,12 @@
 
 /** When a client disconnects, its requests are dropped at once, whatever they wait for, and not sent on. */
 @Timeout(60)
-class DepartureTest {
+class ClientDisconnectTest {
     private static final Function<String, String> NO_CANCELLING =
             s -> s.replace("\"mayCancel\":true", "\"mayCancel\":false");
 
     /** Timeouts so long that a dial can wait until the test accepts it. */
-    private static final Function<String, String> PATIENT =
+    private static final Function<String, String> LONG_TIMEOUTS =
             s ->
                     NO_CANCELLING
                             .apply(s)
@@ -26,7 +26,8 @@
                             .replace("\"deadlineMs\":5000.0", "\"deadlineMs\":30000.0");
 
     /** Fails what the requests of a disconnected client waited for, which must have no further effect. */
-    private static void nothingFollows(Fixture f, Peer node, int attempts) throws Exception {
+    private static void assertNoFurtherAttempt(Fixture f, Peer node, int attempts)
+            throws Exception {
         assertEquals(0, f.active(), "requests of a disconnected client are still open");
         node.send("SERVER_ERROR busy\r\n");
         f.turn();
@@ -35,28 +36,28 @@
     }
 
     @Test
-    void whileItsConnectionIsDraining() throws Exception {
+    void duringShutdown() throws Exception {
         try (Fixture f = new Fixture(2)) {
             Peer client = f.client();
             client.send(Fixture.read("a1", 4000));
             Peer node = f.next();
             node.line();
             f.proxy.end(0);
-            ended(f);
+            awaitListenerClosed(f);
             client.close();
-            nothingFollows(f, node, 1);
+            assertNoFurtherAttempt(f, node, 1);
         }
     }
 
     /** Waits until the listener is closed, when the open connections have been asked to close as well. */
-    private static void ended(Fixture f) throws Exception {
+    private static void awaitListenerClosed(Fixture f) throws Exception {
         while (f.loop.submit(f.proxy::listens).get()) {
             Thread.onSpinWait();
         }
     }
 
     @Test
-    void whileMoreOfItsRequestsWaitThanOneConnectionMayHave() throws Exception {
+    void withMoreRequestsThanOneConnectionMayHaveWaiting() throws Exception {
         try (Fixture f = new Fixture(2)) {
             Peer client = f.client();
             StringBuilder many = new StringBuilder();
@@ -74,7 +75,7 @@
     }
 
     @Test
-    void whileItTakesNothingOfWhatItIsGiven() throws Exception {
+    void whileItDoesNotReadItsResponse() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
             client.send(Fixture.read("a1", 4000) + Fixture.read("a2", 4000));
@@ -84,7 +85,7 @@
             second.line();
             Peer of1 = line.contains("Oa1") ? first : second;
             of1.send("VA 4000000 Oa1\r\n");
-            Thread feeding =
+            Thread sender =
                     new Thread(
                             () -> {
                                 try {
@@ -93,24 +94,24 @@
                                     // expected: the proxy closes the connection
                                 }
                             });
-            feeding.start();
+            sender.start();
             // the proxy holds data of the value that the client has not read
-            while (f.loop.submit(f.proxy.relays::held).get() == 0) {
+            while (f.loop.submit(f.proxy.relays::heldBytes).get() == 0) {
                 Thread.onSpinWait();
             }
             client.reset();
             assertEquals(0, f.active());
-            feeding.join();
+            sender.join();
         }
     }
 
     @Test
-    void whileItsConnectionToTheNodeIsDialed() throws Exception {
+    void whileTheNodeConnectionIsDialed() throws Exception {
         try (Peer.Deaf deaf = new Peer.Deaf();
-                Fixture f = new Fixture(0, PATIENT, 1024)) {
+                Fixture f = new Fixture(0, LONG_TIMEOUTS, 1024)) {
             Peer watch = f.watch();
             Fixture.chunk(watch, Fixture.list(2, true, node("s-0", deaf.address(), "SERVING")));
-            listed(f, 1);
+            awaitPoolSize(f, 1);
             Peer client = f.client();
             client.send(Fixture.read("gone", 20000));
             f.turn();
@@ -120,15 +121,15 @@
             second.send(Fixture.read("stays", 20000));
             Peer one = deaf.hear();
             Peer two = deaf.hear();
-            String told = answered(one, two);
-            assertTrue(told.contains("Ostays"), told);
+            String command = respondToNextCommand(one, two);
+            assertTrue(command.contains("Ostays"), command);
             second.expect("VA 1 Ostays", "1");
             assertEquals(1, f.proxy.figures().tries.get());
         }
     }
 
     /** Responds to the command on whichever connection receives one; returns the command. */
-    private static String answered(Peer one, Peer two) throws Exception {
+    private static String respondToNextCommand(Peer one, Peer two) throws Exception {
         for (long end = System.nanoTime() + 10_000_000_000L;
                 System.nanoTime() < end;
                 Thread.onSpinWait()) {
@@ -145,12 +146,12 @@
     }
 
     @Test
-    void whatWaitsForADialToANodeThatIsToldToDrainGoesElsewhere() throws Exception {
+    void aRequestWaitingForADialIsRetriedElsewhereWhenTheNodeDrains() throws Exception {
         try (Peer.Deaf deaf = new Peer.Deaf();
-                Fixture f = new Fixture(1, PATIENT, 1024)) {
+                Fixture f = new Fixture(1, LONG_TIMEOUTS, 1024)) {
             Peer watch = f.watch();
             Fixture.chunk(watch, Fixture.list(2, true, node("s-9", deaf.address(), "SERVING")));
-            listed(f, 1);
+            awaitPoolSize(f, 1);
             Peer client = f.client();
             client.send(Fixture.write("charge", "c1", 20000));
             f.turn();
@@ -161,7 +162,7 @@
                             false,
                             node("s-9", deaf.address(), "DRAINING"),
                             f.entry(0, "SERVING")));
-            listed(f, 2);
+            awaitPoolSize(f, 2);
             Peer node = f.nodes.get(0).next();
             assertTrue(node.line().contains("Oc1"));
             node.expect("hello");
@@ -175,25 +176,25 @@
      * must not start after it.
      */
     @Test
-    void whatHasWaitedLongerThanADialMayTakeIsNotBegun() throws Exception {
+    void anAttemptThatWaitedLongerThanTheDialTimeoutIsNotStarted() throws Exception {
         MockTicker clock = Ticker.newMockTicker();
         try (Peer.Deaf deaf = new Peer.Deaf();
-                Fixture f = new Fixture(0, PATIENT, 1024, clock)) {
+                Fixture f = new Fixture(0, LONG_TIMEOUTS, 1024, clock)) {
             Peer watch = f.watch();
             Fixture.chunk(watch, Fixture.list(2, true, node("s-0", deaf.address(), "SERVING")));
-            listed(f, 1);
+            awaitPoolSize(f, 1);
             Peer client = f.client();
             client.send(Fixture.write("submit", "k1", 29000));
             f.turn();
             clock.advance(21, TimeUnit.SECONDS); // the dial timeout is 20 s
-            Peer late = deaf.hear();
+            Peer dialed = deaf.hear();
             assertTrue(client.line().startsWith("SERVER_ERROR"));
             assertEquals(0, f.proxy.figures().tries.get());
-            late.close();
+            dialed.close();
         }
     }
 
-    private static void listed(Fixture f, int nodes) throws Exception {
+    private static void awaitPoolSize(Fixture f, int nodes) throws Exception {
         while (f.proxy.figures().poolSize.get() != nodes) {
             Thread.onSpinWait();
         }
--- a/src/test/java/holdproxy/net/ClientSessionTest.java
+++ b/src/test/java/holdproxy/net/ClientSessionTest.java
@@ -38,51 +38,51 @@
         proxy = new Proxy(config, new EmbeddedChannel().eventLoop(), time, nodes, new Log(time));
     }
 
-    private EmbeddedChannel peer(String sends) {
+    private EmbeddedChannel client(String sends) {
         EmbeddedChannel peer = new EmbeddedChannel(proxy.handlers());
         peer.freezeTime();
         peer.writeInbound(Unpooled.copiedBuffer(sends, StandardCharsets.ISO_8859_1));
         return peer;
     }
 
-    private static void pass(EmbeddedChannel peer, int ms) {
+    private static void advance(EmbeddedChannel peer, int ms) {
         peer.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
         peer.runPendingTasks();
     }
 
-    private static String said(EmbeddedChannel peer) {
-        ByteBuf said = peer.readOutbound();
-        String text = said.toString(StandardCharsets.ISO_8859_1);
-        said.release();
+    private static String nextOutput(EmbeddedChannel peer) {
+        ByteBuf output = peer.readOutbound();
+        String text = output.toString(StandardCharsets.ISO_8859_1);
+        output.release();
         return text;
     }
 
     @Test
-    void oneThatSendsNoWholeCommandIsToldSoAndEnds() {
+    void aClientWithoutACompleteCommandGetsAnErrorAndIsDisconnected() {
         for (String sends :
                 new String[] {"", "mg 7f", "ms 7f 64 Oa Pc=submit,t=acme,d=900\r\nhello"}) {
-            EmbeddedChannel peer = peer(sends);
-            pass(peer, 2000);
+            EmbeddedChannel peer = client(sends);
+            advance(peer, 2000);
             assertTrue(peer.isActive());
-            pass(peer, 999);
-            assertTrue(said(peer).startsWith("CLIENT_ERROR "));
+            advance(peer, 999);
+            assertTrue(nextOutput(peer).startsWith("CLIENT_ERROR "));
             assertFalse(peer.isActive());
         }
     }
 
     @Test
-    void oneThatHasSentACommandIsKept() {
-        EmbeddedChannel peer = peer("mn\r\n");
-        assertEquals("MN\r\n", said(peer));
-        pass(peer, 60_000);
+    void aClientThatHasSentACommandStaysConnected() {
+        EmbeddedChannel peer = client("mn\r\n");
+        assertEquals("MN\r\n", nextOutput(peer));
+        advance(peer, 60_000);
         assertNull(peer.readOutbound());
         assertTrue(peer.isActive());
     }
 
     /** The error already sent is the response to a command that arrives after it, which is not forwarded. */
     @Test
-    void aCommandThatCrossesTheErrorIsNotSentOn() {
-        List<ChannelPromise> held = new ArrayList<>();
+    void aCommandThatArrivesAfterTheErrorIsNotForwarded() {
+        List<ChannelPromise> pendingWrites = new ArrayList<>();
         EmbeddedChannel peer =
                 new EmbeddedChannel(
                         new ChannelOutboundHandlerAdapter() {
@@ -91,7 +91,7 @@
                                     ChannelHandlerContext ctx,
                                     Object message,
                                     ChannelPromise promise) {
-                                held.add(promise); // the socket accepts nothing yet
+                                pendingWrites.add(promise); // the socket accepts nothing yet
                                 ctx.write(message);
                             }
                         });
@@ -105,20 +105,20 @@
         peer.pipeline().addLast(proxy.handlers());
         peer.freezeTime();
         peer.pipeline().fireChannelActive(); // became active before the handlers were added
-        pass(peer, 2999);
-        assertTrue(said(peer).startsWith("CLIENT_ERROR "));
+        advance(peer, 2999);
+        assertTrue(nextOutput(peer).startsWith("CLIENT_ERROR "));
         peer.writeInbound(
                 Unpooled.copiedBuffer(Fixture.read("a1", 900), StandardCharsets.ISO_8859_1));
         assertEquals(0, nodes.all.size());
         assertEquals(0, proxy.figures().active.get());
-        held.forEach(ChannelPromise::trySuccess);
-        pass(peer, 10_000);
+        pendingWrites.forEach(ChannelPromise::trySuccess);
+        advance(peer, 10_000);
         assertFalse(peer.isActive());
     }
 
     /** Every request is answered in order, however many exceed the limit; those are only counted. */
     @Test
-    void whatComesOnTopOfWhatOneConnectionMayHaveWaitingIsRefusedInItsTurn() {
+    void requestsOverTheLimitOfAConnectionAreRefusedInOrder() {
         proxy.nodes(
                 Router.ListKind.CACHED,
                 List.of(
@@ -126,14 +126,14 @@
                                 new Router.Node(),
                                 "s-0",
                                 new InetSocketAddress("127.0.0.1", 100))));
-        EmbeddedChannel peer = peer("");
+        EmbeddedChannel peer = client("");
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 40_000; i++) {
             many.append(Fixture.read("a" + i, 4000));
         }
         peer.writeInbound(Unpooled.copiedBuffer(many, StandardCharsets.ISO_8859_1));
-        int taken = (int) proxy.figures().active.get();
-        assertTrue(taken <= 128, taken + " requests were accepted");
+        int accepted = (int) proxy.figures().active.get();
+        assertTrue(accepted <= 128, accepted + " requests were accepted");
         for (EmbeddedChannel node : List.copyOf(nodes.all)) {
             for (String text = Rehearsal.text(node);
                     text.contains(" O");
@@ -159,8 +159,8 @@
     }
 
     /** A client whose socket accepts no data, after this many requests for large values. */
-    private EmbeddedChannel hog(int requests, String value) {
-        EmbeddedChannel hog =
+    private EmbeddedChannel nonReadingClient(int requests, String value) {
+        EmbeddedChannel client =
                 new EmbeddedChannel(
                         new ChannelOutboundHandlerAdapter() {
                             @Override
@@ -171,16 +171,16 @@
                                 ctx.write(message);
                             }
                         });
-        hog.pipeline().addLast(proxy.handlers());
-        hog.pipeline().fireChannelActive();
+        client.pipeline().addLast(proxy.handlers());
+        client.pipeline().fireChannelActive();
         for (int i = 0; i < requests; i++) {
-            hog.writeInbound(Rehearsal.bytes(Fixture.read("h" + i, 4000)));
-            served("h" + i, value);
+            client.writeInbound(Rehearsal.bytes(Fixture.read("h" + i, 4000)));
+            respond("h" + i, value);
         }
-        return hog;
+        return client;
     }
 
-    private void served(String id, String value) {
+    private void respond(String id, String value) {
         for (EmbeddedChannel node : List.copyOf(nodes.all)) {
             if (Rehearsal.text(node).contains("O" + id + " ")) {
                 node.writeInbound(
@@ -191,7 +191,7 @@
     }
 
     @Test
-    void whatOthersDoNotTakeCostsNoClientItsConnectionOrItsAnswer() {
+    void clientsThatDoNotReadCostNoClientItsConnectionOrResponse() {
         proxy.nodes(
                 Router.ListKind.CACHED,
                 List.of(
@@ -200,27 +200,32 @@
                                 "s-0",
                                 new InetSocketAddress("127.0.0.1", 100))));
         String value = "x".repeat(65_000);
-        List<EmbeddedChannel> hogs = List.of(hog(100, value), hog(100, value), hog(5, value));
-        EmbeddedChannel client = peer(Fixture.read("a1", 4000));
-        served("a1", value);
-        assertTrue(said(client).startsWith("VA 65000 Oa1"));
-        for (EmbeddedChannel open : List.of(client, hogs.get(0), hogs.get(1), hogs.get(2))) {
+        List<EmbeddedChannel> nonReading =
+                List.of(
+                        nonReadingClient(100, value),
+                        nonReadingClient(100, value),
+                        nonReadingClient(5, value));
+        EmbeddedChannel client = client(Fixture.read("a1", 4000));
+        respond("a1", value);
+        assertTrue(nextOutput(client).startsWith("VA 65000 Oa1"));
+        for (EmbeddedChannel open :
+                List.of(client, nonReading.get(0), nonReading.get(1), nonReading.get(2))) {
             assertTrue(open.isActive());
             open.finishAndReleaseAll();
         }
     }
 
     @Test
-    void aClientThatTakesNothingOfItsAnswersDoesNotKeepItsPlace() {
-        EmbeddedChannel peer = peer("mn\r\n");
+    void aClientThatReadsNoResponsesIsDisconnected() {
+        EmbeddedChannel peer = client("mn\r\n");
         peer.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         peer.runPendingTasks();
         // the data block is too long, which breaks the framing
         peer.writeInbound(
                 Rehearsal.bytes("mn\r\nms k 3 Od Pc=charge,t=acme,d=900,k=1\r\nabcdefg\r\n"));
-        pass(peer, 9_000);
+        advance(peer, 9_000);
         assertTrue(peer.isActive());
-        pass(peer, 1_001);
+        advance(peer, 1_001);
         assertFalse(peer.isActive());
     }
 }
--- a/src/test/java/holdproxy/net/EventsTest.java
+++ b/src/test/java/holdproxy/net/EventsTest.java
@@ -18,25 +18,25 @@
     private static final long MS = 1_000;
 
     /** A disconnect must be noticed within 0.1 s; the rest of that time is left for the write. */
-    private static final long MOST_AGE_US = 90 * MS;
+    private static final long MAX_AGE_US = 90 * MS;
 
     private long nowUs;
     private long readUs;
-    private final ArrayDeque<Runnable> afterReading = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
     private final Lateness lateness = new Lateness(0);
     private final List<Long> ages = new ArrayList<>();
     private final Events events = new Events(this, null, () -> nowUs, lateness);
 
     @Override
     public void whenRead(Runnable task, boolean late) {
-        afterReading.add(task);
+        tasks.add(task);
     }
 
     /** One event loop iteration: reads the sockets, runs the waiting tasks, and the tick if it is due. */
-    private void turn() {
+    private void iterate() {
         readUs = nowUs;
-        for (int tasks = afterReading.size(); tasks > 0; tasks--) {
-            afterReading.poll().run();
+        for (int count = tasks.size(); count > 0; count--) {
+            tasks.poll().run();
         }
         if (lateness.sinceDueUs(nowUs) >= 2 * Lateness.TICK_US) {
             lateness.ticked(nowUs);
@@ -44,44 +44,45 @@
     }
 
     /** An event that takes this long to handle. */
-    private void event(long takesUs) {
+    private void event(long durationUs) {
         events.add(
                 () -> {
                     ages.add(nowUs - readUs);
-                    nowUs += takesUs;
+                    nowUs += durationUs;
                 });
     }
 
     @Test
-    void manyEventsOfOneTurnAreNotAllDecidedByWhatItHasRead() {
+    void manyEventsOfOneIterationAreNotAllDeliveredAfterOneRead() {
         lateness.ticked(nowUs);
         for (int i = 0; i < 40; i++) {
             event(10 * MS);
         }
-        int turns = 0;
+        int iterations = 0;
         while (ages.size() < 40) {
             int before = ages.size();
-            turn();
-            assertTrue(++turns == 1 || ages.size() > before, "an iteration delivered no event");
+            iterate();
+            assertTrue(
+                    ++iterations == 1 || ages.size() > before, "an iteration delivered no event");
         }
-        assertTrue(ages.stream().allMatch(age -> age <= MOST_AGE_US), ages.toString());
-        assertTrue(turns <= 8, turns + " iterations");
+        assertTrue(ages.stream().allMatch(age -> age <= MAX_AGE_US), ages.toString());
+        assertTrue(iterations <= 8, iterations + " iterations");
     }
 
     @Test
-    void anEventOfALoopOnTimeIsDecidedInItsTurn() {
+    void anEventIsDeliveredInItsIterationIfTheLoopIsOnTime() {
         for (int i = 0; i < 10; i++) {
             nowUs += Lateness.TICK_US;
             lateness.ticked(nowUs);
             event(0);
-            turn();
+            iterate();
             assertEquals(i + 1, ages.size());
         }
     }
 
     /** Wherever between two ticks the stall begins, and though no tick has run since. */
     @Test
-    void behindAStandstillOfOver60MsTheSocketsAreReadAgain() {
+    void theSocketsAreReadAgainAfterAStallOfOver60Ms() {
         for (long beginsUs = 0; beginsUs < Lateness.TICK_US; beginsUs += MS) {
             nowUs += 10 * Lateness.TICK_US;
             lateness.ticked(nowUs);
@@ -90,9 +91,9 @@
             long before = ages.size();
             nowUs += 61 * MS;
             event(0);
-            turn();
+            iterate();
             assertEquals(before, ages.size(), "the stall began " + beginsUs + " us after a tick");
-            turn();
+            iterate();
             assertEquals(before + 1, ages.size());
         }
     }
--- a/src/test/java/holdproxy/net/RelayTest.java
+++ b/src/test/java/holdproxy/net/LargeValueTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Values over 64 KiB: reads are streamed as fast as the client takes them, writes are buffered. */
-class RelayTest {
+class LargeValueTest {
     private static final int MIB = 1 << 20;
 
     private final MockTicker ticker = Ticker.newMockTicker();
@@ -55,7 +55,7 @@
         client = new EmbeddedChannel(proxy.handlers());
     }
 
-    private void pass(int ms) {
+    private void advance(int ms) {
         ticker.advance(ms, TimeUnit.MILLISECONDS);
         timers.runScheduledPendingTasks();
         client.runPendingTasks();
@@ -76,7 +76,7 @@
         return value;
     }
 
-    private static byte[] taken(EmbeddedChannel channel) {
+    private static byte[] output(EmbeddedChannel channel) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
             byte[] part = new byte[b.readableBytes()];
@@ -87,7 +87,7 @@
         return all.toByteArray();
     }
 
-    private static byte[] answer(String id, byte[] value) {
+    private static byte[] response(String id, byte[] value) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(
                 ("VA " + value.length + " " + id + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
@@ -97,16 +97,16 @@
     }
 
     /** Requests a value and has the node that receives the command begin it; returns that node. */
-    private EmbeddedChannel begun(String id, int size) {
+    private EmbeddedChannel beginValue(String id, int size) {
         client.writeInbound(bytes(Fixture.read(id, 900)));
-        EmbeddedChannel node = asked();
+        EmbeddedChannel node = nodeWithCommand();
         node.writeInbound(bytes("VA " + size + " O" + id + " h1\r\n"));
         return node;
     }
 
     /** The node that has just received a command. */
-    private EmbeddedChannel asked() {
-        return nodes.stream().filter(n -> taken(n).length > 0).findFirst().orElseThrow();
+    private EmbeddedChannel nodeWithCommand() {
+        return nodes.stream().filter(n -> output(n).length > 0).findFirst().orElseThrow();
     }
 
     private String counts() {
@@ -121,83 +121,84 @@
     }
 
     @Test
-    void aValueOf4MiBComesAsTheNodeGaveItWhateverThePieces() {
+    void aValueOf4MiBIsPassedOnUnchangedWhateverThePieceSize() {
         byte[] value = value(4 * MIB);
         for (int piece : new int[] {64 * 1024, 1_000_003, 4 * MIB}) {
-            EmbeddedChannel node = begun("a" + piece, value.length);
+            EmbeddedChannel node = beginValue("a" + piece, value.length);
             ByteArrayOutputStream got = new ByteArrayOutputStream();
             for (int at = 0; at < value.length; at += piece) {
                 node.writeInbound(
                         Unpooled.wrappedBuffer(value, at, Math.min(piece, value.length - at)));
-                got.writeBytes(taken(client));
+                got.writeBytes(output(client));
             }
             node.writeInbound(bytes("\r"));
             node.writeInbound(bytes("\n"));
-            got.writeBytes(taken(client));
-            assertArrayEquals(answer("Oa" + piece, value), got.toByteArray());
+            got.writeBytes(output(client));
+            assertArrayEquals(response("Oa" + piece, value), got.toByteArray());
         }
         assertEquals("3/0/0 active 0", counts());
     }
 
     @Test
-    void itsFirstBytesGoOnBeforeTheRestIsThereAndItsTimeMayPass() {
-        EmbeddedChannel node = begun("a1", MIB);
+    void firstBytesArePassedOnAtOnceAndTheDeadlineNoLongerApplies() {
+        EmbeddedChannel node = beginValue("a1", MIB);
         byte[] value = value(MIB);
         node.writeInbound(Unpooled.wrappedBuffer(value, 0, 10));
-        assertEquals(10 + "VA 1048576 Oa1\r\n".length(), taken(client).length);
+        assertEquals(10 + "VA 1048576 Oa1\r\n".length(), output(client).length);
         assertEquals("0/0/0 active 1", counts());
         for (int i = 0; i < 3; i++) {
-            pass(1000); // past the deadline of 900 ms, the value still continues
+            advance(1000); // past the deadline of 900 ms, the value still continues
             node.writeInbound(Unpooled.wrappedBuffer(value, 10 + i, 1));
-            assertEquals(1, taken(client).length);
+            assertEquals(1, output(client).length);
         }
         node.writeInbound(Unpooled.wrappedBuffer(value, 13, MIB - 13), bytes("\r\n"));
-        assertEquals(MIB - 13 + 2, taken(client).length);
+        assertEquals(MIB - 13 + 2, output(client).length);
         assertEquals("1/0/0 active 0", counts());
     }
 
     @Test
-    void singleBytesAndASplitHeadAreOneValueAmongOthers() {
+    void aValueReceivedByteByByteIsDecodedAmongOtherResponses() {
         byte[] value = value(65 * 1024);
         client.writeInbound(bytes(Fixture.read("a1", 4000) + "mn\r\n"));
         EmbeddedChannel node = nodes.get(0);
-        taken(node);
+        output(node);
         ByteArrayOutputStream got = new ByteArrayOutputStream();
-        for (byte b : answer("Oa1 h0", value)) {
+        for (byte b : response("Oa1 h0", value)) {
             node.writeInbound(Unpooled.wrappedBuffer(new byte[] {b}));
-            got.writeBytes(taken(client));
+            got.writeBytes(output(client));
         }
-        byte[] wanted = answer("Oa1", value);
+        byte[] wanted = response("Oa1", value);
         assertArrayEquals(wanted, java.util.Arrays.copyOf(got.toByteArray(), wanted.length));
         assertEquals("MN\r\n", got.toString(StandardCharsets.ISO_8859_1).substring(wanted.length));
     }
 
     @Test
-    void itWaitsForItsTurnBehindASlowerAnswerAndTheNodeWithIt() {
+    void aValueWaitsForAnEarlierResponseAndItsNodeIsNotReadMeanwhile() {
         client.writeInbound(bytes(Fixture.read("slow", 4000)));
         EmbeddedChannel slow = nodes.get(0);
-        taken(slow);
-        EmbeddedChannel node = begun("a1", MIB);
+        output(slow);
+        EmbeddedChannel node = beginValue("a1", MIB);
         byte[] value = value(MIB);
         node.writeInbound(Unpooled.wrappedBuffer(value, 0, 1000));
-        assertEquals(0, taken(client).length);
+        assertEquals(0, output(client).length);
         assertFalse(node.config().isAutoRead(), "the node must not be read meanwhile");
         slow.writeInbound(bytes("VA 1 Oslow\r\n1\r\n"));
-        assertEquals("VA 1 Oslow\r\n1\r\nVA 1048576 Oa1\r\n".length() + 1000, taken(client).length);
+        assertEquals(
+                "VA 1 Oslow\r\n1\r\nVA 1048576 Oa1\r\n".length() + 1000, output(client).length);
         assertTrue(node.config().isAutoRead());
         node.writeInbound(Unpooled.wrappedBuffer(value, 1000, MIB - 1000), bytes("\r\n"));
-        assertEquals(MIB - 1000 + 2, taken(client).length);
+        assertEquals(MIB - 1000 + 2, output(client).length);
         assertEquals("2/0/0 active 0", counts());
     }
 
     @Test
-    void oneThatIsWholeBeforeItsTurnWaitsForItHoweverLongThatTakes() {
-        EmbeddedChannel first = begun("a1", MIB);
-        EmbeddedChannel second = begun("a2", 70_000);
+    void aCompleteValueWaitsForEarlierResponsesWithoutATimeout() {
+        EmbeddedChannel first = beginValue("a1", MIB);
+        EmbeddedChannel second = beginValue("a2", 70_000);
         second.writeInbound(
                 Unpooled.wrappedBuffer(new byte[70_000]), bytes("\r\n")); // read at once
         for (int i = 0; i < 15; i++) {
-            pass(1000);
+            advance(1000);
             first.writeInbound(Unpooled.wrappedBuffer(new byte[1000]));
         }
         assertTrue(client.isActive());
@@ -205,39 +206,39 @@
         first.writeInbound(Unpooled.wrappedBuffer(new byte[MIB - 15_000]), bytes("\r\n"));
         assertEquals(
                 "VA 1048576 Oa1\r\nVA 70000 Oa2\r\n".length() + MIB + 70_000 + 4,
-                taken(client).length);
+                output(client).length);
         assertEquals("2/0/0 active 0", counts());
     }
 
     @Test
-    void aNodeIsReadFromOnlyWhileTheClientTakesWhatItGives() {
-        EmbeddedChannel node = begun("a1", MIB);
+    void aNodeIsReadOnlyWhileTheClientTakesItsData() {
+        EmbeddedChannel node = beginValue("a1", MIB);
         byte[] value = value(MIB);
-        room(false);
+        setWritable(false);
         assertFalse(node.config().isAutoRead());
         node.writeInbound(Unpooled.wrappedBuffer(value, 0, 1000)); // was already in flight
-        int before = taken(client).length;
+        int before = output(client).length;
         assertEquals("VA 1048576 Oa1\r\n".length(), before);
-        pass(1500);
-        room(true);
-        assertEquals(1000, taken(client).length);
+        advance(1500);
+        setWritable(true);
+        assertEquals(1000, output(client).length);
         assertTrue(node.config().isAutoRead());
         node.writeInbound(Unpooled.wrappedBuffer(value, 1000, MIB - 1000), bytes("\r\n"));
-        assertEquals(MIB - 1000 + 2, taken(client).length);
+        assertEquals(MIB - 1000 + 2, output(client).length);
     }
 
-    private void room(boolean there) {
-        client.unsafe().outboundBuffer().setUserDefinedWritability(1, there);
+    private void setWritable(boolean writable) {
+        client.unsafe().outboundBuffer().setUserDefinedWritability(1, writable);
         client.runPendingTasks();
     }
 
     @Test
-    void aClientThatTakesNothingIsClosedInTheEndAndTheNodesConnectionWithIt() {
-        EmbeddedChannel node = begun("a1", MIB);
-        room(false);
-        pass(9_000);
+    void aClientThatStopsReadingIsClosedTogetherWithTheNodeConnection() {
+        EmbeddedChannel node = beginValue("a1", MIB);
+        setWritable(false);
+        advance(9_000);
         assertTrue(client.isActive());
-        pass(2_000);
+        advance(2_000);
         assertFalse(client.isActive());
         assertFalse(node.isActive());
         assertEquals("0/0/0 active 0", counts());
@@ -245,40 +246,40 @@
     }
 
     @Test
-    void aNodeThatFallsSilentInTheMiddleEndsTheClientsConnection() {
-        EmbeddedChannel node = begun("a1", MIB);
+    void aNodeThatStopsSendingInAValueClosesTheClientConnection() {
+        EmbeddedChannel node = beginValue("a1", MIB);
         node.writeInbound(Unpooled.wrappedBuffer(value(1000)));
-        pass(4_500);
+        advance(4_500);
         assertTrue(client.isActive());
-        pass(1_500);
+        advance(1_500);
         assertFalse(client.isActive(), "the client must see that its value is incomplete");
         assertEquals("0/0/1 active 0", counts());
         assertEquals(0, proxy.open());
     }
 
     @Test
-    void aNodeThatBreaksOffOrEndsItWronglyEndsTheClientsConnection() {
-        EmbeddedChannel node = begun("a1", MIB);
+    void aNodeThatDisconnectsOrBreaksFramingClosesTheClientConnection() {
+        EmbeddedChannel node = beginValue("a1", MIB);
         node.writeInbound(Unpooled.wrappedBuffer(value(1000)));
         node.close();
         assertFalse(client.isActive());
         assertEquals("0/0/1 active 0", counts());
         client = new EmbeddedChannel(proxy.handlers());
-        node = begun("a2", MIB);
+        node = beginValue("a2", MIB);
         node.writeInbound(Unpooled.wrappedBuffer(value(MIB)), bytes("no"));
         assertFalse(node.isActive());
         assertFalse(client.isActive());
         assertEquals(
                 MIB + "VA 1048576 Oa2\r\n".length(),
-                taken(client).length,
+                output(client).length,
                 "the terminating CRLF must not be passed on");
         assertEquals("0/0/2 active 0", counts());
         assertEquals(0, proxy.open());
     }
 
     @Test
-    void aClientThatLeavesEndsTheNodesConnection() {
-        EmbeddedChannel node = begun("a1", MIB);
+    void aClientDisconnectClosesTheNodeConnection() {
+        EmbeddedChannel node = beginValue("a1", MIB);
         node.writeInbound(Unpooled.wrappedBuffer(value(1000)));
         client.close();
         assertFalse(node.isActive());
@@ -287,51 +288,51 @@
     }
 
     @Test
-    void onceItHasBegunNoOtherAttemptMayAnswer() {
+    void onceAValueHasBegunNoOtherAttemptMayAnswer() {
         for (int i = 0; i < 60; i++) { // earn the budget for a second copy
-            begun("e" + i, 70_000)
+            beginValue("e" + i, 70_000)
                     .writeInbound(Unpooled.wrappedBuffer(new byte[70_000]), bytes("\r\n"));
-            taken(client);
+            output(client);
         }
         int before = nodes.size();
         client.writeInbound(bytes(Fixture.read("a1", 4000)));
-        EmbeddedChannel first = asked();
-        pass(500);
-        EmbeddedChannel second = asked();
+        EmbeddedChannel first = nodeWithCommand();
+        advance(500);
+        EmbeddedChannel second = nodeWithCommand();
         second.writeInbound(bytes("VA " + MIB + " Oa1\r\n"), Unpooled.wrappedBuffer(value(1000)));
         assertFalse(first.isActive(), "the other attempt must be cancelled at once");
-        assertEquals("VA 1048576 Oa1\r\n".length() + 1000, taken(client).length);
+        assertEquals("VA 1048576 Oa1\r\n".length() + 1000, output(client).length);
         second.writeInbound(Unpooled.wrappedBuffer(new byte[MIB - 1000]), bytes("\r\n"));
-        assertEquals(MIB - 1000 + 2, taken(client).length);
+        assertEquals(MIB - 1000 + 2, output(client).length);
         assertEquals("61/0/0 active 0", counts());
         assertTrue(nodes.size() <= before + 2);
     }
 
     @Test
-    void aLargeWriteIsHeldAsItComesAndGoesToANodeWhole() {
+    void aLargeWriteIsBufferedAndSentToANodeComplete() {
         byte[] value = value(4 * MIB);
         client.writeInbound(bytes("ms 7f " + value.length + " Ow1 Pc=charge,t=acme,d=4000\r\n"));
         client.writeInbound(Unpooled.wrappedBuffer(value, 0, MIB));
         assertEquals(0, nodes.size());
         client.writeInbound(Unpooled.wrappedBuffer(value, MIB, 3 * MIB), bytes("\r\n"));
-        byte[] sent = taken(nodes.get(0));
+        byte[] sent = output(nodes.get(0));
         String head = new String(sent, 0, 80, StandardCharsets.ISO_8859_1).split("\r\n")[0];
         assertTrue(head.startsWith("ms 7f " + value.length + " Ow1 Pc=charge,t=acme,d="), head);
         assertArrayEquals(
                 value, java.util.Arrays.copyOfRange(sent, head.length() + 2, sent.length - 2));
         assertEquals(1, proxy.figures().tries.get());
         nodes.get(0).writeInbound(bytes("HD Ow1 c1\r\n"));
-        assertEquals("HD Ow1 c1\r\n", new String(taken(client), StandardCharsets.ISO_8859_1));
+        assertEquals("HD Ow1 c1\r\n", new String(output(client), StandardCharsets.ISO_8859_1));
     }
 
     @Test
-    void aLargeWriteGoesOnOnlyAsTheNodesConnectionTakesIt() {
+    void aLargeWriteIsSentOnlyAsFastAsTheNodeConnectionTakesIt() {
         proxy.nodes(Router.ListKind.FULL, entries.subList(0, 1));
         String write = "ms 7f " + MIB + " Ow1 Pc=charge,t=acme,d=4000\r\n";
         client.writeInbound(bytes("mg 7f v Oa1 Pc=lookup,t=acme,d=900\r\n"));
-        EmbeddedChannel node = asked(); // same key, so its connection is reused
+        EmbeddedChannel node = nodeWithCommand(); // same key, so its connection is reused
         node.writeInbound(bytes("VA 1 Oa1\r\n1\r\n"));
-        taken(client);
+        output(client);
         // a write may reuse the connection once no second response can arrive on it
         ticker.advance(100, TimeUnit.MILLISECONDS);
         proxy.tick();
@@ -339,16 +340,16 @@
         client.writeInbound(bytes(write), Unpooled.wrappedBuffer(new byte[MIB]));
         node.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         client.writeInbound(bytes("\r\n"));
-        assertTrue(taken(node).length < 100, "only the command line may be sent");
+        assertTrue(output(node).length < 100, "only the command line may be sent");
         assertEquals(1, proxy.figures().tries.get(), "counted before it was sent completely");
         node.unsafe().outboundBuffer().setUserDefinedWritability(1, true);
         node.runPendingTasks();
-        assertEquals(MIB + 2, taken(node).length);
+        assertEquals(MIB + 2, output(node).length);
         assertEquals(2, proxy.figures().tries.get());
     }
 
     @Test
-    void moreThanThereIsRoomForIsRefusedAndTheNextCommandIsRead() {
+    void aWriteOverTheMemoryLimitIsRefusedAndTheNextCommandIsRead() {
         List<EmbeddedChannel> clients = new ArrayList<>();
         for (int i = 0; i < 5; i++) { // there is memory for four
             EmbeddedChannel c = new EmbeddedChannel(proxy.handlers());
@@ -357,7 +358,7 @@
             clients.add(c);
         }
         clients.get(4).writeInbound(bytes("\r\nmn\r\n"));
-        String answer = new String(taken(clients.get(4)), StandardCharsets.ISO_8859_1);
+        String answer = new String(output(clients.get(4)), StandardCharsets.ISO_8859_1);
         assertTrue(answer.matches("SERVER_ERROR busy [0-9]+\r\nMN\r\n"), answer);
         assertEquals(1, proxy.figures().of("charge").shed.get());
         clients.get(0).close(); // in the middle of its value, which frees the memory
@@ -367,7 +368,7 @@
     }
 
     @Test
-    void aClientAtWorkOnALargeValueHasLongerThanOneThatSendsNothing() {
+    void aClientSendingALargeValueGetsMoreTimeThanAnIdleOne() {
         String head = "ms 7f " + MIB + " Ow Pc=charge,t=acme,d=4000\r\n";
         EmbeddedChannel idle =
                 EmbeddedChannel.builder().ticker(ticker).handlers(proxy.handlers()).build();
@@ -382,7 +383,8 @@
             }
             idle.runScheduledPendingTasks();
             busy.runScheduledPendingTasks();
-            assertEquals(ms + 100 < ClientSession.UNHEARD_MS, idle.isActive(), "at " + ms);
+            assertEquals(
+                    ms + 100 < ClientSession.FIRST_COMMAND_TIMEOUT_MS, idle.isActive(), "at " + ms);
             assertTrue(ms + 100 > 5_000 || busy.isActive(), "at " + ms);
         }
         assertFalse(busy.isActive());
--- a/src/test/java/holdproxy/net/LargeWriteTest.java
+++ b/src/test/java/holdproxy/net/LargeWriteTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aSliceIsWrittenOnceWhereItsOwnWriteMakesRoom(@TempDir Path folder) throws Exception {
+    void aSliceIsWrittenOnceIfItsOwnWriteChangesWritability(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 1024));
         Config config = Config.load(Fixture.env(file, "127.0.0.1:1"));
@@ -105,22 +105,22 @@
                 Unpooled.wrappedBuffer(value),
                 Rehearsal.bytes("\r\n"));
         EmbeddedChannel node = nodes.get(nodes.size() - 1);
-        ByteArrayOutputStream came = new ByteArrayOutputStream();
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
         ByteBuf head = node.readOutbound();
         assertTrue(head.toString(StandardCharsets.ISO_8859_1).endsWith("k=5c0f\r\n"));
         for (ByteBuf b = node.readOutbound(); b != null; b = node.readOutbound()) {
-            b.readBytes(came, b.readableBytes());
+            b.readBytes(received, b.readableBytes());
         }
-        byte[] wanted = Arrays.copyOf(value, value.length + 2);
-        wanted[value.length] = '\r';
-        wanted[value.length + 1] = '\n';
-        assertArrayEquals(wanted, came.toByteArray());
+        byte[] expected = Arrays.copyOf(value, value.length + 2);
+        expected[value.length] = '\r';
+        expected[value.length + 1] = '\n';
+        assertArrayEquals(expected, received.toByteArray());
     }
 
     /** A clock that, once switched on, advances by 60 ms at every reading. */
-    private static final class Moving implements Ticker {
+    private static final class AdvancingClock implements Ticker {
         private final MockTicker clock = Ticker.newMockTicker();
-        private volatile boolean moves;
+        private volatile boolean advancing;
 
         @Override
         public long initialNanoTime() {
@@ -129,7 +129,7 @@
 
         @Override
         public long nanoTime() {
-            if (moves) {
+            if (advancing) {
                 clock.advance(60, TimeUnit.MILLISECONDS);
             }
             return clock.nanoTime();
@@ -141,7 +141,7 @@
         }
     }
 
-    private static boolean whole(Peer from) throws IOException {
+    private static boolean receivesLine(Peer from) throws IOException {
         try {
             return from.line() != null;
         } catch (SocketException e) {
@@ -151,8 +151,8 @@
 
     /** The first attempt may have run; the repeat window is 5 s, and sending the 128 slices takes 7 s. */
     @Test
-    void aRepeatWhoseLastByteWouldComeBehindItsWindowIsBrokenOff() throws Exception {
-        Moving clock = new Moving();
+    void aRepeatWhoseLastByteWouldMissTheRepeatWindowIsAborted() throws Exception {
+        AdvancingClock clock = new AdvancingClock();
         try (Fixture f =
                 new Fixture(
                         2,
@@ -172,11 +172,11 @@
             Peer first = f.next();
             assertTrue(first.line().contains("Ok1 "));
             first.expect(value);
-            clock.moves = true;
+            clock.advancing = true;
             first.reset();
             Peer second = f.next();
             assertTrue(second.line().contains("Ok1 "));
-            assertFalse(whole(second), "the whole value was received");
+            assertFalse(receivesLine(second), "the whole value was received");
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
             assertEquals(1, f.proxy.figures().tries.get());
         }
--- a/src/test/java/holdproxy/net/LastWordTest.java
+++ b/src/test/java/holdproxy/net/RequestOutcomeTest.java
@@ -38,38 +38,38 @@
  * that value or a closed connection. Timing, unresponsive nodes and loop stalls of up to 3 s are drawn from
  * seeds; the test controls the clock.
  */
-class LastWordTest {
+class RequestOutcomeTest {
     private static final int SEEDS = 300;
     private static final int STEPS = 60;
 
     /** How long after a client's waiting time the proxy fails a request that is still open. */
-    private static final long GUARD_US = 15_000;
+    private static final long OVERDUE_US = 15_000;
 
     /** A stalled value closes the client's connection after 5 s, checked every 500 ms. */
-    private static final long RELAY_US = 5_500_000;
+    private static final long STALLED_VALUE_US = 5_500_000;
 
     @TempDir Path folder;
 
     /** A request that was read, and the deadline of its outcome unless earlier requests are still open. */
-    private record Owed(String id, long byUs) {}
+    private record OpenRequest(String id, long deadlineUs) {}
 
     /** One proxy with its clients and nodes, driven by one seed. */
-    private final class Town implements Transport {
+    private final class Simulation implements Transport {
         private final SplittableRandom random;
         private final MockTicker ticker = Ticker.newMockTicker();
         private final EmbeddedChannel timers = EmbeddedChannel.builder().ticker(ticker).build();
         private final Time time = new Time(ticker, () -> 0);
         private final List<EmbeddedChannel> nodes = new ArrayList<>();
         private final List<Client> clients = new ArrayList<>();
-        private final ChannelHandler planted;
+        private final ChannelHandler fault;
         private final Proxy proxy;
-        private final List<String> broken = new ArrayList<>();
-        private int asked;
-        private int ended;
+        private final List<String> violations = new ArrayList<>();
+        private int requests;
+        private int completed;
 
-        Town(long seed, ChannelHandler planted) throws IOException {
+        Simulation(long seed, ChannelHandler fault) throws IOException {
             random = new SplittableRandom(seed);
-            this.planted = planted;
+            this.fault = fault;
             Path file = folder.resolve("config.json");
             Files.writeString(
                     file,
@@ -131,24 +131,24 @@
             channel.close();
         }
 
-        void play() {
-            for (int step = 0; step < STEPS && broken.isEmpty(); step++) {
+        void run() {
+            for (int step = 0; step < STEPS && violations.isEmpty(); step++) {
                 if (step == STEPS - 10 && random.nextBoolean()) {
                     proxy.end(500);
                 }
                 int requests = step < STEPS - 20 ? random.nextInt(3) : 0;
                 for (int i = 0; i < requests; i++) {
-                    client().ask();
+                    client().sendRequest();
                 }
                 for (EmbeddedChannel node : List.copyOf(nodes)) {
                     if (random.nextInt(3) == 0) {
-                        answer(node);
+                        react(node);
                     }
                 }
                 // mostly on time; now and then the loop stalls with input waiting and timers due
-                boolean still = random.nextInt(12) == 0;
-                pass(step >= STEPS - 20 ? 700 : random.nextInt(still ? 3_000 : 60));
-                clients.forEach(Client::judge);
+                boolean stall = random.nextInt(12) == 0;
+                advance(step >= STEPS - 20 ? 700 : random.nextInt(stall ? 3_000 : 60));
+                clients.forEach(Client::check);
             }
         }
 
@@ -160,7 +160,7 @@
             return clients.get(random.nextInt(clients.size()));
         }
 
-        private void pass(int ms) {
+        private void advance(int ms) {
             ticker.advance(ms, TimeUnit.MILLISECONDS);
             timers.runScheduledPendingTasks();
             proxy.tick();
@@ -168,18 +168,18 @@
         }
 
         /** Has a node react to the command that it has received, if any. */
-        private void answer(EmbeddedChannel node) {
-            StringBuilder came = new StringBuilder();
+        private void react(EmbeddedChannel node) {
+            StringBuilder received = new StringBuilder();
             for (ByteBuf b = node.readOutbound(); b != null; b = node.readOutbound()) {
-                came.append(b.toString(StandardCharsets.ISO_8859_1));
+                received.append(b.toString(StandardCharsets.ISO_8859_1));
                 b.release();
             }
-            int at = came.indexOf(" O") + 2;
+            int at = received.indexOf(" O") + 2;
             if (at < 2 || !node.isActive()) {
                 return;
             }
-            String id = came.substring(at, came.indexOf(" ", at));
-            boolean read = came.charAt(1) == 'g';
+            String id = received.substring(at, received.indexOf(" ", at));
+            boolean read = received.charAt(1) == 'g';
             switch (random.nextInt(9)) {
                 case 0 -> node.writeInbound(bytes("SERVER_ERROR busy\r\n"));
                 case 1 -> node.writeInbound(bytes("SERVER_ERROR failed\r\n"));
@@ -201,23 +201,23 @@
         private final class Client {
             private final EmbeddedChannel channel =
                     EmbeddedChannel.builder().ticker(ticker).build();
-            private final ArrayDeque<Owed> owed = new ArrayDeque<>();
+            private final ArrayDeque<OpenRequest> open = new ArrayDeque<>();
             private long begunUs = -1;
-            private String said = "";
+            private String output = "";
 
             Client() {
                 channel.pipeline()
-                        .addLast(planted == null ? new ChannelOutboundHandlerAdapter() : planted);
+                        .addLast(fault == null ? new ChannelOutboundHandlerAdapter() : fault);
                 channel.pipeline().addLast(proxy.handlers());
                 // became active before the handlers were added
                 channel.pipeline().fireChannelActive();
             }
 
-            void ask() {
+            void sendRequest() {
                 if (!channel.isActive() || !channel.config().isAutoRead()) {
                     return;
                 }
-                String id = "r" + asked++;
+                String id = "r" + requests++;
                 int waitMs = 50 + random.nextInt(2_000);
                 String cls = new String[] {"lookup", "charge", "submit"}[random.nextInt(3)];
                 channel.writeInbound(
@@ -225,89 +225,92 @@
                                 cls.equals("lookup")
                                         ? Fixture.read(id, waitMs)
                                         : Fixture.write(cls, id, waitMs)));
-                owed.add(new Owed(id, time.us() + waitMs * 1000L + GUARD_US));
+                open.add(new OpenRequest(id, time.us() + waitMs * 1000L + OVERDUE_US));
             }
 
             /** Checks the output and the deadlines after a loop iteration at the current time. */
-            void judge() {
+            void check() {
                 for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-                    said += b.toString(StandardCharsets.ISO_8859_1);
+                    output += b.toString(StandardCharsets.ISO_8859_1);
                     b.release();
                 }
-                while (said.contains("\r\n") && answered()) {
+                while (output.contains("\r\n") && takeResponse()) {
                     // continue with the next response
                 }
                 if (!channel.isActive()) {
                     // a connection may close only between requests or in the middle of a value
-                    if (!owed.isEmpty() && begunUs < 0) {
-                        broken.add("closed without a response to " + owed);
+                    if (!open.isEmpty() && begunUs < 0) {
+                        violations.add("closed without a response to " + open);
                     }
-                    ended += owed.size();
-                    owed.clear();
-                    said = "";
+                    completed += open.size();
+                    open.clear();
+                    output = "";
                 }
-                Owed first = owed.peek();
+                OpenRequest first = open.peek();
                 if (first != null
-                        && time.us() > Math.max(first.byUs, begunUs < 0 ? 0 : begunUs + RELAY_US)) {
-                    broken.add(
+                        && time.us()
+                                > Math.max(
+                                        first.deadlineUs,
+                                        begunUs < 0 ? 0 : begunUs + STALLED_VALUE_US)) {
+                    violations.add(
                             "no outcome at "
                                     + time.us()
                                     + ": "
                                     + first
                                     + " of "
-                                    + owed
+                                    + open
                                     + ", output "
-                                    + said);
+                                    + output);
                 }
             }
 
-            private boolean answered() {
-                if (owed.isEmpty()) {
-                    broken.add("response without a request: " + said);
-                    said = "";
+            private boolean takeResponse() {
+                if (open.isEmpty()) {
+                    violations.add("response without a request: " + output);
+                    output = "";
                     return false;
                 }
-                String line = said.substring(0, said.indexOf("\r\n"));
+                String line = output.substring(0, output.indexOf("\r\n"));
                 if (line.startsWith("VA 70000 ")) {
                     begunUs = begunUs < 0 ? time.us() : begunUs;
                     return false;
                 }
-                said = said.substring(line.length() + 2);
+                output = output.substring(line.length() + 2);
                 if (line.startsWith("VA ")) {
-                    said = said.substring("hello\r\n".length());
+                    output = output.substring("hello\r\n".length());
                 }
-                Owed due = owed.poll();
-                ended++;
+                OpenRequest due = open.poll();
+                completed++;
                 if (line.contains(" O") && !line.contains(" O" + due.id)) {
-                    broken.add(due + " got the response " + line);
+                    violations.add(due + " got the response " + line);
                 }
                 return true;
             }
         }
     }
 
-    private Town played(long seed, ChannelHandler planted) throws IOException {
-        Town town = new Town(seed, planted);
-        town.play();
-        return town;
+    private Simulation simulate(long seed, ChannelHandler fault) throws IOException {
+        Simulation simulation = new Simulation(seed, fault);
+        simulation.run();
+        return simulation;
     }
 
     @Test
-    void eachRequestThatWasReadHasOneEndAlsoWhileTheLoopIsLate() throws IOException {
-        int asked = 0;
+    void eachRequestThatWasReadHasOneOutcomeEvenIfTheLoopStalls() throws IOException {
+        int requests = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Town town = played(seed, null);
-            assertEquals(List.of(), town.broken, "seed " + seed);
-            assertEquals(town.asked, town.ended, "seed " + seed);
-            assertEquals(0, town.proxy.open(), "requests left open, seed " + seed);
-            asked += town.asked;
+            Simulation simulation = simulate(seed, null);
+            assertEquals(List.of(), simulation.violations, "seed " + seed);
+            assertEquals(simulation.requests, simulation.completed, "seed " + seed);
+            assertEquals(0, simulation.proxy.open(), "requests left open, seed " + seed);
+            requests += simulation.requests;
         }
-        assertTrue(asked > 30 * SEEDS, asked + " requests");
+        assertTrue(requests > 30 * SEEDS, requests + " requests");
     }
 
     /** Drops the third response that is written. */
     @ChannelHandler.Sharable
-    private static final class Losing extends ChannelOutboundHandlerAdapter {
+    private static final class ResponseDropper extends ChannelOutboundHandlerAdapter {
         private int written;
 
         @Override
@@ -322,12 +325,12 @@
     }
 
     @Test
-    void anAnswerThatIsLostIsFound() throws IOException {
-        int found = 0;
+    void aLostResponseIsDetected() throws IOException {
+        int detected = 0;
         for (long seed = 1; seed <= 20; seed++) {
-            found += played(seed, new Losing()).broken.isEmpty() ? 0 : 1;
+            detected += simulate(seed, new ResponseDropper()).violations.isEmpty() ? 0 : 1;
         }
         // the dropped response may be the last one of its connection
-        assertTrue(found >= 18, found + " of 20");
+        assertTrue(detected >= 18, detected + " of 20");
     }
 }
--- a/src/test/java/holdproxy/net/ServingTest.java
+++ b/src/test/java/holdproxy/net/ServingTest.java
@@ -21,18 +21,18 @@
 class ServingTest {
 
     /** The next command at a node, with its waiting time checked and removed. */
-    private static String command(Peer node, int mostWait) throws IOException {
+    private static String command(Peer node, int maxWait) throws IOException {
         String line = node.line();
         assertTrue(line != null && line.contains(",d="), line);
         int d = line.indexOf(",d=") + 3;
         int end = line.indexOf(',', d);
         int wait = Integer.parseInt(line.substring(d, end < 0 ? line.length() : end));
-        assertTrue(wait >= 1 && wait <= mostWait, line);
+        assertTrue(wait >= 1 && wait <= maxWait, line);
         return line.substring(0, d) + (end < 0 ? "" : line.substring(end));
     }
 
     @Test
-    void aReadGoesOnUnchangedAndItsValueComesBackWithoutWhatTheNodeToldTheProxy() throws Exception {
+    void aReadIsForwardedUnchangedAndItsValueReturnedWithoutTheNodesLoad() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
             client.send("mg 7f3a9c21e0b4d655 v Oa1 Pc=lookup,t=acme,d=4000,r=1,size=12\r\n");
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aWriteGoesOnWithItsValueAndKeyAndItsReceiptComesBack() throws Exception {
+    void aWriteIsForwardedWithItsValueAndKeyAndItsReceiptReturned() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
             client.send(Fixture.write("submit", "b2", 4000));
@@ -93,8 +93,7 @@
     }
 
     @Test
-    void whatCannotBeReadGetsAnErrorLineAndTheConnectionEndsOnlyWhereFramingIsLost()
-            throws Exception {
+    void aMalformedCommandGetsAnErrorAndTheConnectionClosesOnlyIfFramingIsLost() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
             client.send(
@@ -132,7 +131,7 @@
         try (Fixture f = new Fixture(2)) {
             Peer client = f.client();
             client.send(Fixture.write("charge", "c1", 4000));
-            Peer node = other(f, 0);
+            Peer node = nextNodeConnection(f, 0);
             command(node, 4000);
             node.expect("hello");
             node.reset();
@@ -142,7 +141,7 @@
     }
 
     /** The next connection to any node; {@code before}: the connections that all nodes had so far. */
-    private static Peer other(Fixture f, int before) throws Exception {
+    private static Peer nextNodeConnection(Fixture f, int before) throws Exception {
         long end = System.nanoTime() + 10_000_000_000L;
         while (f.nodes.stream().mapToInt(Peer.Listener::count).sum() <= before) {
             assertTrue(System.nanoTime() < end, "no connection came");
@@ -158,7 +157,7 @@
     }
 
     @Test
-    void anUnsafeRequestThatNoNodeTookIsRefusedWithTheTimeToComeBack() throws Exception {
+    void anUnsafeRequestThatReachedNoNodeIsRefusedWithARetryTime() throws Exception {
         try (Fixture f = new Fixture(1)) {
             f.nodes.get(0).close();
             Peer client = f.client();
@@ -169,15 +168,15 @@
     }
 
     @Test
-    void anUnsafeRequestThatANodeTurnedAwayMayGoToAnother() throws Exception {
+    void anUnsafeRequestRefusedByANodeMayBeSentToAnother() throws Exception {
         try (Fixture f = new Fixture(2)) {
             Peer client = f.client();
             client.send(Fixture.write("charge", "c1", 4000));
-            Peer node = other(f, 0);
+            Peer node = nextNodeConnection(f, 0);
             command(node, 4000);
             node.expect("hello");
             node.send("SERVER_ERROR busy Lbusy=1.0\r\n");
-            Peer second = other(f, 1);
+            Peer second = nextNodeConnection(f, 1);
             assertEquals(
                     "ms 7f3a9c21e0b4d655 5 Oc1 Pc=charge,t=acme,d=,k=5c0f", command(second, 4000));
             second.expect("hello");
@@ -218,9 +217,9 @@
                 Peer.Deaf deaf = new Peer.Deaf()) {
             onlyNode(f, deaf);
             Peer client = f.client();
-            Peer patient = f.client();
+            Peer other = f.client();
             client.send(Fixture.write("charge", "c1", 400));
-            patient.send(Fixture.write("charge", "c2", 4900));
+            other.send(Fixture.write("charge", "c2", 4900));
             // busy promises that the request was not executed
             assertTrue(client.line().startsWith("SERVER_ERROR busy "));
             Peer node = deaf.hear();
@@ -228,7 +227,7 @@
                     "ms 7f3a9c21e0b4d655 5 Oc2 Pc=charge,t=acme,d=,k=5c0f", command(node, 4900));
             node.expect("hello");
             node.send("HD Oc2 c2\r\n");
-            patient.expect("HD Oc2 c2");
+            other.expect("HD Oc2 c2");
         }
     }
 
@@ -270,21 +269,21 @@
     }
 
     @Test
-    void aRequestWhoseTimePassedWhileTheLoopStoodStillIsRefusedAndSentNowhere() throws Exception {
+    void aRequestThatExpiredDuringALoopStallIsRefusedAndSentNowhere() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
             client.send("mn\r\n");
             client.expect("MN");
-            CountDownLatch still = new CountDownLatch(1);
+            CountDownLatch stalled = new CountDownLatch(1);
             CompletableFuture<Long> until = new CompletableFuture<>();
             f.loop.execute(
                     () -> {
-                        still.countDown();
+                        stalled.countDown();
                         for (long end = until.join(); System.nanoTime() < end; ) {
                             Thread.onSpinWait();
                         }
                     });
-            still.await();
+            stalled.await();
             client.send(Fixture.write("charge", "c1", 300));
             until.complete(System.nanoTime() + 500_000_000L);
             assertTrue(client.line().startsWith("SERVER_ERROR busy "));
@@ -323,7 +322,7 @@
                                         .replace("\"secondCopies\":false", "\"secondCopies\":true"),
                         128)) { // 24 of them are for nodes
             Peer client = f.client();
-            Peer patient = f.client();
+            Peer other = f.client();
             client.send(Fixture.write("charge", "c1", 2000));
             Peer node = f.nodes.get(0).next();
             command(node, 2000);
@@ -332,11 +331,11 @@
                 f.client().send(Fixture.read("a" + i, 4900));
                 command(f.nodes.get(0).next(), 4900);
             }
-            patient.send(Fixture.read("b2", 4000));
+            other.send(Fixture.read("b2", 4000));
             command(node, 4000);
             client.expect("SERVER_ERROR failed");
             node.send("HD Oc1 c1\r\nVA 1 Ob2\r\n2\r\n");
-            patient.expect("VA 1 Ob2", "2");
+            other.expect("VA 1 Ob2", "2");
             node.expectEnd();
         }
     }
@@ -356,7 +355,7 @@
     }
 
     @Test
-    void answersThatCannotBeReadSayNothingOfCapacityAndTheirTenantIsNotRefused() throws Exception {
+    void protocolErrorsOfNodesDoNotCountAsCapacityFailuresOfTheTenant() throws Exception {
         // without a quota each capacity failure counts in full; more nodes than requests, so that a
         // node is left for each
         try (Fixture f =
@@ -364,7 +363,7 @@
             Peer client = f.client();
             for (int i = 0; i < 5; i++) {
                 client.send(Fixture.write("charge", "c" + i, 4000));
-                Peer node = other(f, i);
+                Peer node = nextNodeConnection(f, i);
                 command(node, 4000);
                 node.expect("hello");
                 node.send("HD Osomebody c1\r\n");
@@ -375,7 +374,7 @@
     }
 
     @Test
-    void aClientThatLeavesEndsTheWorkOfItsRequest() throws Exception {
+    void aClientDisconnectCancelsItsRequestAtTheNode() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
             client.send(Fixture.read("a1", 4000));
@@ -387,7 +386,7 @@
     }
 
     @Test
-    void overTheBoundOnDescriptorsAnIdleClientConnectionIsClosedForANewOne() throws Exception {
+    void overTheConnectionLimitAnIdleClientConnectionIsClosedForANewOne() throws Exception {
         try (Fixture f = new Fixture(1, s -> s, 128)) { // 40 of them are for clients
             Peer oldest = f.client();
             oldest.send("mn\r\n");
@@ -402,7 +401,7 @@
     }
 
     @Test
-    void overTheBoundWithEveryConnectionBusyANewOneIsToldSoAndEnds() throws Exception {
+    void overTheConnectionLimitWithNoIdleConnectionANewOneIsRefusedAndClosed() throws Exception {
         try (Fixture f =
                 new Fixture(
                         1,
@@ -426,7 +425,7 @@
     }
 
     @Test
-    void atTheEndWhatWasTakenIsAnsweredAndConnectionsEndInOrder() throws Exception {
+    void onShutdownOpenRequestsAreAnsweredBeforeTheirConnectionsClose() throws Exception {
         try (Fixture f = new Fixture(1)) {
             InetSocketAddress address = f.proxy.address();
             Peer waiting = f.client();
