--- a/src/main/java/holdproxy/net/Answer.java
+++ b/src/main/java/holdproxy/net/Answer.java
@@ -7,27 +7,27 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** One answer of a cache node. */
+/** A response from a cache node. */
 final class Answer {
     final Router.Outcome outcome;
 
-    /** The id that it names; null on an error line. */
+    /** The opaque id that it echoes; null on an error line. */
     String opaque;
 
     String receipt;
     byte[] value;
 
-    /** Its value is too large to be held and follows in pieces, of so many bytes together; else 0. */
+    /** Length of a value that is too large to buffer and follows in pieces; 0 if there is none. */
     int follows;
 
     Router.CacheNote note = Router.CacheNote.NONE;
     private String load;
 
-    /** Set where the node broke the protocol: what it sends after this cannot be told apart. */
+    /** Set when the node violated the protocol: what it sends after this cannot be decoded. */
     boolean broken;
 
-    /** The end of a value that came in pieces. */
-    static final Object PIECED = new Object();
+    /** Marks the end of a value that was delivered in pieces. */
+    static final Object VALUE_END = new Object();
 
     private Answer(Router.Outcome outcome) {
         this.outcome = outcome;
@@ -45,7 +45,7 @@
                     double value = Double.parseDouble(field.substring(eq + 1));
                     SettingsText.report(field.substring(0, eq), value, report);
                 } catch (NumberFormatException e) {
-                    // a figure that is none tells nothing
+                    // ignore a malformed load value
                 }
             }
         }
@@ -55,7 +55,10 @@
         return value != null || follows > 0;
     }
 
-    /** The lines for the client, but for what follows; what the node tells the proxy alone is left out. */
+    /**
+     * Encodes the response for the client. A value that follows in pieces is not included, nor are flags that
+     * are meant for the proxy only.
+     */
     ByteBuf encode(ByteBufAllocator alloc) {
         int length = value == null ? follows : value.length;
         ByteBuf out =
@@ -79,14 +82,14 @@
         private Answer pending;
 
         @Override
-        int line(String line, List<Object> out) {
+        int onLine(String line, List<Object> out) {
             String[] tokens = line.split(" ");
             switch (tokens.length == 0 ? "" : tokens[0]) {
                 case "VA" -> {
                     pending = new Answer(Router.Outcome.OK);
-                    flags(pending, tokens, 2);
-                    int length = tokens.length < 2 ? -2 : number(tokens[1]);
-                    if (length > LARGEST_WHOLE && length <= LARGEST_VALUE) {
+                    parseFlags(pending, tokens, 2);
+                    int length = tokens.length < 2 ? -2 : parseNumber(tokens[1]);
+                    if (length > MAX_BUFFERED_VALUE_BYTES && length <= MAX_VALUE_BYTES) {
                         pending.follows = length;
                         out.add(pending);
                         pending = null;
@@ -95,22 +98,22 @@
                 }
                 case "HD" -> {
                     Answer a = new Answer(Router.Outcome.OK);
-                    flags(a, tokens, 1);
+                    parseFlags(a, tokens, 1);
                     out.add(a);
                 }
                 case "SERVER_ERROR" -> {
                     boolean busy = tokens.length > 1 && tokens[1].equals("busy");
                     Answer a = new Answer(busy ? Router.Outcome.OVERLOADED : Router.Outcome.ERROR);
-                    flags(a, tokens, 2);
+                    parseFlags(a, tokens, 2);
                     a.opaque = null;
                     out.add(a);
                 }
-                default -> broken(line, out);
+                default -> onProtocolError(line, out);
             }
             return NO_BLOCK;
         }
 
-        private static void flags(Answer a, String[] tokens, int from) {
+        private static void parseFlags(Answer a, String[] tokens, int from) {
             boolean fetching = false;
             for (int i = from; i < tokens.length; i++) {
                 String t = tokens[i];
@@ -121,7 +124,7 @@
                             a.note = t.equals("h1") ? Router.CacheNote.HIT : Router.CacheNote.MISS;
                     case 'Z' -> fetching = true;
                     case 'L' -> a.load = t.substring(1);
-                    default -> {} // a flag not known here
+                    default -> {} // ignore unknown flags
                 }
             }
             if (fetching && a.note == Router.CacheNote.MISS) {
@@ -130,24 +133,24 @@
         }
 
         @Override
-        void block(byte[] value, List<Object> out) {
+        void onBlock(byte[] value, List<Object> out) {
             pending.value = value;
             out.add(pending);
             pending = null;
         }
 
         @Override
-        void piece(ByteBuf in, int bytes, List<Object> out) {
+        void onBlockPart(ByteBuf in, int bytes, List<Object> out) {
             out.add(in.readRetainedSlice(bytes));
         }
 
         @Override
-        void pieced(List<Object> out) {
-            out.add(PIECED);
+        void onBlockEnd(List<Object> out) {
+            out.add(VALUE_END);
         }
 
         @Override
-        void broken(String why, List<Object> out) {
+        void onProtocolError(String why, List<Object> out) {
             Answer a = new Answer(Router.Outcome.ERROR);
             a.broken = true;
             a.receipt = why;
--- a/src/main/java/holdproxy/net/Events.java
+++ b/src/main/java/holdproxy/net/Events.java
@@ -4,32 +4,33 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the module is told, and when. It decides at the end of a turn of the loop, by all that had come until
- * then: what is read first may have come last, or be the older by as long as the loop stood still. So nothing
- * is sent to a node whose drain or end lies behind the request in that turn, nor for a client that has left
- * in it. Its calls do not nest: what its actions bring about at once is delivered after its return.
+ * Delivers events to the router at the end of an event loop iteration, once all sockets have been read. The
+ * order of reading is not the order of arrival, and after a stall of the loop, input may be as old as the
+ * stall. Waiting for the end ensures that no request is sent to a node whose drain or disconnect is read
+ * later in the same iteration, or for a client whose disconnect is. Calls to the router do not nest: events
+ * that its own actions cause are delivered after it returns.
  */
 final class Events {
     /**
-     * No attempt may begin over 0.1 s after its client's end. What was read together with an event may be as
-     * old as this and one tick more, and there has to be time for the decision and the write as well.
+     * No attempt may start more than 0.1 s after its client disconnected. Input that was read together with
+     * an event may be up to one tick older than this limit, and the decision and the write take time too.
      */
-    static final long READ_AGAIN_US = 60_000;
+    static final long MAX_INPUT_AGE_US = 60_000;
 
     private final Transport transport;
     private final Log log;
     private final LongSupplier clock;
     private final Lateness lateness;
-    private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
 
-    /** So many of those that wait came before the sockets were read once more, at {@link #readAgainUs}. */
-    private int readBehind;
+    /** Number of events that were queued before the sockets were read again, at {@link #lastReadUs}. */
+    private int queuedBeforeRead;
 
-    private long readAgainUs;
-    private boolean telling;
-    private boolean delivering;
+    private long lastReadUs;
+    private boolean inRouterCall;
+    private boolean deliveryScheduled;
 
-    /** {@code clock}: microseconds, the one that {@code lateness} goes by. */
+    /** {@code clock}: in microseconds, the same clock that {@code lateness} uses. */
     Events(Transport transport, Log log, LongSupplier clock, Lateness lateness) {
         this.transport = transport;
         this.log = log;
@@ -37,36 +38,36 @@
         this.lateness = lateness;
     }
 
-    /** In the order of their coming, at the end of this turn. */
+    /** Queues an event, delivered in order of arrival at the end of this iteration. */
     void add(Runnable call) {
-        waiting.add(call);
-        if (!delivering) {
-            delivering = true;
+        queue.add(call);
+        if (!deliveryScheduled) {
+            deliveryScheduled = true;
             transport.whenRead(this::deliver, false);
         }
     }
 
-    /** A list goes before what waits: nothing is decided by an older one than has come. */
+    /** A node list is delivered ahead of queued events, so that no decision uses an outdated list. */
     void list(Runnable call) {
-        if (telling) {
+        if (inRouterCall) {
             add(call);
         } else {
-            tell(call);
+            invoke(call);
         }
     }
 
     private void deliver() {
         boolean outdated = false;
         try {
-            while (!waiting.isEmpty() && !outdated) {
+            while (!queue.isEmpty() && !outdated) {
                 if (upToDate()) {
-                    tell(waiting.poll());
+                    invoke(queue.poll());
                 } else {
                     outdated = true;
                 }
             }
         } finally {
-            delivering = outdated;
+            deliveryScheduled = outdated;
         }
         if (outdated) {
             readAgain();
@@ -74,43 +75,43 @@
     }
 
     /**
-     * Whether the sockets were read so recently that the next event can be decided. Asked for each: a turn of
-     * many events may itself take long.
+     * Whether the sockets were read recently enough to deliver the next event. Checked for each event, since
+     * delivering many of them may itself take long.
      */
     private boolean upToDate() {
         long now = clock.getAsLong();
-        if (readBehind > 0 && now - readAgainUs <= READ_AGAIN_US) {
-            readBehind--;
+        if (queuedBeforeRead > 0 && now - lastReadUs <= MAX_INPUT_AGE_US) {
+            queuedBeforeRead--;
             return true;
         }
-        readBehind = 0;
-        return lateness.sinceDueUs(now) <= READ_AGAIN_US;
+        queuedBeforeRead = 0;
+        return lateness.sinceDueUs(now) <= MAX_INPUT_AGE_US;
     }
 
     /**
-     * At least the first of those that wait is told after it, so that no standstill holds them up
-     * for long.
+     * Reads the sockets again before delivering the rest. At least the first queued event is delivered then,
+     * so that repeated stalls cannot hold events up for long.
      */
     private void readAgain() {
-        int all = waiting.size();
+        int all = queue.size();
         transport.whenRead(
                 () -> {
-                    readBehind = all;
-                    readAgainUs = clock.getAsLong();
+                    queuedBeforeRead = all;
+                    lastReadUs = clock.getAsLong();
                     deliver();
                 },
                 true);
     }
 
-    private void tell(Runnable call) {
-        telling = true;
+    private void invoke(Runnable call) {
+        inRouterCall = true;
         try {
             call.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             log.line("fault: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
         } finally {
-            telling = false;
+            inRouterCall = false;
         }
     }
 }
--- a/src/main/java/holdproxy/net/Reception.java
+++ b/src/main/java/holdproxy/net/Reception.java
@@ -11,66 +11,70 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Where clients come in: their connections within one bound, from listening to the end of the last one. */
+/** Accepts client connections up to a limit, from listening until the last connection has closed. */
 final class Reception {
-    /** After SIGTERM new connections still come for 0.4 s; what comes after 0.7 s may be cut off. */
-    private static final long DRAIN_OPEN_MS = 500;
+    /** After SIGTERM new connections still arrive for 0.4 s; those that arrive after 0.7 s may be cut off. */
+    private static final long ACCEPT_WHILE_DRAINING_MS = 500;
 
-    /** So often it is looked, a millisecond apart, whether the kernel has more connections for us. */
-    private static final int LAST_LOOKS = 100;
+    /** Maximum number of checks, 1 ms apart, for connections still waiting in the kernel's accept queue. */
+    private static final int MAX_ACCEPT_CHECKS = 100;
 
     private final Proxy proxy;
-    private final InetSocketAddress place;
+    private final InetSocketAddress listenAddress;
     private final EventLoop loop;
     private final Transport transport;
     private final Log log;
-    private final int most;
 
-    /** In the order of their coming, so that a run in virtual time can be played again. */
+    /** Maximum number of open connections. */
+    private final int maxConnections;
+
+    /** In order of arrival, so that runs in virtual time are reproducible. */
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
 
-    /** Idle connections, longest first. */
+    /** Idle connections, longest idle first. */
     private final Set<ClientSession> idle = new LinkedHashSet<>();
 
     private final Promise<Void> drained;
 
-    /** Connections that ever came. */
-    private long opened;
+    /** Number of connections accepted so far. */
+    private long accepted;
 
     private Channel listener;
-    private boolean handingOver;
+    private boolean sharedListener;
     private volatile boolean listening;
     private volatile boolean draining;
 
-    /** {@code most}: connections that it keeps. */
     Reception(
             Proxy proxy,
-            InetSocketAddress place,
+            InetSocketAddress listenAddress,
             EventLoop loop,
             Transport transport,
             Log log,
-            int most) {
+            int maxConnections) {
         this.proxy = proxy;
-        this.place = place;
+        this.listenAddress = listenAddress;
         this.loop = loop;
         this.transport = transport;
         this.log = log;
-        this.most = most;
+        this.maxConnections = maxConnections;
         drained = loop.newPromise();
     }
 
-    /** On the loop: no client is accepted before it is known where. Null: it was told to end. */
+    /**
+     * Must run on the event loop, so that no client is accepted before the listener is set. Returns null if
+     * shutdown has already begun.
+     */
     ChannelFuture listen() {
         if (draining) {
             return null;
         }
-        ChannelFuture bound = transport.listen(place, proxy::handlers);
+        ChannelFuture bound = transport.listen(listenAddress, proxy::handlers);
         listener = bound.channel();
         bound.addListener(f -> listening = f.isSuccess());
         return bound;
     }
 
-    /** Whether it still takes connections, also while it ends. */
+    /** Whether it accepts connections, which may still be so during shutdown. */
     boolean listens() {
         return listener != null;
     }
@@ -79,7 +83,7 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** From when it listens until it is told to end. On any thread. */
+    /** Whether it listens and shutdown has not begun. May be called on any thread. */
     boolean takesClients() {
         return listening && !draining;
     }
@@ -87,21 +91,20 @@
     // ---- connections ----
 
     void opened(ClientSession s) {
-        opened++;
+        accepted++;
         sessions.add(s);
-        if (sessions.size() > most) {
-            // between requests a connection may be closed: the one that has been idle longest makes
-            // room
+        if (sessions.size() > maxConnections) {
+            // a connection may be closed between requests: the longest idle one makes room
             if (!idle.isEmpty()) {
                 ClientSession oldest = idle.iterator().next();
                 idle.remove(oldest);
                 oldest.close();
             } else {
-                s.refuse();
+                s.refuseRequests();
             }
-            if (sessions.size() > most + Descriptors.REFUSING) {
-                s.abort(); // descriptors: past the bound nothing could be opened, not even
-                // to a node
+            if (sessions.size() > maxConnections + Descriptors.REFUSING) {
+                // out of descriptors, not even a connection to a node could be opened
+                s.abort();
             }
         }
         idle.add(s);
@@ -113,13 +116,13 @@
 
     void idle(ClientSession s) {
         idle.add(s);
-        if (draining && (listener == null || handingOver)) {
+        if (draining && (listener == null || sharedListener)) {
             idle.remove(s);
             s.close();
         }
     }
 
-    void endSending(Channel channel) {
+    void shutDownOutput(Channel channel) {
         transport.endSending(channel);
     }
 
@@ -129,17 +132,18 @@
         finishDrain();
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
-    /** As at SIGTERM; done once every connection has ended. */
+    /** Shuts down as on SIGTERM; the future completes once every connection has closed. */
     Future<Void> end() {
-        return end(DRAIN_OPEN_MS);
+        return end(ACCEPT_WHILE_DRAINING_MS);
     }
 
     /**
-     * Serves on while new connections still come, then ends each connection after its answers. Where another
-     * process takes what comes, nothing more is accepted, and a connection ends right behind an answer: its
-     * client is then least likely to be sending. What idles until the time is over ends then.
+     * Accepts new connections for {@code openMs}, then closes each connection once its requests are answered.
+     * If the listening socket is shared, the other process accepts the new connections, and this one closes
+     * each of its own right after a response, when the client is least likely to be sending. Connections that
+     * stay idle are closed after {@code openMs}.
      */
     Future<Void> end(long openMs) {
         loop.execute(
@@ -155,31 +159,35 @@
                                     + sessions.size()
                                     + " connections");
                     if (listener == null) {
-                        finishDrain(); // it has not listened yet: nobody was taken
+                        finishDrain(); // it never listened, so there are no clients
                         return;
                     }
-                    handingOver = transport.shared();
-                    if (handingOver) {
+                    sharedListener = transport.shared();
+                    if (sharedListener) {
                         listener.config().setAutoRead(false);
                     }
                     loop.schedule(
-                            () -> stopListening(-1, LAST_LOOKS), openMs, TimeUnit.MILLISECONDS);
+                            () -> stopListening(-1, MAX_ACCEPT_CHECKS),
+                            openMs,
+                            TimeUnit.MILLISECONDS);
                     loop.schedule(proxy::lastWord, proxy.lastWordMs(), TimeUnit.MILLISECONDS);
                 });
         return drained;
     }
 
     /**
-     * Not before a turn that brought no connection: after a standstill of the loop many may lie in the
-     * kernel, and closed with the listener, or accepted and not read yet, they would have no answer.
+     * Stops listening, but not before a check that finds no new connection. After a stall of the event loop
+     * many may wait in the kernel; closed with the listener, or accepted but not yet read, they would get no
+     * response.
      */
-    private void stopListening(long openedBefore, int looks) {
-        if (looks > 0 && opened != openedBefore) {
-            long now = opened;
-            loop.schedule(() -> stopListening(now, looks - 1), 1, TimeUnit.MILLISECONDS);
+    private void stopListening(long acceptedBefore, int checksLeft) {
+        if (checksLeft > 0 && accepted != acceptedBefore) {
+            long acceptedNow = accepted;
+            loop.schedule(
+                    () -> stopListening(acceptedNow, checksLeft - 1), 1, TimeUnit.MILLISECONDS);
             return;
         }
-        if (!handingOver) {
+        if (!sharedListener) {
             listener.close();
         }
         listener = null;
--- a/src/main/java/holdproxy/net/Relay.java
+++ b/src/main/java/holdproxy/net/Relay.java
@@ -6,101 +6,101 @@
 import java.util.ArrayDeque;
 
 /**
- * A value too large to be held, passed on as it comes: from a node's connection to a client's place in line.
- * The node is read from only while the client takes what it gives, so that no relay holds more than some
- * 64 KiB at its client's and what was read at once.
+ * Streams a value that is too large to buffer from a node connection to a client's response slot. The node
+ * is read only while the client takes the data, so that each value takes no more than about 64 KiB in
+ * its client's output buffer plus the data of one read.
  */
 final class Relay {
-    /** A node that gives nothing for so long has gone silent. */
-    private static final long NODE_SILENT_US = 5_000_000;
+    /** A node that sends nothing for this long is considered unreachable. */
+    private static final long NODE_TIMEOUT_US = 5_000_000;
 
-    /** So has a client that takes nothing. */
-    private static final long CLIENT_SILENT_US = 10_000_000;
+    /** A client that takes nothing for this long is considered gone. */
+    private static final long CLIENT_TIMEOUT_US = 10_000_000;
 
-    private static final int LOOK_MS = 500;
+    private static final int STALL_CHECK_MS = 500;
 
     private final Proxy proxy;
-    private final Relays all;
+    private final Relays streams;
     private final Attempt attempt;
     private final NodeConnection node;
     private final ClientSession session;
     private final ClientSession.Slot slot;
 
-    /** What has come before it is this value's turn. */
-    private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
+    /** Data received but not yet passed to the client's connection. */
+    private final ArrayDeque<ByteBuf> pending = new ArrayDeque<>();
 
-    private final Future<?> look;
+    private final Future<?> stallCheck;
 
-    /** Handed to the client's connection and not taken yet. */
-    private long held;
+    /** Bytes passed to the client's connection but not yet written to its socket. */
+    private long unwrittenBytes;
 
-    private boolean whole;
-    private boolean over;
+    private boolean complete;
+    private boolean finished;
     private boolean reading = true;
-    private long movedUs;
+    private long lastProgressUs;
 
-    Relay(Proxy proxy, Relays all, Attempt attempt, NodeConnection node, ByteBuf head) {
+    Relay(Proxy proxy, Relays streams, Attempt attempt, NodeConnection node, ByteBuf head) {
         this.proxy = proxy;
         this.attempt = attempt;
         this.node = node;
-        this.all = all;
+        this.streams = streams;
         session = attempt.exchange.session;
         slot = attempt.exchange.slot;
-        movedUs = proxy.now();
-        waiting.add(head);
-        look = proxy.every(LOOK_MS, this::look);
-        session.relay(slot, this);
+        lastProgressUs = proxy.now();
+        pending.add(head);
+        stallCheck = proxy.every(STALL_CHECK_MS, this::checkStall);
+        session.setStream(slot, this);
         pump();
     }
 
-    /** More of the value; it is taken over. */
+    /** The next part of the value; takes ownership of the buffer. */
     void more(ByteBuf bytes) {
-        if (over) {
+        if (finished) {
             bytes.release();
             return;
         }
-        movedUs = proxy.now();
-        waiting.add(bytes);
+        lastProgressUs = proxy.now();
+        pending.add(bytes);
         pump();
     }
 
-    /** All of it has come, and its framing was right. */
+    /** The value is complete and correctly framed. */
     void whole() {
-        whole = true;
-        waiting.add(Unpooled.wrappedBuffer(new byte[] {'\r', '\n'}));
+        complete = true;
+        pending.add(Unpooled.wrappedBuffer(new byte[] {'\r', '\n'}));
         pump();
     }
 
-    /** Passes on what the client's connection has room for, and reads on where it has. */
+    /** Writes as much as the client's connection has room for, and pauses or resumes reading the node. */
     void pump() {
-        if (over) {
+        if (finished) {
             return;
         }
-        boolean turn = session.turnOf(slot);
-        if (turn) {
+        boolean first = session.isFirst(slot);
+        if (first) {
             boolean any = false;
-            while (!over && !waiting.isEmpty() && session.hasRoom()) {
-                write(waiting.poll());
+            while (!finished && !pending.isEmpty() && session.isWritable()) {
+                write(pending.poll());
                 any = true;
             }
             if (any) {
                 session.flush();
             }
-            if (whole && waiting.isEmpty() && !over) {
-                ended();
-                session.relayed(slot);
+            if (complete && pending.isEmpty() && !finished) {
+                finish();
+                session.streamFinished(slot);
                 return;
             }
         }
-        if (!whole && !over) {
-            boolean room = session.hasRoom() && (held == 0 || all.room());
-            read(turn && room && waiting.isEmpty());
+        if (!complete && !finished) {
+            boolean writable = session.isWritable() && (unwrittenBytes == 0 || streams.hasRoom());
+            setReading(first && writable && pending.isEmpty());
         }
     }
 
-    private void read(boolean on) {
+    private void setReading(boolean on) {
         if (on && !reading) {
-            movedUs = proxy.now(); // it could not give anything until now
+            lastProgressUs = proxy.now(); // the node could not send anything until now
         }
         reading = on;
         node.read(on);
@@ -108,64 +108,72 @@
 
     private void write(ByteBuf bytes) {
         int size = bytes.readableBytes();
-        boolean last = whole && waiting.isEmpty();
-        held += size;
-        all.hold(size);
+        boolean last = complete && pending.isEmpty();
+        unwrittenBytes += size;
+        streams.addHeld(size);
         session.write(bytes)
                 .addListener(
                         f -> {
-                            held -= size;
-                            all.hold(-size);
-                            movedUs = proxy.now();
+                            unwrittenBytes -= size;
+                            streams.addHeld(-size);
+                            lastProgressUs = proxy.now();
                             if (last) {
-                                all.taken(attempt.exchange, f.isSuccess());
-                            } else if (held == 0) {
+                                streams.finished(attempt.exchange, f.isSuccess());
+                            } else if (unwrittenBytes == 0) {
                                 pump();
                             }
                         });
     }
 
-    /** A cut-off machine says nothing for ever, a client may take nothing; neither can before its turn. */
-    private void look() {
-        boolean turn = session.turnOf(slot);
-        boolean ofNode = reading && !whole;
-        if (!turn) {
-            movedUs = proxy.now();
-        } else if (!over && proxy.now() - movedUs > (ofNode ? NODE_SILENT_US : CLIENT_SILENT_US)) {
+    /**
+     * Detects a stalled transfer: an unreachable node never closes its connection, and a client may stop
+     * reading. Time spent waiting for earlier responses does not count.
+     */
+    private void checkStall() {
+        boolean first = session.isFirst(slot);
+        boolean waitingForNode = reading && !complete;
+        if (!first) {
+            lastProgressUs = proxy.now();
+        } else if (!finished
+                && proxy.now() - lastProgressUs
+                        > (waitingForNode ? NODE_TIMEOUT_US : CLIENT_TIMEOUT_US)) {
             proxy.log(
-                    ofNode
+                    waitingForNode
                             ? "node " + node.pool.name + " fell silent in the middle of a value"
                             : "a client takes nothing of its value: closed");
-            if (ofNode) {
-                node.close(); // which ends this
+            if (waitingForNode) {
+                node.close(); // also ends the transfer
             } else {
                 session.abort();
             }
         }
     }
 
-    /** The node's connection has ended, or broken the protocol: the client can tell, as its own ends. */
+    /**
+     * The node's connection closed, or the node violated the protocol. The client's connection is closed too,
+     * which shows the client that its value is incomplete.
+     */
     void brokenOff() {
-        if (!over) {
-            ended();
-            all.broken(attempt.exchange);
+        if (!finished) {
+            finish();
+            streams.nodeFailed(attempt.exchange);
             session.abort();
         }
     }
 
-    /** Nobody is left to pass it on to. */
+    /** The client has disconnected. */
     void clientGone() {
-        if (!over) {
-            ended();
-            all.taken(attempt.exchange, false);
+        if (!finished) {
+            finish();
+            streams.finished(attempt.exchange, false);
             node.abandon(attempt);
         }
     }
 
-    private void ended() {
-        over = true;
-        look.cancel(false);
-        for (ByteBuf b = waiting.poll(); b != null; b = waiting.poll()) {
+    private void finish() {
+        finished = true;
+        stallCheck.cancel(false);
+        for (ByteBuf b = pending.poll(); b != null; b = pending.poll()) {
             b.release();
         }
     }
--- a/src/main/java/holdproxy/net/Relays.java
+++ b/src/main/java/holdproxy/net/Relays.java
@@ -3,19 +3,22 @@
 import holdproxy.console.Figures;
 import io.netty.buffer.ByteBufAllocator;
 
-/** The values that are passed on as they come: how such a request begins and ends, and what all hold. */
+/** Starts and finishes streamed values, and keeps count of the memory that all of them hold. */
 final class Relays {
-    /** They may hold so much together; past that only one that holds nothing of its own goes on. */
-    private static final long MOST_HELD_BYTES = 12L << 20;
+    /** Limit for all streamed values together; above it, only those that hold nothing are read on. */
+    private static final long MAX_HELD_BYTES = 12L << 20;
 
     private final Proxy proxy;
-    private long held;
+    private long heldBytes;
 
     Relays(Proxy proxy) {
         this.proxy = proxy;
     }
 
-    /** A node has begun such a value: from here on the request is this attempt's. Null: it is answered. */
+    /**
+     * Called when a node begins such a value: from here on only this attempt can answer the request. Returns
+     * null if the request has been answered already.
+     */
     Relay begin(Attempt a, Answer answer, NodeConnection node) {
         Exchange x = a.exchange;
         if (x.answered) {
@@ -29,33 +32,33 @@
         return new Relay(proxy, this, a, node, answer.encode(ByteBufAllocator.DEFAULT));
     }
 
-    /** The client has taken the last byte of its value, or will not. */
-    void taken(Exchange x, boolean whole) {
-        Figures.Outcomes outcomes = ended(x);
+    /** The value was written to its end if {@code whole}; otherwise the client did not take all of it. */
+    void finished(Exchange x, boolean whole) {
+        Figures.Outcomes outcomes = finish(x);
         if (whole) {
             outcomes.ok.add(1);
         }
     }
 
-    /** A node broke off in the middle of a value. */
-    void broken(Exchange x) {
-        ended(x).errors.add(1);
+    /** A node failed in the middle of a value. */
+    void nodeFailed(Exchange x) {
+        finish(x).errors.add(1);
     }
 
-    private Figures.Outcomes ended(Exchange x) {
+    private Figures.Outcomes finish(Exchange x) {
         proxy.figures().active.add(-1);
         return proxy.outcomes(x.command);
     }
 
-    void hold(int change) {
-        held += change;
+    void addHeld(int change) {
+        heldBytes += change;
     }
 
-    long held() {
-        return held;
+    long heldBytes() {
+        return heldBytes;
     }
 
-    boolean room() {
-        return held < MOST_HELD_BYTES;
+    boolean hasRoom() {
+        return heldBytes < MAX_HELD_BYTES;
     }
 }
--- a/src/main/java/holdproxy/net/Room.java
+++ b/src/main/java/holdproxy/net/Room.java
@@ -1,24 +1,24 @@
 package holdproxy.net;
 
-/** Bytes that may be held for one purpose, by all connections together. */
+/** A memory budget, in bytes, that all connections share for one purpose. */
 final class Room {
-    private final long most;
-    private long taken;
+    private final long limitBytes;
+    private long reservedBytes;
 
-    Room(long most) {
-        this.most = most;
+    Room(long limitBytes) {
+        this.limitBytes = limitBytes;
     }
 
-    /** Whether there is room for so many more; then they are taken. */
+    /** Reserves this many bytes if they are available; returns whether it did. */
     boolean take(int bytes) {
-        if (taken + bytes > most) {
+        if (reservedBytes + bytes > limitBytes) {
             return false;
         }
-        taken += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
     void give(int bytes) {
-        taken -= bytes;
+        reservedBytes -= bytes;
     }
 }
--- a/src/test/java/holdproxy/net/LateAttemptsTest.java
+++ b/src/test/java/holdproxy/net/AttemptAfterDisconnectTest.java
@@ -10,16 +10,17 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * No attempt, first or further, begins over 0.1 s after its client's end, which lies unread behind what would
- * begin it: the loop was late by a little more than that, and by less than what its ticks can tell.
+ * No attempt starts more than 0.1 s after its client disconnected. The disconnect is still unread behind the
+ * input that would start the attempt, because the loop stalled for a little over 0.1 s, part of which its
+ * ticks cannot detect.
  */
 @Timeout(60)
-class LateAttemptsTest {
-    /** 20 ms of it pass until the next tick is due, by which the loop knows that it is late. */
-    private static final int STANDSTILL_MS = 110;
+class AttemptAfterDisconnectTest {
+    /** 20 ms of it pass before the next tick is due, by which the loop detects that it is late. */
+    private static final int STALL_MS = 110;
 
-    /** A dial has time: the test says when it is taken. */
-    private static final Function<String, String> PATIENT =
+    /** Timeouts so long that a dial can wait until the test accepts it. */
+    private static final Function<String, String> LONG_TIMEOUTS =
             s ->
                     s.replace("\"dialTimeoutMs\":400.0", "\"dialTimeoutMs\":20000.0")
                             .replace("\"drainGraceMs\":1000.0", "\"drainGraceMs\":60000.0")
@@ -27,17 +28,17 @@
 
     private final MockTicker clock = Ticker.newMockTicker();
 
-    /** All of it comes in one turn, and then time passes on the module's clock. */
-    private void duringAStandstill(Fixture f, Fixture.Coming all) throws Exception {
+    /** Has all input read in one loop iteration, with the stall passing on the proxy's clock meanwhile. */
+    private void duringAStall(Fixture f, Fixture.Coming all) throws Exception {
         f.pass(clock, 10);
         f.inOneTurn(
                 () -> {
                     all.come();
-                    clock.advance(STANDSTILL_MS, TimeUnit.MILLISECONDS);
+                    clock.advance(STALL_MS, TimeUnit.MILLISECONDS);
                 });
     }
 
-    private static void nothingBegan(Fixture f, int attemptsBefore) throws Exception {
+    private static void assertNoNewAttempt(Fixture f, int attemptsBefore) throws Exception {
         assertEquals(0, f.active());
         assertEquals(attemptsBefore, f.proxy.figures().tries.get());
     }
@@ -51,17 +52,17 @@
             node.line();
             node.send("VA 1 Oa1\r\n1\r\n");
             client.expect("VA 1 Oa1", "1");
-            duringAStandstill(
+            duringAStall(
                     f,
                     () -> {
                         client.send(Fixture.read("a2", 4000));
                         client.close();
                     });
-            nothingBegan(f, 1);
+            assertNoNewAttempt(f, 1);
         }
     }
 
-    /** Its end lies behind one more command, which is all that the turn of the failure reads of it. */
+    /** The disconnect follows another command, which is all that the iteration of the failure reads. */
     @Test
     void noFurtherAttempt() throws Exception {
         try (Fixture f = new Fixture(2, s -> s, 1024, clock)) {
@@ -69,22 +70,22 @@
             client.send(Fixture.read("a1", 4000));
             Peer node = f.next();
             node.line();
-            duringAStandstill(
+            duringAStall(
                     f,
                     () -> {
                         node.send("SERVER_ERROR busy\r\n");
                         client.send(Fixture.read("a2", 4000));
                         client.close();
                     });
-            nothingBegan(f, 1);
+            assertNoNewAttempt(f, 1);
         }
     }
 
-    /** The connection comes up in the turn that reads the client's end behind it. */
+    /** The node connection opens in the iteration that reads the client's disconnect after it. */
     @Test
     void noAttemptThatWaitsForADial() throws Exception {
         try (Peer.Deaf deaf = new Peer.Deaf();
-                Fixture f = new Fixture(0, PATIENT, 1024, clock)) {
+                Fixture f = new Fixture(0, LONG_TIMEOUTS, 1024, clock)) {
             Peer watch = f.watch();
             Fixture.chunk(
                     watch,
@@ -101,13 +102,13 @@
             Peer client = f.client();
             client.send(Fixture.read("a1", 20000));
             assertEquals(1, f.active());
-            duringAStandstill(
+            duringAStall(
                     f,
                     () -> {
                         deaf.hear();
                         client.close();
                     });
-            nothingBegan(f, 0);
+            assertNoNewAttempt(f, 0);
         }
     }
 }
--- a/src/test/java/holdproxy/net/EventsTest.java
+++ b/src/test/java/holdproxy/net/EventsTest.java
@@ -13,75 +13,76 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-/** How old what the sockets hold may be when an event is decided, with the clock and the turns in hand. */
+/** How old unread input may be when an event is delivered; the test controls clock and event loop. */
 class EventsTest implements Transport {
     private static final long MS = 1_000;
 
-    /** An end has to be seen within 0.1 s, and the last of it is for the write. */
-    private static final long MOST_AGE_US = 90 * MS;
+    /** A disconnect must be noticed within 0.1 s; the rest of that time is left for the write. */
+    private static final long MAX_AGE_US = 90 * MS;
 
     private long nowUs;
     private long readUs;
-    private final ArrayDeque<Runnable> afterReading = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
     private final Lateness lateness = new Lateness(0);
     private final List<Long> ages = new ArrayList<>();
     private final Events events = new Events(this, null, () -> nowUs, lateness);
 
     @Override
     public void whenRead(Runnable task, boolean late) {
-        afterReading.add(task);
+        tasks.add(task);
     }
 
-    /** A turn that reads the sockets, runs what waits for it, and its tick if that is due. */
-    private void turn() {
+    /** One event loop iteration: reads the sockets, runs the waiting tasks, and the tick if it is due. */
+    private void iterate() {
         readUs = nowUs;
-        for (int tasks = afterReading.size(); tasks > 0; tasks--) {
-            afterReading.poll().run();
+        for (int count = tasks.size(); count > 0; count--) {
+            tasks.poll().run();
         }
         if (lateness.sinceDueUs(nowUs) >= 2 * Lateness.TICK_US) {
             lateness.ticked(nowUs);
         }
     }
 
-    /** An event whose decision takes so long. */
-    private void event(long takesUs) {
+    /** An event that takes this long to handle. */
+    private void event(long durationUs) {
         events.add(
                 () -> {
                     ages.add(nowUs - readUs);
-                    nowUs += takesUs;
+                    nowUs += durationUs;
                 });
     }
 
     @Test
-    void manyEventsOfOneTurnAreNotAllDecidedByWhatItHasRead() {
+    void manyEventsOfOneIterationAreNotAllDeliveredAfterOneRead() {
         lateness.ticked(nowUs);
         for (int i = 0; i < 40; i++) {
             event(10 * MS);
         }
-        int turns = 0;
+        int iterations = 0;
         while (ages.size() < 40) {
             int before = ages.size();
-            turn();
-            assertTrue(++turns == 1 || ages.size() > before, "each turn decides something");
+            iterate();
+            assertTrue(
+                    ++iterations == 1 || ages.size() > before, "an iteration delivered no event");
         }
-        assertTrue(ages.stream().allMatch(age -> age <= MOST_AGE_US), ages.toString());
-        assertTrue(turns <= 8, turns + " turns");
+        assertTrue(ages.stream().allMatch(age -> age <= MAX_AGE_US), ages.toString());
+        assertTrue(iterations <= 8, iterations + " iterations");
     }
 
     @Test
-    void anEventOfALoopOnTimeIsDecidedInItsTurn() {
+    void anEventIsDeliveredInItsIterationIfTheLoopIsOnTime() {
         for (int i = 0; i < 10; i++) {
             nowUs += Lateness.TICK_US;
             lateness.ticked(nowUs);
             event(0);
-            turn();
+            iterate();
             assertEquals(i + 1, ages.size());
         }
     }
 
-    /** At whatever moment between two ticks the standstill begins, and however short of being told it is. */
+    /** Wherever between two ticks the stall begins, and though no tick has run since. */
     @Test
-    void behindAStandstillOfOver60MsTheSocketsAreReadAgain() {
+    void theSocketsAreReadAgainAfterAStallOfOver60Ms() {
         for (long beginsUs = 0; beginsUs < Lateness.TICK_US; beginsUs += MS) {
             nowUs += 10 * Lateness.TICK_US;
             lateness.ticked(nowUs);
@@ -90,9 +91,9 @@
             long before = ages.size();
             nowUs += 61 * MS;
             event(0);
-            turn();
-            assertEquals(before, ages.size(), "it began " + beginsUs + " us behind a tick");
-            turn();
+            iterate();
+            assertEquals(before, ages.size(), "the stall began " + beginsUs + " us after a tick");
+            iterate();
             assertEquals(before + 1, ages.size());
         }
     }
--- a/src/test/java/holdproxy/net/LastWordTest.java
+++ b/src/test/java/holdproxy/net/RequestOutcomeTest.java
@@ -33,42 +33,43 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Whatever nodes, the network and the loop itself do, each request that was read has one end: its answer, in its
- * turn, by the first turn of the loop after it is due; or, where a value has begun, that or its connection's
- * end. Moments, silences and standstills of up to 3 s are drawn by seeds; the clock is the test's.
+ * Whatever nodes, the network and the event loop do, each request that was read has exactly one outcome: its
+ * response, in order, by the first loop iteration after its deadline; or, once a value has begun, the rest of
+ * that value or a closed connection. Timing, unresponsive nodes and loop stalls of up to 3 s are drawn from
+ * seeds; the test controls the clock.
  */
-class LastWordTest {
+class RequestOutcomeTest {
     private static final int SEEDS = 300;
     private static final int STEPS = 60;
 
-    /** What the proxy adds to the time that a client waits before it says the last word itself. */
-    private static final long GUARD_US = 15_000;
+    /** How long after a client's waiting time the proxy fails a request that is still open. */
+    private static final long OVERDUE_US = 15_000;
 
-    /** A value that has begun and goes no further ends its connection after 5 s, looked at each half second. */
-    private static final long RELAY_US = 5_500_000;
+    /** A stalled value closes the client's connection after 5 s, checked every 500 ms. */
+    private static final long STALLED_VALUE_US = 5_500_000;
 
     @TempDir Path folder;
 
-    /** A request that was read, and when it has to have its end, unless those before it have none. */
-    private record Owed(String id, long byUs) {}
+    /** A request that was read, and the deadline of its outcome unless earlier requests are still open. */
+    private record OpenRequest(String id, long deadlineUs) {}
 
-    /** One proxy, its clients and nodes, by one seed. */
-    private final class Town implements Transport {
+    /** One proxy with its clients and nodes, driven by one seed. */
+    private final class Simulation implements Transport {
         private final SplittableRandom random;
         private final MockTicker ticker = Ticker.newMockTicker();
         private final EmbeddedChannel timers = EmbeddedChannel.builder().ticker(ticker).build();
         private final Time time = new Time(ticker, () -> 0);
         private final List<EmbeddedChannel> nodes = new ArrayList<>();
         private final List<Client> clients = new ArrayList<>();
-        private final ChannelHandler planted;
+        private final ChannelHandler fault;
         private final Proxy proxy;
-        private final List<String> broken = new ArrayList<>();
-        private int asked;
-        private int ended;
+        private final List<String> violations = new ArrayList<>();
+        private int requests;
+        private int completed;
 
-        Town(long seed, ChannelHandler planted) throws IOException {
+        Simulation(long seed, ChannelHandler fault) throws IOException {
             random = new SplittableRandom(seed);
-            this.planted = planted;
+            this.fault = fault;
             Path file = folder.resolve("config.json");
             Files.writeString(
                     file,
@@ -113,7 +114,7 @@
             ChannelPromise never = dead.newPromise();
             timers.eventLoop()
                     .schedule(
-                            () -> never.tryFailure(new ConnectTimeoutException("silent")),
+                            () -> never.tryFailure(new ConnectTimeoutException("no response")),
                             timeoutMs,
                             TimeUnit.MILLISECONDS);
             return never;
@@ -130,25 +131,24 @@
             channel.close();
         }
 
-        void play() {
-            for (int step = 0; step < STEPS && broken.isEmpty(); step++) {
+        void run() {
+            for (int step = 0; step < STEPS && violations.isEmpty(); step++) {
                 if (step == STEPS - 10 && random.nextBoolean()) {
                     proxy.end(500);
                 }
                 int requests = step < STEPS - 20 ? random.nextInt(3) : 0;
                 for (int i = 0; i < requests; i++) {
-                    client().ask();
+                    client().sendRequest();
                 }
                 for (EmbeddedChannel node : List.copyOf(nodes)) {
                     if (random.nextInt(3) == 0) {
-                        answer(node);
+                        react(node);
                     }
                 }
-                // mostly on time; now and then the loop stands still, with input waiting and timers
-                // due
-                boolean still = random.nextInt(12) == 0;
-                pass(step >= STEPS - 20 ? 700 : random.nextInt(still ? 3_000 : 60));
-                clients.forEach(Client::judge);
+                // mostly on time; now and then the loop stalls with input waiting and timers due
+                boolean stall = random.nextInt(12) == 0;
+                advance(step >= STEPS - 20 ? 700 : random.nextInt(stall ? 3_000 : 60));
+                clients.forEach(Client::check);
             }
         }
 
@@ -160,34 +160,34 @@
             return clients.get(random.nextInt(clients.size()));
         }
 
-        private void pass(int ms) {
+        private void advance(int ms) {
             ticker.advance(ms, TimeUnit.MILLISECONDS);
             timers.runScheduledPendingTasks();
             proxy.tick();
             clients.forEach(c -> c.channel.runScheduledPendingTasks());
         }
 
-        /** What a node makes of what has come to it. */
-        private void answer(EmbeddedChannel node) {
-            StringBuilder came = new StringBuilder();
+        /** Has a node react to the command that it has received, if any. */
+        private void react(EmbeddedChannel node) {
+            StringBuilder received = new StringBuilder();
             for (ByteBuf b = node.readOutbound(); b != null; b = node.readOutbound()) {
-                came.append(b.toString(StandardCharsets.ISO_8859_1));
+                received.append(b.toString(StandardCharsets.ISO_8859_1));
                 b.release();
             }
-            int at = came.indexOf(" O") + 2;
+            int at = received.indexOf(" O") + 2;
             if (at < 2 || !node.isActive()) {
                 return;
             }
-            String id = came.substring(at, came.indexOf(" ", at));
-            boolean read = came.charAt(1) == 'g';
+            String id = received.substring(at, received.indexOf(" ", at));
+            boolean read = received.charAt(1) == 'g';
             switch (random.nextInt(9)) {
                 case 0 -> node.writeInbound(bytes("SERVER_ERROR busy\r\n"));
                 case 1 -> node.writeInbound(bytes("SERVER_ERROR failed\r\n"));
                 case 2 -> node.close();
-                case 3 -> node.writeInbound(bytes("VA 5 O" + id + "\r\nhel")); // and nothing more
+                case 3 -> node.writeInbound(bytes("VA 5 O" + id + "\r\nhel")); // incomplete
                 case 4 -> node.writeInbound(bytes("VA 70000 O" + id + "\r\n" + "x".repeat(1000)));
                 case 5 -> node.writeInbound(bytes("what is this\r\n"));
-                case 6 -> {} // silent for ever
+                case 6 -> {} // never responds
                 default ->
                         node.writeInbound(
                                 bytes(
@@ -197,27 +197,27 @@
             }
         }
 
-        /** A connection that asks without waiting, and what it is owed, in order. */
+        /** A connection that sends requests without waiting, and its open requests in order. */
         private final class Client {
             private final EmbeddedChannel channel =
                     EmbeddedChannel.builder().ticker(ticker).build();
-            private final ArrayDeque<Owed> owed = new ArrayDeque<>();
+            private final ArrayDeque<OpenRequest> open = new ArrayDeque<>();
             private long begunUs = -1;
-            private String said = "";
+            private String output = "";
 
             Client() {
                 channel.pipeline()
-                        .addLast(planted == null ? new ChannelOutboundHandlerAdapter() : planted);
+                        .addLast(fault == null ? new ChannelOutboundHandlerAdapter() : fault);
                 channel.pipeline().addLast(proxy.handlers());
-                channel.pipeline()
-                        .fireChannelActive(); // it came up before there was anyone to tell
+                // became active before the handlers were added
+                channel.pipeline().fireChannelActive();
             }
 
-            void ask() {
+            void sendRequest() {
                 if (!channel.isActive() || !channel.config().isAutoRead()) {
                     return;
                 }
-                String id = "r" + asked++;
+                String id = "r" + requests++;
                 int waitMs = 50 + random.nextInt(2_000);
                 String cls = new String[] {"lookup", "charge", "submit"}[random.nextInt(3)];
                 channel.writeInbound(
@@ -225,90 +225,92 @@
                                 cls.equals("lookup")
                                         ? Fixture.read(id, waitMs)
                                         : Fixture.write(cls, id, waitMs)));
-                owed.add(new Owed(id, time.us() + waitMs * 1000L + GUARD_US));
+                open.add(new OpenRequest(id, time.us() + waitMs * 1000L + OVERDUE_US));
             }
 
-            /** After a turn of the loop at this moment. */
-            void judge() {
+            /** Checks the output and the deadlines after a loop iteration at the current time. */
+            void check() {
                 for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-                    said += b.toString(StandardCharsets.ISO_8859_1);
+                    output += b.toString(StandardCharsets.ISO_8859_1);
                     b.release();
                 }
-                while (said.contains("\r\n") && answered()) {
-                    // the next one
+                while (output.contains("\r\n") && takeResponse()) {
+                    // continue with the next response
                 }
                 if (!channel.isActive()) {
-                    // a connection may end under a value that broke off, and between requests; not
-                    // else
-                    if (!owed.isEmpty() && begunUs < 0) {
-                        broken.add("ended without an answer to " + owed);
+                    // a connection may close only between requests or in the middle of a value
+                    if (!open.isEmpty() && begunUs < 0) {
+                        violations.add("closed without a response to " + open);
                     }
-                    ended += owed.size();
-                    owed.clear();
-                    said = "";
+                    completed += open.size();
+                    open.clear();
+                    output = "";
                 }
-                Owed first = owed.peek();
+                OpenRequest first = open.peek();
                 if (first != null
-                        && time.us() > Math.max(first.byUs, begunUs < 0 ? 0 : begunUs + RELAY_US)) {
-                    broken.add(
-                            "no end at "
+                        && time.us()
+                                > Math.max(
+                                        first.deadlineUs,
+                                        begunUs < 0 ? 0 : begunUs + STALLED_VALUE_US)) {
+                    violations.add(
+                            "no outcome at "
                                     + time.us()
                                     + ": "
                                     + first
                                     + " of "
-                                    + owed
-                                    + ", said "
-                                    + said);
+                                    + open
+                                    + ", output "
+                                    + output);
                 }
             }
 
-            private boolean answered() {
-                if (owed.isEmpty()) {
-                    broken.add("nobody waits for " + said);
-                    said = "";
+            private boolean takeResponse() {
+                if (open.isEmpty()) {
+                    violations.add("response without a request: " + output);
+                    output = "";
                     return false;
                 }
-                String line = said.substring(0, said.indexOf("\r\n"));
+                String line = output.substring(0, output.indexOf("\r\n"));
                 if (line.startsWith("VA 70000 ")) {
                     begunUs = begunUs < 0 ? time.us() : begunUs;
                     return false;
                 }
-                said = said.substring(line.length() + 2);
+                output = output.substring(line.length() + 2);
                 if (line.startsWith("VA ")) {
-                    said = said.substring("hello\r\n".length());
+                    output = output.substring("hello\r\n".length());
                 }
-                Owed due = owed.poll();
-                ended++;
+                OpenRequest due = open.poll();
+                completed++;
                 if (line.contains(" O") && !line.contains(" O" + due.id)) {
-                    broken.add(due + " is answered with " + line);
+                    violations.add(due + " got the response " + line);
                 }
                 return true;
             }
         }
     }
 
-    private Town played(long seed, ChannelHandler planted) throws IOException {
-        Town town = new Town(seed, planted);
-        town.play();
-        return town;
+    private Simulation simulate(long seed, ChannelHandler fault) throws IOException {
+        Simulation simulation = new Simulation(seed, fault);
+        simulation.run();
+        return simulation;
     }
 
     @Test
-    void eachRequestThatWasReadHasOneEndAlsoWhileTheLoopIsLate() throws IOException {
-        int asked = 0;
+    void eachRequestThatWasReadHasOneOutcomeEvenIfTheLoopStalls() throws IOException {
+        int requests = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Town town = played(seed, null);
-            assertEquals(List.of(), town.broken, "seed " + seed);
-            assertEquals(town.asked, town.ended, "seed " + seed);
-            assertEquals(0, town.proxy.open(), "left open by seed " + seed);
-            asked += town.asked;
+            Simulation simulation = simulate(seed, null);
+            assertEquals(List.of(), simulation.violations, "seed " + seed);
+            assertEquals(simulation.requests, simulation.completed, "seed " + seed);
+            assertEquals(0, simulation.proxy.open(), "requests left open, seed " + seed);
+            requests += simulation.requests;
         }
-        assertTrue(asked > 30 * SEEDS, asked + " requests");
+        assertTrue(requests > 30 * SEEDS, requests + " requests");
     }
 
-    /** Loses the third answer on each connection. */
+    /** Drops the third response that is written. */
     @ChannelHandler.Sharable
-    private static final class Losing extends ChannelOutboundHandlerAdapter {
+    private static final class ResponseDropper extends ChannelOutboundHandlerAdapter {
         private int written;
 
         @Override
@@ -323,13 +325,12 @@
     }
 
     @Test
-    void anAnswerThatIsLostIsFound() throws IOException {
-        int found = 0;
+    void aLostResponseIsDetected() throws IOException {
+        int detected = 0;
         for (long seed = 1; seed <= 20; seed++) {
-            found += played(seed, new Losing()).broken.isEmpty() ? 0 : 1;
+            detected += simulate(seed, new ResponseDropper()).violations.isEmpty() ? 0 : 1;
         }
-        assertTrue(
-                found >= 18,
-                found + " of 20"); // the third answer may be one that no other comes behind
+        // the dropped response may be the last one of its connection
+        assertTrue(detected >= 18, detected + " of 20");
     }
 }
