--- a/src/main/java/holdproxy/fanout/CandidateList.java
+++ b/src/main/java/holdproxy/fanout/CandidateList.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Relays in the order of preference, and which of them are avoided for a while since they failed. */
+/** Relay candidates in order of preference; candidates that failed are avoided for a while. */
 final class CandidateList {
     private static final int MOST_DOUBLINGS = 30;
 
@@ -26,7 +26,7 @@
         avoidMostUs = settings.avoidMostUs();
     }
 
-    /** What is known of those that stay is kept. */
+    /** Replaces the candidates; those that remain keep their failure history. */
     void replace(List<RelayCandidate> candidates) {
         List<Entry> fresh = new ArrayList<>();
         for (RelayCandidate candidate : candidates) {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * The first that is not avoided, else the one that is avoided for the shortest time; null:
-     * there is none.
+     * Returns the first candidate that is not avoided, otherwise the one whose avoidance ends first;
+     * null if there are no candidates.
      */
     RelayCandidate choose(long nowUs) {
         Entry soonest = null;
@@ -57,12 +57,12 @@
         return soonest == null ? null : soonest.candidate;
     }
 
-    /** Whether another one is not avoided. */
+    /** Whether any other candidate is not avoided. */
     boolean hasOther(RelayCandidate than, long nowUs) {
         return entries.stream().anyMatch(e -> !e.candidate.equals(than) && e.avoidUntilUs <= nowUs);
     }
 
-    /** Whether one before this is not avoided. */
+    /** Whether a more preferred candidate is not avoided. */
     boolean hasBetter(RelayCandidate than, long nowUs) {
         for (Entry entry : entries) {
             if (entry.candidate.equals(than)) {
@@ -75,7 +75,7 @@
         return false;
     }
 
-    /** It is avoided, for longer with each failure in a row. */
+    /** Avoids the candidate, for longer with each consecutive failure. */
     void failed(RelayCandidate candidate, long nowUs) {
         Entry entry = find(candidate);
         if (entry != null) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** It has served for a while. */
+    /** The candidate has served for long enough: forgets its failures. */
     void proved(RelayCandidate candidate) {
         Entry entry = find(candidate);
         if (entry != null) {
--- a/src/main/java/holdproxy/fanout/Change.java
+++ b/src/main/java/holdproxy/fanout/Change.java
@@ -7,12 +7,12 @@
 import java.util.TreeSet;
 
 /**
- * One step of the history: keys that get a value and keys that are removed, all of them or none. A change
+ * One step of the history: keys that are set and keys that are removed, applied atomically. A change
  * without keys leaves the state as it is.
  *
  * @param position after this change
  * @param puts values by key
- * @param deletes keys that are removed; one that does not exist is no error
+ * @param deletes keys to remove; a key that does not exist is ignored
  */
 public record Change(Position position, SortedMap<String, Value> puts, SortedSet<String> deletes) {
     public Change {
@@ -25,7 +25,7 @@
         return new Position(position.epoch(), position.number() - 1);
     }
 
-    /** An upper bound of its bytes on the wire, by which windows and credits are counted. */
+    /** Upper bound of the encoded size, which counts towards windows and credits. */
     public int sizeBytes() {
         return SizeEstimate.ofChange(puts, deletes);
     }
--- a/src/main/java/holdproxy/fanout/ChangeLog.java
+++ b/src/main/java/holdproxy/fanout/ChangeLog.java
@@ -11,8 +11,9 @@
 import java.util.TreeMap;
 
 /**
- * The history of changes as each control machine's replicated state machine holds it: deterministic, and it
- * reads no clock. {@link ChangeLogOperations} has its operations as plain values for the agreed log.
+ * The history of changes, a state machine that is replicated on every control machine: deterministic and
+ * independent of any clock. {@link ChangeLogOperations} encodes its operations as plain values for the
+ * consensus log.
  */
 public final class ChangeLog {
     private final FanoutSettings.Limits limits;
@@ -24,40 +25,40 @@
 
     private long highestToken;
 
-    /** An empty log that refuses what exceeds these limits. */
+    /** Creates an empty log that refuses publications exceeding these limits. */
     public ChangeLog(FanoutSettings.Limits limits) {
         this(limits, Safeguard.all());
     }
 
-    /** A log without some of its rules, for the simulation. */
+    /** Creates an empty log with only some of the safeguards, for the simulation. */
     public ChangeLog(FanoutSettings.Limits limits, Set<Safeguard> safeguards) {
         this.limits = limits;
         this.safeguards = Set.copyOf(safeguards);
         replica = new Replica(limits);
     }
 
-    /** What a relay of this machine serves; changes with the log. */
+    /** The replica that a relay on this machine serves; changes with the log. */
     public Replica replica() {
         return replica;
     }
 
-    /** {@link Position#NONE} as long as it is not founded. */
+    /** {@link Position#NONE} until the log has been given an epoch. */
     public Position position() {
         return replica.position();
     }
 
     /**
-     * The highest fencing token of a publication that was appended, or of a grant that the log was told of.
+     * The highest fencing token of any appended publication or of any lease reported to {@link #fence}.
      */
     public long highestToken() {
         return highestToken;
     }
 
     /**
-     * Gives an empty log its identity. One that has an epoch keeps it. Who founds a log anew takes an epoch
-     * above all earlier ones, the wall clock's seconds for example.
+     * Gives an empty log its epoch; a log that has one keeps it. The epoch of a re-created log must be
+     * higher than all earlier ones, for example the wall clock in seconds.
      *
-     * @return the position now
+     * @return the position afterwards
      */
     public Position found(long epoch) {
         if (epoch < 1) {
@@ -70,14 +71,14 @@
     }
 
     /**
-     * The publisher's lease has been granted under this token: from now on publications under lower ones are
-     * refused.
+     * The publisher's lease has been granted with this token: from now on publications with lower tokens
+     * are refused.
      */
     public void fence(long token) {
         highestToken = Math.max(highestToken, token);
     }
 
-    /** Appends a change, or says why not. */
+    /** Appends a publication, or returns why it is refused. */
     public AppendResult append(Publication publication) {
         Position before = publications.get(publication.id());
         if (before != null) {
@@ -94,7 +95,7 @@
         return new Appended(change.position(), false);
     }
 
-    /** Null where nothing is wrong. */
+    /** Returns null if the publication is valid. */
     private Refused refusal(Publication publication) {
         if (position().equals(Position.NONE)) {
             return new Refused(Reason.NOT_FOUNDED, "the log has no epoch");
@@ -128,7 +129,7 @@
 
     // ---- snapshots of the replicated state machine ----
 
-    /** Becomes empty and has no epoch. */
+    /** Removes everything, including the epoch. */
     public void clear() {
         replica.reset(Position.NONE, new TreeMap<>());
         publications.clear();
@@ -136,12 +137,12 @@
     }
 
     /**
-     * All of it as plain values (texts, whole numbers, byte arrays, lists), in parts of at most this many
-     * bytes or one entry, change or identifier each.
+     * Returns the log as plain values (strings, integers, byte arrays, lists), in parts of at most this
+     * many bytes, or with a single entry, change or identifier if that is larger.
      */
     public List<Object> snapshot(int partBytes) {
         PlainParts parts = new PlainParts(partBytes);
-        // a reader of the first part knows where the state of the window's beginning stands
+        // the position comes first so that a reader of the first part knows it
         parts.add("head", 0, List.of(position().epoch(), position().number(), highestToken));
         for (Map.Entry<String, Value> entry : replica.entries().entrySet()) {
             int size = SizeEstimate.ofEntry(entry.getKey(), entry.getValue());
@@ -159,7 +160,7 @@
         return parts.done();
     }
 
-    /** Becomes what these parts say. */
+    /** Replaces the log by the contents of these snapshot parts. */
     public void restore(List<Object> parts) {
         clear();
         TreeMap<String, Value> entries = new TreeMap<>();
--- a/src/main/java/holdproxy/fanout/ChangeLogOperations.java
+++ b/src/main/java/holdproxy/fanout/ChangeLogOperations.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * Operations on a {@link ChangeLog} and their answers as plain values (texts, whole numbers, truths, byte
- * arrays, lists), as an agreed log carries them.
+ * Operations on a {@link ChangeLog} and their results as plain values (strings, integers, booleans, byte
+ * arrays, lists), as stored in the consensus log.
  */
 public final class ChangeLogOperations {
     private static final String FOUND = "found";
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Applies an agreed operation; one that this version does not know changes nothing and is
-     * refused. The same operation gives the same answer at every machine.
+     * Applies an operation of the consensus log; one that this version does not know is refused without
+     * any change. The same operation gives the same result on every machine.
      */
     public static List<Object> apply(ChangeLog log, Object operation) {
         AppendResult result;
@@ -74,7 +74,7 @@
         return List.of(REFUSED, refused.reason().name(), refused.detail());
     }
 
-    /** What the answer to an operation says. */
+    /** Decodes the result of {@link #apply}. */
     public static AppendResult result(Object answer) {
         List<?> fields = PlainForm.list(answer);
         return switch (PlainForm.text(fields.get(0))) {
--- a/src/main/java/holdproxy/fanout/ChangeWindow.java
+++ b/src/main/java/holdproxy/fanout/ChangeWindow.java
@@ -3,22 +3,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The last changes of one epoch without a gap, bounded by count and bytes. */
+/** The most recent consecutive changes of one epoch, bounded by count and bytes. */
 final class ChangeWindow {
-    /** Dropped entries are cleared away once there are so many and they are the larger part. */
+    /**
+     * Dropped entries are removed from the list once there are at least this many and more of them
+     * than entries still kept.
+     */
     private static final int LEAST_CLEARED = 64;
 
-    /** A change, and the bytes of all since the last reset up to and with it. */
+    /** A change, and the total size of all changes from the last reset up to and including it. */
     private record Entry(Change change, long bytesUpTo) {}
 
     private final int mostChanges;
     private final int mostBytes;
     private final List<Entry> entries = new ArrayList<>();
 
-    /** Index of the first entry that is kept. */
+    /** Index of the first entry still kept. */
     private int first;
 
-    /** The position before the first change that is kept. */
+    /** The position before the first change still kept. */
     private Position base = Position.NONE;
 
     private long bytesBefore;
@@ -29,7 +32,7 @@
         mostBytes = limits.windowBytes();
     }
 
-    /** Empty, at this position. */
+    /** Removes all changes; the window continues from this position. */
     void reset(Position position) {
         entries.clear();
         first = 0;
@@ -54,7 +57,7 @@
         return after(base, Integer.MAX_VALUE);
     }
 
-    /** One that does not follow the newest leaves only itself. */
+    /** Adds a change; one that does not follow the newest replaces all earlier ones. */
     void add(Change change) {
         if (!change.predecessor().equals(newest())) {
             reset(change.predecessor());
@@ -77,22 +80,22 @@
         bytesBefore = dropped.bytesUpTo;
     }
 
-    /** Whether all changes after this position are there (also where there are none). */
+    /** Whether the window holds every change after this position (also if there is none). */
     boolean covers(Position held) {
         return held.epoch() == base.epoch()
                 && held.number() >= base.number()
                 && held.number() <= newest().number();
     }
 
-    /** Of all changes after a position that it covers. */
+    /** Total size of the changes after a position that the window covers. */
     long bytesAfter(Position held) {
         int index = indexAfter(held);
         return bytesUpToNewest - (index == first ? bytesBefore : entries.get(index - 1).bytesUpTo);
     }
 
     /**
-     * Those after a position that it covers, as many as fit in so many bytes and at least one if
-     * there is one.
+     * Returns the changes after a position that the window covers: as many as fit within this many
+     * bytes, but at least one if there is any.
      */
     List<Change> after(Position held, int withinBytes) {
         List<Change> result = new ArrayList<>();
--- a/src/main/java/holdproxy/fanout/CoverageReport.java
+++ b/src/main/java/holdproxy/fanout/CoverageReport.java
@@ -8,20 +8,20 @@
 import java.util.TreeMap;
 
 /**
- * What a number of proxies have in force: of one proxy, or of all below a relay. Both lists are bounded; what
- * does not fit of {@code inForce} is counted under the oldest position that is kept, so that a count is never
- * too high.
+ * Which positions a proxy, or all proxies below a relay, have in force. Both lists are bounded; the proxies
+ * whose positions do not fit into {@code inForce} are counted at the oldest of these positions, so that
+ * {@link #inForceAt} never counts too many.
  *
- * @param proxies how many it is about
- * @param inForce how many proxies have which position in force, newest first
- * @param rejecting how many proxies reject the state that they received last
- * @param rejections the first of them by name
+ * @param proxies number of proxies covered
+ * @param inForce number of proxies that have each position in force, newest first
+ * @param rejecting number of proxies that reject the state received last
+ * @param rejections the first of these by name
  */
 public record CoverageReport(
         long proxies, List<PositionCount> inForce, long rejecting, List<Rejection> rejections) {
     public static final CoverageReport EMPTY = new CoverageReport(0, List.of(), 0, List.of());
 
-    /** So many proxies have this position in force. */
+    /** The number of proxies that have this position in force. */
     public record PositionCount(Position position, long proxies) {}
 
     public CoverageReport {
@@ -29,7 +29,7 @@
         rejections = List.copyOf(rejections);
     }
 
-    /** Of one proxy; {@code rejection}: null where it has accepted what it received last. */
+    /** The report of one proxy; {@code rejection} is null if it accepted the state received last. */
     public static CoverageReport ofProxy(Position inForce, Rejection rejection) {
         return new CoverageReport(
                 1,
@@ -38,7 +38,7 @@
                 rejection == null ? List.of() : List.of(rejection));
     }
 
-    /** All of them together, within the limits. */
+    /** Merges the reports into one within the limits. */
     public static CoverageReport merge(
             Collection<CoverageReport> reports, FanoutSettings.Limits limits) {
         long proxies = 0;
@@ -61,7 +61,7 @@
                 proxies, bounded(counts, limits.reportedPositions()), rejecting, rejections);
     }
 
-    /** {@code counts} newest first; the oldest ones become one, at the oldest position of them. */
+    /** Merges the oldest of {@code counts} (newest first) into one, at the oldest position. */
     private static List<PositionCount> bounded(TreeMap<Position, Long> counts, int most) {
         List<PositionCount> bounded = new ArrayList<>();
         long rest = 0;
--- a/src/main/java/holdproxy/fanout/FanoutSettings.java
+++ b/src/main/java/holdproxy/fanout/FanoutSettings.java
@@ -3,9 +3,9 @@
 /**
  * All limits and times of the fan-out. Times are in microseconds, sizes in bytes.
  *
- * @param limits of what is stored and sent
+ * @param limits on stored and transmitted data
  * @param relay how a relay serves its subscribers
- * @param subscriber how a subscriber finds and watches its relay
+ * @param subscriber how a subscriber selects and monitors its relay
  */
 public record FanoutSettings(Limits limits, RelaySettings relay, SubscriberSettings subscriber) {
     private static final long MS = 1_000;
@@ -78,17 +78,17 @@
                         + subscriber.keepaliveIntervalUs);
     }
 
-    /** The same with other limits. */
+    /** A copy with other limits. */
     public FanoutSettings with(Limits other) {
         return new FanoutSettings(other, relay, subscriber);
     }
 
-    /** The same with other settings of relays. */
+    /** A copy with other relay settings. */
     public FanoutSettings with(RelaySettings other) {
         return new FanoutSettings(limits, other, subscriber);
     }
 
-    /** The same with other settings of subscribers. */
+    /** A copy with other subscriber settings. */
     public FanoutSettings with(SubscriberSettings other) {
         return new FanoutSettings(limits, relay, other);
     }
@@ -106,22 +106,22 @@
     }
 
     /**
-     * Bounds of what is stored and sent.
+     * Upper limits on stored and transmitted data.
      *
-     * @param keyBytes of a key, in UTF-8
-     * @param valueBytes of a value
-     * @param changeBytes of a change, by its upper bound on the wire
-     * @param changeKeys that a change may put and delete
-     * @param stateKeys that a state may have
-     * @param stateBytes of all keys and values of a state
-     * @param windowChanges that are kept for those who are behind
-     * @param windowBytes of these together
-     * @param publications whose identifiers are remembered, to recognize a repeated one
-     * @param nameBytes of a process's name or a publication's identifier, in UTF-8
-     * @param reasonCharacters of a rejection's reason; a longer one is cut
-     * @param reportedPositions in a coverage report
-     * @param reportedRejections in a coverage report
-     * @param frameBytes of an encoded message
+     * @param keyBytes size of a key, in UTF-8
+     * @param valueBytes size of a value
+     * @param changeBytes size of a change, estimated by an upper bound of its encoding
+     * @param changeKeys number of keys that a change puts and deletes
+     * @param stateKeys number of keys in a state
+     * @param stateBytes total size of the keys and values of a state
+     * @param windowChanges number of recent changes kept for subscribers that are behind
+     * @param windowBytes total size of these changes
+     * @param publications number of publication identifiers remembered to detect repeated publications
+     * @param nameBytes size of a process name or a publication identifier, in UTF-8
+     * @param reasonCharacters length of a rejection reason; longer ones are truncated
+     * @param reportedPositions number of positions in a coverage report
+     * @param reportedRejections number of rejections in a coverage report
+     * @param frameBytes size of an encoded message
      */
     public record Limits(
             int keyBytes,
@@ -157,7 +157,7 @@
                     frameBytes);
         }
 
-        /** The same with another window of recent changes. */
+        /** A copy with another size of the window of recent changes. */
         public Limits withWindow(int changes, int bytes) {
             return new Limits(
                     keyBytes,
@@ -178,18 +178,18 @@
     }
 
     /**
-     * How a relay serves.
+     * How a relay serves its subscribers.
      *
-     * @param subscribers at most; further ones are refused
-     * @param creditBytes that one subscriber may have unacknowledged; also the size of a snapshot's parts
-     * @param catchUpBytesPerSecond for all that catch up together, by changes or snapshots
-     * @param catchUpBurstBytes that may go at once after a pause
-     * @param snapshots of different positions that are kept while somebody receives them
-     * @param heartbeatIntervalUs between two heartbeats
-     * @param acknowledgeTimeoutUs a subscriber that leaves a batch unacknowledged for so long is dropped
-     * @param silenceTimeoutUs a subscriber that says nothing for so long is dropped
-     * @param retryAfterUs told to those that are refused
-     * @param stallUs a timer that comes later than this shows a stall of the relay's own
+     * @param subscribers maximum number of subscribers; further ones are refused
+     * @param creditBytes maximum unacknowledged bytes for each subscriber; also the size of snapshot parts
+     * @param catchUpBytesPerSecond rate shared by all subscribers that catch up, by changes or snapshots
+     * @param catchUpBurstBytes catch-up bytes that may be sent at once after a pause
+     * @param snapshots maximum number of snapshots, at different positions, kept while being sent
+     * @param heartbeatIntervalUs interval between heartbeats
+     * @param acknowledgeTimeoutUs a subscriber that does not acknowledge a message for this long is dropped
+     * @param silenceTimeoutUs a subscriber that sends nothing for this long is dropped
+     * @param retryAfterUs time after which a refused subscriber may try again
+     * @param stallUs a timer that fires later than this shows that the relay's own process stalled
      */
     public record RelaySettings(
             int subscribers,
@@ -217,7 +217,7 @@
                     stallUs);
         }
 
-        /** The same with other bounds on subscribers, credit and catch-up. */
+        /** A copy with other limits on subscribers, credit and catch-up. */
         public RelaySettings withBounds(int most, int credit, long bytesPerSecond, int burstBytes) {
             return new RelaySettings(
                     most,
@@ -234,24 +234,27 @@
     }
 
     /**
-     * How a subscriber finds and watches its relay.
+     * How a subscriber selects and monitors its relay.
      *
-     * @param heartbeatTimeoutUs without any message after which the relay is given up
-     * @param connectTimeoutUs from dialling to the first message; doubles with each failure in a row
-     * @param connectTimeoutMostUs to which it doubles
-     * @param backoffUs the pause before the first attempt after a failure is drawn from 0 to this; doubles
-     * @param backoffMostUs to which it doubles
-     * @param avoidUs for how long a candidate that failed is passed over where others are left; doubles
-     * @param avoidMostUs to which it doubles
-     * @param returnUs on another than its first choice it looks so often, from half to one and a half times,
-     *     whether a better one may be asked again
-     * @param stableUs a link that holds so long ends the counting of failures
-     * @param sourceAgeUs a relay whose own source is silent for longer is left for another
-     * @param reportIntervalUs between two acknowledgements that only report
-     * @param keepaliveIntervalUs after which it acknowledges again as a sign of life
-     * @param askAgainUs without progress although the relay has more, after which it subscribes
-     *     again; doubles
-     * @param askAgainMostUs to which it doubles
+     * @param heartbeatTimeoutUs a relay that sends no message for this long is given up
+     * @param connectTimeoutUs from dialling to the first message; doubles with each consecutive failure
+     * @param connectTimeoutMostUs upper limit of the doubled connect time-out
+     * @param backoffUs the pause before the first attempt after a failure is random from 0 to this; doubles
+     *     with each consecutive failure
+     * @param backoffMostUs upper limit of the doubled pause
+     * @param avoidUs how long a failed candidate is skipped while others are available; doubles with each
+     *     consecutive failure
+     * @param avoidMostUs upper limit of the doubled time
+     * @param returnUs mean interval, randomized from half to one and a half times, between checks whether a
+     *     more preferred relay may be tried again
+     * @param stableUs a link that has held for this long resets the failure counters
+     * @param sourceAgeUs a relay whose data was last known to be the newest longer ago than this is left
+     *     for another one
+     * @param reportIntervalUs interval at which a relay checks whether its coverage report has changed
+     * @param keepaliveIntervalUs time after which an acknowledgement is repeated as a keepalive
+     * @param askAgainUs time without progress, although the relay has newer data, after which the
+     *     subscriber subscribes again; doubles
+     * @param askAgainMostUs upper limit of the doubled time
      */
     public record SubscriberSettings(
             long heartbeatTimeoutUs,
--- a/src/main/java/holdproxy/fanout/FieldReader.java
+++ b/src/main/java/holdproxy/fanout/FieldReader.java
@@ -5,7 +5,7 @@
 import java.util.SortedMap;
 import java.util.TreeSet;
 
-/** Reads a message's fields one after another, each within its limit. */
+/** Reads the fields of a message in order and checks each against its limit. */
 final class FieldReader {
     private final List<?> fields;
     private final FanoutSettings.Limits limits;
@@ -20,7 +20,7 @@
         return next < fields.size();
     }
 
-    /** There is nothing more, or it is named. */
+    /** Throws a {@link ProtocolException} if there are more fields. */
     void requireEnd() {
         if (hasMore()) {
             throw new ProtocolException(
@@ -48,7 +48,7 @@
         return number;
     }
 
-    /** A number that fits in an int. */
+    /** Reads a non-negative number that fits in an int. */
     int count() {
         long number = notNegative();
         if (number > Integer.MAX_VALUE) {
--- a/src/main/java/holdproxy/fanout/FrozenSnapshot.java
+++ b/src/main/java/holdproxy/fanout/FrozenSnapshot.java
@@ -7,7 +7,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The state at one position in parts, which any number of subscribers receive while the state goes on. */
+/**
+ * An immutable copy of the state at one position, split into parts; shared by any number of subscribers
+ * while the state changes.
+ */
 final class FrozenSnapshot {
     private final Position position;
     private final List<SnapshotPart> parts;
@@ -23,7 +26,7 @@
         }
     }
 
-    /** Of the replica as it is, in parts of at most so many bytes (or one entry). */
+    /** Copies the replica, in parts of at most this many bytes (or a single larger entry). */
     static FrozenSnapshot of(Replica replica, int partBytes) {
         List<SortedMap<String, Value>> contents = new ArrayList<>();
         SortedMap<String, Value> part = new TreeMap<>();
--- a/src/main/java/holdproxy/fanout/KeyedState.java
+++ b/src/main/java/holdproxy/fanout/KeyedState.java
@@ -4,7 +4,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Values by key at a position, with their size kept. */
+/** The key-value state at a position, with a running total of its size. */
 final class KeyedState {
     private Position position = Position.NONE;
     private TreeMap<String, Value> entries = new TreeMap<>();
@@ -14,12 +14,12 @@
         return position;
     }
 
-    /** What it holds now; changes with it and cannot be changed by others. */
+    /** Read-only live view of the entries. */
     SortedMap<String, Value> entries() {
         return Collections.unmodifiableSortedMap(entries);
     }
 
-    /** Of all keys and values, by their upper bound on the wire. */
+    /** Total size of keys and values, by the upper bound of their encoding. */
     int bytes() {
         return bytes;
     }
@@ -36,7 +36,7 @@
         bytes = SizeEstimate.ofEntries(entries);
     }
 
-    /** Whether it would still be within these limits after the change. */
+    /** Whether the state would still be within these limits after the change. */
     boolean fits(
             SortedMap<String, Value> puts, Iterable<String> deletes, FanoutSettings.Limits limits) {
         long keysAfter = entries.size();
--- a/src/main/java/holdproxy/fanout/Message.java
+++ b/src/main/java/holdproxy/fanout/Message.java
@@ -6,23 +6,25 @@
 import java.util.TreeMap;
 
 /**
- * What goes over a link between a subscriber and a relay. {@link Subscribe} and {@link Acknowledge}
- * go up, the others down. A control machine is a relay to those that subscribe at it.
+ * A message on a link between a subscriber and a relay. {@link Subscribe} and {@link Acknowledge} are
+ * sent by the subscriber, all others by the relay. A control machine acts as a relay for its direct
+ * subscribers.
  */
 public sealed interface Message {
 
     /**
-     * The first message on a link, and again where the subscriber has missed something: go on from here.
+     * Requests everything after a position. The first message on a link, and sent again when the
+     * subscriber has missed something.
      *
-     * @param name of the subscriber, unique; a second link under it ends the first
-     * @param held what it holds; {@link Position#NONE} where it holds nothing
+     * @param name unique name of the subscriber; a second link with the same name closes the first
+     * @param held position that it holds; {@link Position#NONE} if it holds nothing
      */
     record Subscribe(String name, Position held) implements Message {}
 
     /**
      * Consecutive changes of one epoch.
      *
-     * @param predecessor position that the first of them follows
+     * @param predecessor position before the first change
      * @param changes at least one
      */
     record Batch(Position predecessor, List<Change> changes) implements Message {
@@ -44,7 +46,7 @@
             }
         }
 
-        /** The position after all of them. */
+        /** The position after the last change. */
         public Position last() {
             return predecessor.plus(changes.size());
         }
@@ -53,10 +55,10 @@
     /**
      * A part of the state at a position.
      *
-     * @param position of the whole snapshot
+     * @param position of the snapshot
      * @param index of this part, from 0
-     * @param parts how many the snapshot has
-     * @param entries of this part; those of different parts do not overlap
+     * @param parts number of parts of the snapshot
+     * @param entries of this part; parts have no keys in common
      */
     record SnapshotPart(Position position, int index, int parts, SortedMap<String, Value> entries)
             implements Message {
@@ -74,41 +76,41 @@
     }
 
     /**
-     * What the subscriber has; lets the relay send more. Also sent where its report has changed, and as a
-     * sign of life.
+     * Reports what the subscriber has received and allows the relay to send more. Also sent when the
+     * coverage report has changed, and as a keepalive.
      *
-     * @param received all changes to this position have been received (accepted or not)
-     * @param assembling position of the snapshot of which parts have come, else {@link Position#NONE}
-     * @param parts how many of them
+     * @param received all changes up to this position have been received (accepted or not)
+     * @param assembling position of a partly received snapshot, otherwise {@link Position#NONE}
+     * @param parts number of its parts received
      * @param report what the subscriber, or the proxies below it, have in force
      */
     record Acknowledge(Position received, Position assembling, int parts, CoverageReport report)
             implements Message {}
 
     /**
-     * A sign of life, at once after {@link Subscribe} and then in a fixed rhythm.
+     * Sent in answer to {@link Subscribe} and then at a fixed interval, as a keepalive.
      *
-     * @param newest what the relay holds
-     * @param ageUs for how long the relay has not known that this is the newest there is, in microseconds, or
+     * @param newest newest position that the relay holds
+     * @param ageUs time in microseconds since the relay last knew this position to be the newest, or
      *     {@link Relay.Source#UNKNOWN_AGE_US}
      */
     record Heartbeat(Position newest, long ageUs) implements Message {}
 
     /**
-     * The relay does not serve the subscriber, or no longer; it closes the link.
+     * The relay does not serve the subscriber, or stops serving it, and closes the link.
      *
-     * @param reason what for
-     * @param detail in one line
-     * @param retryAfterUs not to be asked again earlier, in microseconds
+     * @param reason why
+     * @param detail one line for operators
+     * @param retryAfterUs minimum time before the subscriber may try this relay again, in microseconds
      */
     record Refuse(Reason reason, String detail, long retryAfterUs) implements Message {
-        /** Why a relay does not serve. */
+        /** Why a relay refuses a subscriber. */
         public enum Reason {
-            /** It serves as many as it may. */
+            /** The relay has reached its maximum number of subscribers. */
             FULL,
-            /** It holds an older epoch than the subscriber. */
+            /** The relay holds an older epoch than the subscriber. */
             BEHIND,
-            /** It ends by plan. */
+            /** The relay is shutting down. */
             SHUTTING_DOWN
         }
     }
--- a/src/main/java/holdproxy/fanout/MessageCodec.java
+++ b/src/main/java/holdproxy/fanout/MessageCodec.java
@@ -20,12 +20,12 @@
 import java.util.TreeSet;
 
 /**
- * Messages as CBOR: a list of the protocol's version, the kind's number and its fields in their
- * order. A version reads exactly its own fields: what it does not know could be part of a change,
- * and must not get lost unseen.
+ * Encodes messages as CBOR: a list of the protocol version, the number of the message kind and the
+ * message's fields in a fixed order. Unknown fields are rejected rather than skipped: they could be
+ * part of a change, which must not be lost silently.
  */
 public final class MessageCodec {
-    /** Of the protocol; grows with every change to a message. */
+    /** Protocol version; incremented with every change to a message. */
     public static final int VERSION = 1;
 
     private static final int SUBSCRIBE = 1;
@@ -40,12 +40,12 @@
 
     private final FanoutSettings.Limits limits;
 
-    /** A codec that refuses what exceeds these limits. */
+    /** Creates a codec that rejects frames and fields exceeding these limits. */
     public MessageCodec(FanoutSettings.Limits limits) {
         this.limits = limits;
     }
 
-    /** One frame's content. */
+    /** Returns the content of one frame. */
     public byte[] encode(Message message) {
         try {
             return CBOR.asBytes(plain(message));
@@ -54,7 +54,11 @@
         }
     }
 
-    /** What a frame's content says, or a {@link ProtocolException} that names what is wrong. */
+    /**
+     * Decodes the content of one frame.
+     *
+     * @throws ProtocolException if the frame breaks the protocol; its message says how
+     */
     public Message decode(byte[] bytes) {
         if (bytes.length > limits.frameBytes()) {
             throw new ProtocolException(
@@ -138,7 +142,7 @@
         plain.add(position.number());
     }
 
-    /** Puts and deletes of each; the positions follow from the batch's predecessor. */
+    /** Puts and deletes of each change; the positions follow from the batch's predecessor. */
     private static List<Object> plainChanges(Batch batch) {
         List<Object> plain = new ArrayList<>();
         for (Change change : batch.changes()) {
--- a/src/main/java/holdproxy/fanout/PlainForm.java
+++ b/src/main/java/holdproxy/fanout/PlainForm.java
@@ -8,13 +8,16 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Records as lists of texts, whole numbers, byte arrays and lists, and back; what does not fit is named. */
+/**
+ * Converts records to plain values (lists of strings, integers, byte arrays and lists) and back. Values
+ * of the wrong type are reported as {@link Kind#MALFORMED}.
+ */
 final class PlainForm {
     private PlainForm() {}
 
-    // ---- to plain values ----
+    // ---- records to plain values ----
 
-    /** Epoch, number, puts, deletes. */
+    /** A list of epoch, number, puts and deletes. */
     static List<Object> plain(Change change) {
         return List.of(
                 change.position().epoch(),
@@ -23,7 +26,7 @@
                 List.copyOf(change.deletes()));
     }
 
-    /** Key, value, key, value. */
+    /** A flat list of alternating keys and values. */
     static List<Object> plain(Map<String, Value> entries) {
         List<Object> plain = new ArrayList<>(2 * entries.size());
         entries.forEach(
@@ -34,7 +37,7 @@
         return plain;
     }
 
-    // ---- and back ----
+    // ---- plain values to records ----
 
     static Change change(List<?> fields, int first) {
         return new Change(
--- a/src/main/java/holdproxy/fanout/PlainParts.java
+++ b/src/main/java/holdproxy/fanout/PlainParts.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Items of a snapshot as plain lists, each beginning with its kind, gathered into parts of bounded size. */
+/** Collects snapshot items, each a list that begins with its kind, into parts of bounded size. */
 final class PlainParts {
     private static final int ITEM_OVERHEAD = 32;
 
--- a/src/main/java/holdproxy/fanout/Position.java
+++ b/src/main/java/holdproxy/fanout/Position.java
@@ -3,13 +3,13 @@
 import java.util.Comparator;
 
 /**
- * A place in the history of changes.
+ * A position in the history of changes.
  *
- * @param epoch identity of the log, 0 for none; a log that is founded anew takes a higher one
- * @param number of the last change that is included, 0 before the first
+ * @param epoch identifies the log, 0 for none; a log that is re-created gets a higher epoch
+ * @param number of the last change included, 0 before the first
  */
 public record Position(long epoch, long number) implements Comparable<Position> {
-    /** What a process holds that has never received anything. */
+    /** The position of a process that has never received anything. */
     public static final Position NONE = new Position(0, 0);
 
     private static final Comparator<Position> ORDER =
@@ -27,12 +27,12 @@
         return plus(1);
     }
 
-    /** The position after so many more changes of the same log. */
+    /** The position after this many more changes of the same log. */
     public Position plus(long changes) {
         return new Position(epoch, number + changes);
     }
 
-    /** Whether this position is later in the history than the other one. */
+    /** Whether this position is later in the history than the other. */
     public boolean isAfter(Position other) {
         return compareTo(other) > 0;
     }
--- a/src/main/java/holdproxy/fanout/ProtocolException.java
+++ b/src/main/java/holdproxy/fanout/ProtocolException.java
@@ -1,37 +1,37 @@
 package holdproxy.fanout;
 
 /**
- * A frame or message that breaks the protocol; the link that it came by ends. The text names what
- * is wrong.
+ * A received frame or message breaks the protocol; the link is closed. The exception's message says
+ * what is wrong.
  */
 public final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** What is wrong with a frame. */
+    /** How a frame or message breaks the protocol. */
     public enum Kind {
-        /** No CBOR list, or parts of the wrong type. */
+        /** Not a CBOR list, or a field of the wrong type. */
         MALFORMED,
-        /** Another version of the protocol. */
+        /** The frame has a different protocol version. */
         FOREIGN_VERSION,
-        /** A number of a message kind that this version does not have. */
+        /** The number of the message kind is unknown to this version. */
         UNKNOWN_MESSAGE,
-        /** More parts than this version knows. */
+        /** The message has more fields than in this version. */
         UNKNOWN_FIELD,
         /** A frame, key, value or list that exceeds its limit. */
         TOO_LARGE,
-        /** A message that only the other side sends. */
+        /** A message that the other side must not send, or not at this point. */
         UNEXPECTED
     }
 
     private final Kind kind;
 
-    /** {@code detail}: what is wrong and where, for the log. */
+    /** {@code detail} says what is wrong and where, for the log. */
     public ProtocolException(Kind kind, String detail) {
         super(kind + ": " + detail);
         this.kind = kind;
     }
 
-    /** Which rule of the protocol is broken. */
+    /** The kind of violation. */
     public Kind kind() {
         return kind;
     }
--- a/src/main/java/holdproxy/fanout/Publication.java
+++ b/src/main/java/holdproxy/fanout/Publication.java
@@ -7,12 +7,12 @@
 import java.util.TreeSet;
 
 /**
- * What a publisher asks the log to append.
+ * A change that a publisher asks the log to append.
  *
  * @param token fencing token of the publisher's lease
- * @param id the publisher's own identifier, by which a repeated attempt is recognized
+ * @param id chosen by the publisher; a repeated attempt with the same identifier is not appended again
  * @param puts values by key
- * @param deletes keys to remove; none of those that get a value
+ * @param deletes keys to remove; must not contain a key of {@code puts}
  */
 public record Publication(
         long token, String id, SortedMap<String, Value> puts, SortedSet<String> deletes) {
--- a/src/main/java/holdproxy/fanout/PublicationCheck.java
+++ b/src/main/java/holdproxy/fanout/PublicationCheck.java
@@ -4,11 +4,11 @@
 import holdproxy.fanout.AppendResult.Refused;
 import java.util.Set;
 
-/** Whether a publication is well-formed and within the limits, whatever the log holds. */
+/** Checks that a publication is well-formed and within the limits, independent of the log's state. */
 final class PublicationCheck {
     private PublicationCheck() {}
 
-    /** Null where nothing is wrong. */
+    /** Returns null if the publication is valid. */
     static Refused check(Publication publication, FanoutSettings.Limits limits) {
         if (publication.id().isEmpty()
                 || SizeEstimate.utf8Length(publication.id()) > limits.nameBytes()) {
--- a/src/main/java/holdproxy/fanout/Rejection.java
+++ b/src/main/java/holdproxy/fanout/Rejection.java
@@ -1,10 +1,10 @@
 package holdproxy.fanout;
 
 /**
- * A process that does not put a state into force.
+ * A state that a process does not put into force.
  *
  * @param name of the process
- * @param position of the state that it rejects
- * @param reason in one line, cut where it is too long
+ * @param position of the rejected state
+ * @param reason one line, truncated if too long
  */
 public record Rejection(String name, Position position, String reason) {}
--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -16,39 +16,39 @@
 import java.util.Set;
 
 /**
- * Serves subscribers from a source: the local {@link ChangeLog} at a control machine, a {@link
- * Subscriber} at a relay. Every call is with the present moment in microseconds, which never goes
- * back, and by one thread.
+ * Serves subscribers from a source: the local {@link ChangeLog} on a control machine, a {@link
+ * Subscriber} on a relay. Not thread-safe: every call takes the current time in microseconds, which must
+ * not decrease.
  *
- * <p>A subscriber has at most one batch or snapshot part unacknowledged, of at most the credit's
- * bytes, so that one that reads slowly costs a position and delays nobody. Those that are behind by
- * no more than a credit get changes at once; those that are further behind share a token bucket:
- * first all that need changes alone, then those that need a snapshot.
+ * <p>A subscriber has at most one unacknowledged batch or snapshot part, of at most the credit in bytes;
+ * so a slow reader costs the relay only a position and does not delay others. Subscribers that are
+ * behind by at most the credit get changes at once; those further behind share a token bucket, first all
+ * that need only changes, then those that need a snapshot.
  */
 public final class Relay {
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** Where a relay has its changes from. */
+    /** Where a relay gets its changes from. */
     public interface Source {
-        /** What is held has never been known to be the newest. */
+        /** The age if the replica has never been known to be the newest. */
         long UNKNOWN_AGE_US = Long.MAX_VALUE;
 
-        /** The same one each time; its owner calls {@link Relay#advanced} when it has changed. */
+        /** Always the same instance; its owner calls {@link Relay#advanced} after each change. */
         Replica replica();
 
-        /** For how long the replica has not been known to be the newest, or {@link #UNKNOWN_AGE_US}. */
+        /** Time since the replica was last known to be the newest, or {@link #UNKNOWN_AGE_US}. */
         long ageUs(long nowUs);
     }
 
-    /** What a relay has its transport do. Neither may call the relay back before it returns. */
+    /** The transport of a relay. Neither method may call back into the relay before it returns. */
     public interface Output {
         /**
-         * Sends a message; the same instance goes to many links one after another, so that a transport which
-         * keeps the last encoding by identity encodes it once. What cannot be sent may be dropped.
+         * Sends a message, or drops it if it cannot be sent. The same instance is often sent to many links
+         * in succession, so a transport that caches the last encoding by identity encodes it only once.
          */
         void send(long link, Message message);
 
-        /** Ends a link once what was sent has gone; {@link Relay#disconnected} need not follow. */
+        /** Closes a link after flushing sent messages; need not call {@link Relay#disconnected}. */
         void close(long link, String reason);
     }
 
@@ -60,7 +60,7 @@
     private final Map<Long, Subscription> subscriptions = new LinkedHashMap<>();
     private final Map<String, Subscription> byName = new HashMap<>();
 
-    /** Those that are behind, in the order of their subscribing. */
+    /** Subscribers that are behind, in the order in which they fell behind or subscribed. */
     private final LinkedHashSet<Subscription> catchingUp = new LinkedHashSet<>();
 
     /** Oldest first. */
@@ -71,7 +71,7 @@
     private long catchUpDueUs = NEVER;
     private Batch lastBatch;
 
-    /** What the newest position was when it was made. */
+    /** The newest position when {@link #lastBatch} was created. */
     private Position lastBatchNewest;
 
     private long batches;
@@ -81,12 +81,12 @@
     private long droppedSilent;
     private long refused;
 
-    /** A relay with all of its rules; {@code nowUs} is the present moment. */
+    /** Creates a relay with all safeguards. */
     public Relay(FanoutSettings settings, Source source, Output output, long nowUs) {
         this(settings, source, output, nowUs, Safeguard.all());
     }
 
-    /** A relay without some of its rules, for the simulation. */
+    /** Creates a relay with only some of the safeguards, for the simulation. */
     public Relay(
             FanoutSettings settings,
             Source source,
@@ -104,7 +104,7 @@
 
     // ---- events ----
 
-    /** A message came by a link; its first one is a {@link Subscribe}. */
+    /** A message was received on a link; the first one must be a {@link Subscribe}. */
     public void receive(long nowUs, long link, Message message) {
         if (message instanceof Subscribe subscribe) {
             subscribe(nowUs, link, subscribe);
@@ -131,12 +131,12 @@
         pumpCatchUp(nowUs);
     }
 
-    /** When {@link #tick} has to be called at the latest; may change with every call. */
+    /** Latest time for the next {@link #tick}; may change with every call. */
     public long dueUs() {
         return Math.min(heartbeatDueUs, catchUpDueUs);
     }
 
-    /** Does what is due; earlier or repeated calls do no harm. */
+    /** Performs timed actions that are due; early or repeated calls are harmless. */
     public void tick(long nowUs) {
         if (nowUs >= heartbeatDueUs) {
             excuseStall(nowUs - heartbeatDueUs);
@@ -151,7 +151,7 @@
         }
     }
 
-    /** Sends all subscribers elsewhere, as this process ends by plan. */
+    /** Refuses all subscribers, so that they move to other relays, because this process shuts down. */
     public void shutDown(long nowUs) {
         Refuse refuse =
                 new Refuse(
@@ -163,16 +163,16 @@
         catchUpDueUs = NEVER;
     }
 
-    // ---- what others see ----
+    // ---- status ----
 
-    /** What the proxies below this relay have in force. */
+    /** Which positions the proxies below this relay have in force. */
     public CoverageReport report() {
         List<CoverageReport> reports = new ArrayList<>(subscriptions.size());
         subscriptions.values().forEach(each -> reports.add(each.report));
         return CoverageReport.merge(reports, settings.limits());
     }
 
-    /** Figures for operators: position, age, subscribers and counters since the start. */
+    /** Status for operators: position, age, subscribers and counters since the start. */
     public RelayStatus status(long nowUs) {
         return new RelayStatus(
                 newest(),
@@ -220,7 +220,7 @@
         pumpCatchUp(nowUs);
     }
 
-    /** Null where it is full. */
+    /** Returns null if the relay is full. */
     private Subscription admit(long link, String name) {
         Subscription before = byName.get(name);
         if (before != null) {
@@ -285,7 +285,10 @@
         return subscription.snapshot == null && source.replica().covers(subscription.sent);
     }
 
-    /** Whether changes are there, and are no more than the whole state. */
+    /**
+     * Whether the window covers the missing changes and sending them is preferred to a snapshot: they
+     * are no larger than the state, or a snapshot has already been sent.
+     */
     private boolean catchesUpByChanges(Subscription subscription) {
         return coveredByWindow(subscription)
                 && (subscription.hadSnapshot || isNear(subscription.sent));
@@ -307,13 +310,13 @@
                 return;
             }
         }
-        // more than a credit behind: also the source may have caught up, for all subscribers at
-        // once
+        // more than a credit behind; possibly every subscriber is, if the source itself has just
+        // caught up
         subscription.fallBehind();
         catchingUp.add(subscription);
     }
 
-    /** Spends the bucket: first on those that need changes alone, then on those that need a snapshot. */
+    /** Spends the token bucket on subscribers that need only changes first, then on snapshots. */
     private void pumpCatchUp(long nowUs) {
         catchUpDueUs = NEVER;
         if (newest().epoch() == 0 || catchingUp.isEmpty()) {
@@ -332,7 +335,7 @@
         }
     }
 
-    /** False where the bucket is empty. */
+    /** Returns false if the token bucket is empty. */
     private boolean pumpChanges(long nowUs, Subscription subscription) {
         if (hasEverything(subscription)) {
             becomeLive(subscription);
@@ -352,7 +355,7 @@
         return true;
     }
 
-    /** False where the bucket is empty. */
+    /** Returns false if the token bucket is empty. */
     private boolean pumpSnapshot(long nowUs, Subscription subscription) {
         if (subscription.live || mayNotSend(subscription) || catchesUpByChanges(subscription)) {
             return true;
@@ -393,7 +396,7 @@
         return true;
     }
 
-    /** The same instance for all that are at the same position. */
+    /** Returns the same instance for all subscribers at the same position. */
     private Batch nextBatch(Subscription subscription) {
         if (lastBatch == null
                 || !lastBatch.predecessor().equals(subscription.sent)
@@ -424,7 +427,7 @@
 
     // ---- snapshots ----
 
-    /** The last one where the changes since are no more than the state, or a new one. */
+    /** Returns the last snapshot if the changes since then are no larger than the state, else a new one. */
     private FrozenSnapshot currentSnapshot() {
         FrozenSnapshot newest = snapshots.peekLast();
         Replica replica = source.replica();
@@ -451,7 +454,7 @@
 
     // ---- dropping ----
 
-    /** What others could not do while this process stood still is not held against them. */
+    /** Extends the subscribers' deadlines by the time for which this process was stalled. */
     private void excuseStall(long lateUs) {
         if (lateUs > own.stallUs()) {
             for (Subscription each : subscriptions.values()) {
--- a/src/main/java/holdproxy/fanout/RelayStatus.java
+++ b/src/main/java/holdproxy/fanout/RelayStatus.java
@@ -1,19 +1,19 @@
 package holdproxy.fanout;
 
 /**
- * What operators see of a relay; counts are since its start.
+ * A relay's status for operators; counters are since its start.
  *
- * @param newest position that it holds
- * @param ageUs for how long it has not known that this is the newest there is, in microseconds, or
- *     {@link Relay.Source#UNKNOWN_AGE_US}
- * @param subscribers now
- * @param catchingUp of them, those that are behind and paced
- * @param batches sent
- * @param snapshotParts sent
- * @param catchUpBytes of batches and parts that were paced
- * @param droppedSlow subscribers that left something unacknowledged
- * @param droppedSilent subscribers that said nothing
- * @param refused because it is full or behind
+ * @param newest newest position held
+ * @param ageUs time in microseconds since this position was last known to be the newest, or {@link
+ *     Relay.Source#UNKNOWN_AGE_US}
+ * @param subscribers current number of subscribers
+ * @param catchingUp number of those that are behind and served at the catch-up rate
+ * @param batches batches sent
+ * @param snapshotParts snapshot parts sent
+ * @param catchUpBytes bytes of batches and parts sent at the catch-up rate
+ * @param droppedSlow subscribers dropped because they did not acknowledge in time
+ * @param droppedSilent subscribers dropped because they sent nothing
+ * @param refused subscribers refused because the relay was full or had an older epoch
  */
 public record RelayStatus(
         Position newest,
--- a/src/main/java/holdproxy/fanout/RendezvousOrder.java
+++ b/src/main/java/holdproxy/fanout/RendezvousOrder.java
@@ -4,9 +4,10 @@
 import java.util.List;
 
 /**
- * The order in which a subscriber prefers its candidates: its own site's first, then the others,
- * each group by rendezvous hashing of the two names. So a lost relay's subscribers spread over all
- * that are left, and a new relay takes its share from each.
+ * Orders a subscriber's relay candidates by preference: candidates of its own site first, then the
+ * others, each group by rendezvous hashing of the subscriber's and the relay's name. The subscribers
+ * of a failed relay therefore spread over all remaining relays, and a new relay takes an equal share
+ * from each.
  */
 public final class RendezvousOrder {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -14,7 +15,7 @@
 
     private RendezvousOrder() {}
 
-    /** The candidates in the order for this subscriber; {@code site}: its own, empty for none. */
+    /** Returns the candidates, best first. {@code site} is the subscriber's own; empty for none. */
     public static List<RelayCandidate> of(
             String subscriber, String site, List<RelayCandidate> candidates) {
         return candidates.stream()
@@ -41,7 +42,7 @@
         return result;
     }
 
-    /** SplitMix64's finalizer: FNV alone leaves the last characters in the low bits. */
+    /** SplitMix64's finalizer: with FNV alone the last characters affect mostly the low bits. */
     private static long mixed(long hash) {
         long result = (hash ^ hash >>> 30) * 0xbf58476d1ce4e5b9L;
         result = (result ^ result >>> 27) * 0x94d049bb133111ebL;
--- a/src/main/java/holdproxy/fanout/Replica.java
+++ b/src/main/java/holdproxy/fanout/Replica.java
@@ -4,19 +4,19 @@
 import java.util.SortedMap;
 
 /**
- * The state at a position and the window of changes that led there. Its owner is a {@link ChangeLog} or a
- * {@link Subscriber}; others read it, by the owner's thread.
+ * The state at a position and the window of recent changes that led there. Owned by a {@link ChangeLog} or
+ * a {@link Subscriber}; others only read it, on the owner's thread.
  */
 public final class Replica {
     private final KeyedState state = new KeyedState();
     private final ChangeWindow window;
 
-    /** An empty replica, whose window is bounded by these limits. */
+    /** Creates an empty replica with a window bounded by these limits. */
     public Replica(FanoutSettings.Limits limits) {
         window = new ChangeWindow(limits);
     }
 
-    /** A replica with what was kept of an earlier one. */
+    /** Creates a replica from the saved position and entries of an earlier one. */
     public static Replica restored(
             FanoutSettings.Limits limits, Position position, SortedMap<String, Value> entries) {
         Replica replica = new Replica(limits);
@@ -24,45 +24,45 @@
         return replica;
     }
 
-    /** {@link Position#NONE} as long as it holds nothing. */
+    /** {@link Position#NONE} while the replica is empty. */
     public Position position() {
         return state.position();
     }
 
-    /** What it holds now; changes with it and cannot be changed by others. */
+    /** Read-only live view of the entries. */
     public SortedMap<String, Value> entries() {
         return state.entries();
     }
 
-    /** Of all keys and values, by their upper bound on the wire. */
+    /** Total size of keys and values, by the upper bound of their encoding. */
     public int stateBytes() {
         return state.bytes();
     }
 
-    /** Changes that the window keeps. */
+    /** Number of changes in the window. */
     public int windowChanges() {
         return window.size();
     }
 
-    /** Bytes of the changes that the window keeps. */
+    /** Total size of the changes in the window. */
     public long windowBytes() {
         return window.bytes();
     }
 
-    /** Whether the window has all changes after this position. */
+    /** Whether the window holds every change after this position. */
     public boolean covers(Position held) {
         return window.covers(held);
     }
 
     /**
-     * Changes after a position that is covered, as many as fit in so many bytes and at least one if
-     * there is one.
+     * Returns the changes after a position that the window covers: as many as fit within this many
+     * bytes, but at least one if there is any.
      */
     public List<Change> after(Position held, int withinBytes) {
         return window.after(held, withinBytes);
     }
 
-    /** Of all changes after a position that is covered. */
+    /** Total size of the changes after a position that the window covers. */
     public long bytesAfter(Position held) {
         return window.bytesAfter(held);
     }
--- a/src/main/java/holdproxy/fanout/Safeguard.java
+++ b/src/main/java/holdproxy/fanout/Safeguard.java
@@ -4,24 +4,24 @@
 import java.util.Set;
 
 /**
- * Rules that the simulation disables one at a time, to show that each is needed and that its judges
- * see it.
+ * Protocol rules that the simulation disables one at a time, to show that each rule is needed and
+ * that the simulation's checks detect its absence.
  */
 public enum Safeguard {
-    /** A batch is applied only where it follows what is held. */
+    /** A batch is applied only if it follows the position held. */
     PREDECESSOR_CHECK,
-    /** What has a lower epoch than what is held is refused. */
+    /** Data with a lower epoch than the position held is refused. */
     EPOCH_COMPARISON,
-    /** A publication under a fencing token below the highest seen is refused. */
+    /** A publication with a fencing token below the highest seen is refused. */
     FENCING_TOKEN_CHECK,
-    /** A snapshot is applied only when all its parts are there. */
+    /** A snapshot is applied only once all its parts have been received. */
     WHOLE_SNAPSHOT,
-    /** Catch-up is paced by a token bucket. */
+    /** Catch-up traffic is limited by a token bucket. */
     CATCH_UP_PACING,
-    /** A subscriber that does not acknowledge gets no more than its credit. */
+    /** A subscriber that does not acknowledge is sent no more than its credit. */
     CREDIT;
 
-    /** All of them, as in service. */
+    /** All rules, as used in production. */
     public static Set<Safeguard> all() {
         return EnumSet.allOf(Safeguard.class);
     }
--- a/src/main/java/holdproxy/fanout/SizeEstimate.java
+++ b/src/main/java/holdproxy/fanout/SizeEstimate.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Upper bounds of encoded sizes: a CBOR item has at most five bytes before its content at our limits. */
+/** Upper bounds of encoded sizes: within the limits, the header of a CBOR item has at most five bytes. */
 final class SizeEstimate {
     private static final int ITEM_HEADER = 5;
     private static final int CHANGE_HEADERS = 32;
@@ -34,7 +34,7 @@
         return ITEM_HEADER + utf8Length(key);
     }
 
-    /** Without encoding it; each half of a surrogate pair counts for two of its four bytes. */
+    /** Computed without encoding; each half of a surrogate pair counts as two of its four bytes. */
     static int utf8Length(String text) {
         int length = 0;
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/holdproxy/fanout/SnapshotAssembly.java
+++ b/src/main/java/holdproxy/fanout/SnapshotAssembly.java
@@ -5,7 +5,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** A snapshot of which parts have come; bounded as the state is. */
+/** A partly received snapshot, limited in size like the state. */
 final class SnapshotAssembly {
     private final FanoutSettings.Limits limits;
     private final Position position;
@@ -24,7 +24,7 @@
         return position;
     }
 
-    /** How many parts have come. */
+    /** Number of parts received so far. */
     int received() {
         return received;
     }
@@ -33,7 +33,7 @@
         return part.position().equals(position) && part.parts() == parts;
     }
 
-    /** The next part. */
+    /** Adds the next part. */
     void add(SnapshotPart part) {
         bytes += SizeEstimate.ofEntries(part.entries());
         entries.putAll(part.entries());
--- a/src/main/java/holdproxy/fanout/Subscriber.java
+++ b/src/main/java/holdproxy/fanout/Subscriber.java
@@ -14,43 +14,47 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Follows the history at one relay at a time: a proxy, or the half of a relay that faces the
- * control machines. Every call is with the present moment in microseconds, which never goes back,
- * and by one thread.
+ * Receives the history of changes from one relay at a time; used by proxies and, for the upstream side,
+ * by relays. Not thread-safe: every call takes the current time in microseconds, which must not
+ * decrease.
  *
- * <p>It dials one candidate after another, subscribes from the position that it holds, and applies
- * what follows it. A relay that falls silent, offers an older epoch or is itself cut off from its
- * source for long is left for the next, after a pause of exponential backoff with full jitter.
+ * <p>The subscriber dials one candidate after another, subscribes from the position it holds, and
+ * applies the changes that follow. A relay that stops sending, offers an older epoch or has itself been
+ * cut off from its source for too long is left for the next one, after a pause of exponential backoff
+ * with full jitter.
  */
 public final class Subscriber implements Relay.Source {
     private static final long NEVER = Long.MAX_VALUE;
     private static final int MOST_DOUBLINGS = 20;
 
-    /** A gap is not asked about again before this part of the interval for asking again. */
+    /**
+     * After a gap the subscriber subscribes again at most once per resubscribe interval divided by this,
+     * as one lost message makes each later one look like a gap.
+     */
     private static final int GAP_PART = 8;
 
-    /** What a subscriber has its transport do. Neither may call the subscriber back before it returns. */
+    /** The transport of a subscriber. No method may call back into the subscriber before it returns. */
     public interface Output {
-        /** Opens a link; answered by {@link Subscriber#connected} or {@link Subscriber#disconnected}. */
+        /** Opens a link, and then calls {@link Subscriber#connected} or {@link Subscriber#disconnected}. */
         void dial(long link, RelayCandidate candidate);
 
-        /** Sends a message by a link that is up; what cannot be sent may be dropped. */
+        /** Sends a message on an open link; a message that cannot be sent may be dropped. */
         void send(long link, Message message);
 
-        /** Ends a link, also one that is being dialled; {@link Subscriber#disconnected} need not follow. */
+        /** Closes a link, even while it is being dialled; need not call {@link Subscriber#disconnected}. */
         void close(long link, String reason);
     }
 
-    /** Who uses the state. */
+    /** Receives each new state. */
     public interface Consumer {
         /**
-         * A new state, whole. The map changes with later ones; who keeps it copies it.
+         * Offers a new state. The map is a live view that changes with later states; copy it to keep it.
          *
          * @param position of the state
-         * @param state all of it
-         * @param changes that led from the state before to this, in order; empty after a snapshot
-         * @return empty where it is in force from now on; else in one line why not: what was accepted last
-         *     stays in force
+         * @param state the complete state
+         * @param changes the changes since the previous state, in order; empty after a snapshot
+         * @return empty if the state is now in force; otherwise the reason for rejecting it, in one line,
+         *     and the state accepted last stays in force
          */
         Optional<String> offer(
                 long nowUs,
@@ -81,7 +85,7 @@
     private RelayCandidate relay;
     private long link;
 
-    /** The end of a pause, or of an attempt to connect. */
+    /** End of the current pause or connection attempt. */
     private long deadlineUs = NEVER;
 
     private int failures;
@@ -101,29 +105,29 @@
     private long acknowledgedUs;
     private long reportDueUs = NEVER;
 
-    /** When what is held was last known to be the newest; only where that was ever known. */
+    /** When the position held was last known to be the newest; valid if {@link #isFreshnessKnown}. */
     private long freshUs;
 
     private boolean isFreshnessKnown;
 
     /**
-     * Until then messages may have lain here while this process stood still, and tell nothing of
-     * the time.
+     * Until this time a message may have been queued while this process was stalled, so heartbeats are
+     * not used to determine freshness.
      */
     private long staleMessagesUntilUs;
 
     /**
-     * The relay's newest position by its last heartbeat, and when that was known to be the newest
-     * there is.
+     * The newest position in the relay's last heartbeat; {@link #announcedFreshUs} is when that was
+     * known to be the newest of all.
      */
     private Position announced = Position.NONE;
 
     private long announcedFreshUs;
 
-    /** When the relay is left because its source is silent. */
+    /** When the relay is to be left because its data is no longer known to be the newest. */
     private long sourceDueUs = NEVER;
 
-    /** Not before then is a relay left again for that reason. */
+    /** Earliest time at which a relay is left again for that reason. */
     private long staleMoveUs;
 
     private int staleMoves;
@@ -137,12 +141,12 @@
     private long changes;
 
     /**
-     * A subscriber that has not started.
+     * Creates a subscriber that is not started.
      *
      * @param name unique among all subscribers
-     * @param replica empty, or restored from what was accepted before; this subscriber's alone from now on
-     * @param consumer who uses the state
-     * @param below the report on the proxies below a relay ({@link Relay#report}); null at a proxy
+     * @param replica empty, or restored from a state accepted earlier; only this subscriber may modify it
+     * @param consumer receives each new state
+     * @param below supplies the report on the proxies below a relay ({@link Relay#report}); null for a proxy
      */
     public Subscriber(
             String name,
@@ -156,7 +160,7 @@
         this(name, settings, replica, consumer, below, output, random, nowUs, Safeguard.all());
     }
 
-    /** A subscriber without some of its rules, for the simulation. */
+    /** Creates a subscriber with only some of the safeguards, for the simulation. */
     public Subscriber(
             String name,
             FanoutSettings settings,
@@ -184,7 +188,7 @@
 
     // ---- events ----
 
-    /** Takes these candidates, best first ({@link RendezvousOrder}); the first call starts the subscriber. */
+    /** Sets the candidates, best first ({@link RendezvousOrder}); the first call starts the subscriber. */
     public void candidates(long nowUs, List<RelayCandidate> ordered) {
         enter(nowUs);
         candidates.replace(ordered);
@@ -195,7 +199,7 @@
         }
     }
 
-    /** Ends the link and does nothing until candidates are given again. */
+    /** Closes the link and stays idle until candidates are set again. */
     public void stop(long nowUs) {
         enter(nowUs);
         if (hasLink()) {
@@ -207,7 +211,7 @@
         assembly = null;
     }
 
-    /** The link that was dialled is open. */
+    /** The dialled link is open. */
     public void connected(long nowUs, long ofLink) {
         enter(nowUs);
         if (phase == Phase.CONNECTING && ofLink == link) {
@@ -215,7 +219,7 @@
         }
     }
 
-    /** A link has ended, or could not be opened; also where a frame broke the protocol. */
+    /** A link has ended, for example because a frame broke the protocol, or could not be opened. */
     public void disconnected(long nowUs, long ofLink, String reason) {
         enter(nowUs);
         if (hasLink() && ofLink == link) {
@@ -223,7 +227,7 @@
         }
     }
 
-    /** A message came by a link. */
+    /** A message was received on a link. */
     public void receive(long nowUs, long ofLink, Message message) {
         enter(nowUs);
         if (!hasLink() || ofLink != link) {
@@ -258,7 +262,7 @@
         }
     }
 
-    /** When {@link #tick} has to be called at the latest; may change with every call. */
+    /** Latest time for the next {@link #tick}; may change with every call. */
     public long dueUs() {
         return switch (phase) {
             case IDLE -> NEVER;
@@ -270,7 +274,7 @@
         };
     }
 
-    /** Does what is due; earlier or repeated calls do no harm. */
+    /** Performs timed actions that are due; early or repeated calls are harmless. */
     public void tick(long nowUs) {
         enter(nowUs);
         switch (phase) {
@@ -292,12 +296,12 @@
             }
             case SUBSCRIBED -> watch(nowUs);
             default -> {
-                // nothing is due
+                // an idle subscriber has no timed actions
             }
         }
     }
 
-    // ---- what others see ----
+    // ---- status ----
 
     @Override
     public Replica replica() {
@@ -309,7 +313,7 @@
         return isFreshnessKnown ? Math.max(0, nowUs - freshUs) : UNKNOWN_AGE_US;
     }
 
-    /** Figures for operators: positions, age, relay and counters since the start. */
+    /** Status for operators: positions, age, relay and counters since the start. */
     public SubscriberStatus status(long nowUs) {
         return new SubscriberStatus(
                 replica.position(),
@@ -326,7 +330,7 @@
                 changes);
     }
 
-    // ---- finding a relay ----
+    // ---- selecting a relay ----
 
     private boolean hasLink() {
         return phase == Phase.CONNECTING || phase == Phase.SUBSCRIBED;
@@ -354,7 +358,7 @@
         output.send(link, new Subscribe(name, replica.position()));
     }
 
-    /** The relay has answered. */
+    /** The relay has sent its first message. */
     private void welcomed(long nowUs) {
         phase = Phase.SUBSCRIBED;
         deadlineUs = NEVER;
@@ -373,7 +377,7 @@
         pause(nowUs);
     }
 
-    /** Gives the relay up: it is avoided, and the next one follows after a pause. */
+    /** Closes the link; the relay is avoided for a while, and the next one is dialled after a pause. */
     private void fail(long nowUs, String reason) {
         output.close(link, reason);
         lost(nowUs);
@@ -385,7 +389,7 @@
         pause(nowUs);
     }
 
-    /** Goes to the best candidate without holding anything against this one. */
+    /** Switches to the best candidate without counting a failure of the current relay. */
     private void leave(long nowUs, String reason) {
         output.close(link, reason);
         moves++;
@@ -408,9 +412,12 @@
         return Math.min(most, first << Math.min(MOST_DOUBLINGS, times));
     }
 
-    // ---- watching the relay ----
+    // ---- monitoring the relay ----
 
-    /** Notices that this process stood still: its timer is late, and messages may have waited meanwhile. */
+    /**
+     * Called first on every event. Detects a stall of this process by a late timer, and extends the
+     * relay's deadlines, since its messages may have been queued meanwhile.
+     */
     private void enter(long nowUs) {
         long dueUs = dueUs();
         if (dueUs != NEVER && nowUs - Math.max(dueUs, lastCallUs) > settings.relay().stallUs()) {
@@ -448,7 +455,7 @@
         }
     }
 
-    /** A link that has held for a while ends the counting of failures. */
+    /** Resets the failure counters once the link has held for long enough. */
     private void creditStability(long nowUs) {
         if (phase == Phase.SUBSCRIBED && nowUs - subscribedUs >= own.stableUs()) {
             failures = 0;
@@ -460,7 +467,7 @@
         returnDueUs = nowUs + own.returnUs() / 2 + random.nextLong(own.returnUs());
     }
 
-    /** The relay lives but is cut off from where it has its changes, and another one may not be. */
+    /** Leaves a relay that responds but is cut off from its source; another relay may not be. */
     private void leaveSilentSource(long nowUs) {
         staleMoveUs = nowUs + doubled(own.avoidUs(), staleMoves, own.avoidMostUs());
         staleMoves++;
@@ -502,7 +509,10 @@
         }
     }
 
-    /** What is held is at least what was the newest at that time. */
+    /**
+     * Marks the replica as fresh if it holds at least the announced position, which was the newest at
+     * the announced time.
+     */
     private void takeOverFreshness() {
         if (!announced.equals(Position.NONE) && !announced.isAfter(replica.position())) {
             freshUs = isFreshnessKnown ? Math.max(freshUs, announcedFreshUs) : announcedFreshUs;
@@ -510,7 +520,7 @@
         }
     }
 
-    // ---- taking changes ----
+    // ---- applying changes ----
 
     private boolean isOfLowerEpoch(Position offered) {
         return offered.epoch() < replica.position().epoch()
@@ -528,7 +538,7 @@
                         + replica.position().epoch());
     }
 
-    /** The position with the epoch that is held, where epochs are not compared. */
+    /** With the epoch comparison disabled, replaces the epoch by the replica's own. */
     private Position comparable(Position offered) {
         return safeguards.contains(Safeguard.EPOCH_COMPARISON)
                 ? offered
@@ -648,7 +658,10 @@
         output.send(link, new Acknowledge(replica.position(), assembling, parts, reported));
     }
 
-    /** What a proxy has to report goes with its acknowledgements; what is below a relay changes by itself. */
+    /**
+     * A proxy's report changes only when it acknowledges something, so that a keepalive is all that is
+     * due; a relay's report also changes with the proxies below it and is checked more often.
+     */
     private void scheduleReport(long nowUs) {
         reportDueUs =
                 below == null
--- a/src/main/java/holdproxy/fanout/Subscription.java
+++ b/src/main/java/holdproxy/fanout/Subscription.java
@@ -1,37 +1,43 @@
 package holdproxy.fanout;
 
 /**
- * What a relay knows of one subscriber. It has no queue: what it gets next is read from the shared
- * window.
+ * A relay's state for one subscriber. There is no queue for each subscriber: the next changes to send
+ * are read from the shared window.
  */
 final class Subscription {
     final long link;
     final String name;
 
-    /** Everything to here has been sent. */
+    /** Everything up to this position has been sent. */
     Position sent;
 
-    /** What it is known to hold. */
+    /** The position that the subscriber last reported as held. */
     Position held;
 
-    /** It has had everything since its last subscribing, and gets new changes without pacing. */
+    /**
+     * The subscriber has been sent everything since it last subscribed, and gets new changes without
+     * pacing.
+     */
     boolean live;
 
-    /** That it is receiving, else null. */
+    /** The snapshot being sent, or null. */
     FrozenSnapshot snapshot;
 
     int nextPart;
 
     /**
-     * It has received one since it fell behind, and gets changes from there as long as the window
-     * has them.
+     * A snapshot has been sent since the subscriber fell behind. It is sent changes from there on for
+     * as long as the window covers them, even if they are larger than the state.
      */
     boolean hadSnapshot;
 
-    /** The batch or part that waits for its acknowledgement, else null. */
+    /** The batch or snapshot part that has not been acknowledged yet, or null. */
     Message unacknowledged;
 
-    /** A second batch or part has been sent while one was unacknowledged. */
+    /**
+     * The subscriber subscribed again before acknowledging, which allowed one further batch or part;
+     * no more is sent until it acknowledges.
+     */
     boolean repeats;
 
     long sentUs;
@@ -44,8 +50,9 @@
     }
 
     /**
-     * It goes on from this position. What was under way may have been lost, so that it is sent once more; who
-     * subscribes again without acknowledging that waits, and is dropped in the end as any slow reader.
+     * Continues from this position. An unacknowledged message may have been lost, so sending resumes
+     * at once, but only one time: a subscriber that subscribes again without acknowledging has to wait,
+     * and is eventually dropped like any slow reader.
      */
     void restart(Position from) {
         sent = from;
--- a/src/main/java/holdproxy/fanout/TokenBucket.java
+++ b/src/main/java/holdproxy/fanout/TokenBucket.java
@@ -1,6 +1,6 @@
 package holdproxy.fanout;
 
-/** Paces bytes: so many a second, and so many at once after a pause. */
+/** Token bucket that limits bytes per second, with a burst allowance. */
 final class TokenBucket {
     private static final double US_PER_SECOND = 1e6;
 
@@ -16,7 +16,7 @@
         filledUs = nowUs;
     }
 
-    /** Takes as many where there are as many. */
+    /** Takes this many tokens, or none and returns false if fewer are available. */
     boolean take(long nowUs, int bytes) {
         tokens = Math.min(burst, tokens + (nowUs - filledUs) * bytesPerUs);
         filledUs = nowUs;
@@ -27,7 +27,7 @@
         return true;
     }
 
-    /** When there will be as many, as of the last attempt to take some. */
+    /** Time at which this many tokens will be available, as of the last {@link #take}. */
     long availableUs(int bytes) {
         return filledUs + (long) Math.ceil(Math.max(0, bytes - tokens) / bytesPerUs);
     }
--- a/src/main/java/holdproxy/fanout/Value.java
+++ b/src/main/java/holdproxy/fanout/Value.java
@@ -3,7 +3,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Bytes that a key has; equal by content. Neither who makes it nor who reads it changes the array. */
+/**
+ * The bytes stored under a key, compared by content. The array is shared, not copied: neither its
+ * creator nor its readers may modify it.
+ */
 public final class Value {
     private final byte[] bytes;
 
@@ -11,17 +14,17 @@
         this.bytes = bytes;
     }
 
-    /** Takes the array over without a copy. */
+    /** Wraps the array without copying it. */
     public static Value of(byte[] bytes) {
         return new Value(bytes);
     }
 
-    /** The text's UTF-8 bytes. */
+    /** A value of the text's UTF-8 bytes. */
     public static Value of(String text) {
         return new Value(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The bytes themselves, not a copy. */
+    /** The underlying array, not a copy. */
     public byte[] bytes() {
         return bytes;
     }
@@ -31,7 +34,7 @@
         return bytes.length;
     }
 
-    /** The bytes read as UTF-8. */
+    /** The bytes decoded as UTF-8. */
     public String text() {
         return new String(bytes, StandardCharsets.UTF_8);
     }
--- a/src/main/java/holdproxy/fanout/package-info.java
+++ b/src/main/java/holdproxy/fanout/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Fan-out of versioned changes from control machines over relays to proxies: the rules, the
- * messages and their codec. Time, randomness and connections are handed in; {@code docs/FANOUT.md}
- * describes the protocol.
+ * Fan-out of versioned changes from control machines through relays to proxies: the protocol logic,
+ * the messages and their codec. Time, randomness and connections are passed in by the caller; {@code
+ * docs/FANOUT.md} describes the protocol.
  */
 package holdproxy.fanout;
--- a/src/main/java/holdproxy/fanout/transport/DueTimer.java
+++ b/src/main/java/holdproxy/fanout/transport/DueTimer.java
@@ -6,12 +6,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Ticks a state machine when it is due. A due time that moves later does not cancel the timer, which then
- * ticks once in vain: state machines are due at a new time with each message, and cancelling would cost more
- * than the tick.
+ * Ticks a state machine when it is due. A due time that moves later does not reschedule the timer, which
+ * then ticks once without effect: the due time changes with each message, and cancelling the timer would
+ * cost more than the extra tick.
  */
 final class DueTimer {
-    /** The due time of a state machine that waits for nothing. */
+    /** The due time of a state machine that has no timed action pending. */
     static final long NEVER_US = Long.MAX_VALUE;
 
     private final EventLoop loop;
@@ -27,7 +27,7 @@
         this.tick = tick;
     }
 
-    /** Ticks at this time, or earlier where an earlier one was set. On the event loop. */
+    /** Schedules a tick at this time, unless an earlier one is pending. Call on the event loop. */
     void due(long dueUs) {
         if (closed || dueUs == NEVER_US || scheduled != null && scheduledUs <= dueUs) {
             return;
--- a/src/main/java/holdproxy/fanout/transport/FrameCodec.java
+++ b/src/main/java/holdproxy/fanout/transport/FrameCodec.java
@@ -9,11 +9,11 @@
 import java.nio.ByteBuffer;
 
 /**
- * Frames of messages: four bytes with the length of what follows, and the message. The last one is kept by
- * identity, so that a message which goes to many links is encoded once.
+ * Encodes and decodes frames: a four-byte length followed by the message. The last encoded message is
+ * cached by identity, so that a message sent to many links is encoded only once.
  */
 final class FrameCodec {
-    /** Bytes before a frame's content. */
+    /** Length of the header before a frame's content. */
     static final int HEADER_BYTES = Integer.BYTES;
 
     private final MessageCodec codec;
@@ -24,7 +24,7 @@
         codec = new MessageCodec(settings.limits());
     }
 
-    /** What a frame's content says, or a {@link holdproxy.fanout.ProtocolException}. */
+    /** Decodes a frame's content, or throws a {@link holdproxy.fanout.ProtocolException}. */
     Message decode(ByteBuf content) {
         return codec.decode(ByteBufUtil.getBytes(content));
     }
--- a/src/main/java/holdproxy/fanout/transport/LineLimiter.java
+++ b/src/main/java/holdproxy/fanout/transport/LineLimiter.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Lets so many lines of a log through in a second, and says how many it has held back. */
+/** Limits the rate of log lines, and logs how many were suppressed. */
 final class LineLimiter implements Consumer<String> {
     static final int LINES_PER_SECOND = 20;
     private static final long SECOND_US = 1_000_000;
--- a/src/main/java/holdproxy/fanout/transport/MessageLink.java
+++ b/src/main/java/holdproxy/fanout/transport/MessageLink.java
@@ -17,22 +17,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection: messages out of a channel's frames and into them. What waits to be sent is bounded by the
- * channel's water mark and one frame: a channel that is not writable takes nothing more, and what the rules
- * send meanwhile is dropped, which they bear.
+ * One connection: converts between messages and a channel's frames. The outbound buffer is bounded by the
+ * channel's high water mark plus one frame: while the channel is not writable, messages are dropped, which
+ * the protocol tolerates.
  */
 final class MessageLink extends SimpleChannelInboundHandler<ByteBuf> {
-    /** So long a link that is to be closed may take to send what waits. */
+    /** Time that a closing link has to flush its outbound buffer. */
     private static final int LINGER_MS = 1_000;
 
-    /** Hears of a link, on its event loop. */
+    /** Receives the events of a link, on its event loop. */
     interface Listener {
         void opened(MessageLink link);
 
-        /** A {@link ProtocolException} ends the link. */
+        /** If this throws a {@link ProtocolException}, the link ends. */
         void received(MessageLink link, Message message);
 
-        /** Once, whoever ended it; not where it was closed with {@link MessageLink#close}. */
+        /** Called once when the link ends, unless it was closed with {@link MessageLink#close}. */
         void ended(MessageLink link, String reason);
     }
 
@@ -44,7 +44,7 @@
     private boolean over;
     private String reason = "the other side has closed the connection";
 
-    /** {@code peer}: how the log names the other side. */
+    /** {@code peer} is the name of the other side in log lines. */
     MessageLink(
             Channel channel,
             String peer,
@@ -58,7 +58,7 @@
         this.listener = listener;
     }
 
-    /** Puts this link behind a channel's frames. */
+    /** Adds the frame decoder and this link to the channel's pipeline. */
     void install() {
         int longest = context.settings().limits().frameBytes() + FrameCodec.HEADER_BYTES;
         channel.pipeline()
@@ -68,23 +68,23 @@
                 .addLast(this);
     }
 
-    /** Twice the credit: what the rules send within it always fits. */
+    /** The high water mark is twice the credit, so that any message within the credit fits. */
     static WriteBufferWaterMark waterMark(FanoutSettings settings) {
         int credit = settings.relay().creditBytes();
         return new WriteBufferWaterMark(credit, 2 * credit);
     }
 
-    /** How the log names the other side. */
+    /** The name of the other side in log lines. */
     String peer() {
         return peer;
     }
 
-    /** The other side has said what it is called. */
+    /** Sets the name of the other side, once it is known. */
     void named(String name) {
         peer = name + " at " + channel.remoteAddress();
     }
 
-    /** Sends a message, or drops it where the other side takes nothing. */
+    /** Sends a message, or drops it if the outbound buffer is full. */
     void send(Message message) {
         if (over || !channel.isWritable()) {
             context.counters().messagesDropped.increment();
@@ -96,7 +96,7 @@
         channel.writeAndFlush(frame);
     }
 
-    /** Ends the link once what waits is sent, or after a moment; the listener hears nothing more of it. */
+    /** Closes the link after flushing, or after a time-out; the listener gets no further events. */
     void close() {
         if (over) {
             return;
--- a/src/main/java/holdproxy/fanout/transport/RelayServer.java
+++ b/src/main/java/holdproxy/fanout/transport/RelayServer.java
@@ -16,14 +16,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A {@link Relay} on TCP: accepts subscribers, at most as many as the relay's settings say and a few that are
- * being refused. Every call is on the context's event loop, but for {@link #listen}.
+ * A {@link Relay} on TCP: accepts as many connections as the relay's settings allow subscribers, and some
+ * more that are being refused. Except for {@link #listen}, call it only on the context's event loop.
  */
 public final class RelayServer implements AutoCloseable {
-    /** Connections beyond the relay's subscribers, so that these can be told that it is full. */
+    /** Connections accepted beyond the limit on subscribers, so that they can be sent a refusal. */
     static final int SPARE_CONNECTIONS = 128;
 
-    /** A connection that has not subscribed by then is closed. */
+    /** A connection that has not subscribed within this time is closed. */
     private static final int SUBSCRIBE_WITHIN_MS = 5_000;
 
     private static final int BACKLOG = 1_024;
@@ -37,7 +37,7 @@
     private Channel listener;
     private boolean closed;
 
-    /** A server for a relay of its own that reads from this source; {@code listen} opens it. */
+    /** Creates a server with its own relay reading from this source; call {@link #listen} to open it. */
     public RelayServer(TransportContext context, Relay.Source source) {
         this.context =
                 new TransportContext(
@@ -52,7 +52,7 @@
         relay = new Relay(context.settings(), source, new Outgoing(), context.now());
     }
 
-    /** Listens; the future fails where the address cannot be bound. */
+    /** Starts listening; the future fails if the address cannot be bound. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -85,18 +85,18 @@
         return bound;
     }
 
-    /** The rules, for what they know of their subscribers. */
+    /** The relay, for its status and report. */
     public Relay relay() {
         return relay;
     }
 
-    /** The source has changed. */
+    /** Call after the source's replica has changed. */
     public void advanced() {
         relay.advanced(context.now());
         wake();
     }
 
-    /** Sends all subscribers elsewhere and stops listening. */
+    /** Refuses all subscribers, so that they move to other relays, and stops listening. */
     @Override
     public void close() {
         closed = true;
@@ -135,7 +135,7 @@
                         codec,
                         listening);
         links.put(number, link);
-        // also of those that the relay has closed and that have not been flushed yet
+        // keeps links that the relay has closed but that are not flushed yet, so that they count
         channel.closeFuture().addListener(over -> links.remove(number, link));
         link.install();
         channel.eventLoop()
@@ -145,7 +145,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** What one connection brings. */
+    /** Passes the events of one connection to the relay. */
     private final class Subscribing implements MessageLink.Listener {
         private final long number;
         private boolean subscribed;
@@ -156,7 +156,7 @@
 
         @Override
         public void opened(MessageLink link) {
-            // it speaks first
+            // the subscriber sends the first message
         }
 
         @Override
@@ -184,7 +184,7 @@
         }
     }
 
-    /** What the rules have done. */
+    /** Performs the relay's sends and closes. */
     private final class Outgoing implements Relay.Output {
         @Override
         public void send(long number, Message message) {
--- a/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
+++ b/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
@@ -17,8 +17,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A {@link Subscriber} on TCP, with one connection at a time. Any number of them may share an event loop.
- * Every call is on the context's event loop.
+ * A {@link Subscriber} on TCP, with one connection at a time. Any number of clients may share an event
+ * loop. Call it only on the context's event loop.
  */
 public final class SubscriberClient implements AutoCloseable {
     private static final int US_PER_MS = 1_000;
@@ -33,9 +33,9 @@
     private MessageLink link;
 
     /**
-     * A client that has not started; the parameters are those of {@link Subscriber}.
+     * Creates a client that is not started; the parameters are those of {@link Subscriber}.
      *
-     * @param below the report on the proxies below a relay; null at a proxy
+     * @param below supplies the report on the proxies below a relay; null for a proxy
      */
     public SubscriberClient(
             TransportContext context,
@@ -60,18 +60,18 @@
                         context.now());
     }
 
-    /** Goes on with these candidates, best first; the first call starts it. */
+    /** Sets the candidates, best first; the first call starts the client. */
     public void candidates(List<RelayCandidate> ordered) {
         subscriber.candidates(context.now(), ordered);
         wake();
     }
 
-    /** The rules, for what they know. */
+    /** The subscriber, for its status and replica. */
     public Subscriber subscriber() {
         return subscriber;
     }
 
-    /** Ends the connection and dials no other. */
+    /** Closes the connection and does not dial again. */
     @Override
     public void close() {
         subscriber.stop(context.now());
@@ -134,7 +134,7 @@
         }
     }
 
-    /** The rules hear of it later: they may be at work just now. */
+    /** Notifies the subscriber asynchronously, since this may run during one of its calls. */
     private void fail(long number, RelayCandidate candidate, String reason) {
         context.counters().dialsFailed.increment();
         context.log().accept(name + " cannot reach " + text(candidate) + ": " + reason);
@@ -146,14 +146,14 @@
                         });
     }
 
-    /** How the log names a candidate. */
+    /** The name of a candidate in log lines. */
     private static String text(RelayCandidate candidate) {
         return candidate.name().equals(candidate.address())
                 ? candidate.name()
                 : candidate.name() + " at " + candidate.address();
     }
 
-    /** What the one connection brings. */
+    /** Passes the events of one connection to the subscriber. */
     private final class Receiving implements MessageLink.Listener {
         private final long number;
 
@@ -180,7 +180,7 @@
         }
     }
 
-    /** What the rules have done. */
+    /** Performs the subscriber's dials, sends and closes. */
     private final class Outgoing implements Subscriber.Output {
         @Override
         public void dial(long number, RelayCandidate candidate) {
@@ -200,7 +200,7 @@
                 context.log().accept(name + " leaves " + link.peer() + ": " + reason);
                 link.close();
             }
-            // also what is still being dialled
+            // also cancels a dial in progress, whose link number no longer matches
             linkNumber = NO_LINK;
             link = null;
         }
--- a/src/main/java/holdproxy/fanout/transport/TransportContext.java
+++ b/src/main/java/holdproxy/fanout/transport/TransportContext.java
@@ -8,14 +8,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * What relays and subscribers on one event loop share.
+ * Shared by all relays and subscribers on one event loop.
  *
- * @param loop on which all of them run; whatever is called on them is called there
- * @param settings of the rules, which also bound frames and connections
- * @param nowUs the present moment in microseconds, which never goes back
- * @param addresses reads the address of a candidate; a {@link RuntimeException} where it is none
- * @param counters of all of them together
- * @param log takes a line for each link that ends, with what ended it, and for each dial that fails
+ * @param loop event loop on which all of them run and must be called
+ * @param settings of the protocol, which also bound frames and connections
+ * @param nowUs monotonic clock in microseconds
+ * @param addresses parses a candidate's address; throws a {@link RuntimeException} if it is invalid
+ * @param counters totals of all of them
+ * @param log receives a line with the reason for each link that ends and for each dial that fails
  */
 public record TransportContext(
         EventLoop loop,
--- a/src/main/java/holdproxy/fanout/transport/TransportCounters.java
+++ b/src/main/java/holdproxy/fanout/transport/TransportCounters.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What one side of the fan-out's transport has carried since its start. Written on event loops, read on any
- * thread; many clients may share one instance.
+ * Counters of the fan-out transport since the start, for a relay or for any number of subscriber clients.
+ * Written on event loops, read on any thread.
  */
 public final class TransportCounters {
     final LongAdder bytesReceived = new LongAdder();
@@ -19,18 +19,18 @@
     final LongAdder linksDropped = new LongAdder();
 
     /**
-     * All counters at about the same time.
+     * Values of all counters, read one after another rather than atomically.
      *
-     * @param bytesReceived frames with their headers
-     * @param bytesSent frames with their headers, as handed to the channel
-     * @param messagesReceived messages that could be read
-     * @param messagesSent messages handed to a channel
-     * @param messagesDropped messages that a channel which takes nothing did not get
+     * @param bytesReceived size of frames including their headers
+     * @param bytesSent size of frames including their headers, when passed to the channel
+     * @param messagesReceived messages decoded
+     * @param messagesSent messages passed to a channel
+     * @param messagesDropped messages dropped because the channel was not writable
      * @param connectionsOpened connections established, accepted or dialled
-     * @param connectionsOpen those of them that are open now
+     * @param connectionsOpen connections currently open
      * @param connectionsRefused connections closed at once because there were too many
-     * @param dialsFailed dials that were refused, or not answered within their time-out
-     * @param linksDropped connections ended by this side because of what came, or because the rules said so
+     * @param dialsFailed dials that failed or timed out, including invalid addresses
+     * @param linksDropped connections closed by this side because of invalid data or by the protocol logic
      */
     public record Snapshot(
             long bytesReceived,
@@ -44,7 +44,7 @@
             long dialsFailed,
             long linksDropped) {}
 
-    /** All counters as they are now; on any thread. */
+    /** Reads all counters; on any thread. */
     public Snapshot snapshot() {
         return new Snapshot(
                 bytesReceived.sum(),
--- a/src/main/java/holdproxy/fanout/transport/package-info.java
+++ b/src/main/java/holdproxy/fanout/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections of the fan-out: the rules of {@link holdproxy.fanout} on TCP. Frames have a length and one CBOR
- * message; every state machine stays on the one event loop that it was given.
+ * TCP transport for the fan-out protocol of {@link holdproxy.fanout}. A frame is a length followed by one
+ * CBOR message; every state machine runs on the one event loop that it was given.
  */
 package holdproxy.fanout.transport;
