--- a/src/main/java/holdproxy/fanout/ChangeLog.java
+++ b/src/main/java/holdproxy/fanout/ChangeLog.java
@@ -62,7 +62,7 @@
      */
     public Position found(long epoch) {
         if (epoch < 1) {
-            throw new IllegalArgumentException("an epoch is at least 1: " + epoch);
+            throw new IllegalArgumentException("an epoch must be at least 1: " + epoch);
         }
         if (position().equals(Position.NONE)) {
             replica.reset(new Position(epoch, 0), new TreeMap<>());
@@ -98,13 +98,17 @@
     /** Returns null if the publication is valid. */
     private Refused refusal(Publication publication) {
         if (position().equals(Position.NONE)) {
-            return new Refused(Reason.NOT_FOUNDED, "the log has no epoch");
+            return new Refused(Reason.NOT_FOUNDED, "the log has not been given an epoch");
         }
         if (publication.token() < highestToken
                 && safeguards.contains(Safeguard.FENCING_TOKEN_CHECK)) {
             return new Refused(
                     Reason.STALE_TOKEN,
-                    "token " + publication.token() + " is below " + highestToken + ", seen before");
+                    "fencing token "
+                            + publication.token()
+                            + " is below "
+                            + highestToken
+                            + ", the highest seen");
         }
         Refused refused = PublicationCheck.check(publication, limits);
         if (refused == null
@@ -184,7 +188,7 @@
                     default ->
                             throw new ProtocolException(
                                     ProtocolException.Kind.MALFORMED,
-                                    "a log's snapshot has an item " + fields.get(0));
+                                    "unknown item in a log snapshot: " + fields.get(0));
                 }
             }
         }
--- a/src/main/java/holdproxy/fanout/ChangeLogOperations.java
+++ b/src/main/java/holdproxy/fanout/ChangeLogOperations.java
@@ -58,7 +58,7 @@
                                     PlainForm.text(operation.get(2)),
                                     PlainForm.entries(operation.get(3)),
                                     new TreeSet<>(PlainForm.texts(operation.get(4)))));
-            default -> new Refused(Reason.UNKNOWN_OPERATION, "no operation is called " + name);
+            default -> new Refused(Reason.UNKNOWN_OPERATION, "unknown operation " + name);
         };
     }
 
@@ -84,7 +84,7 @@
                     new Refused(
                             Reason.valueOf(PlainForm.text(fields.get(1))),
                             PlainForm.text(fields.get(2)));
-            default -> throw PlainForm.malformed("no answer is called " + fields.get(0));
+            default -> throw PlainForm.malformed("unknown result " + fields.get(0));
         };
     }
 }
--- a/src/main/java/holdproxy/fanout/FanoutSettings.java
+++ b/src/main/java/holdproxy/fanout/FanoutSettings.java
@@ -50,7 +50,7 @@
                 relay.creditBytes >= limits.changeBytes,
                 "the credit of "
                         + relay.creditBytes
-                        + " bytes does not hold a change of "
+                        + " bytes is below the largest change of "
                         + limits.changeBytes);
         require(
                 relay.catchUpBurstBytes >= relay.creditBytes,
@@ -60,21 +60,21 @@
                         + relay.creditBytes);
         require(
                 limits.frameBytes >= 2 * relay.creditBytes,
-                "a frame of "
+                "the frame limit of "
                         + limits.frameBytes
-                        + " bytes does not hold twice the credit of "
+                        + " bytes is below twice the credit of "
                         + relay.creditBytes);
         require(
                 subscriber.heartbeatTimeoutUs >= 2 * relay.heartbeatIntervalUs,
                 "the heartbeat time-out of "
                         + subscriber.heartbeatTimeoutUs
-                        + " us is below two intervals of "
+                        + " us is below two heartbeat intervals of "
                         + relay.heartbeatIntervalUs);
         require(
                 relay.silenceTimeoutUs >= 2 * subscriber.keepaliveIntervalUs,
                 "the silence time-out of "
                         + relay.silenceTimeoutUs
-                        + " us is below two keepalives of "
+                        + " us is below two keepalive intervals of "
                         + subscriber.keepaliveIntervalUs);
     }
 
@@ -101,7 +101,7 @@
 
     private static void requirePositive(String name, long... values) {
         for (long value : values) {
-            require(value > 0, name + " are positive, not " + value);
+            require(value > 0, name + " must be positive, not " + value);
         }
     }
 
--- a/src/main/java/holdproxy/fanout/FieldReader.java
+++ b/src/main/java/holdproxy/fanout/FieldReader.java
@@ -25,7 +25,7 @@
         if (hasMore()) {
             throw new ProtocolException(
                     Kind.UNKNOWN_FIELD,
-                    "field " + next + " of a message that has " + next + " in this version");
+                    "unknown field " + next + ": this version of the message has " + next + " fields");
         }
     }
 
@@ -43,7 +43,7 @@
     long notNegative() {
         long number = PlainForm.number(field());
         if (number < 0) {
-            throw PlainForm.malformed("a number is negative: " + number);
+            throw PlainForm.malformed("negative number: " + number);
         }
         return number;
     }
@@ -52,7 +52,7 @@
     int count() {
         long number = notNegative();
         if (number > Integer.MAX_VALUE) {
-            throw PlainForm.malformed("a count is too high: " + number);
+            throw PlainForm.malformed("count too large: " + number);
         }
         return (int) number;
     }
@@ -97,7 +97,7 @@
                                         + key
                                         + " has "
                                         + value.size()
-                                        + " bytes, more than "
+                                        + " bytes, the limit is "
                                         + limits.valueBytes());
                     }
                 });
@@ -134,6 +134,6 @@
 
     private static ProtocolException tooLong(int length, int most) {
         return new ProtocolException(
-                Kind.TOO_LARGE, "a text or list of " + length + ", more than " + most);
+                Kind.TOO_LARGE, "a string or list of length " + length + ", the limit is " + most);
     }
 }
--- a/src/main/java/holdproxy/fanout/Message.java
+++ b/src/main/java/holdproxy/fanout/Message.java
@@ -31,16 +31,16 @@
         public Batch {
             changes = List.copyOf(changes);
             if (changes.isEmpty()) {
-                throw new IllegalArgumentException("a batch has at least one change");
+                throw new IllegalArgumentException("a batch must have at least one change");
             }
             for (int i = 0; i < changes.size(); i++) {
                 if (!changes.get(i).position().equals(predecessor.plus(i + 1L))) {
                     throw new IllegalArgumentException(
                             "a batch after "
                                     + predecessor
-                                    + " has "
+                                    + " has position "
                                     + changes.get(i).position()
-                                    + " as number "
+                                    + " at index "
                                     + i);
                 }
             }
--- a/src/main/java/holdproxy/fanout/MessageCodec.java
+++ b/src/main/java/holdproxy/fanout/MessageCodec.java
@@ -50,7 +50,7 @@
         try {
             return CBOR.asBytes(plain(message));
         } catch (IOException e) {
-            throw new UncheckedIOException("a message cannot be written", e);
+            throw new UncheckedIOException("cannot encode a message", e);
         }
     }
 
@@ -63,17 +63,17 @@
         if (bytes.length > limits.frameBytes()) {
             throw new ProtocolException(
                     Kind.TOO_LARGE,
-                    "a frame of " + bytes.length + " bytes, more than " + limits.frameBytes());
+                    "a frame of " + bytes.length + " bytes, the limit is " + limits.frameBytes());
         }
         List<?> fields = parse(bytes);
         if (fields.size() < 2) {
-            throw PlainForm.malformed("a message of " + fields.size() + " parts");
+            throw PlainForm.malformed("a message of " + fields.size() + " fields");
         }
         long version = PlainForm.number(fields.get(0));
         if (version != VERSION) {
             throw new ProtocolException(
                     Kind.FOREIGN_VERSION,
-                    "protocol version " + version + ", this process has " + VERSION);
+                    "protocol version " + version + ", this process supports " + VERSION);
         }
         try {
             return message(
@@ -91,11 +91,11 @@
             }
             List<?> fields = CBOR.listFrom(parser);
             if (parser.nextToken() != null) {
-                throw PlainForm.malformed("a frame goes on after its message");
+                throw PlainForm.malformed("a frame has further bytes after its message");
             }
             return fields;
         } catch (IOException e) {
-            throw PlainForm.malformed("a frame is no CBOR list: " + e.getClass().getSimpleName());
+            throw PlainForm.malformed("a frame is not a CBOR list: " + e.getClass().getSimpleName());
         }
     }
 
@@ -191,7 +191,7 @@
                                     reason(fields.count()), fields.reason(), fields.notNegative());
                     default ->
                             throw new ProtocolException(
-                                    Kind.UNKNOWN_MESSAGE, "a message of kind " + kind);
+                                    Kind.UNKNOWN_MESSAGE, "unknown message kind " + kind);
                 };
         fields.requireEnd();
         return message;
@@ -232,7 +232,7 @@
     private static Refuse.Reason reason(int number) {
         Refuse.Reason[] reasons = Refuse.Reason.values();
         if (number >= reasons.length) {
-            throw PlainForm.malformed("no reason for a refusal has number " + number);
+            throw PlainForm.malformed("unknown refusal reason number " + number);
         }
         return reasons[number];
     }
--- a/src/main/java/holdproxy/fanout/PlainForm.java
+++ b/src/main/java/holdproxy/fanout/PlainForm.java
@@ -50,7 +50,7 @@
         long epoch = number(fields.get(first));
         long number = number(fields.get(first + 1));
         if (epoch < 0 || number < 0) {
-            throw malformed("a position is negative: " + epoch + "/" + number);
+            throw malformed("negative position: " + epoch + "/" + number);
         }
         return new Position(epoch, number);
     }
@@ -63,7 +63,7 @@
         TreeMap<String, Value> entries = new TreeMap<>();
         for (int i = 0; i < flat.size(); i += 2) {
             if (entries.put(text(flat.get(i)), value(flat.get(i + 1))) != null) {
-                throw malformed("key " + flat.get(i) + " stands twice");
+                throw malformed("key " + flat.get(i) + " occurs twice");
             }
         }
         return entries;
@@ -81,28 +81,28 @@
         if (plain instanceof List<?> list) {
             return list;
         }
-        throw malformed(kindOf(plain) + " where a list belongs");
+        throw malformed(kindOf(plain) + " instead of a list");
     }
 
     static String text(Object plain) {
         if (plain instanceof String text) {
             return text;
         }
-        throw malformed(kindOf(plain) + " where a text belongs");
+        throw malformed(kindOf(plain) + " instead of a string");
     }
 
     static long number(Object plain) {
         if (plain instanceof Integer || plain instanceof Long) {
             return ((Number) plain).longValue();
         }
-        throw malformed(kindOf(plain) + " where a whole number belongs");
+        throw malformed(kindOf(plain) + " instead of an integer");
     }
 
     static Value value(Object plain) {
         if (plain instanceof byte[] bytes) {
             return Value.of(bytes);
         }
-        throw malformed(kindOf(plain) + " where bytes belong");
+        throw malformed(kindOf(plain) + " instead of bytes");
     }
 
     static ProtocolException malformed(String detail) {
@@ -110,6 +110,6 @@
     }
 
     private static String kindOf(Object plain) {
-        return plain == null ? "nothing" : "a " + plain.getClass().getSimpleName();
+        return plain == null ? "null" : "a " + plain.getClass().getSimpleName();
     }
 }
--- a/src/main/java/holdproxy/fanout/Position.java
+++ b/src/main/java/holdproxy/fanout/Position.java
@@ -18,7 +18,7 @@
     public Position {
         if (epoch < 0 || number < 0) {
             throw new IllegalArgumentException(
-                    "a position is not negative: " + epoch + "/" + number);
+                    "a position must not be negative: " + epoch + "/" + number);
         }
     }
 
--- a/src/main/java/holdproxy/fanout/PublicationCheck.java
+++ b/src/main/java/holdproxy/fanout/PublicationCheck.java
@@ -13,15 +13,18 @@
         if (publication.id().isEmpty()
                 || SizeEstimate.utf8Length(publication.id()) > limits.nameBytes()) {
             return new Refused(
-                    Reason.INVALID, "an identifier has 1 to " + limits.nameBytes() + " bytes");
+                    Reason.INVALID,
+                    "the identifier of a publication must have 1 to "
+                            + limits.nameBytes()
+                            + " bytes");
         }
         int keys = publication.puts().size() + publication.deletes().size();
         if (keys == 0) {
-            return new Refused(Reason.INVALID, "it has neither puts nor deletes");
+            return new Refused(Reason.INVALID, "the publication has neither puts nor deletes");
         }
         if (keys > limits.changeKeys()) {
             return new Refused(
-                    Reason.TOO_LARGE, keys + " keys are more than " + limits.changeKeys());
+                    Reason.TOO_LARGE, keys + " keys exceed the limit of " + limits.changeKeys());
         }
         Refused refused = checkKeys(publication, limits);
         if (refused != null) {
@@ -31,13 +34,13 @@
         return size <= limits.changeBytes()
                 ? null
                 : new Refused(
-                        Reason.TOO_LARGE, size + " bytes are more than " + limits.changeBytes());
+                        Reason.TOO_LARGE, size + " bytes exceed the limit of " + limits.changeBytes());
     }
 
     private static Refused checkKeys(Publication publication, FanoutSettings.Limits limits) {
         for (var put : publication.puts().entrySet()) {
             if (publication.deletes().contains(put.getKey())) {
-                return new Refused(Reason.INVALID, "key " + put.getKey() + " is put and deleted");
+                return new Refused(Reason.INVALID, "key " + put.getKey() + " is both put and deleted");
             }
             if (put.getValue().size() > limits.valueBytes()) {
                 return new Refused(
@@ -46,7 +49,7 @@
                                 + put.getKey()
                                 + " has "
                                 + put.getValue().size()
-                                + " bytes, more than "
+                                + " bytes, the limit is "
                                 + limits.valueBytes());
             }
         }
@@ -58,7 +61,7 @@
         for (String key : keys) {
             if (key.isEmpty() || SizeEstimate.utf8Length(key) > limits.keyBytes()) {
                 return new Refused(
-                        Reason.INVALID, "a key has 1 to " + limits.keyBytes() + " bytes: " + key);
+                        Reason.INVALID, "a key must have 1 to " + limits.keyBytes() + " bytes: " + key);
             }
         }
         return null;
--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -111,7 +111,7 @@
         } else if (message instanceof Acknowledge acknowledge) {
             acknowledge(nowUs, link, acknowledge);
         } else {
-            drop(link, "UNEXPECTED: a subscriber sends no " + message.getClass().getSimpleName());
+            drop(link, "UNEXPECTED: a subscriber must not send " + message.getClass().getSimpleName());
         }
     }
 
@@ -155,7 +155,7 @@
     public void shutDown(long nowUs) {
         Refuse refuse =
                 new Refuse(
-                        Refuse.Reason.SHUTTING_DOWN, "the relay ends by plan", own.retryAfterUs());
+                        Refuse.Reason.SHUTTING_DOWN, "the relay is shutting down", own.retryAfterUs());
         for (long link : List.copyOf(subscriptions.keySet())) {
             output.send(link, refuse);
             drop(link, refuse.detail());
@@ -224,13 +224,13 @@
     private Subscription admit(long link, String name) {
         Subscription before = byName.get(name);
         if (before != null) {
-            drop(before.link, name + " has subscribed by another link");
+            drop(before.link, name + " has subscribed on another link");
         }
         if (subscriptions.size() >= own.subscribers()) {
             refuse(
                     link,
                     Refuse.Reason.FULL,
-                    "the relay serves " + subscriptions.size() + " already");
+                    "the relay already serves " + subscriptions.size() + " subscribers");
             return null;
         }
         Subscription subscription = new Subscription(link, name);
--- a/src/main/java/holdproxy/fanout/SnapshotAssembly.java
+++ b/src/main/java/holdproxy/fanout/SnapshotAssembly.java
@@ -40,9 +40,9 @@
         if (bytes > limits.stateBytes() || entries.size() > limits.stateKeys()) {
             throw new ProtocolException(
                     Kind.TOO_LARGE,
-                    "a snapshot at "
+                    "the snapshot at "
                             + position
-                            + " has over "
+                            + " exceeds "
                             + limits.stateBytes()
                             + " bytes or "
                             + limits.stateKeys()
--- a/src/main/java/holdproxy/fanout/Subscriber.java
+++ b/src/main/java/holdproxy/fanout/Subscriber.java
@@ -195,7 +195,7 @@
         if (phase == Phase.IDLE) {
             dialNext(nowUs);
         } else if (relay != null && !candidates.contains(relay)) {
-            leave(nowUs, relay.name() + " is no candidate any more");
+            leave(nowUs, relay.name() + " is no longer a candidate");
         }
     }
 
@@ -203,7 +203,7 @@
     public void stop(long nowUs) {
         enter(nowUs);
         if (hasLink()) {
-            output.close(link, name + " ends by plan");
+            output.close(link, name + " is shutting down");
         }
         phase = Phase.IDLE;
         relay = null;
@@ -258,7 +258,7 @@
         } else {
             throw new ProtocolException(
                     ProtocolException.Kind.UNEXPECTED,
-                    "a relay sends no " + message.getClass().getSimpleName());
+                    "a relay must not send " + message.getClass().getSimpleName());
         }
     }
 
@@ -432,7 +432,7 @@
         if (nowUs - heardUs >= own.heartbeatTimeoutUs()) {
             fail(
                     nowUs,
-                    "nothing from " + relay.name() + " for " + (nowUs - heardUs) / 1000 + " ms");
+                    "no message from " + relay.name() + " for " + (nowUs - heardUs) / 1000 + " ms");
             return;
         }
         creditStability(nowUs);
@@ -446,7 +446,7 @@
         if (nowUs >= returnDueUs) {
             scheduleReturn(nowUs);
             if (candidates.hasBetter(relay, nowUs)) {
-                leave(nowUs, "a better relay than " + relay.name() + " may be back");
+                leave(nowUs, "a relay preferred to " + relay.name() + " may be available again");
                 return;
             }
         }
@@ -471,7 +471,7 @@
     private void leaveSilentSource(long nowUs) {
         staleMoveUs = nowUs + doubled(own.avoidUs(), staleMoves, own.avoidMostUs());
         staleMoves++;
-        fail(nowUs, relay.name() + " has had no news from its own source for too long");
+        fail(nowUs, relay.name() + " has had no current data from its source for too long");
     }
 
     private void heartbeat(long nowUs, Heartbeat heartbeat) {
--- a/src/main/java/holdproxy/fanout/transport/LineLimiter.java
+++ b/src/main/java/holdproxy/fanout/transport/LineLimiter.java
@@ -24,7 +24,7 @@
         long now = nowUs.getAsLong();
         if (now - secondBeganUs >= SECOND_US) {
             if (heldBack > 0) {
-                log.accept(heldBack + " more lines like the last ones were held back");
+                log.accept(heldBack + " further log lines were suppressed");
             }
             secondBeganUs = now;
             lines = 0;
--- a/src/main/java/holdproxy/fanout/transport/MessageLink.java
+++ b/src/main/java/holdproxy/fanout/transport/MessageLink.java
@@ -42,7 +42,7 @@
     private final FrameCodec codec;
     private final Listener listener;
     private boolean over;
-    private String reason = "the other side has closed the connection";
+    private String reason = "the peer closed the connection";
 
     /** {@code peer} is the name of the other side in log lines. */
     MessageLink(
--- a/src/test/java/holdproxy/fanout/MessageCodecTest.java
+++ b/src/test/java/holdproxy/fanout/MessageCodecTest.java
@@ -77,22 +77,22 @@
         byte[] twoMessages = Arrays.copyOf(CODEC.encode(messages().get(0)), 64);
         return Stream.of(
                 Arguments.of(new byte[0], Kind.MALFORMED, "does not begin with a list"),
-                Arguments.of(new byte[] {(byte) 0x9f, 1}, Kind.MALFORMED, "no CBOR list"),
-                Arguments.of(twoMessages, Kind.MALFORMED, "goes on after"),
+                Arguments.of(new byte[] {(byte) 0x9f, 1}, Kind.MALFORMED, "not a CBOR list"),
+                Arguments.of(twoMessages, Kind.MALFORMED, "further bytes after its message"),
                 Arguments.of(new byte[2 << 20], Kind.TOO_LARGE, "a frame of 2097152 bytes"),
                 Arguments.of(
                         CBOR.asBytes(List.of(2, 5, 1, 1, 1)),
                         Kind.FOREIGN_VERSION,
                         "protocol version 2"),
-                Arguments.of(CBOR.asBytes(List.of(1, 77)), Kind.UNKNOWN_MESSAGE, "kind 77"),
+                Arguments.of(CBOR.asBytes(List.of(1, 77)), Kind.UNKNOWN_MESSAGE, "unknown message kind 77"),
                 Arguments.of(
-                        CBOR.asBytes(List.of(1, 5, 1, 1, 1, "x")), Kind.UNKNOWN_FIELD, "field 3"),
+                        CBOR.asBytes(List.of(1, 5, 1, 1, 1, "x")), Kind.UNKNOWN_FIELD, "unknown field 3"),
                 Arguments.of(
                         CBOR.asBytes(List.of(1, 5, 1, 1)), Kind.MALFORMED, "ends after 2 fields"),
                 Arguments.of(
                         CBOR.asBytes(List.of(1, 5, 1, "x", 1)),
                         Kind.MALFORMED,
-                        "a String where a whole number"),
+                        "a String instead of an integer"),
                 Arguments.of(CBOR.asBytes(List.of(1, 5, 1, -1, 1)), Kind.MALFORMED, "negative"),
                 Arguments.of(
                         CBOR.asBytes(List.of(1, 2, 1, 1, List.of())),
@@ -103,7 +103,7 @@
                         Kind.MALFORMED,
                         "no part 2"),
                 Arguments.of(
-                        CBOR.asBytes(List.of(1, 3, 1, 1, 0, 1, longKey)), Kind.TOO_LARGE, "of 257"),
+                        CBOR.asBytes(List.of(1, 3, 1, 1, 0, 1, longKey)), Kind.TOO_LARGE, "of length 257"),
                 Arguments.of(
                         CBOR.asBytes(List.of(1, 3, 1, 1, 0, 1, List.of("k", new byte[65_537]))),
                         Kind.TOO_LARGE,
@@ -123,7 +123,7 @@
         assertTrue(failure.getMessage().contains(named), failure.getMessage());
     }
 
-    /** Whatever bytes come, there is a message or a named error. */
+    /** Any byte sequence decodes to a message or fails with a {@link ProtocolException}. */
     @Test
     void aDamagedFrameNeverFailsOtherwise() {
         for (Message message : messages()) {
--- a/src/test/java/holdproxy/fanout/RelayTest.java
+++ b/src/test/java/holdproxy/fanout/RelayTest.java
@@ -19,7 +19,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** A relay at a log of its own, its links played by the test. */
+/** A relay that serves a change log; the test plays its subscribers. */
 class RelayTest {
     private static final long SECOND = 1_000_000;
     private static final FanoutSettings SETTINGS =
@@ -261,9 +261,9 @@
         relay.receive(0, 2, new Subscribe("proxy-1", at(0)));
         assertTrue(closed.get(2L).contains("proxy-2 subscribes as proxy-1"));
         relay.receive(0, 9, new Heartbeat(at(0), 0));
-        assertTrue(closed.get(9L).contains("a subscriber sends no Heartbeat"));
+        assertTrue(closed.get(9L).contains("a subscriber must not send Heartbeat"));
         relay.receive(0, 10, new Subscribe("proxy-1", at(0)));
-        assertTrue(closed.get(1L).contains("proxy-1 has subscribed by another link"));
+        assertTrue(closed.get(1L).contains("proxy-1 has subscribed on another link"));
         assertEquals(1, relay.status(0).subscribers());
     }
 
--- a/src/test/java/holdproxy/fanout/SubscriberTest.java
+++ b/src/test/java/holdproxy/fanout/SubscriberTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A subscriber whose relays are played by the test. */
+/** A subscriber; the test plays its relays. */
 class SubscriberTest {
     private static final FanoutSettings SETTINGS = FanoutSettings.DEFAULTS;
     private static final long SECOND = 1_000_000;
@@ -113,7 +113,7 @@
         receive(new SnapshotPart(position, 1, 2, change(position, second).puts()));
     }
 
-    /** Lets time pass with heartbeats each second, or without. */
+    /** Advances the clock, with this heartbeat every second unless it is null. */
     private void pass(long us, Heartbeat heartbeat) {
         long endUs = nowUs + us;
         while (nowUs < endUs) {
@@ -158,7 +158,7 @@
     void whatDoesNotComeIsAskedForAgainMoreAndMoreSeldom() {
         pass(20 * SECOND, new Heartbeat(at(12), 0));
         long asked = sent.stream().filter(Subscribe.class::isInstance).count();
-        assertEquals(3, asked, "at the heartbeats after 1.5 s, 3 s and 6 s more");
+        assertEquals(3, asked, "at heartbeats at least 1.5 s, then 3 s, then 6 s later");
         assertTrue(closed.isEmpty());
     }
 
@@ -226,7 +226,7 @@
         assertEquals(List.of("r1"), dialled);
         pass(400_000, null);
         assertEquals(List.of("r1", "r2"), dialled);
-        assertTrue(closed.get(0).contains("nothing from r1 for 2500 ms"), closed.toString());
+        assertTrue(closed.get(0).contains("no message from r1 for 2500 ms"), closed.toString());
         subscriber.connected(nowUs, link);
         assertEquals(new Subscribe("proxy", at(10)), sent.get(0));
     }
@@ -243,7 +243,7 @@
 
     @Test
     void aRefusalIsHeededAndTheNextRelayAsked() {
-        receive(new Refuse(Refuse.Reason.SHUTTING_DOWN, "by plan", 60 * SECOND));
+        receive(new Refuse(Refuse.Reason.SHUTTING_DOWN, "shutting down", 60 * SECOND));
         pass(300_000, null);
         assertEquals(List.of("r1", "r2"), dialled);
         subscriber.disconnected(nowUs, link, "reset");
@@ -258,7 +258,7 @@
         for (int i = 1; i <= 5; i++) {
             pass(SECOND, new Heartbeat(at(10), i * SECOND));
         }
-        assertTrue(closed.get(0).contains("r1 has had no news"), closed.toString());
+        assertTrue(closed.get(0).contains("r1 has had no current data"), closed.toString());
         assertTrue(subscriber.ageUs(nowUs) >= 4 * SECOND);
     }
 
--- a/src/test/java/holdproxy/fanout/transport/TransportTest.java
+++ b/src/test/java/holdproxy/fanout/transport/TransportTest.java
@@ -45,7 +45,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Relays and subscribers on real sockets, and whatever comes instead of their messages. */
+/** Relays and subscribers over real sockets, including invalid input and slow peers. */
 class TransportTest {
     private static final long END_S = 60;
     private static final FanoutSettings SETTINGS = FanoutSettings.DEFAULTS;
@@ -240,7 +240,7 @@
         try (Socket slow = dial(port)) {
             slow.getOutputStream().write(frame(new Message.Subscribe("slow", Position.NONE)));
             DataInputStream in = new DataInputStream(slow.getInputStream());
-            in.readFully(new byte[in.readInt()]); // the heartbeat that answers it
+            in.readFully(new byte[in.readInt()]); // the heartbeat sent in answer
             TransportCounters counters = new TransportCounters();
             SubscriberClient quick = client("quick", counters, port);
             Position last = Position.NONE;
@@ -252,7 +252,7 @@
             long toSlow = served.snapshot().bytesSent() - counters.snapshot().bytesReceived();
             assertTrue(
                     toSlow < 2L * SETTINGS.relay().creditBytes(),
-                    toSlow + " bytes were sent to the slow one");
+                    toSlow + " bytes were sent to the slow subscriber");
         }
     }
 
@@ -300,7 +300,7 @@
             loop.submit(link::close).get();
             assertTrue(
                     channel.closeFuture().await(END_S, TimeUnit.SECONDS),
-                    "it is closed though nobody reads");
+                    "closed although the peer does not read");
         }
     }
 
@@ -319,7 +319,7 @@
                 assertEquals(-1, oneTooMany.getInputStream().read());
             }
             assertEquals(1, served.snapshot().connectionsRefused());
-            // the one that the relay has room for, and one that it tells so
+            // the first subscriber is accepted; the second is refused because the relay is full
             assertEquals(0, subscribe(open.get(0), "first"));
             assertEquals(1, subscribe(open.get(1), "second"));
         } finally {
@@ -329,7 +329,7 @@
         }
     }
 
-    /** 0 where the relay answers with a heartbeat, 1 where it refuses because it is full. */
+    /** Returns 1 if the relay refuses the subscription because it is full, otherwise 0. */
     private int subscribe(Socket socket, String name) throws IOException {
         new DataOutputStream(socket.getOutputStream())
                 .write(frame(new Message.Subscribe(name, Position.NONE)));
@@ -354,7 +354,7 @@
         assertEquals(LineLimiter.LINES_PER_SECOND, out.size());
         nowUs[0] += 1_000_000;
         limiter.accept("later");
-        assertEquals("7 more lines like the last ones were held back", out.get(out.size() - 2));
+        assertEquals("7 further log lines were suppressed", out.get(out.size() - 2));
         assertEquals("later", out.get(out.size() - 1));
     }
 }
