--- a/src/main/java/holdproxy/fanout/FieldReader.java
+++ b/src/main/java/holdproxy/fanout/FieldReader.java
@@ -25,7 +25,11 @@
         if (hasMore()) {
             throw new ProtocolException(
                     Kind.UNKNOWN_FIELD,
-                    "unknown field " + next + ": this version of the message has " + next + " fields");
+                    "unknown field "
+                            + next
+                            + ": this version of the message has "
+                            + next
+                            + " fields");
         }
     }
 
--- a/src/main/java/holdproxy/fanout/MessageCodec.java
+++ b/src/main/java/holdproxy/fanout/MessageCodec.java
@@ -95,7 +95,8 @@
             }
             return fields;
         } catch (IOException e) {
-            throw PlainForm.malformed("a frame is not a CBOR list: " + e.getClass().getSimpleName());
+            throw PlainForm.malformed(
+                    "a frame is not a CBOR list: " + e.getClass().getSimpleName());
         }
     }
 
--- a/src/main/java/holdproxy/fanout/PublicationCheck.java
+++ b/src/main/java/holdproxy/fanout/PublicationCheck.java
@@ -34,13 +34,15 @@
         return size <= limits.changeBytes()
                 ? null
                 : new Refused(
-                        Reason.TOO_LARGE, size + " bytes exceed the limit of " + limits.changeBytes());
+                        Reason.TOO_LARGE,
+                        size + " bytes exceed the limit of " + limits.changeBytes());
     }
 
     private static Refused checkKeys(Publication publication, FanoutSettings.Limits limits) {
         for (var put : publication.puts().entrySet()) {
             if (publication.deletes().contains(put.getKey())) {
-                return new Refused(Reason.INVALID, "key " + put.getKey() + " is both put and deleted");
+                return new Refused(
+                        Reason.INVALID, "key " + put.getKey() + " is both put and deleted");
             }
             if (put.getValue().size() > limits.valueBytes()) {
                 return new Refused(
@@ -61,7 +63,8 @@
         for (String key : keys) {
             if (key.isEmpty() || SizeEstimate.utf8Length(key) > limits.keyBytes()) {
                 return new Refused(
-                        Reason.INVALID, "a key must have 1 to " + limits.keyBytes() + " bytes: " + key);
+                        Reason.INVALID,
+                        "a key must have 1 to " + limits.keyBytes() + " bytes: " + key);
             }
         }
         return null;
--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -111,7 +111,9 @@
         } else if (message instanceof Acknowledge acknowledge) {
             acknowledge(nowUs, link, acknowledge);
         } else {
-            drop(link, "UNEXPECTED: a subscriber must not send " + message.getClass().getSimpleName());
+            drop(
+                    link,
+                    "UNEXPECTED: a subscriber must not send " + message.getClass().getSimpleName());
         }
     }
 
@@ -155,7 +157,9 @@
     public void shutDown(long nowUs) {
         Refuse refuse =
                 new Refuse(
-                        Refuse.Reason.SHUTTING_DOWN, "the relay is shutting down", own.retryAfterUs());
+                        Refuse.Reason.SHUTTING_DOWN,
+                        "the relay is shutting down",
+                        own.retryAfterUs());
         for (long link : List.copyOf(subscriptions.keySet())) {
             output.send(link, refuse);
             drop(link, refuse.detail());
--- a/src/main/java/holdproxy/fanout/transport/RelayServer.java
+++ b/src/main/java/holdproxy/fanout/transport/RelayServer.java
@@ -178,7 +178,11 @@
         void closeUnlessSubscribed() {
             MessageLink link = links.get(number);
             if (!subscribed && link != null) {
-                context.log().accept("link with " + link.peer() + " ended: it did not subscribe in time");
+                context.log()
+                        .accept(
+                                "link with "
+                                        + link.peer()
+                                        + " ended: it did not subscribe in time");
                 link.close();
             }
         }
--- a/src/test/java/holdproxy/fanout/MessageCodecTest.java
+++ b/src/test/java/holdproxy/fanout/MessageCodecTest.java
@@ -84,9 +84,14 @@
                         CBOR.asBytes(List.of(2, 5, 1, 1, 1)),
                         Kind.FOREIGN_VERSION,
                         "protocol version 2"),
-                Arguments.of(CBOR.asBytes(List.of(1, 77)), Kind.UNKNOWN_MESSAGE, "unknown message kind 77"),
                 Arguments.of(
-                        CBOR.asBytes(List.of(1, 5, 1, 1, 1, "x")), Kind.UNKNOWN_FIELD, "unknown field 3"),
+                        CBOR.asBytes(List.of(1, 77)),
+                        Kind.UNKNOWN_MESSAGE,
+                        "unknown message kind 77"),
+                Arguments.of(
+                        CBOR.asBytes(List.of(1, 5, 1, 1, 1, "x")),
+                        Kind.UNKNOWN_FIELD,
+                        "unknown field 3"),
                 Arguments.of(
                         CBOR.asBytes(List.of(1, 5, 1, 1)), Kind.MALFORMED, "ends after 2 fields"),
                 Arguments.of(
@@ -103,7 +108,9 @@
                         Kind.MALFORMED,
                         "no part 2"),
                 Arguments.of(
-                        CBOR.asBytes(List.of(1, 3, 1, 1, 0, 1, longKey)), Kind.TOO_LARGE, "of length 257"),
+                        CBOR.asBytes(List.of(1, 3, 1, 1, 0, 1, longKey)),
+                        Kind.TOO_LARGE,
+                        "of length 257"),
                 Arguments.of(
                         CBOR.asBytes(List.of(1, 3, 1, 1, 0, 1, List.of("k", new byte[65_537]))),
                         Kind.TOO_LARGE,
