--- a/src/main/java/holdproxy/fanout/CandidateList.java
+++ b/src/main/java/holdproxy/fanout/CandidateList.java
@@ -5,7 +5,7 @@
 
 /** Relay candidates in order of preference; candidates that failed are avoided for a while. */
 final class CandidateList {
-    private static final int MOST_DOUBLINGS = 30;
+    private static final int MAX_DOUBLINGS = 30;
 
     private static final class Entry {
         final RelayCandidate candidate;
@@ -18,22 +18,22 @@
     }
 
     private final long avoidUs;
-    private final long avoidMostUs;
+    private final long avoidMaxUs;
     private List<Entry> entries = List.of();
 
     CandidateList(FanoutSettings.SubscriberSettings settings) {
         avoidUs = settings.avoidUs();
-        avoidMostUs = settings.avoidMostUs();
+        avoidMaxUs = settings.avoidMaxUs();
     }
 
     /** Replaces the candidates; those that remain keep their failure history. */
     void replace(List<RelayCandidate> candidates) {
-        List<Entry> fresh = new ArrayList<>();
+        List<Entry> updated = new ArrayList<>();
         for (RelayCandidate candidate : candidates) {
-            Entry before = find(candidate);
-            fresh.add(before != null ? before : new Entry(candidate));
+            Entry existing = find(candidate);
+            updated.add(existing != null ? existing : new Entry(candidate));
         }
-        entries = fresh;
+        entries = updated;
     }
 
     boolean contains(RelayCandidate candidate) {
@@ -58,14 +58,15 @@
     }
 
     /** Whether any other candidate is not avoided. */
-    boolean hasOther(RelayCandidate than, long nowUs) {
-        return entries.stream().anyMatch(e -> !e.candidate.equals(than) && e.avoidUntilUs <= nowUs);
+    boolean hasOtherAvailable(RelayCandidate candidate, long nowUs) {
+        return entries.stream()
+                .anyMatch(e -> !e.candidate.equals(candidate) && e.avoidUntilUs <= nowUs);
     }
 
     /** Whether a more preferred candidate is not avoided. */
-    boolean hasBetter(RelayCandidate than, long nowUs) {
+    boolean hasPreferredAvailable(RelayCandidate candidate, long nowUs) {
         for (Entry entry : entries) {
-            if (entry.candidate.equals(than)) {
+            if (entry.candidate.equals(candidate)) {
                 return false;
             }
             if (entry.avoidUntilUs <= nowUs) {
@@ -76,11 +77,11 @@
     }
 
     /** Avoids the candidate, for longer with each consecutive failure. */
-    void failed(RelayCandidate candidate, long nowUs) {
+    void recordFailure(RelayCandidate candidate, long nowUs) {
         Entry entry = find(candidate);
         if (entry != null) {
-            int doublings = Math.min(MOST_DOUBLINGS, entry.failures++);
-            avoid(candidate, nowUs + Math.min(avoidMostUs, avoidUs << doublings));
+            int doublings = Math.min(MAX_DOUBLINGS, entry.failures++);
+            avoid(candidate, nowUs + Math.min(avoidMaxUs, avoidUs << doublings));
         }
     }
 
@@ -92,7 +93,7 @@
     }
 
     /** The candidate has served for long enough: forgets its failures. */
-    void proved(RelayCandidate candidate) {
+    void recordSuccess(RelayCandidate candidate) {
         Entry entry = find(candidate);
         if (entry != null) {
             entry.failures = 0;
--- a/src/main/java/holdproxy/fanout/ChangeLog.java
+++ b/src/main/java/holdproxy/fanout/ChangeLog.java
@@ -80,23 +80,23 @@
 
     /** Appends a publication, or returns why it is refused. */
     public AppendResult append(Publication publication) {
-        Position before = publications.get(publication.id());
-        if (before != null) {
-            return new Appended(before, true);
+        Position existing = publications.get(publication.id());
+        if (existing != null) {
+            return new Appended(existing, true);
         }
-        Refused refused = refusal(publication);
+        Refused refused = validate(publication);
         if (refused != null) {
             return refused;
         }
         highestToken = Math.max(highestToken, publication.token());
         Change change = new Change(position().next(), publication.puts(), publication.deletes());
         replica.apply(change);
-        remember(publication.id(), change.position());
+        rememberPublication(publication.id(), change.position());
         return new Appended(change.position(), false);
     }
 
     /** Returns null if the publication is valid. */
-    private Refused refusal(Publication publication) {
+    private Refused validate(Publication publication) {
         if (position().equals(Position.NONE)) {
             return new Refused(Reason.NOT_FOUNDED, "the log has not been given an epoch");
         }
@@ -124,7 +124,7 @@
         return refused;
     }
 
-    private void remember(String id, Position position) {
+    private void rememberPublication(String id, Position position) {
         publications.put(id, position);
         if (publications.size() > limits.publications()) {
             publications.remove(publications.keySet().iterator().next());
@@ -145,7 +145,7 @@
      * many bytes, or with a single entry, change or identifier if that is larger.
      */
     public List<Object> snapshot(int partBytes) {
-        PlainParts parts = new PlainParts(partBytes);
+        LogSnapshotBuilder parts = new LogSnapshotBuilder(partBytes);
         // the position comes first so that a reader of the first part knows it
         parts.add("head", 0, List.of(position().epoch(), position().number(), highestToken));
         for (Map.Entry<String, Value> entry : replica.entries().entrySet()) {
@@ -153,7 +153,7 @@
             parts.add("entry", size, List.of(entry.getKey(), entry.getValue().bytes()));
         }
         for (Change change : replica.window().all()) {
-            parts.add("change", change.sizeBytes(), PlainForm.plain(change));
+            parts.add("change", change.sizeBytes(), PlainValues.toPlain(change));
         }
         publications.forEach(
                 (id, position) ->
@@ -161,7 +161,7 @@
                                 "publication",
                                 SizeEstimate.ofKey(id),
                                 List.of(id, position.epoch(), position.number())));
-        return parts.done();
+        return parts.build();
     }
 
     /** Replaces the log by the contents of these snapshot parts. */
@@ -171,20 +171,22 @@
         List<Change> window = new ArrayList<>();
         Position position = Position.NONE;
         for (Object each : parts) {
-            for (Object item : PlainForm.list(each)) {
-                List<?> fields = PlainForm.list(item);
-                switch (PlainForm.text(fields.get(0))) {
+            for (Object item : PlainValues.list(each)) {
+                List<?> fields = PlainValues.list(item);
+                switch (PlainValues.text(fields.get(0))) {
                     case "head" -> {
-                        position = PlainForm.position(fields, 1);
-                        highestToken = PlainForm.number(fields.get(3));
+                        position = PlainValues.position(fields, 1);
+                        highestToken = PlainValues.number(fields.get(3));
                     }
                     case "entry" ->
                             entries.put(
-                                    PlainForm.text(fields.get(1)), PlainForm.value(fields.get(2)));
-                    case "change" -> window.add(PlainForm.change(fields, 1));
+                                    PlainValues.text(fields.get(1)),
+                                    PlainValues.value(fields.get(2)));
+                    case "change" -> window.add(PlainValues.change(fields, 1));
                     case "publication" ->
                             publications.put(
-                                    PlainForm.text(fields.get(1)), PlainForm.position(fields, 2));
+                                    PlainValues.text(fields.get(1)),
+                                    PlainValues.position(fields, 2));
                     default ->
                             throw new ProtocolException(
                                     ProtocolException.Kind.MALFORMED,
--- a/src/main/java/holdproxy/fanout/ChangeLogOperations.java
+++ b/src/main/java/holdproxy/fanout/ChangeLogOperations.java
@@ -29,7 +29,7 @@
                 APPEND,
                 publication.token(),
                 publication.id(),
-                PlainForm.plain(publication.puts()),
+                PlainValues.toPlain(publication.puts()),
                 List.copyOf(publication.deletes()));
     }
 
@@ -40,29 +40,29 @@
     public static List<Object> apply(ChangeLog log, Object operation) {
         AppendResult result;
         try {
-            result = applied(log, PlainForm.list(operation));
+            result = dispatch(log, PlainValues.list(operation));
         } catch (ProtocolException | IndexOutOfBoundsException | IllegalArgumentException e) {
             result = new Refused(Reason.UNKNOWN_OPERATION, String.valueOf(e.getMessage()));
         }
-        return plain(result);
+        return toPlain(result);
     }
 
-    private static AppendResult applied(ChangeLog log, List<?> operation) {
-        String name = PlainForm.text(operation.get(0));
+    private static AppendResult dispatch(ChangeLog log, List<?> operation) {
+        String name = PlainValues.text(operation.get(0));
         return switch (name) {
-            case FOUND -> new Appended(log.found(PlainForm.number(operation.get(1))), false);
+            case FOUND -> new Appended(log.found(PlainValues.number(operation.get(1))), false);
             case APPEND ->
                     log.append(
                             new Publication(
-                                    PlainForm.number(operation.get(1)),
-                                    PlainForm.text(operation.get(2)),
-                                    PlainForm.entries(operation.get(3)),
-                                    new TreeSet<>(PlainForm.texts(operation.get(4)))));
+                                    PlainValues.number(operation.get(1)),
+                                    PlainValues.text(operation.get(2)),
+                                    PlainValues.entries(operation.get(3)),
+                                    new TreeSet<>(PlainValues.texts(operation.get(4)))));
             default -> new Refused(Reason.UNKNOWN_OPERATION, "unknown operation " + name);
         };
     }
 
-    private static List<Object> plain(AppendResult result) {
+    private static List<Object> toPlain(AppendResult result) {
         if (result instanceof Appended appended) {
             return List.of(
                     APPENDED,
@@ -75,16 +75,17 @@
     }
 
     /** Decodes the result of {@link #apply}. */
-    public static AppendResult result(Object answer) {
-        List<?> fields = PlainForm.list(answer);
-        return switch (PlainForm.text(fields.get(0))) {
+    public static AppendResult result(Object encoded) {
+        List<?> fields = PlainValues.list(encoded);
+        return switch (PlainValues.text(fields.get(0))) {
             case APPENDED ->
-                    new Appended(PlainForm.position(fields, 1), Boolean.TRUE.equals(fields.get(3)));
+                    new Appended(
+                            PlainValues.position(fields, 1), Boolean.TRUE.equals(fields.get(3)));
             case REFUSED ->
                     new Refused(
-                            Reason.valueOf(PlainForm.text(fields.get(1))),
-                            PlainForm.text(fields.get(2)));
-            default -> throw PlainForm.malformed("unknown result " + fields.get(0));
+                            Reason.valueOf(PlainValues.text(fields.get(1))),
+                            PlainValues.text(fields.get(2)));
+            default -> throw PlainValues.malformed("unknown result " + fields.get(0));
         };
     }
 }
--- a/src/main/java/holdproxy/fanout/ChangeWindow.java
+++ b/src/main/java/holdproxy/fanout/ChangeWindow.java
@@ -9,36 +9,36 @@
      * Dropped entries are removed from the list once there are at least this many and more of them
      * than entries still kept.
      */
-    private static final int LEAST_CLEARED = 64;
+    private static final int MIN_DROPPED_TO_COMPACT = 64;
 
     /** A change, and the total size of all changes from the last reset up to and including it. */
-    private record Entry(Change change, long bytesUpTo) {}
+    private record Entry(Change change, long cumulativeBytes) {}
 
-    private final int mostChanges;
-    private final int mostBytes;
+    private final int maxChanges;
+    private final int maxBytes;
     private final List<Entry> entries = new ArrayList<>();
 
     /** Index of the first entry still kept. */
-    private int first;
+    private int firstIndex;
 
     /** The position before the first change still kept. */
     private Position base = Position.NONE;
 
-    private long bytesBefore;
-    private long bytesUpToNewest;
+    private long droppedBytes;
+    private long totalBytes;
 
     ChangeWindow(FanoutSettings.Limits limits) {
-        mostChanges = limits.windowChanges();
-        mostBytes = limits.windowBytes();
+        maxChanges = limits.windowChanges();
+        maxBytes = limits.windowBytes();
     }
 
     /** Removes all changes; the window continues from this position. */
     void reset(Position position) {
         entries.clear();
-        first = 0;
+        firstIndex = 0;
         base = position;
-        bytesBefore = 0;
-        bytesUpToNewest = 0;
+        droppedBytes = 0;
+        totalBytes = 0;
     }
 
     Position newest() {
@@ -46,15 +46,15 @@
     }
 
     int size() {
-        return entries.size() - first;
+        return entries.size() - firstIndex;
     }
 
     long bytes() {
-        return bytesUpToNewest - bytesBefore;
+        return totalBytes - droppedBytes;
     }
 
     List<Change> all() {
-        return after(base, Integer.MAX_VALUE);
+        return changesAfter(base, Integer.MAX_VALUE);
     }
 
     /** Adds a change; one that does not follow the newest replaces all earlier ones. */
@@ -62,22 +62,22 @@
         if (!change.predecessor().equals(newest())) {
             reset(change.predecessor());
         }
-        bytesUpToNewest += change.sizeBytes();
-        entries.add(new Entry(change, bytesUpToNewest));
-        while (size() > mostChanges || bytes() > mostBytes) {
+        totalBytes += change.sizeBytes();
+        entries.add(new Entry(change, totalBytes));
+        while (size() > maxChanges || bytes() > maxBytes) {
             dropFirst();
         }
-        if (first >= LEAST_CLEARED && first > size()) {
-            entries.subList(0, first).clear();
-            first = 0;
+        if (firstIndex >= MIN_DROPPED_TO_COMPACT && firstIndex > size()) {
+            entries.subList(0, firstIndex).clear();
+            firstIndex = 0;
         }
     }
 
     private void dropFirst() {
-        Entry dropped = entries.set(first, null);
-        first++;
+        Entry dropped = entries.set(firstIndex, null);
+        firstIndex++;
         base = dropped.change.position();
-        bytesBefore = dropped.bytesUpTo;
+        droppedBytes = dropped.cumulativeBytes;
     }
 
     /** Whether the window holds every change after this position (also if there is none). */
@@ -90,20 +90,21 @@
     /** Total size of the changes after a position that the window covers. */
     long bytesAfter(Position held) {
         int index = indexAfter(held);
-        return bytesUpToNewest - (index == first ? bytesBefore : entries.get(index - 1).bytesUpTo);
+        return totalBytes
+                - (index == firstIndex ? droppedBytes : entries.get(index - 1).cumulativeBytes);
     }
 
     /**
      * Returns the changes after a position that the window covers: as many as fit within this many
      * bytes, but at least one if there is any.
      */
-    List<Change> after(Position held, int withinBytes) {
+    List<Change> changesAfter(Position held, int byteLimit) {
         List<Change> result = new ArrayList<>();
         long size = 0;
         for (int i = indexAfter(held); i < entries.size(); i++) {
             Change change = entries.get(i).change;
             size += change.sizeBytes();
-            if (!result.isEmpty() && size > withinBytes) {
+            if (!result.isEmpty() && size > byteLimit) {
                 break;
             }
             result.add(change);
@@ -112,6 +113,6 @@
     }
 
     private int indexAfter(Position held) {
-        return first + (int) (held.number() - base.number());
+        return firstIndex + (int) (held.number() - base.number());
     }
 }
--- a/src/main/java/holdproxy/fanout/CoverageReport.java
+++ b/src/main/java/holdproxy/fanout/CoverageReport.java
@@ -58,34 +58,34 @@
             rejections = rejections.subList(0, limits.reportedRejections());
         }
         return new CoverageReport(
-                proxies, bounded(counts, limits.reportedPositions()), rejecting, rejections);
+                proxies, mergeOldest(counts, limits.reportedPositions()), rejecting, rejections);
     }
 
     /** Merges the oldest of {@code counts} (newest first) into one, at the oldest position. */
-    private static List<PositionCount> bounded(TreeMap<Position, Long> counts, int most) {
+    private static List<PositionCount> mergeOldest(TreeMap<Position, Long> counts, int max) {
         List<PositionCount> bounded = new ArrayList<>();
-        long rest = 0;
+        long remainder = 0;
         for (Map.Entry<Position, Long> entry : counts.entrySet()) {
-            if (bounded.size() < most - 1 || counts.size() <= most) {
+            if (bounded.size() < max - 1 || counts.size() <= max) {
                 bounded.add(new PositionCount(entry.getKey(), entry.getValue()));
             } else {
-                rest += entry.getValue();
+                remainder += entry.getValue();
             }
         }
-        if (rest > 0) {
-            bounded.add(new PositionCount(counts.lastKey(), rest));
+        if (remainder > 0) {
+            bounded.add(new PositionCount(counts.lastKey(), remainder));
         }
         return bounded;
     }
 
     /** How many proxies have this position or a later one in force. */
     public long inForceAt(Position position) {
-        long proxiesThere = 0;
+        long total = 0;
         for (PositionCount count : inForce) {
             if (!position.isAfter(count.position)) {
-                proxiesThere += count.proxies;
+                total += count.proxies;
             }
         }
-        return proxiesThere;
+        return total;
     }
 }
--- a/src/main/java/holdproxy/fanout/FanoutSettings.java
+++ b/src/main/java/holdproxy/fanout/FanoutSettings.java
@@ -189,7 +189,7 @@
      * @param acknowledgeTimeoutUs a subscriber that does not acknowledge a message for this long is dropped
      * @param silenceTimeoutUs a subscriber that sends nothing for this long is dropped
      * @param retryAfterUs time after which a refused subscriber may try again
-     * @param stallUs a timer that fires later than this shows that the relay's own process stalled
+     * @param stallThresholdUs a timer that fires later than this shows that the relay's own process stalled
      */
     public record RelaySettings(
             int subscribers,
@@ -201,7 +201,7 @@
             long acknowledgeTimeoutUs,
             long silenceTimeoutUs,
             long retryAfterUs,
-            long stallUs) {
+            long stallThresholdUs) {
         public RelaySettings {
             requirePositive(
                     "a relay's settings",
@@ -214,13 +214,14 @@
                     acknowledgeTimeoutUs,
                     silenceTimeoutUs,
                     retryAfterUs,
-                    stallUs);
+                    stallThresholdUs);
         }
 
         /** A copy with other limits on subscribers, credit and catch-up. */
-        public RelaySettings withBounds(int most, int credit, long bytesPerSecond, int burstBytes) {
+        public RelaySettings withBounds(
+                int maxSubscribers, int credit, long bytesPerSecond, int burstBytes) {
             return new RelaySettings(
-                    most,
+                    maxSubscribers,
                     credit,
                     bytesPerSecond,
                     burstBytes,
@@ -229,7 +230,7 @@
                     acknowledgeTimeoutUs,
                     silenceTimeoutUs,
                     retryAfterUs,
-                    stallUs);
+                    stallThresholdUs);
         }
     }
 
@@ -238,56 +239,56 @@
      *
      * @param heartbeatTimeoutUs a relay that sends no message for this long is given up
      * @param connectTimeoutUs from dialling to the first message; doubles with each consecutive failure
-     * @param connectTimeoutMostUs upper limit of the doubled connect time-out
+     * @param connectTimeoutMaxUs upper limit of the doubled connect time-out
      * @param backoffUs the pause before the first attempt after a failure is random from 0 to this; doubles
      *     with each consecutive failure
-     * @param backoffMostUs upper limit of the doubled pause
+     * @param backoffMaxUs upper limit of the doubled pause
      * @param avoidUs how long a failed candidate is skipped while others are available; doubles with each
      *     consecutive failure
-     * @param avoidMostUs upper limit of the doubled time
-     * @param returnUs mean interval, randomized from half to one and a half times, between checks whether a
-     *     more preferred relay may be tried again
-     * @param stableUs a link that has held for this long resets the failure counters
-     * @param sourceAgeUs a relay whose data was last known to be the newest longer ago than this is left
-     *     for another one
+     * @param avoidMaxUs upper limit of the doubled time
+     * @param preferredCheckIntervalUs mean interval between checks whether a more preferred relay may be
+     *     tried again, randomized from half to one and a half times
+     * @param stableAfterUs a link that has held for this long resets the failure counters
+     * @param maxSourceAgeUs a relay whose data was last known to be the newest longer ago than this
+     *     is left for another one
      * @param reportIntervalUs interval at which a relay checks whether its coverage report has changed
      * @param keepaliveIntervalUs time after which an acknowledgement is repeated as a keepalive
-     * @param askAgainUs time without progress, although the relay has newer data, after which the
+     * @param resubscribeUs time without progress, although the relay has newer data, after which the
      *     subscriber subscribes again; doubles
-     * @param askAgainMostUs upper limit of the doubled time
+     * @param resubscribeMaxUs upper limit of the doubled time
      */
     public record SubscriberSettings(
             long heartbeatTimeoutUs,
             long connectTimeoutUs,
-            long connectTimeoutMostUs,
+            long connectTimeoutMaxUs,
             long backoffUs,
-            long backoffMostUs,
+            long backoffMaxUs,
             long avoidUs,
-            long avoidMostUs,
-            long returnUs,
-            long stableUs,
-            long sourceAgeUs,
+            long avoidMaxUs,
+            long preferredCheckIntervalUs,
+            long stableAfterUs,
+            long maxSourceAgeUs,
             long reportIntervalUs,
             long keepaliveIntervalUs,
-            long askAgainUs,
-            long askAgainMostUs) {
+            long resubscribeUs,
+            long resubscribeMaxUs) {
         public SubscriberSettings {
             requirePositive(
                     "a subscriber's settings",
                     heartbeatTimeoutUs,
                     connectTimeoutUs,
-                    connectTimeoutMostUs,
+                    connectTimeoutMaxUs,
                     backoffUs,
-                    backoffMostUs,
+                    backoffMaxUs,
                     avoidUs,
-                    avoidMostUs,
-                    returnUs,
-                    stableUs,
-                    sourceAgeUs,
+                    avoidMaxUs,
+                    preferredCheckIntervalUs,
+                    stableAfterUs,
+                    maxSourceAgeUs,
                     reportIntervalUs,
                     keepaliveIntervalUs,
-                    askAgainUs,
-                    askAgainMostUs);
+                    resubscribeUs,
+                    resubscribeMaxUs);
         }
     }
 }
--- a/src/main/java/holdproxy/fanout/FieldReader.java
+++ b/src/main/java/holdproxy/fanout/FieldReader.java
@@ -33,44 +33,43 @@
         }
     }
 
-    void requireBelow(int count, int most) {
-        if (count >= most) {
-            throw new ProtocolException(
-                    Kind.TOO_LARGE, "a list has more than " + most + " entries");
+    void requireBelow(int count, int max) {
+        if (count >= max) {
+            throw new ProtocolException(Kind.TOO_LARGE, "a list has more than " + max + " entries");
         }
     }
 
     Position position() {
-        return new Position(notNegative(), notNegative());
+        return new Position(nonNegative(), nonNegative());
     }
 
-    long notNegative() {
-        long number = PlainForm.number(field());
+    long nonNegative() {
+        long number = PlainValues.number(field());
         if (number < 0) {
-            throw PlainForm.malformed("negative number: " + number);
+            throw PlainValues.malformed("negative number: " + number);
         }
         return number;
     }
 
     /** Reads a non-negative number that fits in an int. */
     int count() {
-        long number = notNegative();
+        long number = nonNegative();
         if (number > Integer.MAX_VALUE) {
-            throw PlainForm.malformed("count too large: " + number);
+            throw PlainValues.malformed("count too large: " + number);
         }
         return (int) number;
     }
 
     String name() {
-        String name = PlainForm.text(field());
+        String name = PlainValues.text(field());
         if (name.isEmpty()) {
-            throw PlainForm.malformed("a name is empty");
+            throw PlainValues.malformed("a name is empty");
         }
-        return within(name, limits.nameBytes());
+        return checkLength(name, limits.nameBytes());
     }
 
     String reason() {
-        String reason = PlainForm.text(field());
+        String reason = PlainValues.text(field());
         if (reason.length() > limits.reasonCharacters()) {
             throw tooLong(reason.length(), limits.reasonCharacters());
         }
@@ -78,19 +77,19 @@
     }
 
     FieldReader nested() {
-        return new FieldReader(PlainForm.list(field()), limits);
+        return new FieldReader(PlainValues.list(field()), limits);
     }
 
-    List<?> list(int most) {
-        List<?> list = PlainForm.list(field());
-        if (list.size() > most) {
-            throw tooLong(list.size(), most);
+    List<?> list(int max) {
+        List<?> list = PlainValues.list(field());
+        if (list.size() > max) {
+            throw tooLong(list.size(), max);
         }
         return list;
     }
 
-    SortedMap<String, Value> entries(int most) {
-        SortedMap<String, Value> entries = PlainForm.entries(list(2 * most));
+    SortedMap<String, Value> entries(int max) {
+        SortedMap<String, Value> entries = PlainValues.entries(list(2 * max));
         entries.forEach(
                 (key, value) -> {
                     requireKey(key);
@@ -108,36 +107,36 @@
         return entries;
     }
 
-    TreeSet<String> keys(int most) {
-        TreeSet<String> keys = new TreeSet<>(PlainForm.texts(list(most)));
+    TreeSet<String> keys(int max) {
+        TreeSet<String> keys = new TreeSet<>(PlainValues.texts(list(max)));
         keys.forEach(this::requireKey);
         return keys;
     }
 
     private void requireKey(String key) {
         if (key.isEmpty()) {
-            throw PlainForm.malformed("a key is empty");
+            throw PlainValues.malformed("a key is empty");
         }
-        within(key, limits.keyBytes());
+        checkLength(key, limits.keyBytes());
     }
 
     private Object field() {
         if (!hasMore()) {
-            throw PlainForm.malformed("a message ends after " + next + " fields");
+            throw PlainValues.malformed("a message ends after " + next + " fields");
         }
         return fields.get(next++);
     }
 
-    private static String within(String text, int most) {
+    private static String checkLength(String text, int max) {
         int length = SizeEstimate.utf8Length(text);
-        if (length > most) {
-            throw tooLong(length, most);
+        if (length > max) {
+            throw tooLong(length, max);
         }
         return text;
     }
 
-    private static ProtocolException tooLong(int length, int most) {
+    private static ProtocolException tooLong(int length, int max) {
         return new ProtocolException(
-                Kind.TOO_LARGE, "a string or list of length " + length + ", the limit is " + most);
+                Kind.TOO_LARGE, "a string or list of length " + length + ", the limit is " + max);
     }
 }
--- a/src/main/java/holdproxy/fanout/PlainParts.java
+++ b/src/main/java/holdproxy/fanout/LogSnapshotBuilder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Collects snapshot items, each a list that begins with its kind, into parts of bounded size. */
-final class PlainParts {
+final class LogSnapshotBuilder {
     private static final int ITEM_OVERHEAD = 32;
 
     private final int partBytes;
@@ -12,7 +12,7 @@
     private List<Object> part = new ArrayList<>();
     private long size;
 
-    PlainParts(int partBytes) {
+    LogSnapshotBuilder(int partBytes) {
         this.partBytes = partBytes;
     }
 
@@ -30,7 +30,7 @@
         size += itemBytes;
     }
 
-    List<Object> done() {
+    List<Object> build() {
         parts.add(part);
         return parts;
     }
--- a/src/main/java/holdproxy/fanout/MessageCodec.java
+++ b/src/main/java/holdproxy/fanout/MessageCodec.java
@@ -48,7 +48,7 @@
     /** Returns the content of one frame. */
     public byte[] encode(Message message) {
         try {
-            return CBOR.asBytes(plain(message));
+            return CBOR.asBytes(toPlain(message));
         } catch (IOException e) {
             throw new UncheckedIOException("cannot encode a message", e);
         }
@@ -67,9 +67,9 @@
         }
         List<?> fields = parse(bytes);
         if (fields.size() < 2) {
-            throw PlainForm.malformed("a message of " + fields.size() + " fields");
+            throw PlainValues.malformed("a message of " + fields.size() + " fields");
         }
-        long version = PlainForm.number(fields.get(0));
+        long version = PlainValues.number(fields.get(0));
         if (version != VERSION) {
             throw new ProtocolException(
                     Kind.FOREIGN_VERSION,
@@ -77,32 +77,32 @@
         }
         try {
             return message(
-                    PlainForm.number(fields.get(1)),
+                    PlainValues.number(fields.get(1)),
                     new FieldReader(fields.subList(2, fields.size()), limits));
         } catch (IllegalArgumentException e) {
-            throw PlainForm.malformed(e.getMessage());
+            throw PlainValues.malformed(e.getMessage());
         }
     }
 
     private static List<?> parse(byte[] bytes) {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             if (parser.nextToken() != JsonToken.START_ARRAY) {
-                throw PlainForm.malformed("a frame does not begin with a list");
+                throw PlainValues.malformed("a frame does not begin with a list");
             }
             List<?> fields = CBOR.listFrom(parser);
             if (parser.nextToken() != null) {
-                throw PlainForm.malformed("a frame has further bytes after its message");
+                throw PlainValues.malformed("a frame has further bytes after its message");
             }
             return fields;
         } catch (IOException e) {
-            throw PlainForm.malformed(
+            throw PlainValues.malformed(
                     "a frame is not a CBOR list: " + e.getClass().getSimpleName());
         }
     }
 
     // ---- encoding ----
 
-    private static List<Object> plain(Message message) {
+    private static List<Object> toPlain(Message message) {
         List<Object> plain = new ArrayList<>();
         plain.add(VERSION);
         if (message instanceof Subscribe subscribe) {
@@ -112,19 +112,19 @@
         } else if (message instanceof Batch batch) {
             plain.add(BATCH);
             add(plain, batch.predecessor());
-            plain.add(plainChanges(batch));
+            plain.add(toPlainChanges(batch));
         } else if (message instanceof SnapshotPart part) {
             plain.add(SNAPSHOT_PART);
             add(plain, part.position());
             plain.add(part.index());
             plain.add(part.parts());
-            plain.add(PlainForm.plain(part.entries()));
+            plain.add(PlainValues.toPlain(part.entries()));
         } else if (message instanceof Acknowledge acknowledge) {
             plain.add(ACKNOWLEDGE);
             add(plain, acknowledge.received());
             add(plain, acknowledge.assembling());
             plain.add(acknowledge.parts());
-            plain.add(plain(acknowledge.report()));
+            plain.add(toPlain(acknowledge.report()));
         } else if (message instanceof Heartbeat heartbeat) {
             plain.add(HEARTBEAT);
             add(plain, heartbeat.newest());
@@ -144,15 +144,15 @@
     }
 
     /** Puts and deletes of each change; the positions follow from the batch's predecessor. */
-    private static List<Object> plainChanges(Batch batch) {
+    private static List<Object> toPlainChanges(Batch batch) {
         List<Object> plain = new ArrayList<>();
         for (Change change : batch.changes()) {
-            plain.add(List.of(PlainForm.plain(change.puts()), List.copyOf(change.deletes())));
+            plain.add(List.of(PlainValues.toPlain(change.puts()), List.copyOf(change.deletes())));
         }
         return plain;
     }
 
-    private static List<Object> plain(CoverageReport report) {
+    private static List<Object> toPlain(CoverageReport report) {
         List<Object> inForce = new ArrayList<>();
         for (PositionCount count : report.inForce()) {
             add(inForce, count.position());
@@ -186,10 +186,10 @@
                                     fields.position(),
                                     fields.count(),
                                     report(fields.nested()));
-                    case HEARTBEAT -> new Heartbeat(fields.position(), fields.notNegative());
+                    case HEARTBEAT -> new Heartbeat(fields.position(), fields.nonNegative());
                     case REFUSE ->
                             new Refuse(
-                                    reason(fields.count()), fields.reason(), fields.notNegative());
+                                    reason(fields.count()), fields.reason(), fields.nonNegative());
                     default ->
                             throw new ProtocolException(
                                     Kind.UNKNOWN_MESSAGE, "unknown message kind " + kind);
@@ -202,7 +202,7 @@
         Position predecessor = fields.position();
         List<Change> changes = new ArrayList<>();
         for (Object each : fields.list(limits.windowChanges())) {
-            FieldReader change = new FieldReader(PlainForm.list(each), limits);
+            FieldReader change = new FieldReader(PlainValues.list(each), limits);
             SortedMap<String, Value> puts = change.entries(limits.changeKeys());
             TreeSet<String> deletes = change.keys(limits.changeKeys());
             change.requireEnd();
@@ -212,15 +212,15 @@
     }
 
     private CoverageReport report(FieldReader fields) {
-        long proxies = fields.notNegative();
+        long proxies = fields.nonNegative();
         FieldReader counts = fields.nested();
-        long rejecting = fields.notNegative();
+        long rejecting = fields.nonNegative();
         FieldReader names = fields.nested();
         fields.requireEnd();
         List<PositionCount> inForce = new ArrayList<>();
         while (counts.hasMore()) {
             counts.requireBelow(inForce.size(), limits.reportedPositions());
-            inForce.add(new PositionCount(counts.position(), counts.notNegative()));
+            inForce.add(new PositionCount(counts.position(), counts.nonNegative()));
         }
         List<Rejection> rejections = new ArrayList<>();
         while (names.hasMore()) {
@@ -233,7 +233,7 @@
     private static Refuse.Reason reason(int number) {
         Refuse.Reason[] reasons = Refuse.Reason.values();
         if (number >= reasons.length) {
-            throw PlainForm.malformed("unknown refusal reason number " + number);
+            throw PlainValues.malformed("unknown refusal reason number " + number);
         }
         return reasons[number];
     }
--- a/src/main/java/holdproxy/fanout/PlainForm.java
+++ b/src/main/java/holdproxy/fanout/PlainValues.java
@@ -12,22 +12,22 @@
  * Converts records to plain values (lists of strings, integers, byte arrays and lists) and back. Values
  * of the wrong type are reported as {@link Kind#MALFORMED}.
  */
-final class PlainForm {
-    private PlainForm() {}
+final class PlainValues {
+    private PlainValues() {}
 
     // ---- records to plain values ----
 
     /** A list of epoch, number, puts and deletes. */
-    static List<Object> plain(Change change) {
+    static List<Object> toPlain(Change change) {
         return List.of(
                 change.position().epoch(),
                 change.position().number(),
-                plain(change.puts()),
+                toPlain(change.puts()),
                 List.copyOf(change.deletes()));
     }
 
     /** A flat list of alternating keys and values. */
-    static List<Object> plain(Map<String, Value> entries) {
+    static List<Object> toPlain(Map<String, Value> entries) {
         List<Object> plain = new ArrayList<>(2 * entries.size());
         entries.forEach(
                 (key, value) -> {
@@ -81,35 +81,35 @@
         if (plain instanceof List<?> list) {
             return list;
         }
-        throw malformed(kindOf(plain) + " instead of a list");
+        throw malformed(typeOf(plain) + " instead of a list");
     }
 
     static String text(Object plain) {
         if (plain instanceof String text) {
             return text;
         }
-        throw malformed(kindOf(plain) + " instead of a string");
+        throw malformed(typeOf(plain) + " instead of a string");
     }
 
     static long number(Object plain) {
         if (plain instanceof Integer || plain instanceof Long) {
             return ((Number) plain).longValue();
         }
-        throw malformed(kindOf(plain) + " instead of an integer");
+        throw malformed(typeOf(plain) + " instead of an integer");
     }
 
     static Value value(Object plain) {
         if (plain instanceof byte[] bytes) {
             return Value.of(bytes);
         }
-        throw malformed(kindOf(plain) + " instead of bytes");
+        throw malformed(typeOf(plain) + " instead of bytes");
     }
 
     static ProtocolException malformed(String detail) {
         return new ProtocolException(Kind.MALFORMED, detail);
     }
 
-    private static String kindOf(Object plain) {
+    private static String typeOf(Object plain) {
         return plain == null ? "null" : "a " + plain.getClass().getSimpleName();
     }
 }
--- a/src/main/java/holdproxy/fanout/PublicationCheck.java
+++ b/src/main/java/holdproxy/fanout/PublicationCheck.java
@@ -55,11 +55,11 @@
                                 + limits.valueBytes());
             }
         }
-        Refused refused = checkLength(publication.puts().keySet(), limits);
-        return refused != null ? refused : checkLength(publication.deletes(), limits);
+        Refused refused = checkKeyLengths(publication.puts().keySet(), limits);
+        return refused != null ? refused : checkKeyLengths(publication.deletes(), limits);
     }
 
-    private static Refused checkLength(Set<String> keys, FanoutSettings.Limits limits) {
+    private static Refused checkKeyLengths(Set<String> keys, FanoutSettings.Limits limits) {
         for (String key : keys) {
             if (key.isEmpty() || SizeEstimate.utf8Length(key) > limits.keyBytes()) {
                 return new Refused(
--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -53,7 +53,7 @@
     }
 
     private final FanoutSettings settings;
-    private final FanoutSettings.RelaySettings own;
+    private final FanoutSettings.RelaySettings relaySettings;
     private final Source source;
     private final Output output;
     private final Set<Safeguard> safeguards;
@@ -66,7 +66,7 @@
     /** Oldest first. */
     private final ArrayDeque<FrozenSnapshot> snapshots = new ArrayDeque<>();
 
-    private final TokenBucket bucket;
+    private final TokenBucket catchUpBucket;
     private long heartbeatDueUs;
     private long catchUpDueUs = NEVER;
     private Batch lastBatch;
@@ -94,12 +94,16 @@
             long nowUs,
             Set<Safeguard> safeguards) {
         this.settings = settings;
-        this.own = settings.relay();
+        this.relaySettings = settings.relay();
         this.source = source;
         this.output = output;
         this.safeguards = Set.copyOf(safeguards);
-        bucket = new TokenBucket(own.catchUpBytesPerSecond(), own.catchUpBurstBytes(), nowUs);
-        heartbeatDueUs = nowUs + own.heartbeatIntervalUs();
+        catchUpBucket =
+                new TokenBucket(
+                        relaySettings.catchUpBytesPerSecond(),
+                        relaySettings.catchUpBurstBytes(),
+                        nowUs);
+        heartbeatDueUs = nowUs + relaySettings.heartbeatIntervalUs();
     }
 
     // ---- events ----
@@ -120,17 +124,17 @@
     /** A link has ended. */
     public void disconnected(long nowUs, long link) {
         remove(link);
-        pumpCatchUp(nowUs);
+        sendCatchUp(nowUs);
     }
 
     /** The source's replica has changed. */
     public void advanced(long nowUs) {
         for (Subscription each : List.copyOf(subscriptions.values())) {
             if (each.live) {
-                pumpLive(nowUs, each);
+                sendLive(nowUs, each);
             }
         }
-        pumpCatchUp(nowUs);
+        sendCatchUp(nowUs);
     }
 
     /** Latest time for the next {@link #tick}; may change with every call. */
@@ -141,15 +145,15 @@
     /** Performs timed actions that are due; early or repeated calls are harmless. */
     public void tick(long nowUs) {
         if (nowUs >= heartbeatDueUs) {
-            excuseStall(nowUs - heartbeatDueUs);
-            heartbeatDueUs = nowUs + own.heartbeatIntervalUs();
+            extendDeadlinesAfterStall(nowUs - heartbeatDueUs);
+            heartbeatDueUs = nowUs + relaySettings.heartbeatIntervalUs();
             dropUnresponsive(nowUs);
             Heartbeat heartbeat = heartbeat(nowUs);
             subscriptions.keySet().forEach(link -> output.send(link, heartbeat));
-            forgetUnusedSnapshots();
+            removeUnusedSnapshots();
         }
         if (nowUs >= catchUpDueUs) {
-            pumpCatchUp(nowUs);
+            sendCatchUp(nowUs);
         }
     }
 
@@ -159,7 +163,7 @@
                 new Refuse(
                         Refuse.Reason.SHUTTING_DOWN,
                         "the relay is shutting down",
-                        own.retryAfterUs());
+                        relaySettings.retryAfterUs());
         for (long link : List.copyOf(subscriptions.keySet())) {
             output.send(link, refuse);
             drop(link, refuse.detail());
@@ -195,8 +199,8 @@
 
     private void subscribe(long nowUs, long link, Subscribe subscribe) {
         Position newest = newest();
-        boolean ahead = newest.epoch() > 0 && subscribe.held().epoch() > newest.epoch();
-        if (ahead && safeguards.contains(Safeguard.EPOCH_COMPARISON)) {
+        boolean subscriberIsAhead = newest.epoch() > 0 && subscribe.held().epoch() > newest.epoch();
+        if (subscriberIsAhead && safeguards.contains(Safeguard.EPOCH_COMPARISON)) {
             refuse(
                     link,
                     Refuse.Reason.BEHIND,
@@ -218,19 +222,19 @@
             }
         }
         subscription.restart(subscribe.held());
-        subscription.heardUs = nowUs;
+        subscription.lastReceivedUs = nowUs;
         output.send(link, heartbeat(nowUs));
         catchingUp.add(subscription);
-        pumpCatchUp(nowUs);
+        sendCatchUp(nowUs);
     }
 
     /** Returns null if the relay is full. */
     private Subscription admit(long link, String name) {
-        Subscription before = byName.get(name);
-        if (before != null) {
-            drop(before.link, name + " has subscribed on another link");
+        Subscription previous = byName.get(name);
+        if (previous != null) {
+            drop(previous.link, name + " has subscribed on another link");
         }
-        if (subscriptions.size() >= own.subscribers()) {
+        if (subscriptions.size() >= relaySettings.subscribers()) {
             refuse(
                     link,
                     Refuse.Reason.FULL,
@@ -245,7 +249,7 @@
 
     private void refuse(long link, Refuse.Reason reason, String detail) {
         refused++;
-        output.send(link, new Refuse(reason, detail, own.retryAfterUs()));
+        output.send(link, new Refuse(reason, detail, relaySettings.retryAfterUs()));
         drop(link, reason + ": " + detail);
     }
 
@@ -255,13 +259,13 @@
             drop(link, "UNEXPECTED: an acknowledgement without a subscription");
             return;
         }
-        subscription.heardUs = nowUs;
+        subscription.lastReceivedUs = nowUs;
         subscription.report = acknowledge.report();
-        subscription.acknowledged(acknowledge);
+        subscription.recordAcknowledgement(acknowledge);
         if (subscription.live) {
-            pumpLive(nowUs, subscription);
+            sendLive(nowUs, subscription);
         }
-        pumpCatchUp(nowUs);
+        sendCatchUp(nowUs);
     }
 
     // ---- sending ----
@@ -274,19 +278,19 @@
         return new Heartbeat(newest(), Math.max(0, source.ageUs(nowUs)));
     }
 
-    private boolean mayNotSend(Subscription subscription) {
+    private boolean isOutOfCredit(Subscription subscription) {
         return subscription.unacknowledged != null && safeguards.contains(Safeguard.CREDIT);
     }
 
-    private boolean hasEverything(Subscription subscription) {
+    private boolean isUpToDate(Subscription subscription) {
         Position newest = newest();
         return subscription.snapshot == null
-                && subscription.sent.epoch() == newest.epoch()
-                && subscription.sent.number() >= newest.number();
+                && subscription.sentPosition.epoch() == newest.epoch()
+                && subscription.sentPosition.number() >= newest.number();
     }
 
-    private boolean coveredByWindow(Subscription subscription) {
-        return subscription.snapshot == null && source.replica().covers(subscription.sent);
+    private boolean isCoveredByWindow(Subscription subscription) {
+        return subscription.snapshot == null && source.replica().covers(subscription.sentPosition);
     }
 
     /**
@@ -294,20 +298,22 @@
      * are no larger than the state, or a snapshot has already been sent.
      */
     private boolean catchesUpByChanges(Subscription subscription) {
-        return coveredByWindow(subscription)
-                && (subscription.hadSnapshot || isNear(subscription.sent));
+        return isCoveredByWindow(subscription)
+                && (subscription.snapshotSent
+                        || changesAreCheaperThanSnapshot(subscription.sentPosition));
     }
 
-    private boolean isNear(Position covered) {
+    private boolean changesAreCheaperThanSnapshot(Position covered) {
         Replica replica = source.replica();
-        return replica.bytesAfter(covered) <= Math.max(own.creditBytes(), replica.stateBytes());
+        return replica.bytesAfter(covered)
+                <= Math.max(relaySettings.creditBytes(), replica.stateBytes());
     }
 
-    private void pumpLive(long nowUs, Subscription subscription) {
-        if (mayNotSend(subscription) || hasEverything(subscription)) {
+    private void sendLive(long nowUs, Subscription subscription) {
+        if (isOutOfCredit(subscription) || isUpToDate(subscription)) {
             return;
         }
-        if (coveredByWindow(subscription)) {
+        if (isCoveredByWindow(subscription)) {
             Batch batch = nextBatch(subscription);
             if (batch.last().equals(newest())) {
                 sendBatch(nowUs, subscription, batch);
@@ -316,52 +322,52 @@
         }
         // more than a credit behind; possibly every subscriber is, if the source itself has just
         // caught up
-        subscription.fallBehind();
+        subscription.markBehind();
         catchingUp.add(subscription);
     }
 
     /** Spends the token bucket on subscribers that need only changes first, then on snapshots. */
-    private void pumpCatchUp(long nowUs) {
+    private void sendCatchUp(long nowUs) {
         catchUpDueUs = NEVER;
         if (newest().epoch() == 0 || catchingUp.isEmpty()) {
             return;
         }
         List<Subscription> waiting = List.copyOf(catchingUp);
         for (Subscription each : waiting) {
-            if (!pumpChanges(nowUs, each)) {
+            if (!sendCatchUpChanges(nowUs, each)) {
                 return;
             }
         }
         for (Subscription each : waiting) {
-            if (!pumpSnapshot(nowUs, each)) {
+            if (!sendCatchUpSnapshot(nowUs, each)) {
                 return;
             }
         }
     }
 
     /** Returns false if the token bucket is empty. */
-    private boolean pumpChanges(long nowUs, Subscription subscription) {
-        if (hasEverything(subscription)) {
-            becomeLive(subscription);
+    private boolean sendCatchUpChanges(long nowUs, Subscription subscription) {
+        if (isUpToDate(subscription)) {
+            markLive(subscription);
             return true;
         }
-        if (mayNotSend(subscription) || !catchesUpByChanges(subscription)) {
+        if (isOutOfCredit(subscription) || !catchesUpByChanges(subscription)) {
             return true;
         }
         Batch batch = nextBatch(subscription);
-        if (!spend(nowUs, bytes(batch))) {
+        if (!takeCatchUpTokens(nowUs, bytes(batch))) {
             return false;
         }
         sendBatch(nowUs, subscription, batch);
-        if (hasEverything(subscription)) {
-            becomeLive(subscription);
+        if (isUpToDate(subscription)) {
+            markLive(subscription);
         }
         return true;
     }
 
     /** Returns false if the token bucket is empty. */
-    private boolean pumpSnapshot(long nowUs, Subscription subscription) {
-        if (subscription.live || mayNotSend(subscription) || catchesUpByChanges(subscription)) {
+    private boolean sendCatchUpSnapshot(long nowUs, Subscription subscription) {
+        if (subscription.live || isOutOfCredit(subscription) || catchesUpByChanges(subscription)) {
             return true;
         }
         if (subscription.snapshot == null
@@ -370,15 +376,15 @@
             subscription.snapshot = currentSnapshot();
         }
         FrozenSnapshot snapshot = subscription.snapshot;
-        int bytes = snapshot.bytes(subscription.nextPart);
-        if (!spend(nowUs, bytes)) {
+        int bytes = snapshot.bytes(subscription.nextPartIndex);
+        if (!takeCatchUpTokens(nowUs, bytes)) {
             return false;
         }
-        SnapshotPart part = snapshot.part(subscription.nextPart++);
-        subscription.sent(part, nowUs);
+        SnapshotPart part = snapshot.part(subscription.nextPartIndex++);
+        subscription.recordSent(part, nowUs);
         if (part.isLast()) {
-            subscription.sent = snapshot.position();
-            subscription.hadSnapshot = true;
+            subscription.sentPosition = snapshot.position();
+            subscription.snapshotSent = true;
             subscription.abandonSnapshot();
         }
         snapshotParts++;
@@ -386,14 +392,14 @@
         return true;
     }
 
-    private void becomeLive(Subscription subscription) {
+    private void markLive(Subscription subscription) {
         subscription.live = true;
         catchingUp.remove(subscription);
     }
 
-    private boolean spend(long nowUs, int bytes) {
-        if (safeguards.contains(Safeguard.CATCH_UP_PACING) && !bucket.take(nowUs, bytes)) {
-            catchUpDueUs = Math.max(nowUs + 1, bucket.availableUs(bytes));
+    private boolean takeCatchUpTokens(long nowUs, int bytes) {
+        if (safeguards.contains(Safeguard.CATCH_UP_PACING) && !catchUpBucket.take(nowUs, bytes)) {
+            catchUpDueUs = Math.max(nowUs + 1, catchUpBucket.availableUs(bytes));
             return false;
         }
         catchUpBytes += bytes;
@@ -403,20 +409,21 @@
     /** Returns the same instance for all subscribers at the same position. */
     private Batch nextBatch(Subscription subscription) {
         if (lastBatch == null
-                || !lastBatch.predecessor().equals(subscription.sent)
+                || !lastBatch.predecessor().equals(subscription.sentPosition)
                 || !lastBatchNewest.equals(newest())) {
             lastBatch =
                     new Batch(
-                            subscription.sent,
-                            source.replica().after(subscription.sent, own.creditBytes()));
+                            subscription.sentPosition,
+                            source.replica()
+                                    .after(subscription.sentPosition, relaySettings.creditBytes()));
             lastBatchNewest = newest();
         }
         return lastBatch;
     }
 
     private void sendBatch(long nowUs, Subscription subscription, Batch batch) {
-        subscription.sent(batch, nowUs);
-        subscription.sent = batch.last();
+        subscription.recordSent(batch, nowUs);
+        subscription.sentPosition = batch.last();
         batches++;
         output.send(subscription.link, batch);
     }
@@ -435,12 +442,14 @@
     private FrozenSnapshot currentSnapshot() {
         FrozenSnapshot newest = snapshots.peekLast();
         Replica replica = source.replica();
-        if (newest != null && replica.covers(newest.position()) && isNear(newest.position())) {
+        if (newest != null
+                && replica.covers(newest.position())
+                && changesAreCheaperThanSnapshot(newest.position())) {
             return newest;
         }
-        FrozenSnapshot frozen = FrozenSnapshot.of(replica, own.creditBytes());
+        FrozenSnapshot frozen = FrozenSnapshot.of(replica, relaySettings.creditBytes());
         snapshots.add(frozen);
-        if (snapshots.size() > own.snapshots()) {
+        if (snapshots.size() > relaySettings.snapshots()) {
             FrozenSnapshot oldest = snapshots.removeFirst();
             subscriptions.values().stream()
                     .filter(each -> each.snapshot == oldest)
@@ -449,7 +458,7 @@
         return frozen;
     }
 
-    private void forgetUnusedSnapshots() {
+    private void removeUnusedSnapshots() {
         snapshots.removeIf(
                 snapshot ->
                         subscriptions.values().stream()
@@ -459,32 +468,33 @@
     // ---- dropping ----
 
     /** Extends the subscribers' deadlines by the time for which this process was stalled. */
-    private void excuseStall(long lateUs) {
-        if (lateUs > own.stallUs()) {
+    private void extendDeadlinesAfterStall(long lateUs) {
+        if (lateUs > relaySettings.stallThresholdUs()) {
             for (Subscription each : subscriptions.values()) {
-                each.heardUs += lateUs;
-                each.sentUs += lateUs;
+                each.lastReceivedUs += lateUs;
+                each.unacknowledgedSinceUs += lateUs;
             }
         }
     }
 
     private void dropUnresponsive(long nowUs) {
         for (Subscription each : List.copyOf(subscriptions.values())) {
-            if (each.unacknowledged != null && nowUs - each.sentUs >= own.acknowledgeTimeoutUs()) {
+            if (each.unacknowledged != null
+                    && nowUs - each.unacknowledgedSinceUs >= relaySettings.acknowledgeTimeoutUs()) {
                 droppedSlow++;
                 drop(
                         each.link,
                         each.name
                                 + " has acknowledged nothing for "
-                                + (nowUs - each.sentUs) / 1000
+                                + (nowUs - each.unacknowledgedSinceUs) / 1000
                                 + " ms");
-            } else if (nowUs - each.heardUs >= own.silenceTimeoutUs()) {
+            } else if (nowUs - each.lastReceivedUs >= relaySettings.silenceTimeoutUs()) {
                 droppedSilent++;
                 drop(
                         each.link,
                         each.name
                                 + " has said nothing for "
-                                + (nowUs - each.heardUs) / 1000
+                                + (nowUs - each.lastReceivedUs) / 1000
                                 + " ms");
             }
         }
--- a/src/main/java/holdproxy/fanout/RendezvousOrder.java
+++ b/src/main/java/holdproxy/fanout/RendezvousOrder.java
@@ -31,10 +31,10 @@
     }
 
     private static long weight(String subscriber, String candidate) {
-        return mixed(add(add(add(FNV_OFFSET, subscriber), "\n"), candidate));
+        return mix(fnv1a(fnv1a(fnv1a(FNV_OFFSET, subscriber), "\n"), candidate));
     }
 
-    private static long add(long hash, String text) {
+    private static long fnv1a(long hash, String text) {
         long result = hash;
         for (int i = 0; i < text.length(); i++) {
             result = (result ^ text.charAt(i)) * FNV_PRIME;
@@ -43,7 +43,7 @@
     }
 
     /** SplitMix64's finalizer: with FNV alone the last characters affect mostly the low bits. */
-    private static long mixed(long hash) {
+    private static long mix(long hash) {
         long result = (hash ^ hash >>> 30) * 0xbf58476d1ce4e5b9L;
         result = (result ^ result >>> 27) * 0x94d049bb133111ebL;
         return result ^ result >>> 31;
--- a/src/main/java/holdproxy/fanout/Replica.java
+++ b/src/main/java/holdproxy/fanout/Replica.java
@@ -59,7 +59,7 @@
      * bytes, but at least one if there is any.
      */
     public List<Change> after(Position held, int withinBytes) {
-        return window.after(held, withinBytes);
+        return window.changesAfter(held, withinBytes);
     }
 
     /** Total size of the changes after a position that the window covers. */
--- a/src/main/java/holdproxy/fanout/SnapshotAssembly.java
+++ b/src/main/java/holdproxy/fanout/SnapshotAssembly.java
@@ -11,7 +11,7 @@
     private final Position position;
     private final int parts;
     private final TreeMap<String, Value> entries = new TreeMap<>();
-    private int received;
+    private int receivedParts;
     private long bytes;
 
     SnapshotAssembly(FanoutSettings.Limits limits, SnapshotPart first) {
@@ -25,11 +25,11 @@
     }
 
     /** Number of parts received so far. */
-    int received() {
-        return received;
+    int receivedParts() {
+        return receivedParts;
     }
 
-    boolean isSameAs(SnapshotPart part) {
+    boolean isSameSnapshot(SnapshotPart part) {
         return part.position().equals(position) && part.parts() == parts;
     }
 
@@ -48,11 +48,11 @@
                             + limits.stateKeys()
                             + " keys");
         }
-        received++;
+        receivedParts++;
     }
 
-    boolean isWhole() {
-        return received == parts;
+    boolean isComplete() {
+        return receivedParts == parts;
     }
 
     SortedMap<String, Value> entries() {
--- a/src/main/java/holdproxy/fanout/Subscriber.java
+++ b/src/main/java/holdproxy/fanout/Subscriber.java
@@ -25,13 +25,13 @@
  */
 public final class Subscriber implements Relay.Source {
     private static final long NEVER = Long.MAX_VALUE;
-    private static final int MOST_DOUBLINGS = 20;
+    private static final int MAX_DOUBLINGS = 20;
 
     /**
      * After a gap the subscriber subscribes again at most once per resubscribe interval divided by this,
      * as one lost message makes each later one look like a gap.
      */
-    private static final int GAP_PART = 8;
+    private static final int GAP_RESUBSCRIBE_DIVISOR = 8;
 
     /** The transport of a subscriber. No method may call back into the subscriber before it returns. */
     public interface Output {
@@ -72,10 +72,10 @@
 
     private final String name;
     private final FanoutSettings settings;
-    private final FanoutSettings.SubscriberSettings own;
+    private final FanoutSettings.SubscriberSettings subscriberSettings;
     private final Replica replica;
     private final Consumer consumer;
-    private final Supplier<CoverageReport> below;
+    private final Supplier<CoverageReport> downstreamReport;
     private final Output output;
     private final RandomGenerator random;
     private final Set<Safeguard> safeguards;
@@ -90,19 +90,19 @@
 
     private int failures;
     private long subscribedUs;
-    private long heardUs;
-    private long returnDueUs = NEVER;
-    private long lastCallUs;
+    private long lastReceivedUs;
+    private long preferredCheckDueUs = NEVER;
+    private long lastEventUs;
 
     private SnapshotAssembly assembly;
-    private long progressUs;
-    private long askedUs;
-    private long askAgainUs;
+    private long lastProgressUs;
+    private long lastSubscribeUs;
+    private long resubscribeDelayUs;
 
     private Position inForce;
     private Rejection rejection;
-    private CoverageReport reported;
-    private long acknowledgedUs;
+    private CoverageReport lastReport;
+    private long lastAcknowledgeUs;
     private long reportDueUs = NEVER;
 
     /** When the position held was last known to be the newest; valid if {@link #isFreshnessKnown}. */
@@ -114,21 +114,21 @@
      * Until this time a message may have been queued while this process was stalled, so heartbeats are
      * not used to determine freshness.
      */
-    private long staleMessagesUntilUs;
+    private long ignoreFreshnessUntilUs;
 
     /**
      * The newest position in the relay's last heartbeat; {@link #announcedFreshUs} is when that was
      * known to be the newest of all.
      */
-    private Position announced = Position.NONE;
+    private Position announcedPosition = Position.NONE;
 
     private long announcedFreshUs;
 
     /** When the relay is to be left because its data is no longer known to be the newest. */
-    private long sourceDueUs = NEVER;
+    private long staleSourceDueUs = NEVER;
 
     /** Earliest time at which a relay is left again for that reason. */
-    private long staleMoveUs;
+    private long nextStaleMoveUs;
 
     private int staleMoves;
 
@@ -173,24 +173,24 @@
             Set<Safeguard> safeguards) {
         this.name = name;
         this.settings = settings;
-        this.own = settings.subscriber();
+        this.subscriberSettings = settings.subscriber();
         this.replica = replica;
         this.consumer = consumer;
-        this.below = below;
+        this.downstreamReport = below;
         this.output = output;
         this.random = random;
         this.safeguards = Set.copyOf(safeguards);
-        candidates = new CandidateList(own);
+        candidates = new CandidateList(subscriberSettings);
         inForce = replica.position();
-        lastCallUs = nowUs;
-        askAgainUs = own.askAgainUs();
+        lastEventUs = nowUs;
+        resubscribeDelayUs = subscriberSettings.resubscribeUs();
     }
 
     // ---- events ----
 
     /** Sets the candidates, best first ({@link RendezvousOrder}); the first call starts the subscriber. */
     public void candidates(long nowUs, List<RelayCandidate> ordered) {
-        enter(nowUs);
+        detectStall(nowUs);
         candidates.replace(ordered);
         if (phase == Phase.IDLE) {
             dialNext(nowUs);
@@ -201,7 +201,7 @@
 
     /** Closes the link and stays idle until candidates are set again. */
     public void stop(long nowUs) {
-        enter(nowUs);
+        detectStall(nowUs);
         if (hasLink()) {
             output.close(link, name + " is shutting down");
         }
@@ -213,7 +213,7 @@
 
     /** The dialled link is open. */
     public void connected(long nowUs, long ofLink) {
-        enter(nowUs);
+        detectStall(nowUs);
         if (phase == Phase.CONNECTING && ofLink == link) {
             subscribe(nowUs);
         }
@@ -221,40 +221,40 @@
 
     /** A link has ended, for example because a frame broke the protocol, or could not be opened. */
     public void disconnected(long nowUs, long ofLink, String reason) {
-        enter(nowUs);
+        detectStall(nowUs);
         if (hasLink() && ofLink == link) {
-            lost(nowUs);
+            handleLinkLoss(nowUs);
         }
     }
 
     /** A message was received on a link. */
     public void receive(long nowUs, long ofLink, Message message) {
-        enter(nowUs);
+        detectStall(nowUs);
         if (!hasLink() || ofLink != link) {
             return;
         }
-        heardUs = nowUs;
+        lastReceivedUs = nowUs;
         try {
-            take(nowUs, message);
+            handle(nowUs, message);
         } catch (ProtocolException e) {
             fail(nowUs, e.getMessage());
         }
     }
 
-    private void take(long nowUs, Message message) {
+    private void handle(long nowUs, Message message) {
         if (message instanceof Refuse refuse) {
-            refused(nowUs, refuse);
+            handleRefusal(nowUs, refuse);
             return;
         }
         if (phase == Phase.CONNECTING) {
-            welcomed(nowUs);
+            handleFirstMessage(nowUs);
         }
         if (message instanceof Heartbeat heartbeat) {
-            heartbeat(nowUs, heartbeat);
+            handleHeartbeat(nowUs, heartbeat);
         } else if (message instanceof Batch batch) {
-            batch(nowUs, batch);
+            handleBatch(nowUs, batch);
         } else if (message instanceof SnapshotPart part) {
-            snapshotPart(nowUs, part);
+            handleSnapshotPart(nowUs, part);
         } else {
             throw new ProtocolException(
                     ProtocolException.Kind.UNEXPECTED,
@@ -269,14 +269,16 @@
             case PAUSING, CONNECTING -> deadlineUs;
             case SUBSCRIBED ->
                     Math.min(
-                            Math.min(heardUs + own.heartbeatTimeoutUs(), reportDueUs),
-                            Math.min(returnDueUs, sourceDueUs));
+                            Math.min(
+                                    lastReceivedUs + subscriberSettings.heartbeatTimeoutUs(),
+                                    reportDueUs),
+                            Math.min(preferredCheckDueUs, staleSourceDueUs));
         };
     }
 
     /** Performs timed actions that are due; early or repeated calls are harmless. */
     public void tick(long nowUs) {
-        enter(nowUs);
+        detectStall(nowUs);
         switch (phase) {
             case PAUSING -> {
                 if (nowUs >= deadlineUs) {
@@ -294,7 +296,7 @@
                                     + " ms");
                 }
             }
-            case SUBSCRIBED -> watch(nowUs);
+            case SUBSCRIBED -> checkRelay(nowUs);
             default -> {
                 // an idle subscriber has no timed actions
             }
@@ -349,29 +351,32 @@
     }
 
     private long connectTimeoutUs() {
-        return doubled(own.connectTimeoutUs(), failures, own.connectTimeoutMostUs());
+        return doubled(
+                subscriberSettings.connectTimeoutUs(),
+                failures,
+                subscriberSettings.connectTimeoutMaxUs());
     }
 
     private void subscribe(long nowUs) {
         assembly = null;
-        askedUs = nowUs;
+        lastSubscribeUs = nowUs;
         output.send(link, new Subscribe(name, replica.position()));
     }
 
     /** The relay has sent its first message. */
-    private void welcomed(long nowUs) {
+    private void handleFirstMessage(long nowUs) {
         phase = Phase.SUBSCRIBED;
         deadlineUs = NEVER;
         subscribedUs = nowUs;
-        progressUs = nowUs;
-        askAgainUs = own.askAgainUs();
-        announced = Position.NONE;
-        sourceDueUs = NEVER;
-        scheduleReturn(nowUs);
+        lastProgressUs = nowUs;
+        resubscribeDelayUs = subscriberSettings.resubscribeUs();
+        announcedPosition = Position.NONE;
+        staleSourceDueUs = NEVER;
+        schedulePreferredCheck(nowUs);
         acknowledge(nowUs);
     }
 
-    private void refused(long nowUs, Refuse refuse) {
+    private void handleRefusal(long nowUs, Refuse refuse) {
         candidates.avoid(relay, nowUs + refuse.retryAfterUs());
         output.close(link, "refused: " + refuse.reason() + ": " + refuse.detail());
         pause(nowUs);
@@ -380,12 +385,12 @@
     /** Closes the link; the relay is avoided for a while, and the next one is dialled after a pause. */
     private void fail(long nowUs, String reason) {
         output.close(link, reason);
-        lost(nowUs);
+        handleLinkLoss(nowUs);
     }
 
-    private void lost(long nowUs) {
-        creditStability(nowUs);
-        candidates.failed(relay, nowUs);
+    private void handleLinkLoss(long nowUs) {
+        resetFailuresIfStable(nowUs);
+        candidates.recordFailure(relay, nowUs);
         pause(nowUs);
     }
 
@@ -404,12 +409,16 @@
         deadlineUs =
                 nowUs
                         + random.nextLong(
-                                1 + doubled(own.backoffUs(), failures, own.backoffMostUs()));
+                                1
+                                        + doubled(
+                                                subscriberSettings.backoffUs(),
+                                                failures,
+                                                subscriberSettings.backoffMaxUs()));
         failures++;
     }
 
-    private static long doubled(long first, int times, long most) {
-        return Math.min(most, first << Math.min(MOST_DOUBLINGS, times));
+    private static long doubled(long initial, int doublings, long max) {
+        return Math.min(max, initial << Math.min(MAX_DOUBLINGS, doublings));
     }
 
     // ---- monitoring the relay ----
@@ -418,94 +427,111 @@
      * Called first on every event. Detects a stall of this process by a late timer, and extends the
      * relay's deadlines, since its messages may have been queued meanwhile.
      */
-    private void enter(long nowUs) {
+    private void detectStall(long nowUs) {
         long dueUs = dueUs();
-        if (dueUs != NEVER && nowUs - Math.max(dueUs, lastCallUs) > settings.relay().stallUs()) {
-            staleMessagesUntilUs = nowUs + settings.relay().heartbeatIntervalUs() / 2;
-            heardUs = Math.max(heardUs, nowUs - own.heartbeatTimeoutUs() / 2);
-            sourceDueUs = Math.max(sourceDueUs, nowUs + own.sourceAgeUs() / 2);
+        if (dueUs != NEVER
+                && nowUs - Math.max(dueUs, lastEventUs) > settings.relay().stallThresholdUs()) {
+            ignoreFreshnessUntilUs = nowUs + settings.relay().heartbeatIntervalUs() / 2;
+            lastReceivedUs =
+                    Math.max(lastReceivedUs, nowUs - subscriberSettings.heartbeatTimeoutUs() / 2);
+            staleSourceDueUs =
+                    Math.max(staleSourceDueUs, nowUs + subscriberSettings.maxSourceAgeUs() / 2);
         }
-        lastCallUs = nowUs;
+        lastEventUs = nowUs;
     }
 
-    private void watch(long nowUs) {
-        if (nowUs - heardUs >= own.heartbeatTimeoutUs()) {
+    private void checkRelay(long nowUs) {
+        if (nowUs - lastReceivedUs >= subscriberSettings.heartbeatTimeoutUs()) {
             fail(
                     nowUs,
-                    "no message from " + relay.name() + " for " + (nowUs - heardUs) / 1000 + " ms");
+                    "no message from "
+                            + relay.name()
+                            + " for "
+                            + (nowUs - lastReceivedUs) / 1000
+                            + " ms");
             return;
         }
-        creditStability(nowUs);
-        if (nowUs >= sourceDueUs) {
-            if (candidates.hasOther(relay, nowUs)) {
-                leaveSilentSource(nowUs);
+        resetFailuresIfStable(nowUs);
+        if (nowUs >= staleSourceDueUs) {
+            if (candidates.hasOtherAvailable(relay, nowUs)) {
+                leaveStaleRelay(nowUs);
                 return;
             }
-            sourceDueUs = nowUs + own.sourceAgeUs();
+            staleSourceDueUs = nowUs + subscriberSettings.maxSourceAgeUs();
         }
-        if (nowUs >= returnDueUs) {
-            scheduleReturn(nowUs);
-            if (candidates.hasBetter(relay, nowUs)) {
+        if (nowUs >= preferredCheckDueUs) {
+            schedulePreferredCheck(nowUs);
+            if (candidates.hasPreferredAvailable(relay, nowUs)) {
                 leave(nowUs, "a relay preferred to " + relay.name() + " may be available again");
                 return;
             }
         }
         if (nowUs >= reportDueUs) {
-            reportWhereDue(nowUs);
+            reportIfDue(nowUs);
         }
     }
 
     /** Resets the failure counters once the link has held for long enough. */
-    private void creditStability(long nowUs) {
-        if (phase == Phase.SUBSCRIBED && nowUs - subscribedUs >= own.stableUs()) {
+    private void resetFailuresIfStable(long nowUs) {
+        if (phase == Phase.SUBSCRIBED
+                && nowUs - subscribedUs >= subscriberSettings.stableAfterUs()) {
             failures = 0;
-            candidates.proved(relay);
+            candidates.recordSuccess(relay);
         }
     }
 
-    private void scheduleReturn(long nowUs) {
-        returnDueUs = nowUs + own.returnUs() / 2 + random.nextLong(own.returnUs());
+    private void schedulePreferredCheck(long nowUs) {
+        preferredCheckDueUs =
+                nowUs
+                        + subscriberSettings.preferredCheckIntervalUs() / 2
+                        + random.nextLong(subscriberSettings.preferredCheckIntervalUs());
     }
 
     /** Leaves a relay that responds but is cut off from its source; another relay may not be. */
-    private void leaveSilentSource(long nowUs) {
-        staleMoveUs = nowUs + doubled(own.avoidUs(), staleMoves, own.avoidMostUs());
+    private void leaveStaleRelay(long nowUs) {
+        nextStaleMoveUs =
+                nowUs
+                        + doubled(
+                                subscriberSettings.avoidUs(),
+                                staleMoves,
+                                subscriberSettings.avoidMaxUs());
         staleMoves++;
         fail(nowUs, relay.name() + " has had no current data from its source for too long");
     }
 
-    private void heartbeat(long nowUs, Heartbeat heartbeat) {
+    private void handleHeartbeat(long nowUs, Heartbeat heartbeat) {
         Position newest = heartbeat.newest();
-        if (newest.epoch() > 0 && isOfLowerEpoch(newest)) {
-            leaveOlderHistory(nowUs, newest);
+        if (newest.epoch() > 0 && hasLowerEpoch(newest)) {
+            leaveRelayWithLowerEpoch(nowUs, newest);
             return;
         }
-        if (nowUs >= staleMessagesUntilUs) {
-            noteFreshness(nowUs, heartbeat);
+        if (nowUs >= ignoreFreshnessUntilUs) {
+            recordFreshness(nowUs, heartbeat);
         }
         boolean behind = newest.isAfter(replica.position());
-        if (behind && nowUs - Math.max(progressUs, askedUs) >= askAgainUs) {
-            askAgainUs = Math.min(own.askAgainMostUs(), 2 * askAgainUs);
+        if (behind && nowUs - Math.max(lastProgressUs, lastSubscribeUs) >= resubscribeDelayUs) {
+            resubscribeDelayUs =
+                    Math.min(subscriberSettings.resubscribeMaxUs(), 2 * resubscribeDelayUs);
             subscribe(nowUs);
         }
     }
 
-    private void noteFreshness(long nowUs, Heartbeat heartbeat) {
+    private void recordFreshness(long nowUs, Heartbeat heartbeat) {
         long sourceFreshUs = nowUs - heartbeat.ageUs();
-        if (heartbeat.ageUs() < own.sourceAgeUs()) {
+        if (heartbeat.ageUs() < subscriberSettings.maxSourceAgeUs()) {
             staleMoves = 0;
-            staleMoveUs = nowUs;
+            nextStaleMoveUs = nowUs;
         }
-        sourceDueUs =
+        staleSourceDueUs =
                 Math.max(
                         Math.max(
-                                sourceFreshUs + own.sourceAgeUs(),
-                                subscribedUs + own.sourceAgeUs() / 2),
-                        staleMoveUs);
+                                sourceFreshUs + subscriberSettings.maxSourceAgeUs(),
+                                subscribedUs + subscriberSettings.maxSourceAgeUs() / 2),
+                        nextStaleMoveUs);
         if (heartbeat.newest().epoch() > 0 && heartbeat.ageUs() != UNKNOWN_AGE_US) {
-            announced = heartbeat.newest();
+            announcedPosition = heartbeat.newest();
             announcedFreshUs = sourceFreshUs;
-            takeOverFreshness();
+            updateFreshness();
         }
     }
 
@@ -513,8 +539,9 @@
      * Marks the replica as fresh if it holds at least the announced position, which was the newest at
      * the announced time.
      */
-    private void takeOverFreshness() {
-        if (!announced.equals(Position.NONE) && !announced.isAfter(replica.position())) {
+    private void updateFreshness() {
+        if (!announcedPosition.equals(Position.NONE)
+                && !announcedPosition.isAfter(replica.position())) {
             freshUs = isFreshnessKnown ? Math.max(freshUs, announcedFreshUs) : announcedFreshUs;
             isFreshnessKnown = true;
         }
@@ -522,12 +549,12 @@
 
     // ---- applying changes ----
 
-    private boolean isOfLowerEpoch(Position offered) {
+    private boolean hasLowerEpoch(Position offered) {
         return offered.epoch() < replica.position().epoch()
                 && safeguards.contains(Safeguard.EPOCH_COMPARISON);
     }
 
-    private void leaveOlderHistory(long nowUs, Position offered) {
+    private void leaveRelayWithLowerEpoch(long nowUs, Position offered) {
         lowerEpochs++;
         fail(
                 nowUs,
@@ -539,43 +566,43 @@
     }
 
     /** With the epoch comparison disabled, replaces the epoch by the replica's own. */
-    private Position comparable(Position offered) {
+    private Position withComparableEpoch(Position offered) {
         return safeguards.contains(Safeguard.EPOCH_COMPARISON)
                 ? offered
                 : new Position(replica.position().epoch(), offered.number());
     }
 
-    private void batch(long nowUs, Batch batch) {
-        if (isOfLowerEpoch(batch.predecessor())) {
-            leaveOlderHistory(nowUs, batch.predecessor());
+    private void handleBatch(long nowUs, Batch batch) {
+        if (hasLowerEpoch(batch.predecessor())) {
+            leaveRelayWithLowerEpoch(nowUs, batch.predecessor());
             return;
         }
         Position held = replica.position();
         if (!safeguards.contains(Safeguard.PREDECESSOR_CHECK)) {
             apply(nowUs, batch.changes());
-        } else if (!comparable(batch.last()).isAfter(held)) {
+        } else if (!withComparableEpoch(batch.last()).isAfter(held)) {
             duplicates++;
             acknowledge(nowUs);
-        } else if (comparable(batch.predecessor()).isAfter(held)) {
+        } else if (withComparableEpoch(batch.predecessor()).isAfter(held)) {
             gaps++;
-            askAboutGap(nowUs);
+            resubscribeAfterGap(nowUs);
         } else {
-            long known = held.number() - batch.predecessor().number();
-            apply(nowUs, batch.changes().subList((int) known, batch.changes().size()));
+            long alreadyApplied = held.number() - batch.predecessor().number();
+            apply(nowUs, batch.changes().subList((int) alreadyApplied, batch.changes().size()));
         }
     }
 
-    private void apply(long nowUs, List<Change> fresh) {
-        fresh.forEach(replica::apply);
-        changes += fresh.size();
-        progress(nowUs);
-        offer(nowUs, fresh);
+    private void apply(long nowUs, List<Change> newChanges) {
+        newChanges.forEach(replica::apply);
+        changes += newChanges.size();
+        recordProgress(nowUs);
+        offerToConsumer(nowUs, newChanges);
         acknowledge(nowUs);
     }
 
-    private void snapshotPart(long nowUs, SnapshotPart part) {
-        if (isOfLowerEpoch(part.position())) {
-            leaveOlderHistory(nowUs, part.position());
+    private void handleSnapshotPart(long nowUs, SnapshotPart part) {
+        if (hasLowerEpoch(part.position())) {
+            leaveRelayWithLowerEpoch(nowUs, part.position());
             return;
         }
         boolean needed =
@@ -587,75 +614,80 @@
             acknowledge(nowUs);
             return;
         }
-        if (part.index() == 0 && (assembly == null || !assembly.isSameAs(part))) {
+        if (part.index() == 0 && (assembly == null || !assembly.isSameSnapshot(part))) {
             assembly = new SnapshotAssembly(settings.limits(), part);
         }
-        if (assembly == null || !assembly.isSameAs(part) || part.index() > assembly.received()) {
+        if (assembly == null
+                || !assembly.isSameSnapshot(part)
+                || part.index() > assembly.receivedParts()) {
             gaps++;
-            askAboutGap(nowUs);
-        } else if (part.index() < assembly.received()) {
+            resubscribeAfterGap(nowUs);
+        } else if (part.index() < assembly.receivedParts()) {
             duplicates++;
             acknowledge(nowUs);
         } else {
-            assemble(nowUs, part);
+            addSnapshotPart(nowUs, part);
         }
     }
 
-    private void assemble(long nowUs, SnapshotPart part) {
+    private void addSnapshotPart(long nowUs, SnapshotPart part) {
         assembly.add(part);
-        progress(nowUs);
-        if (assembly.isWhole() || !safeguards.contains(Safeguard.WHOLE_SNAPSHOT)) {
+        recordProgress(nowUs);
+        if (assembly.isComplete() || !safeguards.contains(Safeguard.WHOLE_SNAPSHOT)) {
             replica.reset(assembly.position(), assembly.entries());
-            offer(nowUs, List.of());
+            offerToConsumer(nowUs, List.of());
         }
-        if (assembly.isWhole()) {
+        if (assembly.isComplete()) {
             assembly = null;
             snapshots++;
         }
         acknowledge(nowUs);
     }
 
-    private void progress(long nowUs) {
-        progressUs = nowUs;
-        askAgainUs = own.askAgainUs();
+    private void recordProgress(long nowUs) {
+        lastProgressUs = nowUs;
+        resubscribeDelayUs = subscriberSettings.resubscribeUs();
     }
 
-    private void askAboutGap(long nowUs) {
-        if (nowUs - askedUs >= own.askAgainUs() / GAP_PART) {
+    private void resubscribeAfterGap(long nowUs) {
+        if (nowUs - lastSubscribeUs
+                >= subscriberSettings.resubscribeUs() / GAP_RESUBSCRIBE_DIVISOR) {
             subscribe(nowUs);
         }
     }
 
-    private void offer(long nowUs, List<Change> fresh) {
+    private void offerToConsumer(long nowUs, List<Change> newChanges) {
         Position position = replica.position();
-        takeOverFreshness();
-        Optional<String> reason = consumer.offer(nowUs, position, replica.entries(), fresh);
+        updateFreshness();
+        Optional<String> reason = consumer.offer(nowUs, position, replica.entries(), newChanges);
         if (reason.isEmpty()) {
             inForce = position;
             rejection = null;
         } else {
             rejected++;
-            rejection = new Rejection(name, position, cut(reason.get()));
+            rejection = new Rejection(name, position, truncate(reason.get()));
         }
     }
 
-    private String cut(String reason) {
+    private String truncate(String reason) {
         return reason.substring(0, Math.min(reason.length(), settings.limits().reasonCharacters()));
     }
 
     // ---- acknowledging ----
 
     private CoverageReport report() {
-        return below == null ? CoverageReport.ofProxy(inForce, rejection) : below.get();
+        return downstreamReport == null
+                ? CoverageReport.ofProxy(inForce, rejection)
+                : downstreamReport.get();
     }
 
     private void acknowledge(long nowUs) {
-        reported = report();
-        acknowledgedUs = nowUs;
+        lastReport = report();
+        lastAcknowledgeUs = nowUs;
         scheduleReport(nowUs);
         Position assembling = assembly == null ? Position.NONE : assembly.position();
-        int parts = assembly == null ? 0 : assembly.received();
-        output.send(link, new Acknowledge(replica.position(), assembling, parts, reported));
+        int parts = assembly == null ? 0 : assembly.receivedParts();
+        output.send(link, new Acknowledge(replica.position(), assembling, parts, lastReport));
     }
 
     /**
@@ -664,13 +696,14 @@
      */
     private void scheduleReport(long nowUs) {
         reportDueUs =
-                below == null
-                        ? acknowledgedUs + own.keepaliveIntervalUs()
-                        : nowUs + own.reportIntervalUs();
+                downstreamReport == null
+                        ? lastAcknowledgeUs + subscriberSettings.keepaliveIntervalUs()
+                        : nowUs + subscriberSettings.reportIntervalUs();
     }
 
-    private void reportWhereDue(long nowUs) {
-        if (nowUs - acknowledgedUs >= own.keepaliveIntervalUs() || !report().equals(reported)) {
+    private void reportIfDue(long nowUs) {
+        if (nowUs - lastAcknowledgeUs >= subscriberSettings.keepaliveIntervalUs()
+                || !report().equals(lastReport)) {
             acknowledge(nowUs);
         } else {
             scheduleReport(nowUs);
--- a/src/main/java/holdproxy/fanout/Subscription.java
+++ b/src/main/java/holdproxy/fanout/Subscription.java
@@ -9,10 +9,10 @@
     final String name;
 
     /** Everything up to this position has been sent. */
-    Position sent;
+    Position sentPosition;
 
     /** The position that the subscriber last reported as held. */
-    Position held;
+    Position heldPosition;
 
     /**
      * The subscriber has been sent everything since it last subscribed, and gets new changes without
@@ -23,13 +23,13 @@
     /** The snapshot being sent, or null. */
     FrozenSnapshot snapshot;
 
-    int nextPart;
+    int nextPartIndex;
 
     /**
      * A snapshot has been sent since the subscriber fell behind. It is sent changes from there on for
      * as long as the window covers them, even if they are larger than the state.
      */
-    boolean hadSnapshot;
+    boolean snapshotSent;
 
     /** The batch or snapshot part that has not been acknowledged yet, or null. */
     Message unacknowledged;
@@ -38,10 +38,10 @@
      * The subscriber subscribed again before acknowledging, which allowed one further batch or part;
      * no more is sent until it acknowledges.
      */
-    boolean repeats;
+    boolean resent;
 
-    long sentUs;
-    long heardUs;
+    long unacknowledgedSinceUs;
+    long lastReceivedUs;
     CoverageReport report = CoverageReport.EMPTY;
 
     Subscription(long link, String name) {
@@ -55,45 +55,47 @@
      * and is eventually dropped like any slow reader.
      */
     void restart(Position from) {
-        sent = from;
-        held = from;
-        fallBehind();
+        sentPosition = from;
+        heldPosition = from;
+        markBehind();
         abandonSnapshot();
-        if (unacknowledged != null && !repeats) {
+        if (unacknowledged != null && !resent) {
             unacknowledged = null;
-            repeats = true;
+            resent = true;
         }
     }
 
-    void fallBehind() {
+    void markBehind() {
         live = false;
-        hadSnapshot = false;
+        snapshotSent = false;
     }
 
     void abandonSnapshot() {
         snapshot = null;
-        nextPart = 0;
+        nextPartIndex = 0;
     }
 
-    void sent(Message message, long nowUs) {
+    void recordSent(Message message, long nowUs) {
         if (unacknowledged == null) {
-            sentUs = nowUs;
+            unacknowledgedSinceUs = nowUs;
         }
         unacknowledged = message;
     }
 
-    void acknowledged(Message.Acknowledge acknowledge) {
-        held = acknowledge.received();
-        if (snapshot == null && held.epoch() == sent.epoch() && held.isAfter(sent)) {
-            sent = held;
+    void recordAcknowledgement(Message.Acknowledge acknowledge) {
+        heldPosition = acknowledge.received();
+        if (snapshot == null
+                && heldPosition.epoch() == sentPosition.epoch()
+                && heldPosition.isAfter(sentPosition)) {
+            sentPosition = heldPosition;
         }
-        if (unacknowledged != null && covers(acknowledge)) {
+        if (unacknowledged != null && coversUnacknowledged(acknowledge)) {
             unacknowledged = null;
-            repeats = false;
+            resent = false;
         }
     }
 
-    private boolean covers(Message.Acknowledge acknowledge) {
+    private boolean coversUnacknowledged(Message.Acknowledge acknowledge) {
         if (unacknowledged instanceof Message.Batch batch) {
             return !batch.last().isAfter(acknowledge.received());
         }
--- a/src/main/java/holdproxy/fanout/TokenBucket.java
+++ b/src/main/java/holdproxy/fanout/TokenBucket.java
@@ -7,19 +7,19 @@
     private final double bytesPerUs;
     private final double burst;
     private double tokens;
-    private long filledUs;
+    private long lastRefillUs;
 
     TokenBucket(long bytesPerSecond, int burst, long nowUs) {
         bytesPerUs = bytesPerSecond / US_PER_SECOND;
         this.burst = burst;
         tokens = burst;
-        filledUs = nowUs;
+        lastRefillUs = nowUs;
     }
 
     /** Takes this many tokens, or none and returns false if fewer are available. */
     boolean take(long nowUs, int bytes) {
-        tokens = Math.min(burst, tokens + (nowUs - filledUs) * bytesPerUs);
-        filledUs = nowUs;
+        tokens = Math.min(burst, tokens + (nowUs - lastRefillUs) * bytesPerUs);
+        lastRefillUs = nowUs;
         if (tokens < bytes) {
             return false;
         }
@@ -29,6 +29,6 @@
 
     /** Time at which this many tokens will be available, as of the last {@link #take}. */
     long availableUs(int bytes) {
-        return filledUs + (long) Math.ceil(Math.max(0, bytes - tokens) / bytesPerUs);
+        return lastRefillUs + (long) Math.ceil(Math.max(0, bytes - tokens) / bytesPerUs);
     }
 }
--- a/src/main/java/holdproxy/fanout/transport/DueTimer.java
+++ b/src/main/java/holdproxy/fanout/transport/DueTimer.java
@@ -28,7 +28,7 @@
     }
 
     /** Schedules a tick at this time, unless an earlier one is pending. Call on the event loop. */
-    void due(long dueUs) {
+    void scheduleAt(long dueUs) {
         if (closed || dueUs == NEVER_US || scheduled != null && scheduledUs <= dueUs) {
             return;
         }
--- a/src/main/java/holdproxy/fanout/transport/LineLimiter.java
+++ b/src/main/java/holdproxy/fanout/transport/LineLimiter.java
@@ -10,9 +10,9 @@
 
     private final Consumer<String> log;
     private final LongSupplier nowUs;
-    private long secondBeganUs = Long.MIN_VALUE / 2;
-    private int lines;
-    private long heldBack;
+    private long windowStartUs = Long.MIN_VALUE / 2;
+    private int linesInWindow;
+    private long suppressed;
 
     LineLimiter(Consumer<String> log, LongSupplier nowUs) {
         this.log = log;
@@ -22,19 +22,19 @@
     @Override
     public void accept(String line) {
         long now = nowUs.getAsLong();
-        if (now - secondBeganUs >= SECOND_US) {
-            if (heldBack > 0) {
-                log.accept(heldBack + " further log lines were suppressed");
+        if (now - windowStartUs >= SECOND_US) {
+            if (suppressed > 0) {
+                log.accept(suppressed + " further log lines were suppressed");
             }
-            secondBeganUs = now;
-            lines = 0;
-            heldBack = 0;
+            windowStartUs = now;
+            linesInWindow = 0;
+            suppressed = 0;
         }
-        if (lines < LINES_PER_SECOND) {
-            lines++;
+        if (linesInWindow < LINES_PER_SECOND) {
+            linesInWindow++;
             log.accept(line);
         } else {
-            heldBack++;
+            suppressed++;
         }
     }
 }
--- a/src/main/java/holdproxy/fanout/transport/MessageLink.java
+++ b/src/main/java/holdproxy/fanout/transport/MessageLink.java
@@ -23,7 +23,7 @@
  */
 final class MessageLink extends SimpleChannelInboundHandler<ByteBuf> {
     /** Time that a closing link has to flush its outbound buffer. */
-    private static final int LINGER_MS = 1_000;
+    private static final int CLOSE_TIMEOUT_MS = 1_000;
 
     /** Receives the events of a link, on its event loop. */
     interface Listener {
@@ -41,7 +41,7 @@
     private final TransportContext context;
     private final FrameCodec codec;
     private final Listener listener;
-    private boolean over;
+    private boolean ended;
     private String reason = "the peer closed the connection";
 
     /** {@code peer} is the name of the other side in log lines. */
@@ -59,12 +59,16 @@
     }
 
     /** Adds the frame decoder and this link to the channel's pipeline. */
-    void install() {
-        int longest = context.settings().limits().frameBytes() + FrameCodec.HEADER_BYTES;
+    void addToPipeline() {
+        int maxFrameBytes = context.settings().limits().frameBytes() + FrameCodec.HEADER_BYTES;
         channel.pipeline()
                 .addLast(
                         new LengthFieldBasedFrameDecoder(
-                                longest, 0, FrameCodec.HEADER_BYTES, 0, FrameCodec.HEADER_BYTES))
+                                maxFrameBytes,
+                                0,
+                                FrameCodec.HEADER_BYTES,
+                                0,
+                                FrameCodec.HEADER_BYTES))
                 .addLast(this);
     }
 
@@ -80,13 +84,13 @@
     }
 
     /** Sets the name of the other side, once it is known. */
-    void named(String name) {
+    void setPeerName(String name) {
         peer = name + " at " + channel.remoteAddress();
     }
 
     /** Sends a message, or drops it if the outbound buffer is full. */
     void send(Message message) {
-        if (over || !channel.isWritable()) {
+        if (ended || !channel.isWritable()) {
             context.counters().messagesDropped.increment();
             return;
         }
@@ -98,20 +102,20 @@
 
     /** Closes the link after flushing, or after a time-out; the listener gets no further events. */
     void close() {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         context.counters().linksDropped.increment();
         if (!channel.isActive()) {
             channel.close();
             return;
         }
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
-        var forced =
+        var forcedClose =
                 channel.eventLoop()
-                        .schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
-        channel.closeFuture().addListener(closed -> forced.cancel(false));
+                        .schedule(() -> channel.close(), CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        channel.closeFuture().addListener(closed -> forcedClose.cancel(false));
     }
 
     @Override
@@ -119,7 +123,7 @@
         context.counters().connectionsOpened.increment();
         context.counters().connectionsOpen.increment();
         channel.closeFuture().addListener(closed -> context.counters().connectionsOpen.decrement());
-        if (!over) {
+        if (!ended) {
             listener.opened(this);
         }
     }
@@ -127,7 +131,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
         context.counters().bytesReceived.add(FrameCodec.HEADER_BYTES + frame.readableBytes());
-        if (over) {
+        if (ended) {
             return;
         }
         Message message = codec.decode(frame);
@@ -137,12 +141,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end();
+        handleEnd();
     }
 
-    private void end() {
-        if (!over) {
-            over = true;
+    private void handleEnd() {
+        if (!ended) {
+            ended = true;
             context.log().accept("link with " + peer + " ended: " + reason);
             listener.ended(this, reason);
         }
@@ -150,7 +154,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (over) {
+        if (ended) {
             ctx.close();
             return;
         }
@@ -158,7 +162,7 @@
         if (!(cause instanceof IOException)) {
             context.counters().linksDropped.increment();
         }
-        end();
+        handleEnd();
         ctx.close();
     }
 
--- a/src/main/java/holdproxy/fanout/transport/RelayServer.java
+++ b/src/main/java/holdproxy/fanout/transport/RelayServer.java
@@ -24,7 +24,7 @@
     static final int SPARE_CONNECTIONS = 128;
 
     /** A connection that has not subscribed within this time is closed. */
-    private static final int SUBSCRIBE_WITHIN_MS = 5_000;
+    private static final int SUBSCRIBE_TIMEOUT_MS = 5_000;
 
     private static final int BACKLOG = 1_024;
 
@@ -33,7 +33,7 @@
     private final Map<Long, MessageLink> links = new HashMap<>();
     private final DueTimer timer;
     private final Relay relay;
-    private long lastLink;
+    private long lastLinkId;
     private Channel listener;
     private boolean closed;
 
@@ -49,7 +49,7 @@
                         new LineLimiter(context.log(), context.nowUs()));
         codec = new FrameCodec(context.settings());
         timer = new DueTimer(context.loop(), context.nowUs(), this::tick);
-        relay = new Relay(context.settings(), source, new Outgoing(), context.now());
+        relay = new Relay(context.settings(), source, new RelayOutput(), context.now());
     }
 
     /** Starts listening; the future fails if the address cannot be bound. */
@@ -68,7 +68,7 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        accepted(channel);
+                                        accept(channel);
                                     }
                                 })
                         .bind(address);
@@ -79,7 +79,7 @@
                             if (closed) {
                                 listener.close();
                             } else {
-                                wake();
+                                rescheduleTimer();
                             }
                         });
         return bound;
@@ -93,7 +93,7 @@
     /** Call after the source's replica has changed. */
     public void advanced() {
         relay.advanced(context.now());
-        wake();
+        rescheduleTimer();
     }
 
     /** Refuses all subscribers, so that they move to other relays, and stops listening. */
@@ -111,47 +111,47 @@
 
     private void tick() {
         relay.tick(context.now());
-        wake();
+        rescheduleTimer();
     }
 
-    private void wake() {
-        timer.due(relay.dueUs());
+    private void rescheduleTimer() {
+        timer.scheduleAt(relay.dueUs());
     }
 
-    private void accepted(SocketChannel channel) {
+    private void accept(SocketChannel channel) {
         if (closed
                 || links.size() >= context.settings().relay().subscribers() + SPARE_CONNECTIONS) {
             context.counters().connectionsRefused.increment();
             channel.close();
             return;
         }
-        long number = ++lastLink;
-        Subscribing listening = new Subscribing(number);
+        long linkId = ++lastLinkId;
+        SubscriberConnection connection = new SubscriberConnection(linkId);
         MessageLink link =
                 new MessageLink(
                         channel,
                         String.valueOf(channel.remoteAddress()),
                         context,
                         codec,
-                        listening);
-        links.put(number, link);
+                        connection);
+        links.put(linkId, link);
         // keeps links that the relay has closed but that are not flushed yet, so that they count
-        channel.closeFuture().addListener(over -> links.remove(number, link));
-        link.install();
+        channel.closeFuture().addListener(future -> links.remove(linkId, link));
+        link.addToPipeline();
         channel.eventLoop()
                 .schedule(
-                        listening::closeUnlessSubscribed,
-                        SUBSCRIBE_WITHIN_MS,
+                        connection::closeUnlessSubscribed,
+                        SUBSCRIBE_TIMEOUT_MS,
                         TimeUnit.MILLISECONDS);
     }
 
     /** Passes the events of one connection to the relay. */
-    private final class Subscribing implements MessageLink.Listener {
-        private final long number;
+    private final class SubscriberConnection implements MessageLink.Listener {
+        private final long linkId;
         private boolean subscribed;
 
-        Subscribing(long number) {
-            this.number = number;
+        SubscriberConnection(long linkId) {
+            this.linkId = linkId;
         }
 
         @Override
@@ -163,20 +163,20 @@
         public void received(MessageLink link, Message message) {
             if (message instanceof Message.Subscribe subscribe) {
                 subscribed = true;
-                link.named(subscribe.name());
+                link.setPeerName(subscribe.name());
             }
-            relay.receive(context.now(), number, message);
-            wake();
+            relay.receive(context.now(), linkId, message);
+            rescheduleTimer();
         }
 
         @Override
         public void ended(MessageLink link, String reason) {
-            relay.disconnected(context.now(), number);
-            wake();
+            relay.disconnected(context.now(), linkId);
+            rescheduleTimer();
         }
 
         void closeUnlessSubscribed() {
-            MessageLink link = links.get(number);
+            MessageLink link = links.get(linkId);
             if (!subscribed && link != null) {
                 context.log()
                         .accept(
@@ -189,18 +189,18 @@
     }
 
     /** Performs the relay's sends and closes. */
-    private final class Outgoing implements Relay.Output {
+    private final class RelayOutput implements Relay.Output {
         @Override
-        public void send(long number, Message message) {
-            MessageLink link = links.get(number);
+        public void send(long linkId, Message message) {
+            MessageLink link = links.get(linkId);
             if (link != null) {
                 link.send(message);
             }
         }
 
         @Override
-        public void close(long number, String reason) {
-            MessageLink link = links.get(number);
+        public void close(long linkId, String reason) {
+            MessageLink link = links.get(linkId);
             if (link == null) {
                 return;
             }
--- a/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
+++ b/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
@@ -29,7 +29,7 @@
     private final FrameCodec codec;
     private final DueTimer timer;
     private final Subscriber subscriber;
-    private long linkNumber = NO_LINK;
+    private long currentLinkId = NO_LINK;
     private MessageLink link;
 
     /**
@@ -42,7 +42,7 @@
             String name,
             Replica replica,
             Subscriber.Consumer consumer,
-            Supplier<CoverageReport> below,
+            Supplier<CoverageReport> downstreamReport,
             RandomGenerator random) {
         this.name = name;
         this.context = context;
@@ -54,8 +54,8 @@
                         context.settings(),
                         replica,
                         consumer,
-                        below,
-                        new Outgoing(),
+                        downstreamReport,
+                        new SubscriberOutput(),
                         random,
                         context.now());
     }
@@ -63,7 +63,7 @@
     /** Sets the candidates, best first; the first call starts the client. */
     public void candidates(List<RelayCandidate> ordered) {
         subscriber.candidates(context.now(), ordered);
-        wake();
+        rescheduleTimer();
     }
 
     /** The subscriber, for its status and replica. */
@@ -80,25 +80,25 @@
 
     private void tick() {
         subscriber.tick(context.now());
-        wake();
+        rescheduleTimer();
     }
 
-    private void wake() {
-        timer.due(subscriber.dueUs());
+    private void rescheduleTimer() {
+        timer.scheduleAt(subscriber.dueUs());
     }
 
-    private void dial(long number, RelayCandidate candidate) {
-        linkNumber = number;
+    private void dial(long linkId, RelayCandidate candidate) {
+        currentLinkId = linkId;
         link = null;
         InetSocketAddress address;
         try {
             address = context.addresses().apply(candidate.address());
         } catch (RuntimeException e) {
-            fail(number, candidate, e.getMessage());
+            dialFailed(linkId, candidate, e.getMessage());
             return;
         }
-        int timeoutMs = (int) (context.settings().subscriber().connectTimeoutMostUs() / US_PER_MS);
-        ChannelFuture dialled =
+        int timeoutMs = (int) (context.settings().subscriber().connectTimeoutMaxUs() / US_PER_MS);
+        ChannelFuture connectFuture =
                 new Bootstrap()
                         .group(context.loop())
                         .channel(NioSocketChannel.class)
@@ -111,23 +111,24 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        opening(number, candidate, channel);
+                                        initLink(linkId, candidate, channel);
                                     }
                                 })
                         .connect(address);
-        dialled.addListener(
+        connectFuture.addListener(
                 connecting -> {
-                    if (!connecting.isSuccess() && number == linkNumber) {
-                        fail(number, candidate, connecting.cause().getMessage());
+                    if (!connecting.isSuccess() && linkId == currentLinkId) {
+                        dialFailed(linkId, candidate, connecting.cause().getMessage());
                     }
                 });
     }
 
-    private void opening(long number, RelayCandidate candidate, SocketChannel channel) {
+    private void initLink(long linkId, RelayCandidate candidate, SocketChannel channel) {
         MessageLink opened =
-                new MessageLink(channel, text(candidate), context, codec, new Receiving(number));
-        opened.install();
-        if (number == linkNumber) {
+                new MessageLink(
+                        channel, describe(candidate), context, codec, new LinkListener(linkId));
+        opened.addToPipeline();
+        if (linkId == currentLinkId) {
             link = opened;
         } else {
             opened.close();
@@ -135,73 +136,73 @@
     }
 
     /** Notifies the subscriber asynchronously, since this may run during one of its calls. */
-    private void fail(long number, RelayCandidate candidate, String reason) {
+    private void dialFailed(long linkId, RelayCandidate candidate, String reason) {
         context.counters().dialsFailed.increment();
-        context.log().accept(name + " cannot reach " + text(candidate) + ": " + reason);
+        context.log().accept(name + " cannot reach " + describe(candidate) + ": " + reason);
         context.loop()
                 .execute(
                         () -> {
-                            subscriber.disconnected(context.now(), number, reason);
-                            wake();
+                            subscriber.disconnected(context.now(), linkId, reason);
+                            rescheduleTimer();
                         });
     }
 
     /** The name of a candidate in log lines. */
-    private static String text(RelayCandidate candidate) {
+    private static String describe(RelayCandidate candidate) {
         return candidate.name().equals(candidate.address())
                 ? candidate.name()
                 : candidate.name() + " at " + candidate.address();
     }
 
     /** Passes the events of one connection to the subscriber. */
-    private final class Receiving implements MessageLink.Listener {
-        private final long number;
+    private final class LinkListener implements MessageLink.Listener {
+        private final long linkId;
 
-        Receiving(long number) {
-            this.number = number;
+        LinkListener(long linkId) {
+            this.linkId = linkId;
         }
 
         @Override
         public void opened(MessageLink opened) {
-            subscriber.connected(context.now(), number);
-            wake();
+            subscriber.connected(context.now(), linkId);
+            rescheduleTimer();
         }
 
         @Override
         public void received(MessageLink from, Message message) {
-            subscriber.receive(context.now(), number, message);
-            wake();
+            subscriber.receive(context.now(), linkId, message);
+            rescheduleTimer();
         }
 
         @Override
         public void ended(MessageLink ended, String reason) {
-            subscriber.disconnected(context.now(), number, reason);
-            wake();
+            subscriber.disconnected(context.now(), linkId, reason);
+            rescheduleTimer();
         }
     }
 
     /** Performs the subscriber's dials, sends and closes. */
-    private final class Outgoing implements Subscriber.Output {
+    private final class SubscriberOutput implements Subscriber.Output {
         @Override
-        public void dial(long number, RelayCandidate candidate) {
-            SubscriberClient.this.dial(number, candidate);
+        public void dial(long linkId, RelayCandidate candidate) {
+            SubscriberClient.this.dial(linkId, candidate);
         }
 
         @Override
-        public void send(long number, Message message) {
-            if (number == linkNumber && link != null) {
+        public void send(long linkId, Message message) {
+            if (linkId == currentLinkId && link != null) {
                 link.send(message);
             }
         }
 
         @Override
-        public void close(long number, String reason) {
-            if (number == linkNumber && link != null) {
+        public void close(long linkId, String reason) {
+            if (linkId == currentLinkId && link != null) {
                 context.log().accept(name + " leaves " + link.peer() + ": " + reason);
                 link.close();
             }
             // also cancels a dial in progress, whose link number no longer matches
-            linkNumber = NO_LINK;
+            currentLinkId = NO_LINK;
             link = null;
         }
     }
--- a/src/test/java/holdproxy/fanout/ChangeLogTest.java
+++ b/src/test/java/holdproxy/fanout/ChangeLogTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void numbersFollowEachOtherInTheEpochThatItWasFoundedWith() {
+    void appendedChangesAreNumberedConsecutivelyWithinTheEpoch() {
         assertEquals(Reason.NOT_FOUNDED, reason(put(1, "a", "k", "v")));
         assertEquals(new Position(9, 0), log.found(9));
         assertEquals(new Position(9, 0), log.found(12));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void whatIsTooLargeOrInvalidChangesNothing() {
+    void tooLargeOrInvalidPublicationsAreRefusedWithoutEffect() {
         log.found(1);
         assertEquals(Reason.TOO_LARGE, reason(put(1, "a", "k", "v".repeat(101))));
         assertEquals(Reason.INVALID, reason(put(1, "a", "k".repeat(17), "v")));
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aMachineThatRestoresItsSnapshotGoesOnAsTheOthers() {
+    void aRestoredLogBehavesLikeTheOriginal() {
         log.found(4);
         for (int i = 1; i <= 4; i++) {
             put(7, "id-" + i, "key-" + i, "v" + i);
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void anOperationOfALaterVersionIsRefusedTheSameWayEverywhere() {
+    void unknownOperationsAreRefused() {
         log.found(1);
         for (Object unknown :
                 Arrays.asList(List.of("rename", 1), List.of(), "x", List.of("append", 1), null)) {
--- a/src/test/java/holdproxy/fanout/MessageCodecTest.java
+++ b/src/test/java/holdproxy/fanout/MessageCodecTest.java
@@ -57,7 +57,7 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void aMessageComesBackAsItWas(Message message) {
+    void encodingAndDecodingRoundTrips(Message message) {
         assertEquals(message, CODEC.decode(CODEC.encode(message)));
     }
 
@@ -123,16 +123,16 @@
 
     @ParameterizedTest
     @MethodSource("badFrames")
-    void aBadFrameIsNamed(byte[] frame, Kind kind, String named) {
+    void aBadFrameIsRejectedWithKindAndReason(byte[] frame, Kind kind, String expectedText) {
         ProtocolException failure =
                 assertThrows(ProtocolException.class, () -> CODEC.decode(frame));
         assertEquals(kind, failure.kind(), failure.getMessage());
-        assertTrue(failure.getMessage().contains(named), failure.getMessage());
+        assertTrue(failure.getMessage().contains(expectedText), failure.getMessage());
     }
 
     /** Any byte sequence decodes to a message or fails with a {@link ProtocolException}. */
     @Test
-    void aDamagedFrameNeverFailsOtherwise() {
+    void damagedFramesFailOnlyWithProtocolExceptions() {
         for (Message message : messages()) {
             byte[] whole = CODEC.encode(message);
             List<byte[]> damaged = new ArrayList<>();
--- a/src/test/java/holdproxy/fanout/RelayTest.java
+++ b/src/test/java/holdproxy/fanout/RelayTest.java
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void whoIsUpToDateGetsEachChangeAtOnceAndTheNextAfterItsAcknowledgement() {
+    void anUpToDateSubscriberGetsAChangeAtOnceAndTheNextAfterAcknowledging() {
         log.found(5);
         subscribe(0, 1, at(0));
         publish(10, 10);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aReaderThatTakesNothingDelaysNobodyAndIsDropped() {
+    void aSubscriberThatNeverAcknowledgesDelaysNoOtherAndIsDropped() {
         log.found(5);
         subscribe(0, 1, at(0));
         subscribe(0, 2, at(0));
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void whoSubscribesAgainAndAgainGetsNoMoreThanOneRepetition() {
+    void repeatedSubscribesWithoutAcknowledgementResendOnlyOnce() {
         log.found(5);
         subscribe(0, 1, at(0));
         publish(10, 1_000);
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void theOwnStallIsNotHeldAgainstSubscribers() {
+    void aStallOfTheRelayDoesNotDropSubscribers() {
         log.found(5);
         subscribe(0, 1, at(0));
         publish(10, 10);
@@ -162,20 +162,20 @@
     }
 
     @Test
-    void aFarGapOrAnOlderEpochGetsASnapshotInPartsAndThenTheChanges() {
+    void aLargeGapOrAnOlderEpochGetsASnapshotInPartsAndThenTheChanges() {
         log.found(5);
         for (int i = 0; i < 20; i++) {
             publish(0, 9_000);
         }
         subscribe(0, 1, new Position(4, 1_000));
-        List<Position> rounds = new ArrayList<>();
+        List<Position> partPositions = new ArrayList<>();
         TreeMap<String, Value> state = new TreeMap<>();
         for (long now = 0; now < 20 * SECOND; now += 100_000) {
             relay.tick(now);
             for (Message message : List.copyOf(sent.getOrDefault(1L, List.of()))) {
                 if (message instanceof SnapshotPart part) {
                     state.putAll(part.entries());
-                    rounds.add(part.position());
+                    partPositions.add(part.position());
                     boolean whole = part.index() == part.parts() - 1;
                     Position received = whole ? part.position() : Position.NONE;
                     relay.receive(
@@ -193,14 +193,14 @@
                 publish(now, 10);
             }
         }
-        assertEquals(3, rounds.size());
+        assertEquals(3, partPositions.size());
         assertEquals(20, state.size());
         assertEquals(0, relay.status(0).catchingUp());
         assertEquals(1, relay.status(0).batches());
     }
 
     @Test
-    void catchingUpIsPacedAndThoseWhoNeedChangesAloneGoFirst() {
+    void catchUpIsRateLimitedAndServesChangesBeforeSnapshots() {
         log.found(5);
         for (int i = 0; i < 6; i++) {
             publish(0, 60_000);
@@ -220,7 +220,7 @@
     }
 
     @Test
-    void aSourceThatCatchesUpDoesNotFloodThoseThatWereUpToDate() {
+    void aLargeStepOfTheSourceIsSentAtTheCatchUpRate() {
         log.found(5);
         append("a state larger than the changes", 30_000);
         subscribe(0, 1, at(1));
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void whoLacksMoreThanTheWholeStateGetsTheState() {
+    void aSubscriberMissingMoreThanTheStateSizeGetsASnapshot() {
         log.found(5);
         for (int i = 0; i < 6; i++) {
             append("the same key", 30_000);
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void moreThanTheBoundAndHolderOfALaterEpochAreRefused() {
+    void excessAndNewerEpochSubscribersAreRefusedAndInvalidMessagesDropTheLink() {
         log.found(5);
         for (long link = 1; link <= 4; link++) {
             subscribe(0, link, at(0));
@@ -310,7 +310,7 @@
     }
 
     @Test
-    void aRelayThatEndsByPlanSendsItsSubscribersElsewhere() {
+    void shutDownRefusesAllSubscribers() {
         log.found(5);
         subscribe(0, 1, at(0));
         relay.shutDown(5);
--- a/src/test/java/holdproxy/fanout/SubscriberTest.java
+++ b/src/test/java/holdproxy/fanout/SubscriberTest.java
@@ -34,7 +34,7 @@
     private final List<String> dialled = new ArrayList<>();
     private final List<String> closed = new ArrayList<>();
     private final List<Position> offered = new ArrayList<>();
-    private final Set<String> unwanted = new HashSet<>();
+    private final Set<String> rejectedKeys = new HashSet<>();
     private final Subscriber subscriber =
             new Subscriber(
                     "proxy",
@@ -70,7 +70,7 @@
             long now, Position position, SortedMap<String, Value> state, List<Change> changes) {
         offered.add(position);
         return state.keySet().stream()
-                .filter(unwanted::contains)
+                .filter(rejectedKeys::contains)
                 .findFirst()
                 .map(key -> "no key " + key);
     }
@@ -114,7 +114,7 @@
     }
 
     /** Advances the clock, with this heartbeat every second unless it is null. */
-    private void pass(long us, Heartbeat heartbeat) {
+    private void advanceClock(long us, Heartbeat heartbeat) {
         long endUs = nowUs + us;
         while (nowUs < endUs) {
             long nextUs = Math.min(endUs, Math.min(subscriber.dueUs(), nowUs + SECOND));
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void aGapIsAskedAboutOnceAndNotApplied() {
+    void aGapTriggersOneSubscribeAndIsNotApplied() {
         nowUs = SECOND;
         receive(batch(at(11), 1));
         receive(batch(at(12), 1));
@@ -155,15 +155,15 @@
     }
 
     @Test
-    void whatDoesNotComeIsAskedForAgainMoreAndMoreSeldom() {
-        pass(20 * SECOND, new Heartbeat(at(12), 0));
-        long asked = sent.stream().filter(Subscribe.class::isInstance).count();
-        assertEquals(3, asked, "at heartbeats at least 1.5 s, then 3 s, then 6 s later");
+    void missingChangesAreRequestedAgainWithExponentialBackoff() {
+        advanceClock(20 * SECOND, new Heartbeat(at(12), 0));
+        long resubscriptions = sent.stream().filter(Subscribe.class::isInstance).count();
+        assertEquals(3, resubscriptions, "at heartbeats at least 1.5 s, then 3 s, then 6 s later");
         assertTrue(closed.isEmpty());
     }
 
     @Test
-    void aSnapshotCountsOnlyAsAWhole() {
+    void aSnapshotIsAppliedOnlyWhenComplete() {
         receive(new SnapshotPart(at(20), 0, 3, change(at(20), "x").puts()));
         receive(new SnapshotPart(at(20), 0, 3, change(at(20), "x").puts()));
         receive(new SnapshotPart(at(20), 2, 3, change(at(20), "z").puts()));
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void aHigherEpochIsTakenOverAndALowerOneLeavesTheRelay() {
+    void aHigherEpochIsAcceptedAndARelayOfferingALowerOneIsLeft() {
         snapshot(new Position(6, 1), "p", "q");
         assertEquals(new Position(6, 1), received());
         for (Message older :
@@ -190,7 +190,7 @@
             receive(older);
             assertEquals(1, closed.size());
             assertTrue(closed.get(0).contains("offers epoch 5, older than 6"), closed.get(0));
-            pass(SECOND, null);
+            advanceClock(SECOND, null);
             subscriber.connected(nowUs, link);
             receive(new Heartbeat(new Position(6, 1), 0));
         }
@@ -199,8 +199,8 @@
     }
 
     @Test
-    void whatIsRejectedStopsHereAndIsNamedAndThePositionGoesOn() {
-        unwanted.add("k11");
+    void aRejectedStateIsReportedAndThePositionAdvances() {
+        rejectedKeys.add("k11");
         receive(batch(at(10), 1));
         Acknowledge acknowledge = (Acknowledge) sent.get(0);
         assertEquals(at(11), acknowledge.received());
@@ -221,10 +221,10 @@
     }
 
     @Test
-    void aSilentRelayIsLeftForTheNextWithinTheTimeOutAndAShortPause() {
-        pass(2_400_000, null);
+    void aSilentRelayIsReplacedAfterTheTimeOutAndABackoff() {
+        advanceClock(2_400_000, null);
         assertEquals(List.of("r1"), dialled);
-        pass(400_000, null);
+        advanceClock(400_000, null);
         assertEquals(List.of("r1", "r2"), dialled);
         assertTrue(closed.get(0).contains("no message from r1 for 2500 ms"), closed.toString());
         subscriber.connected(nowUs, link);
@@ -232,31 +232,31 @@
     }
 
     @Test
-    void itReturnsToItsOwnSiteOnceThatMayBeBack() {
+    void itReturnsToARelayOfItsOwnSite() {
         subscriber.disconnected(nowUs, link, "reset");
-        pass(SECOND, null);
+        advanceClock(SECOND, null);
         subscriber.connected(nowUs, link);
         receive(new Heartbeat(at(10), 0));
-        pass(46 * SECOND, new Heartbeat(at(10), 0));
+        advanceClock(46 * SECOND, new Heartbeat(at(10), 0));
         assertEquals(List.of("r1", "r2", "r1"), dialled);
     }
 
     @Test
-    void aRefusalIsHeededAndTheNextRelayAsked() {
+    void aRefusingRelayIsAvoidedAndTheNextOneDialled() {
         receive(new Refuse(Refuse.Reason.SHUTTING_DOWN, "shutting down", 60 * SECOND));
-        pass(300_000, null);
+        advanceClock(300_000, null);
         assertEquals(List.of("r1", "r2"), dialled);
         subscriber.disconnected(nowUs, link, "reset");
-        pass(SECOND, null);
+        advanceClock(SECOND, null);
         assertEquals(List.of("r1", "r2", "r2"), dialled);
     }
 
     @Test
     void aRelayThatIsCutOffFromItsSourceIsLeft() {
-        pass(3 * SECOND, new Heartbeat(at(10), 0));
+        advanceClock(3 * SECOND, new Heartbeat(at(10), 0));
         assertEquals(0, subscriber.ageUs(nowUs));
         for (int i = 1; i <= 5; i++) {
-            pass(SECOND, new Heartbeat(at(10), i * SECOND));
+            advanceClock(SECOND, new Heartbeat(at(10), i * SECOND));
         }
         assertTrue(closed.get(0).contains("r1 has had no current data"), closed.toString());
         assertTrue(subscriber.ageUs(nowUs) >= 4 * SECOND);
@@ -266,26 +266,26 @@
     void withoutAnotherCandidateAStaleRelayIsKept() {
         subscriber.candidates(0, RELAYS.subList(0, 1));
         for (int i = 1; i <= 30; i++) {
-            pass(SECOND, new Heartbeat(at(10), i * SECOND));
+            advanceClock(SECOND, new Heartbeat(at(10), i * SECOND));
         }
         assertTrue(closed.isEmpty(), closed.toString());
         assertEquals(30 * SECOND, subscriber.ageUs(nowUs));
     }
 
     @Test
-    void afterAStallNeitherTheRelayIsBlamedNorOldMessagesTakenForFresh() {
-        pass(3 * SECOND, new Heartbeat(at(10), 0));
+    void afterAStallTheRelayIsKeptAndQueuedHeartbeatsDoNotCountAsFresh() {
+        advanceClock(3 * SECOND, new Heartbeat(at(10), 0));
         nowUs += 10 * SECOND;
         receive(new Heartbeat(at(10), 0));
         subscriber.tick(nowUs);
         assertEquals(10 * SECOND, subscriber.ageUs(nowUs));
-        pass(SECOND, new Heartbeat(at(10), 0));
+        advanceClock(SECOND, new Heartbeat(at(10), 0));
         assertEquals(0, subscriber.ageUs(nowUs));
         assertTrue(closed.isEmpty(), closed.toString());
     }
 
     @Test
-    void anEmptyRelayDoesNotMakeWhatIsHeldFresh() {
+    void aHeartbeatOfAnEmptyRelayDoesNotRefreshTheAge() {
         long agedUs = subscriber.ageUs(nowUs + SECOND);
         nowUs = SECOND;
         receive(new Heartbeat(Position.NONE, 0));
@@ -294,7 +294,7 @@
     }
 
     @Test
-    void aLostRelaysSubscribersSpreadOverTheOthers() {
+    void theSubscribersOfAFailedRelaySpreadOverTheOthers() {
         List<RelayCandidate> relays = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             relays.add(new RelayCandidate("relay-" + i, "", "site-" + i));
--- a/src/test/java/holdproxy/fanout/transport/TransportTest.java
+++ b/src/test/java/holdproxy/fanout/transport/TransportTest.java
@@ -47,14 +47,14 @@
 
 /** Relays and subscribers over real sockets, including invalid input and slow peers. */
 class TransportTest {
-    private static final long END_S = 60;
+    private static final long TIMEOUT_S = 60;
     private static final FanoutSettings SETTINGS = FanoutSettings.DEFAULTS;
 
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> logLines = new LinkedBlockingQueue<>();
     private final ChangeLog log = new ChangeLog(SETTINGS.limits());
-    private final TransportCounters served = new TransportCounters();
+    private final TransportCounters serverCounters = new TransportCounters();
     private final MessageCodec codec = new MessageCodec(SETTINGS.limits());
 
     @AfterEach
@@ -71,7 +71,7 @@
                         new InetSocketAddress(
                                 InetAddress.getLoopbackAddress(), Integer.parseInt(text)),
                 counters,
-                lines::add);
+                logLines::add);
     }
 
     private RelayServer server(FanoutSettings settings) throws Exception {
@@ -79,7 +79,7 @@
                         () -> {
                             log.found(1);
                             return new RelayServer(
-                                    context(settings, served),
+                                    context(settings, serverCounters),
                                     new Relay.Source() {
                                         @Override
                                         public Replica replica() {
@@ -166,35 +166,38 @@
             clients.add(client("proxy-" + i, new TransportCounters(), port));
         }
         Position last = publish(server, 2, 100);
-        await(END_S, () -> loop.submit(() -> server.relay().report().inForceAt(last)).get() == 20);
+        await(
+                TIMEOUT_S,
+                () -> loop.submit(() -> server.relay().report().inForceAt(last)).get() == 20);
         for (SubscriberClient client : clients) {
             assertEquals(last, held(client));
         }
         loop.submit(() -> clients.forEach(SubscriberClient::close)).get();
-        await(END_S, () -> served.snapshot().connectionsOpen() == 0);
-        assertEquals(20, served.snapshot().connectionsOpened());
+        await(TIMEOUT_S, () -> serverCounters.snapshot().connectionsOpen() == 0);
+        assertEquals(20, serverCounters.snapshot().connectionsOpened());
     }
 
     @Test
-    void aRelayThatCannotBeReachedIsPassedOverAndOneThatEndsIsLeft() throws Exception {
-        int nobody;
+    void anUnreachableRelayIsSkippedAndAClosedOneIsLeft() throws Exception {
+        int unusedPort;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = free.getLocalPort();
+            unusedPort = free.getLocalPort();
         }
         RelayServer first = server(SETTINGS);
         RelayServer second = server(SETTINGS);
         TransportCounters counters = new TransportCounters();
-        SubscriberClient client = client("proxy", counters, nobody, listen(first), listen(second));
+        SubscriberClient client =
+                client("proxy", counters, unusedPort, listen(first), listen(second));
         Position one = publish(first, 1, 10);
-        await(END_S, () -> held(client).equals(one));
+        await(TIMEOUT_S, () -> held(client).equals(one));
         assertTrue(counters.snapshot().dialsFailed() > 0);
         loop.submit(first::close).get();
         Position two = publish(second, 2, 10);
-        await(END_S, () -> held(client).equals(two));
+        await(TIMEOUT_S, () -> held(client).equals(two));
     }
 
     @Test
-    void whatIsNoMessageEndsItsLinkAloneWithALineThatNamesIt() throws Exception {
+    void invalidInputClosesOnlyItsOwnLinkAndLogsTheReason() throws Exception {
         RelayServer server = server(SETTINGS);
         int port = listen(server);
         byte[] foreign = codec.encode(new Message.Subscribe("proxy", Position.NONE));
@@ -208,7 +211,7 @@
             frame(new Message.Heartbeat(Position.NONE, 0)),
             frame(new Message.Acknowledge(Position.NONE, Position.NONE, 0, CoverageReport.EMPTY)),
         };
-        String[] named = {
+        String[] expectedKinds = {
             "MALFORMED",
             "MALFORMED",
             "FOREIGN_VERSION",
@@ -220,21 +223,22 @@
         for (int i = 0; i < bad.length; i++) {
             try (Socket socket = dial(port)) {
                 socket.getOutputStream().write(bad[i]);
-                assertEquals(-1, socket.getInputStream().read(), named[i]);
-                String line = lines.poll(END_S, TimeUnit.SECONDS);
-                assertNotNull(line, named[i]);
+                assertEquals(-1, socket.getInputStream().read(), expectedKinds[i]);
+                String line = logLines.poll(TIMEOUT_S, TimeUnit.SECONDS);
+                assertNotNull(line, expectedKinds[i]);
                 assertTrue(
-                        line.contains(named[i]) && line.contains(":" + socket.getLocalPort()),
+                        line.contains(expectedKinds[i])
+                                && line.contains(":" + socket.getLocalPort()),
                         line);
             }
         }
         SubscriberClient client = client("proxy", new TransportCounters(), port);
         Position last = publish(server, 1, 10);
-        await(END_S, () -> held(client).equals(last));
+        await(TIMEOUT_S, () -> held(client).equals(last));
     }
 
     @Test
-    void aSubscriberThatAcknowledgesNothingHasItsCreditAndDelaysNobody() throws Exception {
+    void aSlowSubscriberGetsOnlyItsCreditAndDelaysNoOther() throws Exception {
         RelayServer server = server(SETTINGS);
         int port = listen(server);
         try (Socket slow = dial(port)) {
@@ -247,9 +251,10 @@
             for (int i = 0; i < 100; i++) {
                 last = publish(server, i, SETTINGS.limits().changeBytes() / 2);
                 Position newest = last;
-                await(END_S, () -> held(quick).equals(newest));
+                await(TIMEOUT_S, () -> held(quick).equals(newest));
             }
-            long toSlow = served.snapshot().bytesSent() - counters.snapshot().bytesReceived();
+            long toSlow =
+                    serverCounters.snapshot().bytesSent() - counters.snapshot().bytesReceived();
             assertTrue(
                     toSlow < 2L * SETTINGS.relay().creditBytes(),
                     toSlow + " bytes were sent to the slow subscriber");
@@ -257,7 +262,7 @@
     }
 
     @Test
-    void nothingIsWrittenToAChannelThatTakesNothing() throws Exception {
+    void nothingIsWrittenToAnUnwritableChannel() throws Exception {
         try (ServerSocket neverRead = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             TransportCounters counters = new TransportCounters();
             TransportContext context = context(SETTINGS, counters);
@@ -299,7 +304,7 @@
             assertEquals(1_000, counters.snapshot().messagesDropped());
             loop.submit(link::close).get();
             assertTrue(
-                    channel.closeFuture().await(END_S, TimeUnit.SECONDS),
+                    channel.closeFuture().await(TIMEOUT_S, TimeUnit.SECONDS),
                     "closed although the peer does not read");
         }
     }
@@ -314,11 +319,11 @@
             for (int i = 0; i < 1 + RelayServer.SPARE_CONNECTIONS; i++) {
                 open.add(dial(port));
             }
-            await(END_S, () -> served.snapshot().connectionsOpen() == open.size());
+            await(TIMEOUT_S, () -> serverCounters.snapshot().connectionsOpen() == open.size());
             try (Socket oneTooMany = dial(port)) {
                 assertEquals(-1, oneTooMany.getInputStream().read());
             }
-            assertEquals(1, served.snapshot().connectionsRefused());
+            assertEquals(1, serverCounters.snapshot().connectionsRefused());
             // the first subscriber is accepted; the second is refused because the relay is full
             assertEquals(0, subscribe(open.get(0), "first"));
             assertEquals(1, subscribe(open.get(1), "second"));
@@ -344,7 +349,7 @@
     }
 
     @Test
-    void aFloodOfLinesIsHeldBackAndCounted() {
+    void excessLogLinesAreSuppressedAndCounted() {
         long[] nowUs = {5};
         List<String> out = new ArrayList<>();
         LineLimiter limiter = new LineLimiter(out::add, () -> nowUs[0]);
