--- a/src/main/java/holdproxy/fanout/CandidateList.java
+++ b/src/main/java/holdproxy/fanout/CandidateList.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Relays in the order of preference, and which of them are avoided for a while since they failed. */
+/** Relay candidates in order of preference; candidates that failed are avoided for a while. */
 final class CandidateList {
-    private static final int MOST_DOUBLINGS = 30;
+    private static final int MAX_DOUBLINGS = 30;
 
     private static final class Entry {
         final RelayCandidate candidate;
@@ -18,22 +18,22 @@
     }
 
     private final long avoidUs;
-    private final long avoidMostUs;
+    private final long avoidMaxUs;
     private List<Entry> entries = List.of();
 
     CandidateList(FanoutSettings.SubscriberSettings settings) {
         avoidUs = settings.avoidUs();
-        avoidMostUs = settings.avoidMostUs();
+        avoidMaxUs = settings.avoidMaxUs();
     }
 
-    /** What is known of those that stay is kept. */
+    /** Replaces the candidates; those that remain keep their failure history. */
     void replace(List<RelayCandidate> candidates) {
-        List<Entry> fresh = new ArrayList<>();
+        List<Entry> updated = new ArrayList<>();
         for (RelayCandidate candidate : candidates) {
-            Entry before = find(candidate);
-            fresh.add(before != null ? before : new Entry(candidate));
+            Entry existing = find(candidate);
+            updated.add(existing != null ? existing : new Entry(candidate));
         }
-        entries = fresh;
+        entries = updated;
     }
 
     boolean contains(RelayCandidate candidate) {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * The first that is not avoided, else the one that is avoided for the shortest time; null:
-     * there is none.
+     * Returns the first candidate that is not avoided, otherwise the one whose avoidance ends first;
+     * null if there are no candidates.
      */
     RelayCandidate choose(long nowUs) {
         Entry soonest = null;
@@ -57,15 +57,16 @@
         return soonest == null ? null : soonest.candidate;
     }
 
-    /** Whether another one is not avoided. */
-    boolean hasOther(RelayCandidate than, long nowUs) {
-        return entries.stream().anyMatch(e -> !e.candidate.equals(than) && e.avoidUntilUs <= nowUs);
+    /** Whether any other candidate is not avoided. */
+    boolean hasOtherAvailable(RelayCandidate candidate, long nowUs) {
+        return entries.stream()
+                .anyMatch(e -> !e.candidate.equals(candidate) && e.avoidUntilUs <= nowUs);
     }
 
-    /** Whether one before this is not avoided. */
-    boolean hasBetter(RelayCandidate than, long nowUs) {
+    /** Whether a more preferred candidate is not avoided. */
+    boolean hasPreferredAvailable(RelayCandidate candidate, long nowUs) {
         for (Entry entry : entries) {
-            if (entry.candidate.equals(than)) {
+            if (entry.candidate.equals(candidate)) {
                 return false;
             }
             if (entry.avoidUntilUs <= nowUs) {
@@ -75,12 +76,12 @@
         return false;
     }
 
-    /** It is avoided, for longer with each failure in a row. */
-    void failed(RelayCandidate candidate, long nowUs) {
+    /** Avoids the candidate, for longer with each consecutive failure. */
+    void recordFailure(RelayCandidate candidate, long nowUs) {
         Entry entry = find(candidate);
         if (entry != null) {
-            int doublings = Math.min(MOST_DOUBLINGS, entry.failures++);
-            avoid(candidate, nowUs + Math.min(avoidMostUs, avoidUs << doublings));
+            int doublings = Math.min(MAX_DOUBLINGS, entry.failures++);
+            avoid(candidate, nowUs + Math.min(avoidMaxUs, avoidUs << doublings));
         }
     }
 
@@ -91,8 +92,8 @@
         }
     }
 
-    /** It has served for a while. */
-    void proved(RelayCandidate candidate) {
+    /** The candidate has served for long enough: forgets its failures. */
+    void recordSuccess(RelayCandidate candidate) {
         Entry entry = find(candidate);
         if (entry != null) {
             entry.failures = 0;
--- a/src/main/java/holdproxy/fanout/ChangeLog.java
+++ b/src/main/java/holdproxy/fanout/ChangeLog.java
@@ -11,8 +11,9 @@
 import java.util.TreeMap;
 
 /**
- * The history of changes as each control machine's replicated state machine holds it: deterministic, and it
- * reads no clock. {@link ChangeLogOperations} has its operations as plain values for the agreed log.
+ * The history of changes, a state machine that is replicated on every control machine: deterministic and
+ * independent of any clock. {@link ChangeLogOperations} encodes its operations as plain values for the
+ * consensus log.
  */
 public final class ChangeLog {
     private final FanoutSettings.Limits limits;
@@ -24,44 +25,44 @@
 
     private long highestToken;
 
-    /** An empty log that refuses what exceeds these limits. */
+    /** Creates an empty log that refuses publications exceeding these limits. */
     public ChangeLog(FanoutSettings.Limits limits) {
         this(limits, Safeguard.all());
     }
 
-    /** A log without some of its rules, for the simulation. */
+    /** Creates an empty log with only some of the safeguards, for the simulation. */
     public ChangeLog(FanoutSettings.Limits limits, Set<Safeguard> safeguards) {
         this.limits = limits;
         this.safeguards = Set.copyOf(safeguards);
         replica = new Replica(limits);
     }
 
-    /** What a relay of this machine serves; changes with the log. */
+    /** The replica that a relay on this machine serves; changes with the log. */
     public Replica replica() {
         return replica;
     }
 
-    /** {@link Position#NONE} as long as it is not founded. */
+    /** {@link Position#NONE} until the log has been given an epoch. */
     public Position position() {
         return replica.position();
     }
 
     /**
-     * The highest fencing token of a publication that was appended, or of a grant that the log was told of.
+     * The highest fencing token of any appended publication or of any lease reported to {@link #fence}.
      */
     public long highestToken() {
         return highestToken;
     }
 
     /**
-     * Gives an empty log its identity. One that has an epoch keeps it. Who founds a log anew takes an epoch
-     * above all earlier ones, the wall clock's seconds for example.
+     * Gives an empty log its epoch; a log that has one keeps it. The epoch of a re-created log must be
+     * higher than all earlier ones, for example the wall clock in seconds.
      *
-     * @return the position now
+     * @return the position afterwards
      */
     public Position found(long epoch) {
         if (epoch < 1) {
-            throw new IllegalArgumentException("an epoch is at least 1: " + epoch);
+            throw new IllegalArgumentException("an epoch must be at least 1: " + epoch);
         }
         if (position().equals(Position.NONE)) {
             replica.reset(new Position(epoch, 0), new TreeMap<>());
@@ -70,40 +71,44 @@
     }
 
     /**
-     * The publisher's lease has been granted under this token: from now on publications under lower ones are
-     * refused.
+     * The publisher's lease has been granted with this token: from now on publications with lower tokens
+     * are refused.
      */
     public void fence(long token) {
         highestToken = Math.max(highestToken, token);
     }
 
-    /** Appends a change, or says why not. */
+    /** Appends a publication, or returns why it is refused. */
     public AppendResult append(Publication publication) {
-        Position before = publications.get(publication.id());
-        if (before != null) {
-            return new Appended(before, true);
+        Position existing = publications.get(publication.id());
+        if (existing != null) {
+            return new Appended(existing, true);
         }
-        Refused refused = refusal(publication);
+        Refused refused = validate(publication);
         if (refused != null) {
             return refused;
         }
         highestToken = Math.max(highestToken, publication.token());
         Change change = new Change(position().next(), publication.puts(), publication.deletes());
         replica.apply(change);
-        remember(publication.id(), change.position());
+        rememberPublication(publication.id(), change.position());
         return new Appended(change.position(), false);
     }
 
-    /** Null where nothing is wrong. */
-    private Refused refusal(Publication publication) {
+    /** Returns null if the publication is valid. */
+    private Refused validate(Publication publication) {
         if (position().equals(Position.NONE)) {
-            return new Refused(Reason.NOT_FOUNDED, "the log has no epoch");
+            return new Refused(Reason.NOT_FOUNDED, "the log has not been given an epoch");
         }
         if (publication.token() < highestToken
                 && safeguards.contains(Safeguard.FENCING_TOKEN_CHECK)) {
             return new Refused(
                     Reason.STALE_TOKEN,
-                    "token " + publication.token() + " is below " + highestToken + ", seen before");
+                    "fencing token "
+                            + publication.token()
+                            + " is below "
+                            + highestToken
+                            + ", the highest seen");
         }
         Refused refused = PublicationCheck.check(publication, limits);
         if (refused == null
@@ -119,7 +124,7 @@
         return refused;
     }
 
-    private void remember(String id, Position position) {
+    private void rememberPublication(String id, Position position) {
         publications.put(id, position);
         if (publications.size() > limits.publications()) {
             publications.remove(publications.keySet().iterator().next());
@@ -128,7 +133,7 @@
 
     // ---- snapshots of the replicated state machine ----
 
-    /** Becomes empty and has no epoch. */
+    /** Removes everything, including the epoch. */
     public void clear() {
         replica.reset(Position.NONE, new TreeMap<>());
         publications.clear();
@@ -136,19 +141,19 @@
     }
 
     /**
-     * All of it as plain values (texts, whole numbers, byte arrays, lists), in parts of at most this many
-     * bytes or one entry, change or identifier each.
+     * Returns the log as plain values (strings, integers, byte arrays, lists), in parts of at most this
+     * many bytes, or with a single entry, change or identifier if that is larger.
      */
     public List<Object> snapshot(int partBytes) {
-        PlainParts parts = new PlainParts(partBytes);
-        // a reader of the first part knows where the state of the window's beginning stands
+        LogSnapshotBuilder parts = new LogSnapshotBuilder(partBytes);
+        // the position comes first so that a reader of the first part knows it
         parts.add("head", 0, List.of(position().epoch(), position().number(), highestToken));
         for (Map.Entry<String, Value> entry : replica.entries().entrySet()) {
             int size = SizeEstimate.ofEntry(entry.getKey(), entry.getValue());
             parts.add("entry", size, List.of(entry.getKey(), entry.getValue().bytes()));
         }
         for (Change change : replica.window().all()) {
-            parts.add("change", change.sizeBytes(), PlainForm.plain(change));
+            parts.add("change", change.sizeBytes(), PlainValues.toPlain(change));
         }
         publications.forEach(
                 (id, position) ->
@@ -156,34 +161,36 @@
                                 "publication",
                                 SizeEstimate.ofKey(id),
                                 List.of(id, position.epoch(), position.number())));
-        return parts.done();
+        return parts.build();
     }
 
-    /** Becomes what these parts say. */
+    /** Replaces the log by the contents of these snapshot parts. */
     public void restore(List<Object> parts) {
         clear();
         TreeMap<String, Value> entries = new TreeMap<>();
         List<Change> window = new ArrayList<>();
         Position position = Position.NONE;
         for (Object each : parts) {
-            for (Object item : PlainForm.list(each)) {
-                List<?> fields = PlainForm.list(item);
-                switch (PlainForm.text(fields.get(0))) {
+            for (Object item : PlainValues.list(each)) {
+                List<?> fields = PlainValues.list(item);
+                switch (PlainValues.text(fields.get(0))) {
                     case "head" -> {
-                        position = PlainForm.position(fields, 1);
-                        highestToken = PlainForm.number(fields.get(3));
+                        position = PlainValues.position(fields, 1);
+                        highestToken = PlainValues.number(fields.get(3));
                     }
                     case "entry" ->
                             entries.put(
-                                    PlainForm.text(fields.get(1)), PlainForm.value(fields.get(2)));
-                    case "change" -> window.add(PlainForm.change(fields, 1));
+                                    PlainValues.text(fields.get(1)),
+                                    PlainValues.value(fields.get(2)));
+                    case "change" -> window.add(PlainValues.change(fields, 1));
                     case "publication" ->
                             publications.put(
-                                    PlainForm.text(fields.get(1)), PlainForm.position(fields, 2));
+                                    PlainValues.text(fields.get(1)),
+                                    PlainValues.position(fields, 2));
                     default ->
                             throw new ProtocolException(
                                     ProtocolException.Kind.MALFORMED,
-                                    "a log's snapshot has an item " + fields.get(0));
+                                    "unknown item in a log snapshot: " + fields.get(0));
                 }
             }
         }
--- a/src/main/java/holdproxy/fanout/CoverageReport.java
+++ b/src/main/java/holdproxy/fanout/CoverageReport.java
@@ -8,20 +8,20 @@
 import java.util.TreeMap;
 
 /**
- * What a number of proxies have in force: of one proxy, or of all below a relay. Both lists are bounded; what
- * does not fit of {@code inForce} is counted under the oldest position that is kept, so that a count is never
- * too high.
+ * Which positions a proxy, or all proxies below a relay, have in force. Both lists are bounded; the proxies
+ * whose positions do not fit into {@code inForce} are counted at the oldest of these positions, so that
+ * {@link #inForceAt} never counts too many.
  *
- * @param proxies how many it is about
- * @param inForce how many proxies have which position in force, newest first
- * @param rejecting how many proxies reject the state that they received last
- * @param rejections the first of them by name
+ * @param proxies number of proxies covered
+ * @param inForce number of proxies that have each position in force, newest first
+ * @param rejecting number of proxies that reject the state received last
+ * @param rejections the first of these by name
  */
 public record CoverageReport(
         long proxies, List<PositionCount> inForce, long rejecting, List<Rejection> rejections) {
     public static final CoverageReport EMPTY = new CoverageReport(0, List.of(), 0, List.of());
 
-    /** So many proxies have this position in force. */
+    /** The number of proxies that have this position in force. */
     public record PositionCount(Position position, long proxies) {}
 
     public CoverageReport {
@@ -29,7 +29,7 @@
         rejections = List.copyOf(rejections);
     }
 
-    /** Of one proxy; {@code rejection}: null where it has accepted what it received last. */
+    /** The report of one proxy; {@code rejection} is null if it accepted the state received last. */
     public static CoverageReport ofProxy(Position inForce, Rejection rejection) {
         return new CoverageReport(
                 1,
@@ -38,7 +38,7 @@
                 rejection == null ? List.of() : List.of(rejection));
     }
 
-    /** All of them together, within the limits. */
+    /** Merges the reports into one within the limits. */
     public static CoverageReport merge(
             Collection<CoverageReport> reports, FanoutSettings.Limits limits) {
         long proxies = 0;
@@ -58,34 +58,34 @@
             rejections = rejections.subList(0, limits.reportedRejections());
         }
         return new CoverageReport(
-                proxies, bounded(counts, limits.reportedPositions()), rejecting, rejections);
+                proxies, mergeOldest(counts, limits.reportedPositions()), rejecting, rejections);
     }
 
-    /** {@code counts} newest first; the oldest ones become one, at the oldest position of them. */
-    private static List<PositionCount> bounded(TreeMap<Position, Long> counts, int most) {
+    /** Merges the oldest of {@code counts} (newest first) into one, at the oldest position. */
+    private static List<PositionCount> mergeOldest(TreeMap<Position, Long> counts, int max) {
         List<PositionCount> bounded = new ArrayList<>();
-        long rest = 0;
+        long remainder = 0;
         for (Map.Entry<Position, Long> entry : counts.entrySet()) {
-            if (bounded.size() < most - 1 || counts.size() <= most) {
+            if (bounded.size() < max - 1 || counts.size() <= max) {
                 bounded.add(new PositionCount(entry.getKey(), entry.getValue()));
             } else {
-                rest += entry.getValue();
+                remainder += entry.getValue();
             }
         }
-        if (rest > 0) {
-            bounded.add(new PositionCount(counts.lastKey(), rest));
+        if (remainder > 0) {
+            bounded.add(new PositionCount(counts.lastKey(), remainder));
         }
         return bounded;
     }
 
     /** How many proxies have this position or a later one in force. */
     public long inForceAt(Position position) {
-        long proxiesThere = 0;
+        long total = 0;
         for (PositionCount count : inForce) {
             if (!position.isAfter(count.position)) {
-                proxiesThere += count.proxies;
+                total += count.proxies;
             }
         }
-        return proxiesThere;
+        return total;
     }
 }
--- a/src/main/java/holdproxy/fanout/PlainParts.java
+++ b/src/main/java/holdproxy/fanout/LogSnapshotBuilder.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Items of a snapshot as plain lists, each beginning with its kind, gathered into parts of bounded size. */
-final class PlainParts {
+/** Collects snapshot items, each a list that begins with its kind, into parts of bounded size. */
+final class LogSnapshotBuilder {
     private static final int ITEM_OVERHEAD = 32;
 
     private final int partBytes;
@@ -12,7 +12,7 @@
     private List<Object> part = new ArrayList<>();
     private long size;
 
-    PlainParts(int partBytes) {
+    LogSnapshotBuilder(int partBytes) {
         this.partBytes = partBytes;
     }
 
@@ -30,7 +30,7 @@
         size += itemBytes;
     }
 
-    List<Object> done() {
+    List<Object> build() {
         parts.add(part);
         return parts;
     }
--- a/src/main/java/holdproxy/fanout/MessageCodec.java
+++ b/src/main/java/holdproxy/fanout/MessageCodec.java
@@ -20,12 +20,12 @@
 import java.util.TreeSet;
 
 /**
- * Messages as CBOR: a list of the protocol's version, the kind's number and its fields in their
- * order. A version reads exactly its own fields: what it does not know could be part of a change,
- * and must not get lost unseen.
+ * Encodes messages as CBOR: a list of the protocol version, the number of the message kind and the
+ * message's fields in a fixed order. Unknown fields are rejected rather than skipped: they could be
+ * part of a change, which must not be lost silently.
  */
 public final class MessageCodec {
-    /** Of the protocol; grows with every change to a message. */
+    /** Protocol version; incremented with every change to a message. */
     public static final int VERSION = 1;
 
     private static final int SUBSCRIBE = 1;
@@ -40,64 +40,69 @@
 
     private final FanoutSettings.Limits limits;
 
-    /** A codec that refuses what exceeds these limits. */
+    /** Creates a codec that rejects frames and fields exceeding these limits. */
     public MessageCodec(FanoutSettings.Limits limits) {
         this.limits = limits;
     }
 
-    /** One frame's content. */
+    /** Returns the content of one frame. */
     public byte[] encode(Message message) {
         try {
-            return CBOR.asBytes(plain(message));
+            return CBOR.asBytes(toPlain(message));
         } catch (IOException e) {
-            throw new UncheckedIOException("a message cannot be written", e);
+            throw new UncheckedIOException("cannot encode a message", e);
         }
     }
 
-    /** What a frame's content says, or a {@link ProtocolException} that names what is wrong. */
+    /**
+     * Decodes the content of one frame.
+     *
+     * @throws ProtocolException if the frame breaks the protocol; its message says how
+     */
     public Message decode(byte[] bytes) {
         if (bytes.length > limits.frameBytes()) {
             throw new ProtocolException(
                     Kind.TOO_LARGE,
-                    "a frame of " + bytes.length + " bytes, more than " + limits.frameBytes());
+                    "a frame of " + bytes.length + " bytes, the limit is " + limits.frameBytes());
         }
         List<?> fields = parse(bytes);
         if (fields.size() < 2) {
-            throw PlainForm.malformed("a message of " + fields.size() + " parts");
+            throw PlainValues.malformed("a message of " + fields.size() + " fields");
         }
-        long version = PlainForm.number(fields.get(0));
+        long version = PlainValues.number(fields.get(0));
         if (version != VERSION) {
             throw new ProtocolException(
                     Kind.FOREIGN_VERSION,
-                    "protocol version " + version + ", this process has " + VERSION);
+                    "protocol version " + version + ", this process supports " + VERSION);
         }
         try {
             return message(
-                    PlainForm.number(fields.get(1)),
+                    PlainValues.number(fields.get(1)),
                     new FieldReader(fields.subList(2, fields.size()), limits));
         } catch (IllegalArgumentException e) {
-            throw PlainForm.malformed(e.getMessage());
+            throw PlainValues.malformed(e.getMessage());
         }
     }
 
     private static List<?> parse(byte[] bytes) {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             if (parser.nextToken() != JsonToken.START_ARRAY) {
-                throw PlainForm.malformed("a frame does not begin with a list");
+                throw PlainValues.malformed("a frame does not begin with a list");
             }
             List<?> fields = CBOR.listFrom(parser);
             if (parser.nextToken() != null) {
-                throw PlainForm.malformed("a frame goes on after its message");
+                throw PlainValues.malformed("a frame has further bytes after its message");
             }
             return fields;
         } catch (IOException e) {
-            throw PlainForm.malformed("a frame is no CBOR list: " + e.getClass().getSimpleName());
+            throw PlainValues.malformed(
+                    "a frame is not a CBOR list: " + e.getClass().getSimpleName());
         }
     }
 
     // ---- encoding ----
 
-    private static List<Object> plain(Message message) {
+    private static List<Object> toPlain(Message message) {
         List<Object> plain = new ArrayList<>();
         plain.add(VERSION);
         if (message instanceof Subscribe subscribe) {
@@ -107,19 +112,19 @@
         } else if (message instanceof Batch batch) {
             plain.add(BATCH);
             add(plain, batch.predecessor());
-            plain.add(plainChanges(batch));
+            plain.add(toPlainChanges(batch));
         } else if (message instanceof SnapshotPart part) {
             plain.add(SNAPSHOT_PART);
             add(plain, part.position());
             plain.add(part.index());
             plain.add(part.parts());
-            plain.add(PlainForm.plain(part.entries()));
+            plain.add(PlainValues.toPlain(part.entries()));
         } else if (message instanceof Acknowledge acknowledge) {
             plain.add(ACKNOWLEDGE);
             add(plain, acknowledge.received());
             add(plain, acknowledge.assembling());
             plain.add(acknowledge.parts());
-            plain.add(plain(acknowledge.report()));
+            plain.add(toPlain(acknowledge.report()));
         } else if (message instanceof Heartbeat heartbeat) {
             plain.add(HEARTBEAT);
             add(plain, heartbeat.newest());
@@ -138,16 +143,16 @@
         plain.add(position.number());
     }
 
-    /** Puts and deletes of each; the positions follow from the batch's predecessor. */
-    private static List<Object> plainChanges(Batch batch) {
+    /** Puts and deletes of each change; the positions follow from the batch's predecessor. */
+    private static List<Object> toPlainChanges(Batch batch) {
         List<Object> plain = new ArrayList<>();
         for (Change change : batch.changes()) {
-            plain.add(List.of(PlainForm.plain(change.puts()), List.copyOf(change.deletes())));
+            plain.add(List.of(PlainValues.toPlain(change.puts()), List.copyOf(change.deletes())));
         }
         return plain;
     }
 
-    private static List<Object> plain(CoverageReport report) {
+    private static List<Object> toPlain(CoverageReport report) {
         List<Object> inForce = new ArrayList<>();
         for (PositionCount count : report.inForce()) {
             add(inForce, count.position());
@@ -181,13 +186,13 @@
                                     fields.position(),
                                     fields.count(),
                                     report(fields.nested()));
-                    case HEARTBEAT -> new Heartbeat(fields.position(), fields.notNegative());
+                    case HEARTBEAT -> new Heartbeat(fields.position(), fields.nonNegative());
                     case REFUSE ->
                             new Refuse(
-                                    reason(fields.count()), fields.reason(), fields.notNegative());
+                                    reason(fields.count()), fields.reason(), fields.nonNegative());
                     default ->
                             throw new ProtocolException(
-                                    Kind.UNKNOWN_MESSAGE, "a message of kind " + kind);
+                                    Kind.UNKNOWN_MESSAGE, "unknown message kind " + kind);
                 };
         fields.requireEnd();
         return message;
@@ -197,7 +202,7 @@
         Position predecessor = fields.position();
         List<Change> changes = new ArrayList<>();
         for (Object each : fields.list(limits.windowChanges())) {
-            FieldReader change = new FieldReader(PlainForm.list(each), limits);
+            FieldReader change = new FieldReader(PlainValues.list(each), limits);
             SortedMap<String, Value> puts = change.entries(limits.changeKeys());
             TreeSet<String> deletes = change.keys(limits.changeKeys());
             change.requireEnd();
@@ -207,15 +212,15 @@
     }
 
     private CoverageReport report(FieldReader fields) {
-        long proxies = fields.notNegative();
+        long proxies = fields.nonNegative();
         FieldReader counts = fields.nested();
-        long rejecting = fields.notNegative();
+        long rejecting = fields.nonNegative();
         FieldReader names = fields.nested();
         fields.requireEnd();
         List<PositionCount> inForce = new ArrayList<>();
         while (counts.hasMore()) {
             counts.requireBelow(inForce.size(), limits.reportedPositions());
-            inForce.add(new PositionCount(counts.position(), counts.notNegative()));
+            inForce.add(new PositionCount(counts.position(), counts.nonNegative()));
         }
         List<Rejection> rejections = new ArrayList<>();
         while (names.hasMore()) {
@@ -228,7 +233,7 @@
     private static Refuse.Reason reason(int number) {
         Refuse.Reason[] reasons = Refuse.Reason.values();
         if (number >= reasons.length) {
-            throw PlainForm.malformed("no reason for a refusal has number " + number);
+            throw PlainValues.malformed("unknown refusal reason number " + number);
         }
         return reasons[number];
     }
--- a/src/main/java/holdproxy/fanout/PlainForm.java
+++ b/src/main/java/holdproxy/fanout/PlainValues.java
@@ -8,23 +8,26 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Records as lists of texts, whole numbers, byte arrays and lists, and back; what does not fit is named. */
-final class PlainForm {
-    private PlainForm() {}
+/**
+ * Converts records to plain values (lists of strings, integers, byte arrays and lists) and back. Values
+ * of the wrong type are reported as {@link Kind#MALFORMED}.
+ */
+final class PlainValues {
+    private PlainValues() {}
 
-    // ---- to plain values ----
+    // ---- records to plain values ----
 
-    /** Epoch, number, puts, deletes. */
-    static List<Object> plain(Change change) {
+    /** A list of epoch, number, puts and deletes. */
+    static List<Object> toPlain(Change change) {
         return List.of(
                 change.position().epoch(),
                 change.position().number(),
-                plain(change.puts()),
+                toPlain(change.puts()),
                 List.copyOf(change.deletes()));
     }
 
-    /** Key, value, key, value. */
-    static List<Object> plain(Map<String, Value> entries) {
+    /** A flat list of alternating keys and values. */
+    static List<Object> toPlain(Map<String, Value> entries) {
         List<Object> plain = new ArrayList<>(2 * entries.size());
         entries.forEach(
                 (key, value) -> {
@@ -34,7 +37,7 @@
         return plain;
     }
 
-    // ---- and back ----
+    // ---- plain values to records ----
 
     static Change change(List<?> fields, int first) {
         return new Change(
@@ -47,7 +50,7 @@
         long epoch = number(fields.get(first));
         long number = number(fields.get(first + 1));
         if (epoch < 0 || number < 0) {
-            throw malformed("a position is negative: " + epoch + "/" + number);
+            throw malformed("negative position: " + epoch + "/" + number);
         }
         return new Position(epoch, number);
     }
@@ -60,7 +63,7 @@
         TreeMap<String, Value> entries = new TreeMap<>();
         for (int i = 0; i < flat.size(); i += 2) {
             if (entries.put(text(flat.get(i)), value(flat.get(i + 1))) != null) {
-                throw malformed("key " + flat.get(i) + " stands twice");
+                throw malformed("key " + flat.get(i) + " occurs twice");
             }
         }
         return entries;
@@ -78,35 +81,35 @@
         if (plain instanceof List<?> list) {
             return list;
         }
-        throw malformed(kindOf(plain) + " where a list belongs");
+        throw malformed(typeOf(plain) + " instead of a list");
     }
 
     static String text(Object plain) {
         if (plain instanceof String text) {
             return text;
         }
-        throw malformed(kindOf(plain) + " where a text belongs");
+        throw malformed(typeOf(plain) + " instead of a string");
     }
 
     static long number(Object plain) {
         if (plain instanceof Integer || plain instanceof Long) {
             return ((Number) plain).longValue();
         }
-        throw malformed(kindOf(plain) + " where a whole number belongs");
+        throw malformed(typeOf(plain) + " instead of an integer");
     }
 
     static Value value(Object plain) {
         if (plain instanceof byte[] bytes) {
             return Value.of(bytes);
         }
-        throw malformed(kindOf(plain) + " where bytes belong");
+        throw malformed(typeOf(plain) + " instead of bytes");
     }
 
     static ProtocolException malformed(String detail) {
         return new ProtocolException(Kind.MALFORMED, detail);
     }
 
-    private static String kindOf(Object plain) {
-        return plain == null ? "nothing" : "a " + plain.getClass().getSimpleName();
+    private static String typeOf(Object plain) {
+        return plain == null ? "null" : "a " + plain.getClass().getSimpleName();
     }
 }
--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -16,62 +16,62 @@
 import java.util.Set;
 
 /**
- * Serves subscribers from a source: the local {@link ChangeLog} at a control machine, a {@link
- * Subscriber} at a relay. Every call is with the present moment in microseconds, which never goes
- * back, and by one thread.
+ * Serves subscribers from a source: the local {@link ChangeLog} on a control machine, a {@link
+ * Subscriber} on a relay. Not thread-safe: every call takes the current time in microseconds, which must
+ * not decrease.
  *
- * <p>A subscriber has at most one batch or snapshot part unacknowledged, of at most the credit's
- * bytes, so that one that reads slowly costs a position and delays nobody. Those that are behind by
- * no more than a credit get changes at once; those that are further behind share a token bucket:
- * first all that need changes alone, then those that need a snapshot.
+ * <p>A subscriber has at most one unacknowledged batch or snapshot part, of at most the credit in bytes;
+ * so a slow reader costs the relay only a position and does not delay others. Subscribers that are
+ * behind by at most the credit get changes at once; those further behind share a token bucket, first all
+ * that need only changes, then those that need a snapshot.
  */
 public final class Relay {
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** Where a relay has its changes from. */
+    /** Where a relay gets its changes from. */
     public interface Source {
-        /** What is held has never been known to be the newest. */
+        /** The age if the replica has never been known to be the newest. */
         long UNKNOWN_AGE_US = Long.MAX_VALUE;
 
-        /** The same one each time; its owner calls {@link Relay#advanced} when it has changed. */
+        /** Always the same instance; its owner calls {@link Relay#advanced} after each change. */
         Replica replica();
 
-        /** For how long the replica has not been known to be the newest, or {@link #UNKNOWN_AGE_US}. */
+        /** Time since the replica was last known to be the newest, or {@link #UNKNOWN_AGE_US}. */
         long ageUs(long nowUs);
     }
 
-    /** What a relay has its transport do. Neither may call the relay back before it returns. */
+    /** The transport of a relay. Neither method may call back into the relay before it returns. */
     public interface Output {
         /**
-         * Sends a message; the same instance goes to many links one after another, so that a transport which
-         * keeps the last encoding by identity encodes it once. What cannot be sent may be dropped.
+         * Sends a message, or drops it if it cannot be sent. The same instance is often sent to many links
+         * in succession, so a transport that caches the last encoding by identity encodes it only once.
          */
         void send(long link, Message message);
 
-        /** Ends a link once what was sent has gone; {@link Relay#disconnected} need not follow. */
+        /** Closes a link after flushing sent messages; need not call {@link Relay#disconnected}. */
         void close(long link, String reason);
     }
 
     private final FanoutSettings settings;
-    private final FanoutSettings.RelaySettings own;
+    private final FanoutSettings.RelaySettings relaySettings;
     private final Source source;
     private final Output output;
     private final Set<Safeguard> safeguards;
     private final Map<Long, Subscription> subscriptions = new LinkedHashMap<>();
     private final Map<String, Subscription> byName = new HashMap<>();
 
-    /** Those that are behind, in the order of their subscribing. */
+    /** Subscribers that are behind, in the order in which they fell behind or subscribed. */
     private final LinkedHashSet<Subscription> catchingUp = new LinkedHashSet<>();
 
     /** Oldest first. */
     private final ArrayDeque<FrozenSnapshot> snapshots = new ArrayDeque<>();
 
-    private final TokenBucket bucket;
+    private final TokenBucket catchUpBucket;
     private long heartbeatDueUs;
     private long catchUpDueUs = NEVER;
     private Batch lastBatch;
 
-    /** What the newest position was when it was made. */
+    /** The newest position when {@link #lastBatch} was created. */
     private Position lastBatchNewest;
 
     private long batches;
@@ -81,12 +81,12 @@
     private long droppedSilent;
     private long refused;
 
-    /** A relay with all of its rules; {@code nowUs} is the present moment. */
+    /** Creates a relay with all safeguards. */
     public Relay(FanoutSettings settings, Source source, Output output, long nowUs) {
         this(settings, source, output, nowUs, Safeguard.all());
     }
 
-    /** A relay without some of its rules, for the simulation. */
+    /** Creates a relay with only some of the safeguards, for the simulation. */
     public Relay(
             FanoutSettings settings,
             Source source,
@@ -94,68 +94,76 @@
             long nowUs,
             Set<Safeguard> safeguards) {
         this.settings = settings;
-        this.own = settings.relay();
+        this.relaySettings = settings.relay();
         this.source = source;
         this.output = output;
         this.safeguards = Set.copyOf(safeguards);
-        bucket = new TokenBucket(own.catchUpBytesPerSecond(), own.catchUpBurstBytes(), nowUs);
-        heartbeatDueUs = nowUs + own.heartbeatIntervalUs();
+        catchUpBucket =
+                new TokenBucket(
+                        relaySettings.catchUpBytesPerSecond(),
+                        relaySettings.catchUpBurstBytes(),
+                        nowUs);
+        heartbeatDueUs = nowUs + relaySettings.heartbeatIntervalUs();
     }
 
     // ---- events ----
 
-    /** A message came by a link; its first one is a {@link Subscribe}. */
+    /** A message was received on a link; the first one must be a {@link Subscribe}. */
     public void receive(long nowUs, long link, Message message) {
         if (message instanceof Subscribe subscribe) {
             subscribe(nowUs, link, subscribe);
         } else if (message instanceof Acknowledge acknowledge) {
             acknowledge(nowUs, link, acknowledge);
         } else {
-            drop(link, "UNEXPECTED: a subscriber sends no " + message.getClass().getSimpleName());
+            drop(
+                    link,
+                    "UNEXPECTED: a subscriber must not send " + message.getClass().getSimpleName());
         }
     }
 
     /** A link has ended. */
     public void disconnected(long nowUs, long link) {
         remove(link);
-        pumpCatchUp(nowUs);
+        sendCatchUp(nowUs);
     }
 
     /** The source's replica has changed. */
     public void advanced(long nowUs) {
         for (Subscription each : List.copyOf(subscriptions.values())) {
             if (each.live) {
-                pumpLive(nowUs, each);
+                sendLive(nowUs, each);
             }
         }
-        pumpCatchUp(nowUs);
+        sendCatchUp(nowUs);
     }
 
-    /** When {@link #tick} has to be called at the latest; may change with every call. */
+    /** Latest time for the next {@link #tick}; may change with every call. */
     public long dueUs() {
         return Math.min(heartbeatDueUs, catchUpDueUs);
     }
 
-    /** Does what is due; earlier or repeated calls do no harm. */
+    /** Performs timed actions that are due; early or repeated calls are harmless. */
     public void tick(long nowUs) {
         if (nowUs >= heartbeatDueUs) {
-            excuseStall(nowUs - heartbeatDueUs);
-            heartbeatDueUs = nowUs + own.heartbeatIntervalUs();
+            extendDeadlinesAfterStall(nowUs - heartbeatDueUs);
+            heartbeatDueUs = nowUs + relaySettings.heartbeatIntervalUs();
             dropUnresponsive(nowUs);
             Heartbeat heartbeat = heartbeat(nowUs);
             subscriptions.keySet().forEach(link -> output.send(link, heartbeat));
-            forgetUnusedSnapshots();
+            removeUnusedSnapshots();
         }
         if (nowUs >= catchUpDueUs) {
-            pumpCatchUp(nowUs);
+            sendCatchUp(nowUs);
         }
     }
 
-    /** Sends all subscribers elsewhere, as this process ends by plan. */
+    /** Refuses all subscribers, so that they move to other relays, because this process shuts down. */
     public void shutDown(long nowUs) {
         Refuse refuse =
                 new Refuse(
-                        Refuse.Reason.SHUTTING_DOWN, "the relay ends by plan", own.retryAfterUs());
+                        Refuse.Reason.SHUTTING_DOWN,
+                        "the relay is shutting down",
+                        relaySettings.retryAfterUs());
         for (long link : List.copyOf(subscriptions.keySet())) {
             output.send(link, refuse);
             drop(link, refuse.detail());
@@ -163,16 +171,16 @@
         catchUpDueUs = NEVER;
     }
 
-    // ---- what others see ----
+    // ---- status ----
 
-    /** What the proxies below this relay have in force. */
+    /** Which positions the proxies below this relay have in force. */
     public CoverageReport report() {
         List<CoverageReport> reports = new ArrayList<>(subscriptions.size());
         subscriptions.values().forEach(each -> reports.add(each.report));
         return CoverageReport.merge(reports, settings.limits());
     }
 
-    /** Figures for operators: position, age, subscribers and counters since the start. */
+    /** Status for operators: position, age, subscribers and counters since the start. */
     public RelayStatus status(long nowUs) {
         return new RelayStatus(
                 newest(),
@@ -191,8 +199,8 @@
 
     private void subscribe(long nowUs, long link, Subscribe subscribe) {
         Position newest = newest();
-        boolean ahead = newest.epoch() > 0 && subscribe.held().epoch() > newest.epoch();
-        if (ahead && safeguards.contains(Safeguard.EPOCH_COMPARISON)) {
+        boolean subscriberIsAhead = newest.epoch() > 0 && subscribe.held().epoch() > newest.epoch();
+        if (subscriberIsAhead && safeguards.contains(Safeguard.EPOCH_COMPARISON)) {
             refuse(
                     link,
                     Refuse.Reason.BEHIND,
@@ -214,23 +222,23 @@
             }
         }
         subscription.restart(subscribe.held());
-        subscription.heardUs = nowUs;
+        subscription.lastReceivedUs = nowUs;
         output.send(link, heartbeat(nowUs));
         catchingUp.add(subscription);
-        pumpCatchUp(nowUs);
+        sendCatchUp(nowUs);
     }
 
-    /** Null where it is full. */
+    /** Returns null if the relay is full. */
     private Subscription admit(long link, String name) {
-        Subscription before = byName.get(name);
-        if (before != null) {
-            drop(before.link, name + " has subscribed by another link");
+        Subscription previous = byName.get(name);
+        if (previous != null) {
+            drop(previous.link, name + " has subscribed on another link");
         }
-        if (subscriptions.size() >= own.subscribers()) {
+        if (subscriptions.size() >= relaySettings.subscribers()) {
             refuse(
                     link,
                     Refuse.Reason.FULL,
-                    "the relay serves " + subscriptions.size() + " already");
+                    "the relay already serves " + subscriptions.size() + " subscribers");
             return null;
         }
         Subscription subscription = new Subscription(link, name);
@@ -241,7 +249,7 @@
 
     private void refuse(long link, Refuse.Reason reason, String detail) {
         refused++;
-        output.send(link, new Refuse(reason, detail, own.retryAfterUs()));
+        output.send(link, new Refuse(reason, detail, relaySettings.retryAfterUs()));
         drop(link, reason + ": " + detail);
     }
 
@@ -251,13 +259,13 @@
             drop(link, "UNEXPECTED: an acknowledgement without a subscription");
             return;
         }
-        subscription.heardUs = nowUs;
+        subscription.lastReceivedUs = nowUs;
         subscription.report = acknowledge.report();
-        subscription.acknowledged(acknowledge);
+        subscription.recordAcknowledgement(acknowledge);
         if (subscription.live) {
-            pumpLive(nowUs, subscription);
+            sendLive(nowUs, subscription);
         }
-        pumpCatchUp(nowUs);
+        sendCatchUp(nowUs);
     }
 
     // ---- sending ----
@@ -270,91 +278,96 @@
         return new Heartbeat(newest(), Math.max(0, source.ageUs(nowUs)));
     }
 
-    private boolean mayNotSend(Subscription subscription) {
+    private boolean isOutOfCredit(Subscription subscription) {
         return subscription.unacknowledged != null && safeguards.contains(Safeguard.CREDIT);
     }
 
-    private boolean hasEverything(Subscription subscription) {
+    private boolean isUpToDate(Subscription subscription) {
         Position newest = newest();
         return subscription.snapshot == null
-                && subscription.sent.epoch() == newest.epoch()
-                && subscription.sent.number() >= newest.number();
+                && subscription.sentPosition.epoch() == newest.epoch()
+                && subscription.sentPosition.number() >= newest.number();
     }
 
-    private boolean coveredByWindow(Subscription subscription) {
-        return subscription.snapshot == null && source.replica().covers(subscription.sent);
+    private boolean isCoveredByWindow(Subscription subscription) {
+        return subscription.snapshot == null && source.replica().covers(subscription.sentPosition);
     }
 
-    /** Whether changes are there, and are no more than the whole state. */
+    /**
+     * Whether the window covers the missing changes and sending them is preferred to a snapshot: they
+     * are no larger than the state, or a snapshot has already been sent.
+     */
     private boolean catchesUpByChanges(Subscription subscription) {
-        return coveredByWindow(subscription)
-                && (subscription.hadSnapshot || isNear(subscription.sent));
+        return isCoveredByWindow(subscription)
+                && (subscription.snapshotSent
+                        || changesAreCheaperThanSnapshot(subscription.sentPosition));
     }
 
-    private boolean isNear(Position covered) {
+    private boolean changesAreCheaperThanSnapshot(Position covered) {
         Replica replica = source.replica();
-        return replica.bytesAfter(covered) <= Math.max(own.creditBytes(), replica.stateBytes());
+        return replica.bytesAfter(covered)
+                <= Math.max(relaySettings.creditBytes(), replica.stateBytes());
     }
 
-    private void pumpLive(long nowUs, Subscription subscription) {
-        if (mayNotSend(subscription) || hasEverything(subscription)) {
+    private void sendLive(long nowUs, Subscription subscription) {
+        if (isOutOfCredit(subscription) || isUpToDate(subscription)) {
             return;
         }
-        if (coveredByWindow(subscription)) {
+        if (isCoveredByWindow(subscription)) {
             Batch batch = nextBatch(subscription);
             if (batch.last().equals(newest())) {
                 sendBatch(nowUs, subscription, batch);
                 return;
             }
         }
-        // more than a credit behind: also the source may have caught up, for all subscribers at
-        // once
-        subscription.fallBehind();
+        // more than a credit behind; possibly every subscriber is, if the source itself has just
+        // caught up
+        subscription.markBehind();
         catchingUp.add(subscription);
     }
 
-    /** Spends the bucket: first on those that need changes alone, then on those that need a snapshot. */
-    private void pumpCatchUp(long nowUs) {
+    /** Spends the token bucket on subscribers that need only changes first, then on snapshots. */
+    private void sendCatchUp(long nowUs) {
         catchUpDueUs = NEVER;
         if (newest().epoch() == 0 || catchingUp.isEmpty()) {
             return;
         }
         List<Subscription> waiting = List.copyOf(catchingUp);
         for (Subscription each : waiting) {
-            if (!pumpChanges(nowUs, each)) {
+            if (!sendCatchUpChanges(nowUs, each)) {
                 return;
             }
         }
         for (Subscription each : waiting) {
-            if (!pumpSnapshot(nowUs, each)) {
+            if (!sendCatchUpSnapshot(nowUs, each)) {
                 return;
             }
         }
     }
 
-    /** False where the bucket is empty. */
-    private boolean pumpChanges(long nowUs, Subscription subscription) {
-        if (hasEverything(subscription)) {
-            becomeLive(subscription);
+    /** Returns false if the token bucket is empty. */
+    private boolean sendCatchUpChanges(long nowUs, Subscription subscription) {
+        if (isUpToDate(subscription)) {
+            markLive(subscription);
             return true;
         }
-        if (mayNotSend(subscription) || !catchesUpByChanges(subscription)) {
+        if (isOutOfCredit(subscription) || !catchesUpByChanges(subscription)) {
             return true;
         }
         Batch batch = nextBatch(subscription);
-        if (!spend(nowUs, bytes(batch))) {
+        if (!takeCatchUpTokens(nowUs, bytes(batch))) {
             return false;
         }
         sendBatch(nowUs, subscription, batch);
-        if (hasEverything(subscription)) {
-            becomeLive(subscription);
+        if (isUpToDate(subscription)) {
+            markLive(subscription);
         }
         return true;
     }
 
-    /** False where the bucket is empty. */
-    private boolean pumpSnapshot(long nowUs, Subscription subscription) {
-        if (subscription.live || mayNotSend(subscription) || catchesUpByChanges(subscription)) {
+    /** Returns false if the token bucket is empty. */
+    private boolean sendCatchUpSnapshot(long nowUs, Subscription subscription) {
+        if (subscription.live || isOutOfCredit(subscription) || catchesUpByChanges(subscription)) {
             return true;
         }
         if (subscription.snapshot == null
@@ -363,15 +376,15 @@
             subscription.snapshot = currentSnapshot();
         }
         FrozenSnapshot snapshot = subscription.snapshot;
-        int bytes = snapshot.bytes(subscription.nextPart);
-        if (!spend(nowUs, bytes)) {
+        int bytes = snapshot.bytes(subscription.nextPartIndex);
+        if (!takeCatchUpTokens(nowUs, bytes)) {
             return false;
         }
-        SnapshotPart part = snapshot.part(subscription.nextPart++);
-        subscription.sent(part, nowUs);
+        SnapshotPart part = snapshot.part(subscription.nextPartIndex++);
+        subscription.recordSent(part, nowUs);
         if (part.isLast()) {
-            subscription.sent = snapshot.position();
-            subscription.hadSnapshot = true;
+            subscription.sentPosition = snapshot.position();
+            subscription.snapshotSent = true;
             subscription.abandonSnapshot();
         }
         snapshotParts++;
@@ -379,37 +392,38 @@
         return true;
     }
 
-    private void becomeLive(Subscription subscription) {
+    private void markLive(Subscription subscription) {
         subscription.live = true;
         catchingUp.remove(subscription);
     }
 
-    private boolean spend(long nowUs, int bytes) {
-        if (safeguards.contains(Safeguard.CATCH_UP_PACING) && !bucket.take(nowUs, bytes)) {
-            catchUpDueUs = Math.max(nowUs + 1, bucket.availableUs(bytes));
+    private boolean takeCatchUpTokens(long nowUs, int bytes) {
+        if (safeguards.contains(Safeguard.CATCH_UP_PACING) && !catchUpBucket.take(nowUs, bytes)) {
+            catchUpDueUs = Math.max(nowUs + 1, catchUpBucket.availableUs(bytes));
             return false;
         }
         catchUpBytes += bytes;
         return true;
     }
 
-    /** The same instance for all that are at the same position. */
+    /** Returns the same instance for all subscribers at the same position. */
     private Batch nextBatch(Subscription subscription) {
         if (lastBatch == null
-                || !lastBatch.predecessor().equals(subscription.sent)
+                || !lastBatch.predecessor().equals(subscription.sentPosition)
                 || !lastBatchNewest.equals(newest())) {
             lastBatch =
                     new Batch(
-                            subscription.sent,
-                            source.replica().after(subscription.sent, own.creditBytes()));
+                            subscription.sentPosition,
+                            source.replica()
+                                    .after(subscription.sentPosition, relaySettings.creditBytes()));
             lastBatchNewest = newest();
         }
         return lastBatch;
     }
 
     private void sendBatch(long nowUs, Subscription subscription, Batch batch) {
-        subscription.sent(batch, nowUs);
-        subscription.sent = batch.last();
+        subscription.recordSent(batch, nowUs);
+        subscription.sentPosition = batch.last();
         batches++;
         output.send(subscription.link, batch);
     }
@@ -424,16 +438,18 @@
 
     // ---- snapshots ----
 
-    /** The last one where the changes since are no more than the state, or a new one. */
+    /** Returns the last snapshot if the changes since then are no larger than the state, else a new one. */
     private FrozenSnapshot currentSnapshot() {
         FrozenSnapshot newest = snapshots.peekLast();
         Replica replica = source.replica();
-        if (newest != null && replica.covers(newest.position()) && isNear(newest.position())) {
+        if (newest != null
+                && replica.covers(newest.position())
+                && changesAreCheaperThanSnapshot(newest.position())) {
             return newest;
         }
-        FrozenSnapshot frozen = FrozenSnapshot.of(replica, own.creditBytes());
+        FrozenSnapshot frozen = FrozenSnapshot.of(replica, relaySettings.creditBytes());
         snapshots.add(frozen);
-        if (snapshots.size() > own.snapshots()) {
+        if (snapshots.size() > relaySettings.snapshots()) {
             FrozenSnapshot oldest = snapshots.removeFirst();
             subscriptions.values().stream()
                     .filter(each -> each.snapshot == oldest)
@@ -442,7 +458,7 @@
         return frozen;
     }
 
-    private void forgetUnusedSnapshots() {
+    private void removeUnusedSnapshots() {
         snapshots.removeIf(
                 snapshot ->
                         subscriptions.values().stream()
@@ -451,33 +467,34 @@
 
     // ---- dropping ----
 
-    /** What others could not do while this process stood still is not held against them. */
-    private void excuseStall(long lateUs) {
-        if (lateUs > own.stallUs()) {
+    /** Extends the subscribers' deadlines by the time for which this process was stalled. */
+    private void extendDeadlinesAfterStall(long lateUs) {
+        if (lateUs > relaySettings.stallThresholdUs()) {
             for (Subscription each : subscriptions.values()) {
-                each.heardUs += lateUs;
-                each.sentUs += lateUs;
+                each.lastReceivedUs += lateUs;
+                each.unacknowledgedSinceUs += lateUs;
             }
         }
     }
 
     private void dropUnresponsive(long nowUs) {
         for (Subscription each : List.copyOf(subscriptions.values())) {
-            if (each.unacknowledged != null && nowUs - each.sentUs >= own.acknowledgeTimeoutUs()) {
+            if (each.unacknowledged != null
+                    && nowUs - each.unacknowledgedSinceUs >= relaySettings.acknowledgeTimeoutUs()) {
                 droppedSlow++;
                 drop(
                         each.link,
                         each.name
                                 + " has acknowledged nothing for "
-                                + (nowUs - each.sentUs) / 1000
+                                + (nowUs - each.unacknowledgedSinceUs) / 1000
                                 + " ms");
-            } else if (nowUs - each.heardUs >= own.silenceTimeoutUs()) {
+            } else if (nowUs - each.lastReceivedUs >= relaySettings.silenceTimeoutUs()) {
                 droppedSilent++;
                 drop(
                         each.link,
                         each.name
                                 + " has said nothing for "
-                                + (nowUs - each.heardUs) / 1000
+                                + (nowUs - each.lastReceivedUs) / 1000
                                 + " ms");
             }
         }
--- a/src/main/java/holdproxy/fanout/SnapshotAssembly.java
+++ b/src/main/java/holdproxy/fanout/SnapshotAssembly.java
@@ -5,13 +5,13 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** A snapshot of which parts have come; bounded as the state is. */
+/** A partly received snapshot, limited in size like the state. */
 final class SnapshotAssembly {
     private final FanoutSettings.Limits limits;
     private final Position position;
     private final int parts;
     private final TreeMap<String, Value> entries = new TreeMap<>();
-    private int received;
+    private int receivedParts;
     private long bytes;
 
     SnapshotAssembly(FanoutSettings.Limits limits, SnapshotPart first) {
@@ -24,35 +24,35 @@
         return position;
     }
 
-    /** How many parts have come. */
-    int received() {
-        return received;
+    /** Number of parts received so far. */
+    int receivedParts() {
+        return receivedParts;
     }
 
-    boolean isSameAs(SnapshotPart part) {
+    boolean isSameSnapshot(SnapshotPart part) {
         return part.position().equals(position) && part.parts() == parts;
     }
 
-    /** The next part. */
+    /** Adds the next part. */
     void add(SnapshotPart part) {
         bytes += SizeEstimate.ofEntries(part.entries());
         entries.putAll(part.entries());
         if (bytes > limits.stateBytes() || entries.size() > limits.stateKeys()) {
             throw new ProtocolException(
                     Kind.TOO_LARGE,
-                    "a snapshot at "
+                    "the snapshot at "
                             + position
-                            + " has over "
+                            + " exceeds "
                             + limits.stateBytes()
                             + " bytes or "
                             + limits.stateKeys()
                             + " keys");
         }
-        received++;
+        receivedParts++;
     }
 
-    boolean isWhole() {
-        return received == parts;
+    boolean isComplete() {
+        return receivedParts == parts;
     }
 
     SortedMap<String, Value> entries() {
--- a/src/main/java/holdproxy/fanout/Subscription.java
+++ b/src/main/java/holdproxy/fanout/Subscription.java
@@ -1,41 +1,47 @@
 package holdproxy.fanout;
 
 /**
- * What a relay knows of one subscriber. It has no queue: what it gets next is read from the shared
- * window.
+ * A relay's state for one subscriber. There is no queue for each subscriber: the next changes to send
+ * are read from the shared window.
  */
 final class Subscription {
     final long link;
     final String name;
 
-    /** Everything to here has been sent. */
-    Position sent;
+    /** Everything up to this position has been sent. */
+    Position sentPosition;
 
-    /** What it is known to hold. */
-    Position held;
+    /** The position that the subscriber last reported as held. */
+    Position heldPosition;
 
-    /** It has had everything since its last subscribing, and gets new changes without pacing. */
+    /**
+     * The subscriber has been sent everything since it last subscribed, and gets new changes without
+     * pacing.
+     */
     boolean live;
 
-    /** That it is receiving, else null. */
+    /** The snapshot being sent, or null. */
     FrozenSnapshot snapshot;
 
-    int nextPart;
+    int nextPartIndex;
 
     /**
-     * It has received one since it fell behind, and gets changes from there as long as the window
-     * has them.
+     * A snapshot has been sent since the subscriber fell behind. It is sent changes from there on for
+     * as long as the window covers them, even if they are larger than the state.
      */
-    boolean hadSnapshot;
+    boolean snapshotSent;
 
-    /** The batch or part that waits for its acknowledgement, else null. */
+    /** The batch or snapshot part that has not been acknowledged yet, or null. */
     Message unacknowledged;
 
-    /** A second batch or part has been sent while one was unacknowledged. */
-    boolean repeats;
+    /**
+     * The subscriber subscribed again before acknowledging, which allowed one further batch or part;
+     * no more is sent until it acknowledges.
+     */
+    boolean resent;
 
-    long sentUs;
-    long heardUs;
+    long unacknowledgedSinceUs;
+    long lastReceivedUs;
     CoverageReport report = CoverageReport.EMPTY;
 
     Subscription(long link, String name) {
@@ -44,49 +50,52 @@
     }
 
     /**
-     * It goes on from this position. What was under way may have been lost, so that it is sent once more; who
-     * subscribes again without acknowledging that waits, and is dropped in the end as any slow reader.
+     * Continues from this position. An unacknowledged message may have been lost, so sending resumes
+     * at once, but only one time: a subscriber that subscribes again without acknowledging has to wait,
+     * and is eventually dropped like any slow reader.
      */
     void restart(Position from) {
-        sent = from;
-        held = from;
-        fallBehind();
+        sentPosition = from;
+        heldPosition = from;
+        markBehind();
         abandonSnapshot();
-        if (unacknowledged != null && !repeats) {
+        if (unacknowledged != null && !resent) {
             unacknowledged = null;
-            repeats = true;
+            resent = true;
         }
     }
 
-    void fallBehind() {
+    void markBehind() {
         live = false;
-        hadSnapshot = false;
+        snapshotSent = false;
     }
 
     void abandonSnapshot() {
         snapshot = null;
-        nextPart = 0;
+        nextPartIndex = 0;
     }
 
-    void sent(Message message, long nowUs) {
+    void recordSent(Message message, long nowUs) {
         if (unacknowledged == null) {
-            sentUs = nowUs;
+            unacknowledgedSinceUs = nowUs;
         }
         unacknowledged = message;
     }
 
-    void acknowledged(Message.Acknowledge acknowledge) {
-        held = acknowledge.received();
-        if (snapshot == null && held.epoch() == sent.epoch() && held.isAfter(sent)) {
-            sent = held;
+    void recordAcknowledgement(Message.Acknowledge acknowledge) {
+        heldPosition = acknowledge.received();
+        if (snapshot == null
+                && heldPosition.epoch() == sentPosition.epoch()
+                && heldPosition.isAfter(sentPosition)) {
+            sentPosition = heldPosition;
         }
-        if (unacknowledged != null && covers(acknowledge)) {
+        if (unacknowledged != null && coversUnacknowledged(acknowledge)) {
             unacknowledged = null;
-            repeats = false;
+            resent = false;
         }
     }
 
-    private boolean covers(Message.Acknowledge acknowledge) {
+    private boolean coversUnacknowledged(Message.Acknowledge acknowledge) {
         if (unacknowledged instanceof Message.Batch batch) {
             return !batch.last().isAfter(acknowledge.received());
         }
--- a/src/main/java/holdproxy/fanout/TokenBucket.java
+++ b/src/main/java/holdproxy/fanout/TokenBucket.java
@@ -1,25 +1,25 @@
 package holdproxy.fanout;
 
-/** Paces bytes: so many a second, and so many at once after a pause. */
+/** Token bucket that limits bytes per second, with a burst allowance. */
 final class TokenBucket {
     private static final double US_PER_SECOND = 1e6;
 
     private final double bytesPerUs;
     private final double burst;
     private double tokens;
-    private long filledUs;
+    private long lastRefillUs;
 
     TokenBucket(long bytesPerSecond, int burst, long nowUs) {
         bytesPerUs = bytesPerSecond / US_PER_SECOND;
         this.burst = burst;
         tokens = burst;
-        filledUs = nowUs;
+        lastRefillUs = nowUs;
     }
 
-    /** Takes as many where there are as many. */
+    /** Takes this many tokens, or none and returns false if fewer are available. */
     boolean take(long nowUs, int bytes) {
-        tokens = Math.min(burst, tokens + (nowUs - filledUs) * bytesPerUs);
-        filledUs = nowUs;
+        tokens = Math.min(burst, tokens + (nowUs - lastRefillUs) * bytesPerUs);
+        lastRefillUs = nowUs;
         if (tokens < bytes) {
             return false;
         }
@@ -27,8 +27,8 @@
         return true;
     }
 
-    /** When there will be as many, as of the last attempt to take some. */
+    /** Time at which this many tokens will be available, as of the last {@link #take}. */
     long availableUs(int bytes) {
-        return filledUs + (long) Math.ceil(Math.max(0, bytes - tokens) / bytesPerUs);
+        return lastRefillUs + (long) Math.ceil(Math.max(0, bytes - tokens) / bytesPerUs);
     }
 }
--- a/src/main/java/holdproxy/fanout/transport/MessageLink.java
+++ b/src/main/java/holdproxy/fanout/transport/MessageLink.java
@@ -17,22 +17,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection: messages out of a channel's frames and into them. What waits to be sent is bounded by the
- * channel's water mark and one frame: a channel that is not writable takes nothing more, and what the rules
- * send meanwhile is dropped, which they bear.
+ * One connection: converts between messages and a channel's frames. The outbound buffer is bounded by the
+ * channel's high water mark plus one frame: while the channel is not writable, messages are dropped, which
+ * the protocol tolerates.
  */
 final class MessageLink extends SimpleChannelInboundHandler<ByteBuf> {
-    /** So long a link that is to be closed may take to send what waits. */
-    private static final int LINGER_MS = 1_000;
+    /** Time that a closing link has to flush its outbound buffer. */
+    private static final int CLOSE_TIMEOUT_MS = 1_000;
 
-    /** Hears of a link, on its event loop. */
+    /** Receives the events of a link, on its event loop. */
     interface Listener {
         void opened(MessageLink link);
 
-        /** A {@link ProtocolException} ends the link. */
+        /** If this throws a {@link ProtocolException}, the link ends. */
         void received(MessageLink link, Message message);
 
-        /** Once, whoever ended it; not where it was closed with {@link MessageLink#close}. */
+        /** Called once when the link ends, unless it was closed with {@link MessageLink#close}. */
         void ended(MessageLink link, String reason);
     }
 
@@ -41,10 +41,10 @@
     private final TransportContext context;
     private final FrameCodec codec;
     private final Listener listener;
-    private boolean over;
-    private String reason = "the other side has closed the connection";
+    private boolean ended;
+    private String reason = "the peer closed the connection";
 
-    /** {@code peer}: how the log names the other side. */
+    /** {@code peer} is the name of the other side in log lines. */
     MessageLink(
             Channel channel,
             String peer,
@@ -58,35 +58,39 @@
         this.listener = listener;
     }
 
-    /** Puts this link behind a channel's frames. */
-    void install() {
-        int longest = context.settings().limits().frameBytes() + FrameCodec.HEADER_BYTES;
+    /** Adds the frame decoder and this link to the channel's pipeline. */
+    void addToPipeline() {
+        int maxFrameBytes = context.settings().limits().frameBytes() + FrameCodec.HEADER_BYTES;
         channel.pipeline()
                 .addLast(
                         new LengthFieldBasedFrameDecoder(
-                                longest, 0, FrameCodec.HEADER_BYTES, 0, FrameCodec.HEADER_BYTES))
+                                maxFrameBytes,
+                                0,
+                                FrameCodec.HEADER_BYTES,
+                                0,
+                                FrameCodec.HEADER_BYTES))
                 .addLast(this);
     }
 
-    /** Twice the credit: what the rules send within it always fits. */
+    /** The high water mark is twice the credit, so that any message within the credit fits. */
     static WriteBufferWaterMark waterMark(FanoutSettings settings) {
         int credit = settings.relay().creditBytes();
         return new WriteBufferWaterMark(credit, 2 * credit);
     }
 
-    /** How the log names the other side. */
+    /** The name of the other side in log lines. */
     String peer() {
         return peer;
     }
 
-    /** The other side has said what it is called. */
-    void named(String name) {
+    /** Sets the name of the other side, once it is known. */
+    void setPeerName(String name) {
         peer = name + " at " + channel.remoteAddress();
     }
 
-    /** Sends a message, or drops it where the other side takes nothing. */
+    /** Sends a message, or drops it if the outbound buffer is full. */
     void send(Message message) {
-        if (over || !channel.isWritable()) {
+        if (ended || !channel.isWritable()) {
             context.counters().messagesDropped.increment();
             return;
         }
@@ -96,22 +100,22 @@
         channel.writeAndFlush(frame);
     }
 
-    /** Ends the link once what waits is sent, or after a moment; the listener hears nothing more of it. */
+    /** Closes the link after flushing, or after a time-out; the listener gets no further events. */
     void close() {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         context.counters().linksDropped.increment();
         if (!channel.isActive()) {
             channel.close();
             return;
         }
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
-        var forced =
+        var forcedClose =
                 channel.eventLoop()
-                        .schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
-        channel.closeFuture().addListener(closed -> forced.cancel(false));
+                        .schedule(() -> channel.close(), CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        channel.closeFuture().addListener(closed -> forcedClose.cancel(false));
     }
 
     @Override
@@ -119,7 +123,7 @@
         context.counters().connectionsOpened.increment();
         context.counters().connectionsOpen.increment();
         channel.closeFuture().addListener(closed -> context.counters().connectionsOpen.decrement());
-        if (!over) {
+        if (!ended) {
             listener.opened(this);
         }
     }
@@ -127,7 +131,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
         context.counters().bytesReceived.add(FrameCodec.HEADER_BYTES + frame.readableBytes());
-        if (over) {
+        if (ended) {
             return;
         }
         Message message = codec.decode(frame);
@@ -137,12 +141,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end();
+        handleEnd();
     }
 
-    private void end() {
-        if (!over) {
-            over = true;
+    private void handleEnd() {
+        if (!ended) {
+            ended = true;
             context.log().accept("link with " + peer + " ended: " + reason);
             listener.ended(this, reason);
         }
@@ -150,7 +154,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (over) {
+        if (ended) {
             ctx.close();
             return;
         }
@@ -158,7 +162,7 @@
         if (!(cause instanceof IOException)) {
             context.counters().linksDropped.increment();
         }
-        end();
+        handleEnd();
         ctx.close();
     }
 
--- a/src/main/java/holdproxy/fanout/transport/RelayServer.java
+++ b/src/main/java/holdproxy/fanout/transport/RelayServer.java
@@ -16,15 +16,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A {@link Relay} on TCP: accepts subscribers, at most as many as the relay's settings say and a few that are
- * being refused. Every call is on the context's event loop, but for {@link #listen}.
+ * A {@link Relay} on TCP: accepts as many connections as the relay's settings allow subscribers, and some
+ * more that are being refused. Except for {@link #listen}, call it only on the context's event loop.
  */
 public final class RelayServer implements AutoCloseable {
-    /** Connections beyond the relay's subscribers, so that these can be told that it is full. */
+    /** Connections accepted beyond the limit on subscribers, so that they can be sent a refusal. */
     static final int SPARE_CONNECTIONS = 128;
 
-    /** A connection that has not subscribed by then is closed. */
-    private static final int SUBSCRIBE_WITHIN_MS = 5_000;
+    /** A connection that has not subscribed within this time is closed. */
+    private static final int SUBSCRIBE_TIMEOUT_MS = 5_000;
 
     private static final int BACKLOG = 1_024;
 
@@ -33,11 +33,11 @@
     private final Map<Long, MessageLink> links = new HashMap<>();
     private final DueTimer timer;
     private final Relay relay;
-    private long lastLink;
+    private long lastLinkId;
     private Channel listener;
     private boolean closed;
 
-    /** A server for a relay of its own that reads from this source; {@code listen} opens it. */
+    /** Creates a server with its own relay reading from this source; call {@link #listen} to open it. */
     public RelayServer(TransportContext context, Relay.Source source) {
         this.context =
                 new TransportContext(
@@ -49,10 +49,10 @@
                         new LineLimiter(context.log(), context.nowUs()));
         codec = new FrameCodec(context.settings());
         timer = new DueTimer(context.loop(), context.nowUs(), this::tick);
-        relay = new Relay(context.settings(), source, new Outgoing(), context.now());
+        relay = new Relay(context.settings(), source, new RelayOutput(), context.now());
     }
 
-    /** Listens; the future fails where the address cannot be bound. */
+    /** Starts listening; the future fails if the address cannot be bound. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -68,7 +68,7 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        accepted(channel);
+                                        accept(channel);
                                     }
                                 })
                         .bind(address);
@@ -79,24 +79,24 @@
                             if (closed) {
                                 listener.close();
                             } else {
-                                wake();
+                                rescheduleTimer();
                             }
                         });
         return bound;
     }
 
-    /** The rules, for what they know of their subscribers. */
+    /** The relay, for its status and report. */
     public Relay relay() {
         return relay;
     }
 
-    /** The source has changed. */
+    /** Call after the source's replica has changed. */
     public void advanced() {
         relay.advanced(context.now());
-        wake();
+        rescheduleTimer();
     }
 
-    /** Sends all subscribers elsewhere and stops listening. */
+    /** Refuses all subscribers, so that they move to other relays, and stops listening. */
     @Override
     public void close() {
         closed = true;
@@ -111,92 +111,96 @@
 
     private void tick() {
         relay.tick(context.now());
-        wake();
+        rescheduleTimer();
     }
 
-    private void wake() {
-        timer.due(relay.dueUs());
+    private void rescheduleTimer() {
+        timer.scheduleAt(relay.dueUs());
     }
 
-    private void accepted(SocketChannel channel) {
+    private void accept(SocketChannel channel) {
         if (closed
                 || links.size() >= context.settings().relay().subscribers() + SPARE_CONNECTIONS) {
             context.counters().connectionsRefused.increment();
             channel.close();
             return;
         }
-        long number = ++lastLink;
-        Subscribing listening = new Subscribing(number);
+        long linkId = ++lastLinkId;
+        SubscriberConnection connection = new SubscriberConnection(linkId);
         MessageLink link =
                 new MessageLink(
                         channel,
                         String.valueOf(channel.remoteAddress()),
                         context,
                         codec,
-                        listening);
-        links.put(number, link);
-        // also of those that the relay has closed and that have not been flushed yet
-        channel.closeFuture().addListener(over -> links.remove(number, link));
-        link.install();
+                        connection);
+        links.put(linkId, link);
+        // keeps links that the relay has closed but that are not flushed yet, so that they count
+        channel.closeFuture().addListener(future -> links.remove(linkId, link));
+        link.addToPipeline();
         channel.eventLoop()
                 .schedule(
-                        listening::closeUnlessSubscribed,
-                        SUBSCRIBE_WITHIN_MS,
+                        connection::closeUnlessSubscribed,
+                        SUBSCRIBE_TIMEOUT_MS,
                         TimeUnit.MILLISECONDS);
     }
 
-    /** What one connection brings. */
-    private final class Subscribing implements MessageLink.Listener {
-        private final long number;
+    /** Passes the events of one connection to the relay. */
+    private final class SubscriberConnection implements MessageLink.Listener {
+        private final long linkId;
         private boolean subscribed;
 
-        Subscribing(long number) {
-            this.number = number;
+        SubscriberConnection(long linkId) {
+            this.linkId = linkId;
         }
 
         @Override
         public void opened(MessageLink link) {
-            // it speaks first
+            // the subscriber sends the first message
         }
 
         @Override
         public void received(MessageLink link, Message message) {
             if (message instanceof Message.Subscribe subscribe) {
                 subscribed = true;
-                link.named(subscribe.name());
+                link.setPeerName(subscribe.name());
             }
-            relay.receive(context.now(), number, message);
-            wake();
+            relay.receive(context.now(), linkId, message);
+            rescheduleTimer();
         }
 
         @Override
         public void ended(MessageLink link, String reason) {
-            relay.disconnected(context.now(), number);
-            wake();
+            relay.disconnected(context.now(), linkId);
+            rescheduleTimer();
         }
 
         void closeUnlessSubscribed() {
-            MessageLink link = links.get(number);
+            MessageLink link = links.get(linkId);
             if (!subscribed && link != null) {
-                context.log().accept("link with " + link.peer() + " ended: it has not subscribed");
+                context.log()
+                        .accept(
+                                "link with "
+                                        + link.peer()
+                                        + " ended: it did not subscribe in time");
                 link.close();
             }
         }
     }
 
-    /** What the rules have done. */
-    private final class Outgoing implements Relay.Output {
+    /** Performs the relay's sends and closes. */
+    private final class RelayOutput implements Relay.Output {
         @Override
-        public void send(long number, Message message) {
-            MessageLink link = links.get(number);
+        public void send(long linkId, Message message) {
+            MessageLink link = links.get(linkId);
             if (link != null) {
                 link.send(message);
             }
         }
 
         @Override
-        public void close(long number, String reason) {
-            MessageLink link = links.get(number);
+        public void close(long linkId, String reason) {
+            MessageLink link = links.get(linkId);
             if (link == null) {
                 return;
             }
--- a/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
+++ b/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
@@ -17,8 +17,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A {@link Subscriber} on TCP, with one connection at a time. Any number of them may share an event loop.
- * Every call is on the context's event loop.
+ * A {@link Subscriber} on TCP, with one connection at a time. Any number of clients may share an event
+ * loop. Call it only on the context's event loop.
  */
 public final class SubscriberClient implements AutoCloseable {
     private static final int US_PER_MS = 1_000;
@@ -29,20 +29,20 @@
     private final FrameCodec codec;
     private final DueTimer timer;
     private final Subscriber subscriber;
-    private long linkNumber = NO_LINK;
+    private long currentLinkId = NO_LINK;
     private MessageLink link;
 
     /**
-     * A client that has not started; the parameters are those of {@link Subscriber}.
+     * Creates a client that is not started; the parameters are those of {@link Subscriber}.
      *
-     * @param below the report on the proxies below a relay; null at a proxy
+     * @param below supplies the report on the proxies below a relay; null for a proxy
      */
     public SubscriberClient(
             TransportContext context,
             String name,
             Replica replica,
             Subscriber.Consumer consumer,
-            Supplier<CoverageReport> below,
+            Supplier<CoverageReport> downstreamReport,
             RandomGenerator random) {
         this.name = name;
         this.context = context;
@@ -54,24 +54,24 @@
                         context.settings(),
                         replica,
                         consumer,
-                        below,
-                        new Outgoing(),
+                        downstreamReport,
+                        new SubscriberOutput(),
                         random,
                         context.now());
     }
 
-    /** Goes on with these candidates, best first; the first call starts it. */
+    /** Sets the candidates, best first; the first call starts the client. */
     public void candidates(List<RelayCandidate> ordered) {
         subscriber.candidates(context.now(), ordered);
-        wake();
+        rescheduleTimer();
     }
 
-    /** The rules, for what they know. */
+    /** The subscriber, for its status and replica. */
     public Subscriber subscriber() {
         return subscriber;
     }
 
-    /** Ends the connection and dials no other. */
+    /** Closes the connection and does not dial again. */
     @Override
     public void close() {
         subscriber.stop(context.now());
@@ -80,25 +80,25 @@
 
     private void tick() {
         subscriber.tick(context.now());
-        wake();
+        rescheduleTimer();
     }
 
-    private void wake() {
-        timer.due(subscriber.dueUs());
+    private void rescheduleTimer() {
+        timer.scheduleAt(subscriber.dueUs());
     }
 
-    private void dial(long number, RelayCandidate candidate) {
-        linkNumber = number;
+    private void dial(long linkId, RelayCandidate candidate) {
+        currentLinkId = linkId;
         link = null;
         InetSocketAddress address;
         try {
             address = context.addresses().apply(candidate.address());
         } catch (RuntimeException e) {
-            fail(number, candidate, e.getMessage());
+            dialFailed(linkId, candidate, e.getMessage());
             return;
         }
-        int timeoutMs = (int) (context.settings().subscriber().connectTimeoutMostUs() / US_PER_MS);
-        ChannelFuture dialled =
+        int timeoutMs = (int) (context.settings().subscriber().connectTimeoutMaxUs() / US_PER_MS);
+        ChannelFuture connectFuture =
                 new Bootstrap()
                         .group(context.loop())
                         .channel(NioSocketChannel.class)
@@ -111,97 +111,98 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        opening(number, candidate, channel);
+                                        initLink(linkId, candidate, channel);
                                     }
                                 })
                         .connect(address);
-        dialled.addListener(
+        connectFuture.addListener(
                 connecting -> {
-                    if (!connecting.isSuccess() && number == linkNumber) {
-                        fail(number, candidate, connecting.cause().getMessage());
+                    if (!connecting.isSuccess() && linkId == currentLinkId) {
+                        dialFailed(linkId, candidate, connecting.cause().getMessage());
                     }
                 });
     }
 
-    private void opening(long number, RelayCandidate candidate, SocketChannel channel) {
+    private void initLink(long linkId, RelayCandidate candidate, SocketChannel channel) {
         MessageLink opened =
-                new MessageLink(channel, text(candidate), context, codec, new Receiving(number));
-        opened.install();
-        if (number == linkNumber) {
+                new MessageLink(
+                        channel, describe(candidate), context, codec, new LinkListener(linkId));
+        opened.addToPipeline();
+        if (linkId == currentLinkId) {
             link = opened;
         } else {
             opened.close();
         }
     }
 
-    /** The rules hear of it later: they may be at work just now. */
-    private void fail(long number, RelayCandidate candidate, String reason) {
+    /** Notifies the subscriber asynchronously, since this may run during one of its calls. */
+    private void dialFailed(long linkId, RelayCandidate candidate, String reason) {
         context.counters().dialsFailed.increment();
-        context.log().accept(name + " cannot reach " + text(candidate) + ": " + reason);
+        context.log().accept(name + " cannot reach " + describe(candidate) + ": " + reason);
         context.loop()
                 .execute(
                         () -> {
-                            subscriber.disconnected(context.now(), number, reason);
-                            wake();
+                            subscriber.disconnected(context.now(), linkId, reason);
+                            rescheduleTimer();
                         });
     }
 
-    /** How the log names a candidate. */
-    private static String text(RelayCandidate candidate) {
+    /** The name of a candidate in log lines. */
+    private static String describe(RelayCandidate candidate) {
         return candidate.name().equals(candidate.address())
                 ? candidate.name()
                 : candidate.name() + " at " + candidate.address();
     }
 
-    /** What the one connection brings. */
-    private final class Receiving implements MessageLink.Listener {
-        private final long number;
+    /** Passes the events of one connection to the subscriber. */
+    private final class LinkListener implements MessageLink.Listener {
+        private final long linkId;
 
-        Receiving(long number) {
-            this.number = number;
+        LinkListener(long linkId) {
+            this.linkId = linkId;
         }
 
         @Override
         public void opened(MessageLink opened) {
-            subscriber.connected(context.now(), number);
-            wake();
+            subscriber.connected(context.now(), linkId);
+            rescheduleTimer();
         }
 
         @Override
         public void received(MessageLink from, Message message) {
-            subscriber.receive(context.now(), number, message);
-            wake();
+            subscriber.receive(context.now(), linkId, message);
+            rescheduleTimer();
         }
 
         @Override
         public void ended(MessageLink ended, String reason) {
-            subscriber.disconnected(context.now(), number, reason);
-            wake();
+            subscriber.disconnected(context.now(), linkId, reason);
+            rescheduleTimer();
         }
     }
 
-    /** What the rules have done. */
-    private final class Outgoing implements Subscriber.Output {
+    /** Performs the subscriber's dials, sends and closes. */
+    private final class SubscriberOutput implements Subscriber.Output {
         @Override
-        public void dial(long number, RelayCandidate candidate) {
-            SubscriberClient.this.dial(number, candidate);
+        public void dial(long linkId, RelayCandidate candidate) {
+            SubscriberClient.this.dial(linkId, candidate);
         }
 
         @Override
-        public void send(long number, Message message) {
-            if (number == linkNumber && link != null) {
+        public void send(long linkId, Message message) {
+            if (linkId == currentLinkId && link != null) {
                 link.send(message);
             }
         }
 
         @Override
-        public void close(long number, String reason) {
-            if (number == linkNumber && link != null) {
+        public void close(long linkId, String reason) {
+            if (linkId == currentLinkId && link != null) {
                 context.log().accept(name + " leaves " + link.peer() + ": " + reason);
                 link.close();
             }
-            // also what is still being dialled
-            linkNumber = NO_LINK;
+            // also cancels a dial in progress, whose link number no longer matches
+            currentLinkId = NO_LINK;
             link = null;
         }
     }
