--- a/src/main/java/holdproxy/net/Config.java
+++ b/src/main/java/holdproxy/net/Config.java
@@ -17,25 +17,25 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What this proxy is told at its start, checked: anything missing or malformed is a {@link BadInput}. */
+/** The validated configuration of one proxy; a missing or malformed value raises {@link BadInput}. */
 public final class Config {
     final String name;
     final InetSocketAddress listen;
     final InetSocketAddress discovery;
 
-    /** Where operators call; null: nowhere. */
+    /** Where the operators' console listens; null for no console. */
     final InetSocketAddress console;
 
     final long seed;
 
-    /** File descriptors that the process may hold. */
+    /** Bound on the file descriptors that the process holds. */
     final int sockets;
 
     final Router.Settings settings;
     final List<?> zones;
     final List<?> kinds;
 
-    /** The list as last had, in discovery's form. */
+    /** The node list to start with, in discovery's JSON form. */
     final Map<String, Object> known;
 
     private final Map<String, Object> json;
@@ -87,8 +87,9 @@
     }
 
     /**
-     * The file as it is now, to replace this configuration in a running proxy: whole, and with nothing in it
-     * that such a proxy could not take. Where discovery is stands only there: our variables stay.
+     * Reads the file of {@code LB_CONFIG} again, to replace this configuration in a running proxy. Throws
+     * {@link BadInput} if anything in it is invalid or cannot change while the proxy runs. The address of
+     * discovery comes from the file, as the environment of a running process does not change.
      */
     Config reload(Map<String, String> env) {
         Map<String, Object> now = read(variable(env, "LB_CONFIG"));
@@ -96,7 +97,7 @@
         return next(address(text(now, "discovery", "the configuration"), "discovery"), now);
     }
 
-    /** The same from what another file says, in the form of this one's. */
+    /** The same from JSON that was read elsewhere and has the form of the {@code LB_CONFIG} file. */
     public Config reload(InetSocketAddress discoveryNow, Map<String, Object> now) {
         checkShape(now);
         return next(discoveryNow, now);
@@ -104,7 +105,7 @@
 
     private void checkShape(Map<String, Object> now) {
         Map<String, Object> served = new HashMap<>(json);
-        // the list of nodes comes from discovery; what it looks like is for a start to check
+        // a running proxy has its node list from discovery: this one is checked only at a start
         served.replace("known", Map.of());
         Shape.check(served, now);
     }
@@ -115,7 +116,7 @@
         return next;
     }
 
-    /** Older days have neither the variable nor the key. */
+    /** Older deployments have neither the variable nor the key. */
     private static InetSocketAddress console(Map<String, String> env, Map<String, Object> json) {
         String told = env.getOrDefault("LB_CONSOLE", "").strip();
         if (!told.isEmpty()) {
@@ -126,7 +127,7 @@
                 : address(text(json, "console", "the configuration"), "console");
     }
 
-    /** The configuration that this text holds, as the file of {@code LB_CONFIG} would. */
+    /** Parses a configuration with the form of the {@code LB_CONFIG} file; no console. */
     public static Config of(
             String name, InetSocketAddress listen, InetSocketAddress discovery, String text) {
         Map<String, Object> json = parse(text);
@@ -136,7 +137,7 @@
         return new Config(name, listen, discovery, null, json);
     }
 
-    /** What another file says: {@code json} as the file of {@code LB_CONFIG}; no console where it is null. */
+    /** {@code json} has the form of the {@code LB_CONFIG} file; a null {@code console} means none. */
     public static Config of(
             String name,
             InetSocketAddress listen,
@@ -146,7 +147,7 @@
         return new Config(name, listen, discovery, console, json);
     }
 
-    /** Paths among the settings that nothing reads, in order. */
+    /** Paths of settings that nothing reads, in order. */
     public Set<String> unknownSettings() {
         Map<String, String> pairs = new HashMap<>();
         flatten("", object(json, "settings", "the configuration"), pairs);
@@ -184,7 +185,7 @@
         return json;
     }
 
-    /** The text as a JSON object, or null. */
+    /** Returns null if the text is not a JSON object. */
     static Map<String, Object> parse(String text) {
         try {
             return JSON.std.mapFrom(text);
@@ -193,7 +194,10 @@
         }
     }
 
-    /** An address of digits: the deployment has no name service, and a look-up would block the loop. */
+    /**
+     * Parses a numeric IP address and port. Host names are rejected: the deployment has no name service,
+     * and a look-up would block the event loop.
+     */
     public static InetSocketAddress address(String text, String what) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
@@ -207,7 +211,7 @@
                 return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            // said below
+            // reported below
         }
         throw new BadInput(what + " is not an address and port: " + shown(text));
     }
@@ -228,7 +232,7 @@
         throw new BadInput(key + " is missing from " + where);
     }
 
-    @SuppressWarnings("unchecked") // the parser makes no other maps than these
+    @SuppressWarnings("unchecked") // the parser creates no other type of map
     private static Map<String, Object> object(Map<String, Object> from, String key, String where) {
         if (from.get(key) instanceof Map<?, ?> m) {
             return (Map<String, Object>) m;
@@ -240,7 +244,10 @@
         return from.get(key) instanceof List<?> l ? l : List.of();
     }
 
-    /** Nested settings as the paths and values that the simulator's wire has: one reader serves both. */
+    /**
+     * Flattens nested settings to the paths and values of the simulator's wire format, so that one reader
+     * serves both.
+     */
     private static void flatten(String path, Object value, Map<String, String> out) {
         if (value instanceof Map<?, ?> map) {
             String prefix = path.isEmpty() ? "" : path + ".";
--- a/src/main/java/holdproxy/net/ConfigFileWatcher.java
+++ b/src/main/java/holdproxy/net/ConfigFileWatcher.java
@@ -6,36 +6,32 @@
 import java.util.Arrays;
 
 /**
- * Notices that the configuration file has changed, for processes that no SIGHUP reaches. It
- * compares whole contents, so that neither a clock nor the file system's times matter, and waits
- * for a content to be the same at two looks: a file that is being written is left alone until it
- * stays as it is.
+ * Polls the configuration file for changes, for processes in which SIGHUP is ignored. It compares whole
+ * contents and so depends on no clock and no file times. A content is reported only once two polls in a row
+ * have read it, so that a file that is still being written is not.
  *
- * <p>The first content counts as a change too: the file may have been replaced while the process started.
+ * <p>The first content is reported too: the file may have been replaced while the process started.
  */
 final class ConfigFileWatcher {
-    /** How often it is looked at; a change is in force after two looks at most. */
+    /** Polling interval; a change is reported at the second poll that sees it. */
     static final int INTERVAL_MS = 500;
 
     private final Path file;
     private final Runnable onChange;
 
-    /** What the last look has read; null: nothing, or the file could not be read. */
+    /** The content at the last poll; null before the first one, or if the file could not be read. */
     private byte[] seen;
 
-    /** What was there when {@link #onChange} ran last. */
+    /** The content at the last run of {@link #onChange}. */
     private byte[] reported;
 
-    /**
-     * {@code onChange}: runs in {@link #look} for each content that has settled, also one that is
-     * no good.
-     */
+    /** {@code onChange} runs in {@link #look} for each content that has settled, valid or not. */
     ConfigFileWatcher(Path file, Runnable onChange) {
         this.file = file;
         this.onChange = onChange;
     }
 
-    /** Looks from here on, on a thread of its own that ends with the process. */
+    /** Starts polling on a daemon thread. */
     void start() {
         Thread looking = new Thread(this::lookOn, "config-file");
         looking.setDaemon(true);
@@ -53,7 +49,7 @@
         }
     }
 
-    /** One look at the file. */
+    /** Polls the file once. */
     void look() {
         byte[] content = content();
         boolean settled = Arrays.equals(content, seen);
@@ -68,7 +64,7 @@
         try {
             return Files.readAllBytes(file);
         } catch (IOException e) {
-            return null; // being replaced, or gone: once that has settled, who reads it says so
+            return null; // being replaced, or missing: once settled, the reload reports it
         }
     }
 }
--- a/src/main/java/holdproxy/net/Counting.java
+++ b/src/main/java/holdproxy/net/Counting.java
@@ -6,16 +6,23 @@
 import java.util.function.Supplier;
 
 /**
- * What a proxy did, on a line of its own each second: the logs of a whole fleet can be added up by it. Of the
- * request loop it tells what is out of the ordinary: that it ran late, or turned for nothing.
+ * Logs the counters of a proxy, as changes since the line before, once a second; the lines of a whole fleet
+ * can be added up. The state of the event loop is included only if it ran late or often woke up without
+ * work.
  */
 final class Counting {
     private static final int EVERY_MS = 1000;
 
-    /** So much in a second is worth a word; a start, or a collection, costs less. */
+    /**
+     * Delay of the event loop within one interval from which it is logged; a start or a garbage collection
+     * costs less.
+     */
     private static final long LATE_US = 100_000;
 
-    /** The same of turns without work. A loop that waits for its timers has some 10. */
+    /**
+     * Idle iterations within one interval from which they are logged; a loop that waits for its timers has
+     * about 10.
+     */
     private static final long IDLE_TURNS = 250;
 
     private final Tally tally;
@@ -27,14 +34,14 @@
     private long toldIdle;
     private long toldLateUs;
 
-    /** {@code connections}: what was counted of them since it was asked last. */
+    /** {@code connections} returns the connection counters since its last call, as text. */
     Counting(Tally tally, Supplier<String> connections, Lateness lateness) {
         this.tally = tally;
         this.connections = connections;
         this.lateness = lateness;
     }
 
-    /** The turns of the loop that this proxy runs on, where it runs on sockets. */
+    /** Sets the iteration counters of the event loop; there are none without real sockets. */
     void of(Turns loop) {
         turns = loop;
     }
@@ -52,7 +59,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Each count that is not 0, with a space before it; of the loop only what is out of the ordinary. */
+    /** The counters that changed since the last call, each with a space before it. */
     String sinceThen(long now) {
         return tally.sinceThen(told) + connections.get() + loop(now);
     }
--- a/src/main/java/holdproxy/net/Descriptors.java
+++ b/src/main/java/holdproxy/net/Descriptors.java
@@ -1,20 +1,20 @@
 package holdproxy.net;
 
-/** How many connections a proxy may hold to clients and to nodes, within a bound on its descriptors. */
+/** Limits on the connections to clients and to nodes, which together keep within the descriptor limit. */
 record Descriptors(int clients, int nodes) {
-    /** Connections over the bound on clients that are still told so. */
+    /** Connections above the client limit that are still accepted to send them a refusal. */
     static final int REFUSING = 16;
 
-    /** For the program itself: libraries, selectors, listeners, the console's callers, discovery. */
+    /** Reserved for the process: libraries, selectors, listeners, console connections, discovery. */
     private static final int OWN = 48;
 
-    /** Of all descriptors clients hold no more than this part for requests: 1 of so many. */
+    /** Divisor for the share of clients in all descriptors where two processes share the limit. */
     private static final int CLIENTS_PART = 3;
 
     /**
-     * {@code shared}: another process may serve the same clients beside this one, within the same bound.
-     * Clients are as many as before then, wherever they are, but each process has nodes and a program of its
-     * own.
+     * {@code shared}: during an upgrade another process serves the same clients within the same limit. The
+     * clients are counted once, whichever process holds them, but each process needs its own descriptors for
+     * node connections and for itself.
      */
     static Descriptors of(int most, boolean shared) {
         if (!shared) {
--- a/src/main/java/holdproxy/net/HangupSignal.java
+++ b/src/main/java/holdproxy/net/HangupSignal.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * SIGHUP, which ends a Java program that does not handle it. The platform's only interface to signals is
- * outside its documented classes, so it is reached by name.
+ * Handles SIGHUP, which by default ends a Java process. The JDK's only interface to signals,
+ * {@code sun.misc.Signal}, is not a documented class and is therefore used by reflection.
  */
 final class HangupSignal {
     private static final String NAME = "HUP";
@@ -14,9 +14,9 @@
     private HangupSignal() {}
 
     /**
-     * Has each SIGHUP run this, on a thread of its own. Empty: it does. Otherwise the reason why it
-     * never will: a virtual machine that was started with the signal ignored leaves it so, as
-     * {@code nohup} asks for, and tells of it by naming "ignored" as the handler before this one.
+     * Runs {@code action} at each SIGHUP, on a new thread. Returns empty on success, otherwise the reason
+     * why it never runs: a JVM that was started with the signal ignored, as by {@code nohup}, keeps
+     * ignoring it and returns SIG_IGN as the previous handler.
      */
     static Optional<String> handle(Runnable action) {
         try {
--- a/src/main/java/holdproxy/net/Lateness.java
+++ b/src/main/java/holdproxy/net/Lateness.java
@@ -1,14 +1,15 @@
 package holdproxy.net;
 
 /**
- * How late the event loop runs, told by a tick that is due at even intervals: in a pause of the collector, of
- * the machine, or of a start that is short of processor time, nothing is read and no timer runs. Times in
- * microseconds on the clock of {@link Time}; they are handed in and never go back.
+ * Measures how late the event loop runs, by a tick that is due at regular intervals. During a pause of the
+ * garbage collector or of the machine, or while a start lacks processor time, no input is read and no timer
+ * runs. All times are microseconds on the clock of {@link Time}; callers pass them in, and they never go
+ * back.
  */
 final class Lateness {
-    /** The interval at which {@link #ticked} is due. */
     static final long TICK_US = 20_000;
 
+    /** A tick within this time before a read counts as part of the same pause. */
     private static final long JUST_US = 5_000;
 
     private long dueUs;
@@ -21,7 +22,7 @@
         dueUs = now + TICK_US;
     }
 
-    /** The tick ran; the next one is due {@link #TICK_US} from now. */
+    /** Records that the tick ran; the next one is due {@link #TICK_US} from now. */
     void ticked(long now) {
         lastLateUs = Math.max(0, now - dueUs);
         totalUs += lastLateUs;
@@ -30,9 +31,9 @@
     }
 
     /**
-     * For how long the loop stood still just before this, 0 for less than a tick: what is read now may have
-     * waited so long. Input is mostly read before timers run, and then the tick is still overdue; where it
-     * ran first, it has just been late.
+     * How long the loop was stalled just before now, which is how long input read now may have waited; 0
+     * for less than a tick. Input is mostly read before timers run, so that the tick is still overdue; if
+     * the tick ran first, it was late within the last {@link #JUST_US}.
      */
     long justNowUs(long now) {
         long late = now - lastTickUs < JUST_US ? Math.max(lastLateUs, now - dueUs) : now - dueUs;
@@ -40,14 +41,16 @@
     }
 
     /**
-     * How long ago the last tick that has run was due. The sockets have been read in full since then, or
-     * {@link #TICK_US} before it: input that is older than that in sum cannot lie unread.
+     * How long ago the last tick that has run was due. All sockets have been read at that time or at most
+     * {@link #TICK_US} before it, so no unread input is older than the sum of both.
      */
     long sinceDueUs(long now) {
         return now - lastTickUs + lastLateUs;
     }
 
-    /** All time that the loop has stood still so far: a second clock, to take a difference of. */
+    /**
+     * Total time that the loop has been stalled; the difference of two readings gives that of an interval.
+     */
     long totalUs(long now) {
         return totalUs + Math.max(0, now - dueUs);
     }
--- a/src/main/java/holdproxy/net/Log.java
+++ b/src/main/java/holdproxy/net/Log.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 
 /**
- * Changes and faults, on standard error where nothing else takes them, so many in a while: a storm of
- * faults must not fill a disk.
+ * The log of state changes and errors, to standard error unless a consumer is given. Its rate is limited, so
+ * that a burst of errors does not fill the disk.
  */
 final class Log {
     private static final int MOST = 40;
@@ -16,7 +16,7 @@
     private int lines;
 
     Log(Time time) {
-        this(time, null); // no reference to a method: linking one costs a start some milliseconds
+        this(time, null); // linking a method reference would add some milliseconds to the start
     }
 
     Log(Time time, Consumer<String> taker) {
@@ -29,7 +29,7 @@
         long now = time.us();
         if (now - windowStart > WINDOW_US) {
             if (lines > MOST) {
-                out((lines - MOST) + " lines left out");
+                out((lines - MOST) + " log lines suppressed");
             }
             windowStart = now;
             lines = 0;
--- a/src/main/java/holdproxy/net/NettyLog.java
+++ b/src/main/java/holdproxy/net/NettyLog.java
@@ -5,8 +5,8 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 
 /**
- * Netty's warnings and errors as lines of {@link Log}. Left to itself Netty looks for two logging libraries
- * that are not there and then sets up java.util.logging, which costs a starting proxy processor time.
+ * Sends Netty's warnings and errors to {@link Log}. By default Netty looks for two logging libraries that
+ * are not on the class path and then sets up java.util.logging, which costs processor time at the start.
  */
 final class NettyLog extends AbstractInternalLogger {
     private static final long serialVersionUID = 1;
@@ -18,7 +18,7 @@
         this.log = log;
     }
 
-    /** To be called before any of Netty's classes is used: each keeps the logger that it finds first. */
+    /** Must be called before any Netty class is loaded, as each keeps the logger that it got first. */
     static void install(Log log) {
         InternalLoggerFactory.setDefaultFactory(
                 new InternalLoggerFactory() {
@@ -33,7 +33,10 @@
         log.line(name() + ": " + text(format, arguments));
     }
 
-    /** Netty's format: {} stands for the next argument; a throwable left over at the end is the cause. */
+    /**
+     * Formats as Netty does: {} is replaced by the next argument; an unused Throwable at the end is the
+     * cause.
+     */
     static String text(String format, Object... arguments) {
         StringBuilder text = new StringBuilder();
         int from = 0;
@@ -119,27 +122,27 @@
 
     @Override
     public void trace(String text) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void trace(String format, Object argument) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void trace(String format, Object first, Object second) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void trace(String format, Object... arguments) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void trace(String text, Throwable cause) {
-        // not kept
+        // not logged
     }
 
     @Override
@@ -149,27 +152,27 @@
 
     @Override
     public void debug(String text) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void debug(String format, Object argument) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void debug(String format, Object first, Object second) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void debug(String format, Object... arguments) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void debug(String text, Throwable cause) {
-        // not kept
+        // not logged
     }
 
     @Override
@@ -179,26 +182,26 @@
 
     @Override
     public void info(String text) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void info(String format, Object argument) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void info(String format, Object first, Object second) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void info(String format, Object... arguments) {
-        // not kept
+        // not logged
     }
 
     @Override
     public void info(String text, Throwable cause) {
-        // not kept
+        // not logged
     }
 }
--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -16,40 +16,49 @@
 import java.util.function.Consumer;
 
 /**
- * The proxy on real sockets: turns what happens there into the module's events, and its actions into I/O. One
- * thread, the event loop, runs all of it; nothing here is locked and nothing may block.
+ * Connects the router to the network: turns I/O into events of the router, and the router's actions into
+ * I/O. Everything runs on one thread, the event loop: there are no locks, and nothing may block.
  */
 public final class Proxy implements Router.Actions {
+    /** Bound on the values of open write requests. */
     private static final long MOST_HELD_BYTES = 16L << 20;
+    /** Bound on the answers that clients have not read yet. */
     private static final long MOST_UNTAKEN_BYTES = 12L << 20;
+    /** Additional room for clients that have read all earlier answers. */
     private static final long UNTAKEN_FOR_TAKING_BYTES = 4L << 20;
     private static final int MOST_OPEN = 4096;
+    /** Retry delay that is advised when a request is refused without asking the router. */
     private static final long DEFAULT_ADVICE_US = 500_000;
 
-    /** The client's clock started when it sent: what an answer needs to be with it in time. */
+    /** Reserve for the network: the client's time-out runs from its sending to its receipt of the answer. */
     private static final long TRANSIT_US = 5_000;
 
-    /** A request that the module has left unanswered for so long after it was due is failed here. */
+    /** A request that the router has not answered by this time after its deadline is failed here. */
     private static final long OVERDUE_US = 15_000;
 
     /**
-     * SIGKILL comes no sooner than the longest deadline, counted as 3 s where it is longer, and 0.7 s after
-     * SIGTERM: what is open so much before is failed, as a request without an answer would be lost.
+     * After SIGTERM, SIGKILL comes no sooner than the longest deadline of a class, at most
+     * {@link #KILL_DEADLINE_MOST_MS}, plus this time.
      */
     private static final long KILL_AFTER_MS = 700;
 
     private static final long KILL_DEADLINE_MOST_MS = 3_000;
+
+    /** Requests still open so long before the earliest SIGKILL are failed, as they would get no answer. */
     private static final long LAST_WORD_BEFORE_MS = 150;
 
-    /** A time-out is the proxy's own if its loop stood still for this part of the wait: 1 of so many. */
+    /**
+     * A time-out counts as the proxy's own fault if its loop was stalled for more than 1/OWN_PART of the
+     * wait.
+     */
     private static final int OWN_PART = 4;
 
-    /** For so long a class that new settings have dropped is still served: its requests were under way. */
+    /** How long a dropped class is still served, for requests that clients had already sent. */
     private static final int DROPPED_MS = 5_000;
 
     private Router.Settings settings;
 
-    /** The classes of the latest settings, without those that they dropped. */
+    /** The classes of the latest settings, without dropped ones that are still served. */
     private Router.RequestClass[] kept;
 
     private final Time time;
@@ -85,7 +94,7 @@
         kept = settings.classes;
         names.set(settings);
         for (Router.RequestClass c : settings.classes) {
-            figures.of(c.name); // there is a figure before there is a request
+            figures.of(c.name); // metrics exist before the first request
         }
         pools = new NodePools(this, config, loop, log, bound.nodes(), transport);
         discovery = new Discovery(new ListReceiver(), config, transport, log);
@@ -95,8 +104,8 @@
     }
 
     /**
-     * A proxy on this thread's own event loop, listening; whoever runs the loop runs the proxy.
-     * {@code log} takes its lines.
+     * Starts a proxy that listens. Must be called on {@code loop}, which runs the proxy. {@code log}
+     * receives its log lines.
      */
     public static Proxy start(
             Config config, EventLoop loop, Time time, Transport transport, Consumer<String> log) {
@@ -106,12 +115,12 @@
         return proxy;
     }
 
-    /** Requests taken and not yet answered, or answered with an attempt still out. */
+    /** The number of requests that are unanswered or still have an attempt in flight. */
     public int open() {
         return table.size();
     }
 
-    /** SIGHUP: the settings and discovery's address are those of this file from here on. */
+    /** Applies a reloaded configuration: its settings and discovery's address. */
     public void taken(Config now) {
         discovery.taken(now);
         Router.RequestClass[] classes = now.settings.classes;
@@ -137,7 +146,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Serves only the classes that the latest settings name. */
+    /** Stops serving the classes that the latest settings dropped. */
     void forgetDropped() {
         settings.classes = kept;
         retune(settings);
@@ -153,7 +162,7 @@
         events.add(() -> router.onSettings(now(), next));
     }
 
-    /** SIGHUP with a bad file, which changes nothing. */
+    /** Records that a reload was rejected; the configuration in use stays. */
     void turnedDown(String why) {
         log.line("the old configuration is kept: " + why);
         figures.configRejected.add(1);
@@ -180,12 +189,12 @@
         return reception.address();
     }
 
-    /** Whether clients are taken: from when it listens until it is told to end. On any thread. */
+    /** Whether clients are accepted: from listening until the drain begins. Thread-safe. */
     boolean takesClients() {
         return reception.takesClients();
     }
 
-    /** As at SIGTERM; done once every connection has ended. */
+    /** Drains as at SIGTERM; the future completes when every connection has ended. */
     public Future<Void> end() {
         return reception.end();
     }
@@ -194,7 +203,7 @@
         return reception.end(openMs);
     }
 
-    /** What a client's connection needs. */
+    /** The channel handlers of a client connection. */
     ChannelHandler[] handlers() {
         return new ChannelHandler[] {new Command.Decoder(names, values), new ClientSession(this)};
     }
@@ -213,12 +222,12 @@
         lateness.ticked(now());
     }
 
-    /** The module's clock: microseconds, never going back. */
+    /** The router's clock: monotonic microseconds. */
     long now() {
         return time.us();
     }
 
-    /** A Unix time on the module's clock; from one reading, so that a start stays the same number. */
+    /** Converts a Unix time to the router's clock; a node's start time always gives the same value. */
     long monotonic(long unixMs) {
         return time.monotonicUs(unixMs);
     }
@@ -242,10 +251,11 @@
         long now = now();
         long classUs = settings.classes[type].deadlineUs;
         long waitUs = c.waitMs == Command.NOT_STATED ? classUs : c.waitMs * 1000L;
+        // a client's stated wait cannot exceed the deadline of the class
         waitUs =
                 classUs > 0
                         ? Math.min(waitUs, classUs)
-                        : waitUs; // no client holds a place for longer
+                        : waitUs;
         long dueUs = now + Math.max(waitUs / 2, waitUs - TRANSIT_US) - lateness.justNowUs(now);
         Exchange x =
                 new Exchange(
@@ -266,7 +276,7 @@
         events.add(
                 () -> {
                     if (x.answered) {
-                        return; // its client has left in this very turn
+                        return; // its client has disconnected in the same iteration of the loop
                     }
                     c.fill(request);
                     request.requestClass = type;
@@ -278,7 +288,7 @@
     }
 
     private void overdue(Exchange x) {
-        failOverdue(x, "a request was left unanswered: failed");
+        failOverdue(x, "the router gave no answer by the deadline of a request; failing it");
     }
 
     private void failOverdue(Exchange x, String why) {
@@ -313,7 +323,7 @@
         return figures.of(c.requestClass);
     }
 
-    /** A refusal that the module is not asked about, for want of room. */
+    /** Counts a request that is refused for lack of room without asking the router; returns the answer. */
     String shed(Command c) {
         outcomes(c).shed.add(1);
         log.line("too much is open: refusing");
@@ -321,12 +331,15 @@
                 settings.retryAfter ? Math.min(DEFAULT_ADVICE_US, settings.maxRetryAfterUs) : 0);
     }
 
-    /** Bytes of answers that clients have not taken yet. */
+    /** Adds to the bytes of answers that clients have not read yet. */
     void untaken(int change) {
         untakenBytes += change;
     }
 
-    /** Whether there is room for so many more; some is left for those who took all that they were given. */
+    /**
+     * Whether so many more bytes may be held; clients that have read all earlier answers have reserved
+     * room.
+     */
     boolean untakenRoom(int bytes, boolean taking) {
         return untakenBytes + bytes <= MOST_UNTAKEN_BYTES + (taking ? UNTAKEN_FOR_TAKING_BYTES : 0);
     }
@@ -343,7 +356,7 @@
         x.session.answer(x.slot, "SERVER_ERROR failed");
     }
 
-    /** An attempt has ended: a first success is the client's answer, and the module is told. */
+    /** Ends an attempt: the first success answers the client, and the outcome is reported to the router. */
     void ended(Attempt a, Router.Outcome outcome, Answer answer) {
         Exchange x = a.exchange;
         a.over = true;
@@ -378,30 +391,31 @@
                 });
     }
 
-    /** What an attempt has taken; what lay there while the loop stood still says nothing of the node. */
+    /** The latency of an attempt without stalls of the loop, which say nothing about the node. */
     long latencyUs(Attempt a, long now) {
         return Math.max(0, now - a.sentUs - stoodStillUs(a, now));
     }
 
-    /** For how long the loop stood still just before this: what is read now may have waited so long. */
+    /** How long the loop was stalled just before now: input read now may have waited so long. */
     long justStoodStillUs(long now) {
         return lateness.justNowUs(now);
     }
 
-    /** For how long the loop has stood still since an attempt was sent. */
+    /** How long the loop has been stalled since an attempt was sent. */
     private long stoodStillUs(Attempt a, long now) {
         return lateness.totalUs(now) - a.stoodStillUs;
     }
 
     /**
-     * The wait is over. Where the loop stood still for a good part of it, the module is told of an attempt
-     * that was taken back, of which it learns nothing: who spent the time was this proxy and not the node.
+     * Ends an attempt at its time-out. If the loop was stalled for a large part of the wait, the delay was
+     * this proxy's and not the node's: the router gets a cancelled or unsent attempt, from which it learns
+     * nothing.
      */
     private void timedOut(Attempt a) {
         if (!a.over) {
             boolean ownFault = stoodStillUs(a, now()) > a.waitUs / OWN_PART;
-            // what was never written whole cannot run: the module may refuse it or send it
-            // elsewhere
+            // a command that was not written whole cannot run on the node: the router may refuse the
+            // request or send it elsewhere
             boolean neverRan = !a.connection.giveUp(a);
             ended(
                     a,
@@ -412,7 +426,10 @@
         }
     }
 
-    /** By the classes of the latest file: whoever sends SIGKILL goes by them. One may state no deadline. */
+    /**
+     * When, after SIGTERM, to fail open requests. Counts the classes of the latest file, as whoever sends
+     * SIGKILL does; a class without a deadline counts with the maximum.
+     */
     long lastWordMs() {
         long longest = 0;
         for (Router.RequestClass c : kept) {
@@ -424,7 +441,7 @@
 
     void lastWord() {
         for (Exchange x : List.copyOf(table.values())) {
-            failOverdue(x, "a request is open at the end: failed");
+            failOverdue(x, "a request is still open before the process is killed; failing it");
         }
     }
 
@@ -456,7 +473,7 @@
         }
     }
 
-    /** Operators' call, which holds from now on. */
+    /** An operator's call to leave out a node or to use it again, in force from now on. */
     public void leaveOut(String node, boolean out) {
         members.leaveOut(node, out, now());
     }
@@ -465,7 +482,7 @@
         return members;
     }
 
-    // ---- the module's actions ----
+    // ---- actions of the router ----
 
     @Override
     public void send(long id, int node, long timeoutUs) {
@@ -528,7 +545,7 @@
 
     @Override
     public void probe(int node) {
-        // the module asks for none; one that does is told that none was sent
+        // this router sends no probes; one that did would be told that none was sent
         events.add(
                 () -> {
                     report.clear();
@@ -556,7 +573,7 @@
 
     @Override
     public void tell(int router, byte[] data) {
-        log.line("no message is sent to other proxies: the settings do not provide for it");
+        log.line("messages to other proxies are not supported; message dropped");
     }
 
     @Override
@@ -564,7 +581,7 @@
         log.line(line);
     }
 
-    // ---- what operators read ----
+    // ---- metrics ----
 
     public Figures figures() {
         return figures;
--- a/src/main/java/holdproxy/net/Rehearsal.java
+++ b/src/main/java/holdproxy/net/Rehearsal.java
@@ -14,15 +14,15 @@
 import java.util.function.Supplier;
 
 /**
- * Requests served before the proxy listens, with no socket: a client and a node in memory around a proxy of
- * their own. In a proxy that has served nothing every step is loaded and interpreted; with half a core its
- * first clients would wait until they give up, and the module would take that for a lack of capacity.
+ * Warms up the JVM before the proxy listens: serves requests through a separate proxy with an in-memory
+ * client and node, without sockets. In a fresh JVM each step loads classes and runs interpreted; on half a
+ * core the first clients would time out, which the router would take for a lack of capacity.
  */
 final class Rehearsal implements Transport {
-    /** Enough for what runs with each request to be compiled, which takes 200 calls and then some time. */
+    /** Enough to have the code of the request path compiled, which takes 200 calls and some time after. */
     static final int ROUNDS = 600;
 
-    /** Where another process serves meanwhile: nobody waits for this one until all that is compiled. */
+    /** For an upgrade: another process serves meanwhile, so there is time to have all of it compiled. */
     static final int UNHURRIED_ROUNDS = 10 * ROUNDS;
 
     private static final int ROUNDS_PER_CLIENT = 4;
@@ -31,14 +31,13 @@
 
     private Rehearsal() {}
 
-    /** Returns how many requests were served. */
+    /** Returns the number of requests served. */
     static int run(Config config, int rounds) {
         return new Rehearsal().serve(config, rounds);
     }
 
     private int serve(Config config, int rounds) {
-        // an event loop that nobody runs: the timers set here, that for the node list among them,
-        // never fire
+        // nothing runs this event loop, so no timer set here fires, such as that for the node list
         Time time = Time.system();
         Proxy proxy =
                 new Proxy(config, new EmbeddedChannel().eventLoop(), time, this, new Log(time));
@@ -49,7 +48,7 @@
         int served = 0;
         EmbeddedChannel client = null;
         for (int i = 0; i < rounds; i++) {
-            proxy.tick(); // nobody runs its timers: without ticks it would take its loop for late
+            proxy.tick(); // timers do not run; without ticks the loop would count as late
             if (i % ROUNDS_PER_CLIENT == 0) {
                 close(client);
                 client = new EmbeddedChannel(proxy.handlers());
@@ -76,7 +75,7 @@
 
     @Override
     public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
-        throw new UnsupportedOperationException("a rehearsal has no listener");
+        throw new UnsupportedOperationException("the warm-up has no listener");
     }
 
     @Override
@@ -106,7 +105,7 @@
                                 + "\r\nhello\r\n");
     }
 
-    /** What a node says to the command that has come to it. */
+    /** Answers the command that the node has received, if any. */
     private static void answer(EmbeddedChannel node) {
         String command = text(node);
         if (!command.isEmpty()) {
@@ -120,12 +119,12 @@
         }
     }
 
-    /** As the wire has it. */
+    /** Encodes text as on the wire. */
     static ByteBuf bytes(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    /** All that was written on a channel since this was asked last. */
+    /** Everything that was written to the channel since the last call. */
     static String text(EmbeddedChannel channel) {
         StringBuilder text = new StringBuilder();
         for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
--- a/src/main/java/holdproxy/net/Retuning.java
+++ b/src/main/java/holdproxy/net/Retuning.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** Settings that replace others while a proxy runs: which may, and what is kept of those before. */
+/** Replacing the settings of a running proxy: what may change, and what is kept of the old ones. */
 final class Retuning {
     private Retuning() {}
 
-    /** Throws a {@link BadInput} that names what no running proxy can take. */
+    /** Throws a {@link BadInput} that names the setting which cannot change while a proxy runs. */
     static void check(Router.Settings inUse, Router.Settings next) {
         reject(
                 inUse.aside != next.aside,
@@ -28,7 +28,7 @@
             reject(c.deadlineUs <= 0, "class '" + c.name + "' needs a deadline above 0");
             reject(
                     c.name.isEmpty() || !names.add(c.name),
-                    "a class has no name, or that of another: '" + c.name + "'");
+                    "class names must be set and unique: '" + c.name + "'");
         }
     }
 
@@ -39,8 +39,8 @@
     }
 
     /**
-     * The next tenants in the places of those before them, so that what was learnt of each stays with it; a
-     * place that is no longer used has no name and no quota, and goes to the next new tenant.
+     * Orders the next tenants so that each keeps its index, and with it the state learnt for it. The index
+     * of a removed tenant goes to the next new one; until then it has a tenant without name and quota.
      */
     static Router.Tenant[] tenants(Router.Tenant[] inUse, Router.Tenant[] next) {
         List<Router.Tenant> fresh = new ArrayList<>(Arrays.asList(next));
@@ -60,7 +60,7 @@
         return placed.toArray(Router.Tenant[]::new);
     }
 
-    /** The next classes, and behind them those that are no longer among them. */
+    /** The next classes, followed by those in use that were dropped. */
     static Router.RequestClass[] withDropped(
             Router.RequestClass[] inUse, Router.RequestClass[] next) {
         List<Router.RequestClass> all = new ArrayList<>(Arrays.asList(next));
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -17,32 +17,34 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The process around a proxy: what it inherits at its start, the signals that it heeds, and its console. */
+/** The process around a proxy: inherited listening socket, signals, console and watchdog. */
 public final class Service implements Operations {
     /**
-     * The longest that it goes on after SIGTERM. Each request has its answer long before; what is left are
-     * values that their clients take slowly, which the process must not be the one to break off.
+     * The longest drain after SIGTERM. All requests are answered long before; what is left are values that
+     * clients read slowly, which the process must not cut off.
      */
     private static final long DRAIN_MOST_MS = 15_000;
 
-    /** How often it is looked up what another process was told. */
+    /** How often the nodes left out through another process are read, and the loop is checked. */
     private static final int LOOK_MS = 100;
 
+    /** How often the loop is checked where there is no console. */
     private static final int LOOK_ALONE_MS = 250;
     private static final int REFRESH_MS = 200;
 
-    /** The folder for them in {@code TMPDIR}. */
+    /** The folder in {@code TMPDIR} for the record of nodes left out. */
     private static final String KEPT = "left-out";
 
-    /** So long clients are left to another process until discovery has told this one of the nodes. */
+    /** The longest wait for the first node list in an upgrade, while another process serves the clients. */
     private static final int FIRST_LIST_MS = 2_000;
 
-    /** Where lists are asked for, also no longer than this part of the time for which one holds. */
+    /** Where lists are polled, the wait is also at most 1/HELD_PART of the time for which one is valid. */
     private static final int HELD_PART = 2;
 
     /**
-     * So long clients wait where no other process serves them. While discovery is down or overbooked there is
-     * no list, and the longer a fleet that restarts together waits for it, the more goes unanswered.
+     * The longest wait for the first node list where no other process serves the clients. While discovery
+     * is down or overloaded no list comes, and the longer a fleet that restarts together waits for one, the
+     * more requests go unanswered.
      */
     private static final int FIRST_LIST_ALONE_MS = 500;
 
@@ -64,7 +66,7 @@
         this.lines = lines;
     }
 
-    /** Runs a proxy until SIGTERM; at SIGHUP it reads its configuration again. */
+    /** Runs a proxy until SIGTERM; SIGHUP reloads its configuration. */
     public static void serve(Map<String, String> env) {
         NettyLog.install(new Log(Time.system()));
         run(
@@ -80,10 +82,13 @@
     }
 
     /**
-     * Starts a proxy, which takes clients when this returns. {@code source} is read again at SIGHUP, or when
-     * its file has changed where no SIGHUP reaches the process; {@code lines} takes the log's lines, on any
-     * thread (null: standard error); {@code env} is looked up for {@code LB_FD} and {@code TMPDIR};
-     * {@code end} is run at SIGTERM. Both signals are heeded before the first client can have an answer.
+     * Starts a proxy and returns once it accepts clients. Both signals are handled before the first client
+     * can get an answer.
+     *
+     * @param source read again at SIGHUP or, where SIGHUP is ignored, when its file has changed
+     * @param env used for {@code LB_FD} and {@code TMPDIR}
+     * @param lines receives the log lines, on any thread; null for standard error
+     * @param end run at SIGTERM
      */
     public static Service run(
             Config config,
@@ -106,7 +111,7 @@
         try {
             listen(proxy, config, loop, inherited != null);
         } catch (BadInput e) {
-            unhook(ending); // it has nothing to answer, and its exit code tells why
+            unhook(ending); // there is nothing to drain, and the exit code must show the error
             throw e;
         }
         if (config.console != null) {
@@ -117,10 +122,7 @@
         return service;
     }
 
-    /**
-     * Has the configuration read again at SIGHUP, or by what the file itself shows where that
-     * cannot come.
-     */
+    /** Reloads at SIGHUP or, where SIGHUP is ignored, when the file has changed. */
     private static void followChanges(ConfigSource source, Runnable reload, Log log) {
         HangupSignal.handle(reload)
                 .ifPresent(
@@ -136,7 +138,7 @@
                         });
     }
 
-    /** Says that all signals are heeded from here on: for who has seen to SIGTERM. */
+    /** Logs that the proxy listens and handles all signals; call it once SIGTERM is handled. */
     public void listening() {
         loop.execute(
                 () -> {
@@ -154,11 +156,11 @@
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // told to end meanwhile: it does
+            // the JVM is already shutting down
         }
     }
 
-    /** A proxy on this loop, once it listens: on the socket that was inherited, or on one of its own. */
+    /** Starts a proxy on this loop and returns once it listens, on the inherited socket or a new one. */
     static Proxy start(
             Config config,
             EventLoop loop,
@@ -170,7 +172,7 @@
         return proxy;
     }
 
-    /** One that follows the lists already, and takes no clients yet. */
+    /** A proxy that already follows the node lists but does not listen yet. */
     private static Proxy begun(
             Config config,
             EventLoop loop,
@@ -188,7 +190,7 @@
                                                 time,
                                                 new Sockets(loop, inherited),
                                                 new Log(time, lines));
-                                // in the same turn: the first call goes by the list that is held
+                                // in the same task: the first call to discovery uses the list held
                                 proxy.begin();
                                 restore(proxy, kept);
                                 return proxy;
@@ -201,7 +203,7 @@
         }
     }
 
-    /** Before anything is sent: what the process before this one was told holds here too. */
+    /** Applies the left-out nodes that the previous process recorded, before anything is sent. */
     private static void restore(Proxy proxy, KeptOut kept) throws IOException {
         if (kept != null) {
             kept.all((node, out, at) -> proxy.members().restore(node, out, proxy.monotonic(at)));
@@ -215,7 +217,7 @@
             for (int i = 0;
                     i < BIND_TRIES && bound != null && bound.cause() instanceof BindException;
                     i++) {
-                // after a restart the one before may hold the address a moment longer
+                // after a restart the previous process may still hold the address for a moment
                 if (i == 0) {
                     loop.execute(
                             () -> proxy.log("waiting for " + config.listen + ", which is in use"));
@@ -227,7 +229,7 @@
                 throw new BadInput(
                         "cannot listen on " + config.listen + ": " + bound.cause().getMessage());
             }
-            loop.submit(() -> {}).get(); // the proxy itself has heard of it, and says so
+            loop.submit(() -> {}).get(); // lets the proxy's own listener of the bind run first
         } catch (ExecutionException e) {
             throw new BadInput("cannot start: " + e.getCause().getMessage());
         } catch (InterruptedException e) {
@@ -235,7 +237,7 @@
         }
     }
 
-    /** Null: it was told to end meanwhile. */
+    /** Null if the drain has begun meanwhile. */
     private static ChannelFuture bound(Proxy proxy, EventLoop loop)
             throws InterruptedException, ExecutionException {
         ChannelFuture bound = loop.submit(proxy::listen).get();
@@ -243,9 +245,9 @@
     }
 
     /**
-     * Clients are taken once the first list has come, or after a bounded time: the list of the
-     * configuration may be old, and what discovery has had for long counts for a new process as well. Where
-     * discovery cannot be reached nothing can be told, and clients are taken at once.
+     * Waits a bounded time for the first node list: the list of the configuration may be out of date, and a
+     * new process has to honour what discovery has known for long. Where lists are polled and discovery
+     * cannot be reached, it returns at once.
      */
     private static void awaitFirstList(Proxy proxy, Config config, boolean inherited)
             throws InterruptedException {
@@ -260,7 +262,7 @@
         }
     }
 
-    /** Null where nobody calls: then nothing is looked up either. */
+    /** Null without a console, as then no node can be left out. */
     private static KeptOut kept(Config config, Map<String, String> env, Log log) {
         if (config.console == null) {
             return null;
@@ -268,8 +270,8 @@
         String folder = env.getOrDefault("TMPDIR", "");
         if (folder.isEmpty()) {
             log.line(
-                    "TMPDIR is not set: nodes left out by operators are forgotten with this"
-                            + " process");
+                    "TMPDIR is not set: nodes left out by operators are forgotten when"
+                            + " this process ends");
         }
         try {
             return new KeptOut(folder.isEmpty() ? null : Path.of(folder, KEPT), Time.system());
@@ -279,8 +281,8 @@
     }
 
     /**
-     * The listening socket that {@code LB_FD} names; null where it names none. Only standard input can be
-     * taken over: the platform's way to a socket that it did not open itself.
+     * The listening socket that {@code LB_FD} names; null if it is not set. Only descriptor 0 works: the
+     * JDK gives access to an inherited socket only as standard input.
      */
     private static ServerSocketChannel inherited(Map<String, String> env) {
         String descriptor = env.getOrDefault("LB_FD", "").strip();
@@ -333,7 +335,9 @@
         return watchdog;
     }
 
-    /** Where there is no console a thread of its own looks, less often: a core may be shared by many. */
+    /**
+     * Without a console, a separate thread checks the loop, less often as many processes may share a core.
+     */
     private void watchAlone() {
         Time time = Time.system();
         Watchdog watchdog = watchdog(time, new Log(time, lines), LOOK_ALONE_MS);
@@ -346,9 +350,8 @@
                                     watchdog.look(time.us());
                                 }
                             } catch (InterruptedException e) {
-                                Thread.currentThread()
-                                        .interrupt(); // nobody does; the process ends with the
-                                // others
+                                // not expected: this daemon thread ends with the process
+                                Thread.currentThread().interrupt();
                             }
                         },
                         "watchdog");
@@ -364,7 +367,7 @@
         }
     }
 
-    /** What the process before, or the other one in an upgrade, was told of nodes left out. */
+    /** Applies changes of left-out nodes that another process recorded, as during an upgrade. */
     private void look() {
         try {
             kept.changes(
@@ -375,7 +378,7 @@
                                                     .leaveOut(
                                                             node, out, proxy.monotonic(atUnixMs))));
         } catch (IOException e) {
-            say("which nodes are left out cannot be read: " + e);
+            say("the record of nodes left out by operators cannot be read: " + e);
         }
     }
 
@@ -383,7 +386,10 @@
         loop.execute(() -> proxy.log(line));
     }
 
-    /** The call holds once it is kept for the next process and the module has it; else nothing of it does. */
+    /**
+     * The call succeeds once it is recorded for the next process and the router has it; otherwise it changes
+     * nothing.
+     */
     @Override
     public void leaveOut(String node, boolean out, Consumer<String> answer) {
         loop.execute(
@@ -409,7 +415,7 @@
                                     say(
                                             "node "
                                                     + node
-                                                    + " could not be kept as left out or used: "
+                                                    + ": the operator's call could not be recorded: "
                                                     + e);
                                     answer.accept(
                                             "cannot be kept: " + e.getClass().getSimpleName());
@@ -419,8 +425,8 @@
     }
 
     /**
-     * What SIGHUP asks for: the file as it is now, or nothing of it. On any thread, and each signal has one
-     * of its own: one after the other, so that the last file is the last that is taken.
+     * Reloads the configuration, whole or not at all. Each SIGHUP has its own thread: reloads run one after
+     * the other, so that the latest file is applied last.
      */
     static void reload(Config inUse, Proxy proxy, EventLoop loop, ConfigSource source) {
         replace(() -> source.read().apply(inUse), proxy, loop);
@@ -440,19 +446,19 @@
     }
 
     /**
-     * Takes a configuration as SIGHUP does, whole or not at all: {@code checked} makes it, or throws a
-     * {@link BadInput}, one call after the other and none beside a SIGHUP. Returns why it is turned down,
-     * else null; on any thread.
+     * Applies a configuration as SIGHUP does, whole or not at all. {@code checked} creates it or throws
+     * {@link BadInput}; its calls never overlap with each other or with a reload at SIGHUP. Returns why it
+     * was rejected, or null. Thread-safe.
      */
     public String take(Supplier<Config> checked) {
         return replace(checked, proxy, loop);
     }
 
-    /** Does what SIGTERM asks for and waits for its end, but not for long. */
+    /** Drains as at SIGTERM and waits for the end, for a bounded time. */
     public void drain() {
         try {
             if (!proxy.end().await(DRAIN_MOST_MS)) {
-                log.line("ending with requests open");
+                log.line("the drain was not done in time; ending with connections open");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/holdproxy/net/Time.java
+++ b/src/main/java/holdproxy/net/Time.java
@@ -4,37 +4,40 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one place where time enters: the ticker that the event loop's timers go by, and a wall clock that is
- * read once. Handed in, both can be driven by hand.
+ * The only source of time: the ticker of the event loop's timers, and a wall clock that is read once. Both
+ * are passed in, so that tests and simulations can control them.
  */
 public final class Time {
     private final Ticker ticker;
     private final long originNs;
     private final long unixAtOriginUs;
 
-    /** {@code ticker}: the event loop's; {@code unixMs}: the wall clock, in milliseconds since 1970. */
+    /** {@code ticker}: that of the event loop; {@code unixMs}: the wall clock. */
     public Time(Ticker ticker, LongSupplier unixMs) {
         this.ticker = ticker;
         originNs = ticker.nanoTime();
         unixAtOriginUs = unixMs.getAsLong() * 1000;
     }
 
-    /** The system's clocks. */
+    /** Uses the system's clocks. */
     static Time system() {
         return new Time(Ticker.systemTicker(), System::currentTimeMillis);
     }
 
-    /** Microseconds since this was made, never going back: the module's clock. */
+    /** Monotonic microseconds since this object was created: the router's clock. */
     long us() {
         return (ticker.nanoTime() - originNs) / 1000;
     }
 
-    /** Unix time by that clock and the one reading of the wall clock, in milliseconds. */
+    /** Unix time, from that clock and the one reading of the wall clock. */
     long unixMs() {
         return (unixAtOriginUs + us()) / 1000;
     }
 
-    /** A Unix time on that clock; from one reading, so that a start stays the same number. */
+    /**
+     * Converts a Unix time to that clock. As the wall clock is read once, a node's start time always
+     * converts to the same value.
+     */
     long monotonicUs(long unixMs) {
         return unixMs * 1000 - unixAtOriginUs;
     }
--- a/src/main/java/holdproxy/net/Turns.java
+++ b/src/main/java/holdproxy/net/Turns.java
@@ -10,14 +10,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The turns of an event loop on sockets: counts them, and has the loop wait for its next timer.
+ * Wraps the NIO handler of an event loop: counts the loop's iterations, and rounds its waits up to whole
+ * milliseconds.
  *
- * <p>Netty's own NIO loop waits in whole milliseconds, rounded to the nearest: in the last half millisecond
- * before a timer it does not wait at all but looks for input again and again, hundreds of turns for one
- * timer. Of a core that is a tenth; a process that has only a share of one needs it for its requests. Here
- * the wait is rounded up: a timer runs up to a millisecond late, and a turn finds something to do.
+ * <p>Netty's NIO handler rounds a wait to the nearest millisecond. In the last half millisecond before a
+ * timer it therefore does not wait but polls for input, hundreds of iterations for one timer. That takes a
+ * tenth of a core, which a process with only a share of a core needs for requests. With waits rounded up, a
+ * timer runs at most a millisecond late and an iteration finds work.
  *
- * <p>One object belongs to one loop; its counts are read on that loop's thread.
+ * <p>Each object serves one loop; its counts are read on that loop's thread.
  */
 final class Turns implements IoHandlerFactory {
     private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
@@ -34,12 +35,12 @@
         this.sockets = sockets;
     }
 
-    /** Turns so far. */
+    /** Iterations so far. */
     long all() {
         return turns;
     }
 
-    /** Those that found no input, no task and no timer that was due: the loop woke for nothing. */
+    /** Iterations that found no input, no task and no due timer. */
     long idle() {
         return idle;
     }
@@ -99,7 +100,7 @@
         }
     }
 
-    /** The loop's own word on when its next timer is due, in whole milliseconds and no sooner than that. */
+    /** The context of the loop, with the delay until its next timer rounded up to whole milliseconds. */
     private static final class Patient implements IoHandlerContext {
         private IoHandlerContext context;
 
--- a/src/main/java/holdproxy/net/Watchdog.java
+++ b/src/main/java/holdproxy/net/Watchdog.java
@@ -3,12 +3,12 @@
 import java.util.function.Consumer;
 
 /**
- * Says where the request loop stands when it stands still, from another thread that looks at even intervals;
- * and whether that one stood still as well, which is then the machine's doing or the collector's. Times in
- * microseconds. {@link #beat} is the loop's, {@link #look} the other thread's.
+ * Reports a stall of the request loop, with its stack trace, from another thread that checks it at regular
+ * intervals. If that thread was stalled as well, the whole process was, by the machine or a garbage
+ * collection. The loop calls {@link #beat}, the other thread {@link #look}.
  */
 final class Watchdog {
-    /** Callers of the console are owed an answer within 1 s; a loop that is this late is news. */
+    /** A stall from this length on is reported; the console has to answer within 1 s. */
     static final long STILL_US = 700_000;
 
     private static final int FRAMES = 12;
@@ -19,7 +19,7 @@
     private long lookedUs;
     private boolean told;
 
-    /** {@code log} takes its lines on the looking thread, as the loop takes none while it stands still. */
+    /** {@code log} is called on the checking thread, as a stalled loop cannot log. */
     Watchdog(Thread watched, long nowUs, Consumer<String> log) {
         this.watched = watched;
         this.log = log;
@@ -36,7 +36,7 @@
         lookedUs = nowUs;
         if (gap > STILL_US) {
             log.accept("the process stood still for " + gap / 1000 + " ms");
-            return; // of the loop nothing can be said yet
+            return; // the loop had no chance to run either
         }
         long still = nowUs - beatUs;
         if (still <= STILL_US) {
--- a/src/main/java/holdproxy/net/package-info.java
+++ b/src/main/java/holdproxy/net/package-info.java
@@ -1,2 +1,2 @@
-/** The proxy itself: sockets, discovery, configuration and signals around the routing decisions. */
+/** The proxy process around the router: sockets, discovery, configuration and signals. */
 package holdproxy.net;
--- a/src/test/java/holdproxy/net/SignalTest.java
+++ b/src/test/java/holdproxy/net/SignalTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A real process and its signals, each sent at a moment that the process itself has told. */
+/** Signals to a real process, each sent once the process has logged the state for which it is meant. */
 @Timeout(
         value = 120,
         threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // a read of the log cannot be interrupted
@@ -47,7 +47,7 @@
         start(listen, List.of());
     }
 
-    /** {@code parent}: the words before the program's own. */
+    /** {@code parent}: the command in front of the program's own. */
     private void start(String listen, List<String> parent) throws Exception {
         file = folder.resolve("config.json");
         Files.writeString(file, configuration(discovery));
@@ -75,7 +75,7 @@
                 + Fixture.json(Fixture.list(1, true, entry), Fixture.SETTINGS, 1024).substring(1);
     }
 
-    /** The first line of its log from here on that holds this. */
+    /** Reads the log up to the next line that contains this. */
     private String line(String part) throws Exception {
         StringBuilder before = new StringBuilder();
         for (String line = log.readLine(); line != null; line = log.readLine()) {
@@ -85,7 +85,7 @@
             before.append(line).append('\n');
         }
         throw new AssertionError(
-                "it ended with " + process.waitFor() + " before it said: " + part + "\n" + before);
+                "the process ended with " + process.waitFor() + " before it logged: " + part + "\n" + before);
     }
 
     private void signal(String name) throws Exception {
@@ -117,12 +117,12 @@
         assertEquals(0, process.exitValue());
     }
 
-    /** The signal never comes: the file itself is followed, also behind a broken one. */
+    /** With SIGHUP ignored, the file is polled instead, also after it held a broken configuration. */
     @Test
     void whereSighupIsIgnoredTheFileIsFollowed() throws Exception {
         start("127.0.0.1:0", List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
         assertTrue(line("SIGHUP has no effect").contains(file.toString()));
-        line("settings taken"); // those of the start: from here on only a change is read
+        line("settings taken"); // the first content; from here on only changes are reloaded
         try (Peer.Listener moved = new Peer.Listener()) {
             String next = configuration(moved);
             Files.writeString(file, next.substring(0, next.length() / 2));
@@ -138,8 +138,8 @@
     }
 
     /**
-     * The words of the run line before the program's own, under a parent that ignores SIGHUP and nothing else:
-     * a build that runs in the background of a shell has SIGINT ignored as well.
+     * Runs the command of the deployment's run line in front of the program, under a parent that ignores SIGHUP
+     * only. SIGINT is set to its default, as a build in the background of a shell has it ignored as well.
      */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "INT"})
@@ -184,7 +184,7 @@
         }
     }
 
-    /** Deadlines are 5 s here: SIGKILL may come 3.7 s after SIGTERM, before the request is due. */
+    /** Deadlines are 5 s here, so that SIGKILL may come 3.7 s after SIGTERM, before a request's deadline. */
     @Test
     void whatIsOpenAtTheEndHasItsAnswerBeforeTheProcessIsGone() throws Exception {
         start("127.0.0.1:0");
@@ -197,7 +197,8 @@
             signal("TERM");
             client.expect("SERVER_ERROR failed");
             client.close();
-            line("a request is open at the end: failed"); // and not when it was due
+            // failed before the process is killed, not at its deadline
+            line("a request is still open before the process is killed; failing it");
         }
         assertEquals(0, process.waitFor());
     }
