--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -414,8 +414,8 @@
     private void timedOut(Attempt a) {
         if (!a.over) {
             boolean ownFault = stoodStillUs(a, now()) > a.waitUs / OWN_PART;
-            // a command that was not written whole cannot run on the node: the router may refuse the
-            // request or send it elsewhere
+            // a command that was not written whole cannot run on the node: the router may refuse
+            // the request or send it elsewhere
             boolean neverRan = !a.connection.giveUp(a);
             ended(
                     a,
--- a/src/test/java/holdproxy/net/BoundedStartTest.java
+++ b/src/test/java/holdproxy/net/BoundedStartTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A start takes clients in bounded time, whatever discovery does. */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // only for what never comes
+/** A started proxy accepts clients within a bounded time, whatever discovery does. */
+@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // guards against a hang
 class BoundedStartTest {
     /** Nine in ten processes have to be ready within this time. */
     private static final int READY_MS = 10_000;
 
     @TempDir Path folder;
 
-    /** Both ways to lists: those that are asked for, for which an answer is awaited, and pushed ones. */
+    /** Both ways to get node lists: asked for, which awaits an answer, and pushed. */
     @ParameterizedTest
     @ValueSource(strings = {"subscribe", "automatic"})
     void aDiscoveryThatAcceptsAndNeverAnswersHoldsUpNoStart(String mode) throws Exception {
@@ -36,8 +36,8 @@
         try (Peer.Listener discovery = new Peer.Listener()) {
             Config config = Config.load(Fixture.env(file, discovery.address()));
             Proxy proxy = Service.start(config, loop, null, null, null);
-            assertTrue(discovery.next().line().startsWith("GET "), "it has not asked");
-            assertFalse(proxy.members().first().isDone(), "a list has come from nowhere");
+            assertTrue(discovery.next().line().startsWith("GET "), "discovery was not asked for a list");
+            assertFalse(proxy.members().first().isDone(), "a first list is reported though discovery sent none");
             try (Peer client = Peer.to(proxy.address())) {
                 client.send("mn\r\n");
                 client.expect("MN");
@@ -53,7 +53,7 @@
         int address = bound("BIND_TRIES") * bound("BIND_WAIT_MS");
         assertTrue(
                 firstList + address < READY_MS,
-                "a start may wait " + firstList + " ms for a list and " + address + " to listen");
+                "a start may wait " + firstList + " ms for a list and " + address + " ms to listen");
     }
 
     private static int bound(String name) throws Exception {
--- a/src/test/java/holdproxy/net/ConfigFileWatcherTest.java
+++ b/src/test/java/holdproxy/net/ConfigFileWatcherTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which contents of a file are reported, look by look. */
+/** Which contents of a file are reported at which poll. */
 class ConfigFileWatcherTest {
     @TempDir Path folder;
 
@@ -60,7 +60,7 @@
         assertEquals(List.of("first", "second"), reported);
     }
 
-    /** Of the same size, with the same times: only the content tells. */
+    /** Size and times stay the same: only the content differs. */
     @Test
     void aChangeThatItsTimesDoNotShowIsReported() throws IOException {
         FileTime time = Files.getLastModifiedTime(file);
--- a/src/test/java/holdproxy/net/ConfigTest.java
+++ b/src/test/java/holdproxy/net/ConfigTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the proxy is told at its start, and that anything missing or malformed ends it with one plain line. */
+/** Reading the configuration: a missing or malformed value ends the process with a one-line message. */
 class ConfigTest {
     private static final String KNOWN = Fixture.list(41, true);
 
@@ -99,7 +99,7 @@
         assertTrue(err.contains("list entry"), err);
     }
 
-    /** As connections wait without such a setting, the windows of repeats have to leave room for it. */
+    /** Without the setting a dial may take 1 s, for which repeat windows have to leave room. */
     @Test
     void whereNoTimeForDialsIsStatedWhatTheyMayTakeIsReckonedWith() {
         for (String dial : new String[] {"", "caps.dialTimeoutMs=0\n"}) {
--- a/src/test/java/holdproxy/net/FiguresTest.java
+++ b/src/test/java/holdproxy/net/FiguresTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What operators read of a proxy on loopback sockets: each request in exactly one count. */
+/** The metrics of a proxy on loopback sockets: each request is in exactly one counter. */
 @Timeout(60)
 class FiguresTest {
 
     private static String figures(Fixture f) throws Exception {
-        // counted before the client is answered, on the loop; a turn of it later all of it is there
+        // the loop counts before it answers the client, so a later task of the loop sees all counts
         return f.loop.submit(
                         () -> {
                             Figures.Outcomes read = f.proxy.figures().of("lookup");
--- a/src/test/java/holdproxy/net/Fixture.java
+++ b/src/test/java/holdproxy/net/Fixture.java
@@ -53,7 +53,7 @@
         this(nodeCount, change, sockets, null);
     }
 
-    /** {@code clock}: the module's, in the test's hands; timers of the loop go by the system's. */
+    /** {@code clock}: the router's clock, set by the test; timers of the loop use the system's clock. */
     Fixture(int nodeCount, Function<String, String> change, int sockets, Ticker clock)
             throws IOException {
         List<String> entries = new ArrayList<>();
@@ -91,8 +91,9 @@
     }
 
     /**
-     * Returns once the loop has dealt with all that lay at its connections when this was called: a timer is
-     * run no sooner than in the turn after the one that it was set in, behind what that turn has read.
+     * Returns once the loop has processed all input that had arrived when this was called. A timer runs no
+     * sooner than in the iteration after the one that set it, and after the input that this iteration has
+     * read.
      */
     void turn() {
         for (int i = 0; i < 5; i++) {
@@ -100,18 +101,18 @@
         }
     }
 
-    /** What comes to the proxy while its loop is held. */
+    /** Input that arrives at the proxy while its loop is blocked. */
     interface Coming {
         void come() throws Exception;
     }
 
-    /** Holds the loop while all of it comes, in this order: one turn reads it then, as after a standstill. */
+    /** Blocks the loop while the input arrives, so that one iteration reads all of it, as after a stall. */
     void inOneTurn(Coming all) throws Exception {
-        turn(); // else what was read last would be looked at first
+        turn(); // otherwise the connection that was read last would come first
         held(() -> {}, all);
     }
 
-    /** Holds the loop, which has begun with {@code first}, while all of it comes. */
+    /** Has the loop run {@code first}, then blocks it while the input arrives. */
     void held(Runnable first, Coming all) throws Exception {
         CountDownLatch stands = new CountDownLatch(1);
         CountDownLatch goesOn = new CountDownLatch(1);
@@ -130,7 +131,7 @@
         goesOn.countDown();
     }
 
-    /** Moves the module's clock, the loop having been on time. */
+    /** Advances the router's clock without a stall of the loop. */
     void pass(MockTicker clock, int ms) throws Exception {
         clock.advance(ms, TimeUnit.MILLISECONDS);
         for (int i = 0; i < 2; i++) {
@@ -138,7 +139,7 @@
         }
     }
 
-    /** Requests taken and not ended. */
+    /** Requests in progress. */
     long active() {
         turn();
         return proxy.figures().active.get();
@@ -193,7 +194,7 @@
         return p;
     }
 
-    /** The next connection that comes to any of the nodes. */
+    /** The next connection to any of the nodes. */
     Peer next() throws InterruptedException {
         for (long end = System.nanoTime() + 10_000_000_000L;
                 System.nanoTime() < end;
@@ -208,11 +209,11 @@
         throw new AssertionError("no connection came");
     }
 
-    /** The watch that the module asked for, its request read and its answer begun. */
+    /** Accepts the proxy's next call to discovery, reads the request and sends the response header. */
     Peer watch() throws IOException, InterruptedException {
         Peer p = discovery.next();
         for (String line = p.line(); !line.isEmpty(); line = p.line()) {
-            // the request's lines
+            // skips the request
         }
         p.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         return p;
--- a/src/test/java/holdproxy/net/HangupSignalTest.java
+++ b/src/test/java/holdproxy/net/HangupSignalTest.java
@@ -10,7 +10,7 @@
 
 class HangupSignalTest {
 
-    /** Not handled, the signal would end the program that runs this. */
+    /** Unhandled, the signal would end the JVM of this test. */
     @Test
     void theSignalRunsTheAction() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
--- a/src/test/java/holdproxy/net/IdleClientsTest.java
+++ b/src/test/java/holdproxy/net/IdleClientsTest.java
@@ -19,19 +19,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Idle clients hold all the descriptors that clients may have, in a real process to which the system gives no
- * more than its configuration says: what the proxy counts wrongly, the system refuses.
+ * Discovery is still reached while idle clients hold all descriptors that clients may use. The process runs
+ * under a system limit equal to the configured one, so that a descriptor which the proxy does not count
+ * fails.
  */
 @Timeout(
         value = 120,
         threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // a read of the log cannot be interrupted
 class IdleClientsTest {
-    /** The least that a configuration may state. */
+    /** The minimum that a configuration may state. */
     private static final int SOCKETS = 128;
 
     private static final Descriptors BOUND = Descriptors.of(SOCKETS, false);
 
-    /** A list holds for 10 s, so that the pauses between calls stay long enough for the log to name each. */
+    /** A list is valid for 10 s, which keeps the pauses between calls long enough for each to be logged. */
     private static final String SETTINGS =
             Fixture.SETTINGS.replace("\"askWithinMs\":100.0", "\"askWithinMs\":10000.0");
 
@@ -56,7 +57,7 @@
         after.close();
     }
 
-    /** The program's own archives alone: each one on the class path takes a descriptor. */
+    /** Only the jars that the program needs, as each one on the class path takes a descriptor. */
     private static String classPath() {
         return Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                 .filter(entry -> entry.matches(".*(target/classes/?|/(netty|jackson)-[^/]*\\.jar)"))
@@ -96,28 +97,30 @@
         return "{\"id\":\"" + id + "\",\"addr\":\"" + node.address() + "\",\"state\":\"SERVING\"}";
     }
 
-    /** The first line of the log from here on that holds this. */
+    /** Reads the log up to the next line that contains this. */
     private String line(String part) throws Exception {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             if (line.contains(part)) {
                 return line;
             }
         }
-        throw new AssertionError("it ended before it said: " + part);
+        throw new AssertionError("the process ended before it logged: " + part);
     }
 
-    /** Takes the next call, reads its request and answers with this list. */
+    /** Accepts the next call, reads its request and answers with this list. */
     private static Peer answered(Peer.Listener discovery, String list) throws Exception {
         Peer call = discovery.next();
         for (String line = call.line(); !line.isEmpty(); line = call.line()) {
-            // the request's lines
+            // skips the request
         }
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         Fixture.chunk(call, list);
         return call;
     }
 
-    /** All that clients may hold, and some more, for each of which the longest idle one has to go. */
+    /**
+     * Opens all client connections allowed and some more; for each of those the longest idle one is closed.
+     */
     private void fillWithIdleClients(InetSocketAddress proxy) throws Exception {
         for (int i = 0; i < BOUND.clients() + Descriptors.REFUSING; i++) {
             Peer client = Peer.to(proxy);
@@ -130,7 +133,7 @@
         }
     }
 
-    /** A connection for each request that is open, which idles once the request is answered. */
+    /** Opens all node connections allowed, one for each open request, and has them idle by answering. */
     private List<Peer> fillWithIdleNodeConnections() throws Exception {
         List<Peer> connections = new ArrayList<>();
         for (int i = 0; i < BOUND.nodes(); i++) {
@@ -145,7 +148,7 @@
         return connections;
     }
 
-    /** Reads the log up to what is written from now on: the answer to a signal, which needs the file. */
+    /** Skips the log up to now, by a reload, which logs a line and needs a descriptor to read the file. */
     private void skipLog() throws Exception {
         Process kill = new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start();
         assertEquals(0, kill.waitFor());
@@ -163,11 +166,12 @@
         fillWithIdleClients(proxy);
         List<Peer> connections = fillWithIdleNodeConnections();
         skipLog();
-        line("discovery: no connection"); // at least one call has failed while all of them stood
+        // at least one call has failed while all of them were open
+        line("discovery: no connection");
         try (Peer.Listener returned = new Peer.Listener(port)) {
             answered(returned, Fixture.list(2, true, entry("s-1", after)));
             for (Peer connection : connections) {
-                connection.expectEnd(); // its node is gone, by the list
+                connection.expectEnd(); // its node is not in the new list
             }
             for (Peer client : clients) {
                 client.send("mn\r\n");
--- a/src/test/java/holdproxy/net/LatenessTest.java
+++ b/src/test/java/holdproxy/net/LatenessTest.java
@@ -57,11 +57,11 @@
         assertEquals(300 * MS, lateness.totalUs(320 * MS));
         lateness.ticked(320 * MS);
         assertEquals(
-                300 * MS, lateness.justNowUs(321 * MS), "input read right after it waited as long");
+                300 * MS, lateness.justNowUs(321 * MS), "input read right after the tick has waited as long");
         assertEquals(0, lateness.justNowUs(330 * MS));
         assertEquals(300 * MS, lateness.totalUs(330 * MS));
         lateness.ticked(340 * MS);
-        assertEquals(400 * MS, lateness.totalUs(460 * MS), "a second one adds to it");
+        assertEquals(400 * MS, lateness.totalUs(460 * MS), "a second stall adds to it");
     }
 
     /** A proxy short of processor time, as right after a restart, in front of nodes that answer at once. */
@@ -70,7 +70,7 @@
         int refused = 0;
         for (int i = 0; i < 300; i++) {
             client.writeInbound(bytes(Fixture.read("r" + i, 5000)));
-            // of an aim of 750 ms: every third answer is read too late, the others after half of it
+            // the target is 750 ms: every third answer is read too late, the others after about half
             ticker.advance(i % 3 == 0 ? 800 : 400, TimeUnit.MILLISECONDS);
             refused += refusedOrAnswered("r" + i);
             proxy.tick(); // timers run after input
@@ -78,7 +78,7 @@
         assertEquals(0, refused);
     }
 
-    /** The timers that are due when it runs again end requests that no node was slow with. */
+    /** After a stall, due timers end requests although no node was slow. */
     @Test
     void timeOutsOfAStandstillAreNotTakenForSilence() {
         timeOuts(40, 800, 1);
@@ -92,7 +92,10 @@
         assertTrue(refused > 50, refused + " of 100 refused");
     }
 
-    /** Requests in a row that the node never answers, the loop running so many times until each is due. */
+    /**
+     * Sends requests in turn that the node never answers; the loop runs {@code runs} times until each is
+     * due.
+     */
     private void timeOuts(int requests, int runEveryMs, int runs) {
         for (int i = 0; i < requests; i++) {
             client.writeInbound(bytes(Fixture.read("t" + i, 800)));
@@ -101,7 +104,7 @@
                 timers.runScheduledPendingTasks();
                 proxy.tick();
             }
-            assertTrue(text(client).startsWith("SERVER_ERROR busy"), "out of time or refused");
+            assertTrue(text(client).startsWith("SERVER_ERROR busy"), "neither timed out nor refused");
         }
     }
 
@@ -114,7 +117,7 @@
         return refused;
     }
 
-    /** 1 where the request was refused at once; else the node answers it. */
+    /** Returns 1 if the request was refused at once; otherwise the node answers it. */
     private int refusedOrAnswered(String id) {
         String refusal = text(client);
         if (refusal.isEmpty()) {
--- a/src/test/java/holdproxy/net/Peer.java
+++ b/src/test/java/holdproxy/net/Peer.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** The other end of a connection, under a test's control, and a listener that makes such ends. */
+/** One end of a TCP connection, controlled by a test; and listeners that accept such connections. */
 final class Peer implements Closeable {
     private static final int WAIT_MS = 10_000;
 
@@ -40,7 +40,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** The next line without its end; null at the end of the stream. */
+    /** The next line without its terminator; null at the end of the stream. */
     String line() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Waits for the end of what the other side sends; fails on anything before it. */
+    /** Expects the end of the stream, or a reset, and no data before it. */
     void expectEnd() throws IOException {
         try {
             assertEquals(null, line());
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Ends the connection with a reset. */
+    /** Closes the connection with a reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
@@ -79,7 +79,7 @@
         socket.close();
     }
 
-    /** A listening socket whose connections wait for the test to take them. */
+    /** A listening socket; its accepted connections are queued for the test. */
     static final class Listener implements Closeable {
         private final ServerSocket server;
         private final BlockingQueue<Peer> accepted = new LinkedBlockingQueue<>();
@@ -89,7 +89,7 @@
             this(0);
         }
 
-        /** On this port, which another listener may have had before; 0: any. */
+        /** Listens on this port, which an earlier listener may have used; 0 for any port. */
         Listener(int port) throws IOException {
             server = new ServerSocket(port, 64, InetAddress.getLoopbackAddress());
             Thread thread = new Thread(this::accept, "listener");
@@ -102,7 +102,7 @@
                 while (true) {
                     Peer p = new Peer(server.accept());
                     accepted.add(p);
-                    all.add(p); // counted once it can be taken
+                    all.add(p); // after the queue: a counted connection can be polled
                 }
             } catch (IOException e) {
                 // closed by the test
@@ -125,7 +125,7 @@
             return p;
         }
 
-        /** A connection that has come, or null. */
+        /** An accepted connection, or null. */
         Peer poll() {
             return accepted.poll();
         }
@@ -143,7 +143,7 @@
         }
     }
 
-    /** A listening socket whose queue is full: a further connection to it never comes up. */
+    /** A listening socket whose backlog is full: further connections to it are never established. */
     static final class Deaf implements Closeable {
         private final ServerSocket server =
                 new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -159,10 +159,10 @@
                     return;
                 }
             }
-            throw new AssertionError("the queue does not fill");
+            throw new AssertionError("the backlog does not fill");
         }
 
-        /** Makes room, and takes the first connection that is not of those which filled the queue. */
+        /** Empties the backlog and returns the first connection that is not one of those which filled it. */
         Peer hear() throws IOException {
             server.setSoTimeout(WAIT_MS);
             while (true) {
--- a/src/test/java/holdproxy/net/RetuningTest.java
+++ b/src/test/java/holdproxy/net/RetuningTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Other settings at SIGHUP: taken whole, or nothing of them; what is open keeps the rules it came under. */
+/**
+ * Reloading settings at SIGHUP: applied whole or not at all; open requests keep the settings they started
+ * with.
+ */
 @Timeout(60)
 class RetuningTest {
     private static final String SETTINGS = Fixture.SETTINGS;
@@ -26,7 +29,7 @@
                 + Fixture.json(Fixture.list(1, true), settings, 1024).substring(1);
     }
 
-    /** Has the proxy read this at SIGHUP; returns how many files it has taken and turned down so far. */
+    /** Has the proxy reload this as at SIGHUP; returns the files applied and rejected so far, as "1/0". */
     private String reload(Fixture f, String text) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, text);
@@ -81,7 +84,7 @@
                                 assertEquals(
                                         1,
                                         f.proxy.figures().of("charge").errors.get(),
-                                        "it keeps its counts");
+                                        "a dropped class keeps its counters");
                             })
                     .get();
         }
@@ -91,8 +94,8 @@
     void anOpenRequestKeepsItsEffectAndItsAttemptsAndTheNextOneHasTheNewOnes() throws Exception {
         try (Fixture f = new Fixture(2)) {
             Peer client = f.client();
-            client.send(
-                    Fixture.write("submit", "s1", 4000)); // keyed, 4 attempts: may be sent again
+            // keyed with 4 attempts: may be sent again
+            client.send(Fixture.write("submit", "s1", 4000));
             Peer node = f.next();
             sent(node);
             assertEquals(
@@ -116,8 +119,8 @@
             again = f.next();
             sent(again);
             again.reset();
-            client.expect(
-                    "SERVER_ERROR failed"); // not refused: that would promise that it never ran
+            // no refusal, which would promise that the request never ran
+            client.expect("SERVER_ERROR failed");
         }
     }
 
@@ -207,11 +210,13 @@
                         e.getMessage());
                 return;
             }
-            throw new AssertionError("it was taken");
+            throw new AssertionError("the configuration was accepted");
         }
     }
 
-    /** Each customer's classes have what they need: a window, say, only where repeats are discarded. */
+    /**
+     * Keys may be present in some classes only, such as a repeat window only where repeats are discarded.
+     */
     @Test
     void whatOnlySomeClassesHaveNoOtherOneNeeds() throws Exception {
         int charge = SETTINGS.indexOf("\"charge\"");
--- a/src/test/java/holdproxy/net/SignalTest.java
+++ b/src/test/java/holdproxy/net/SignalTest.java
@@ -138,8 +138,9 @@
     }
 
     /**
-     * Runs the command of the deployment's run line in front of the program, under a parent that ignores SIGHUP
-     * only. SIGINT is set to its default, as a build in the background of a shell has it ignored as well.
+     * Runs the command of the deployment's run line in front of the program, under a parent that ignores
+     * SIGHUP only. SIGINT is set to its default, as a build in the background of a shell has it ignored as
+     * well.
      */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "INT"})
--- a/src/test/java/holdproxy/net/TurnsTest.java
+++ b/src/test/java/holdproxy/net/TurnsTest.java
@@ -21,10 +21,10 @@
 class TurnsTest {
     private static final int TIMERS = 300;
 
-    /** One that the timer wakes, and room for what else may wake a loop. */
+    /** One iteration that the timer wakes, and some for other reasons to wake up. */
     private static final int TURNS_A_TIMER = 4;
 
-    /** A loop's word, by hand; and what the sockets' handler made of it. */
+    /** A fake context with settable values, and a fake handler that records the delay it was given. */
     static final class ByHand implements IoHandlerContext, IoHandler {
         long delay;
         boolean mayWait = true;
@@ -59,7 +59,7 @@
 
         @Override
         public void wakeup() {
-            // nobody waits
+            // nothing blocks
         }
 
         @Override
@@ -106,12 +106,12 @@
         int most = TIMERS * TURNS_A_TIMER;
         int patient = turnsTaken(Turns::new);
         assertTrue(patient <= most, patient + " turns for " + TIMERS + " timers");
-        // the fault that this is to find: Netty's handler by itself
+        // the test must detect the defect that Netty's handler has on its own
         int bare = turnsTaken(sockets -> sockets);
-        assertTrue(bare > most, "not found: " + bare + " turns");
+        assertTrue(bare > most, "defect not detected: " + bare + " turns");
     }
 
-    /** How often a real loop looked for input until a chain of timers at odd intervals was through. */
+    /** How often a real loop polled for input during a chain of timers with fractions of a millisecond. */
     private static int turnsTaken(UnaryOperator<IoHandlerFactory> around) throws Exception {
         AtomicInteger taken = new AtomicInteger();
         IoHandlerFactory sockets =
@@ -120,9 +120,10 @@
                         () ->
                                 (select, tasks) -> {
                                     taken.incrementAndGet();
+                                    // as Netty's default strategy: block if there are no tasks
                                     return tasks
                                             ? select.get()
-                                            : -1; // as Netty's own: wait where there are no tasks
+                                            : -1;
                                 });
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, around.apply(sockets)).next();
         try {
--- a/src/test/java/holdproxy/net/UpgradeTest.java
+++ b/src/test/java/holdproxy/net/UpgradeTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two proxies on one listening socket, as two processes have it in an upgrade. */
+/** Two proxies on one listening socket, as the old and the new process during an upgrade. */
 @Timeout(60)
 class UpgradeTest {
     private final Peer.Listener node = new Peer.Listener();
@@ -47,13 +47,13 @@
         telling.start();
     }
 
-    /** Discovery gives each that calls the list of the start. */
+    /** Discovery sends the initial list to each caller. */
     private void tell() {
         try {
             while (true) {
                 Peer watch = discovery.next();
                 for (String line = watch.line(); !line.isEmpty(); line = watch.line()) {
-                    // the request's lines
+                    // skips the request
                 }
                 watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 Fixture.chunk(watch, Fixture.list(2, true, entry));
@@ -107,7 +107,7 @@
         loops.get(0).submit(() -> {}).sync();
         assertFalse(old.takesClients());
         for (int i = 0; i < 20; i++) {
-            Peer p = greeted(); // each by the new one: the old one would end it behind its answer
+            Peer p = greeted(); // served by the new proxy: the old one would close after its answer
             p.send("mn\r\n");
             p.expect("MN");
             p.close();
@@ -119,12 +119,12 @@
         served.send("VA 1 Oa1\r\n1\r\n");
         waiting.expect("VA 1 Oa1", "1");
         waiting.expectEnd();
-        idle.expectEnd(); // when the time for it is over
+        idle.expectEnd(); // when the time for the drain is over
         for (Peer p : List.of(waiting, used, idle)) {
             p.close();
         }
         assertTrue(end.await(5000));
-        assertTrue(socket.isOpen(), "closing it would end the process's log");
+        assertTrue(socket.isOpen(), "closing the inherited socket would end the process's log");
         greeted().close();
     }
 
@@ -149,7 +149,7 @@
         process();
         Proxy fresh = process();
         assertTrue(fresh.takesClients());
-        assertTrue(fresh.members().first().isDone(), "it took clients before it had a list");
+        assertTrue(fresh.members().first().isDone(), "it accepted clients before it had a list");
     }
 
     @Test
