--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -44,7 +44,7 @@
 
     private static final long KILL_DEADLINE_MOST_MS = 3_000;
 
-    /** Requests still open so long before the earliest SIGKILL are failed, as they would get no answer. */
+    /** Requests still open this long before the earliest SIGKILL are failed, as they would get no answer. */
     private static final long LAST_WORD_BEFORE_MS = 150;
 
     /**
--- a/src/main/java/holdproxy/net/Retuning.java
+++ b/src/main/java/holdproxy/net/Retuning.java
@@ -12,7 +12,7 @@
 final class Retuning {
     private Retuning() {}
 
-    /** Throws a {@link BadInput} that names the setting which cannot change while a proxy runs. */
+    /** Throws a {@link BadInput} that names a value that a running proxy cannot apply. */
     static void check(Router.Settings inUse, Router.Settings next) {
         reject(
                 inUse.aside != next.aside,
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -38,7 +38,7 @@
     /** The longest wait for the first node list in an upgrade, while another process serves the clients. */
     private static final int FIRST_LIST_MS = 2_000;
 
-    /** Where lists are polled, the wait is also at most 1/HELD_PART of the time for which one is valid. */
+    /** Where the router asks for lists, the wait is also at most 1/HELD_PART of a list's validity. */
     private static final int HELD_PART = 2;
 
     /**
@@ -246,8 +246,8 @@
 
     /**
      * Waits a bounded time for the first node list: the list of the configuration may be out of date, and a
-     * new process has to honour what discovery has known for long. Where lists are polled and discovery
-     * cannot be reached, it returns at once.
+     * new process has to honour what discovery has known for long. Where the router asks for lists and
+     * discovery cannot be reached, it returns at once.
      */
     private static void awaitFirstList(Proxy proxy, Config config, boolean inherited)
             throws InterruptedException {
--- a/src/test/java/holdproxy/net/Fixture.java
+++ b/src/test/java/holdproxy/net/Fixture.java
@@ -106,7 +106,7 @@
         void come() throws Exception;
     }
 
-    /** Blocks the loop while the input arrives, so that one iteration reads all of it, as after a stall. */
+    /** Blocks the loop while all input arrives, in this order: one iteration reads it, as after a stall. */
     void inOneTurn(Coming all) throws Exception {
         turn(); // otherwise the connection that was read last would come first
         held(() -> {}, all);
