--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -22,11 +22,15 @@
 public final class Proxy implements Router.Actions {
     /** Bound on the values of open write requests. */
     private static final long MOST_HELD_BYTES = 16L << 20;
+
     /** Bound on the answers that clients have not read yet. */
     private static final long MOST_UNTAKEN_BYTES = 12L << 20;
+
     /** Additional room for clients that have read all earlier answers. */
     private static final long UNTAKEN_FOR_TAKING_BYTES = 4L << 20;
+
     private static final int MOST_OPEN = 4096;
+
     /** Retry delay that is advised when a request is refused without asking the router. */
     private static final long DEFAULT_ADVICE_US = 500_000;
 
@@ -252,10 +256,7 @@
         long classUs = settings.classes[type].deadlineUs;
         long waitUs = c.waitMs == Command.NOT_STATED ? classUs : c.waitMs * 1000L;
         // a client's stated wait cannot exceed the deadline of the class
-        waitUs =
-                classUs > 0
-                        ? Math.min(waitUs, classUs)
-                        : waitUs;
+        waitUs = classUs > 0 ? Math.min(waitUs, classUs) : waitUs;
         long dueUs = now + Math.max(waitUs / 2, waitUs - TRANSIT_US) - lateness.justNowUs(now);
         Exchange x =
                 new Exchange(
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -30,6 +30,7 @@
 
     /** How often the loop is checked where there is no console. */
     private static final int LOOK_ALONE_MS = 250;
+
     private static final int REFRESH_MS = 200;
 
     /** The folder in {@code TMPDIR} for the record of nodes left out. */
@@ -415,7 +416,7 @@
                                     say(
                                             "node "
                                                     + node
-                                                    + ": the operator's call could not be recorded: "
+                                                    + ": the operator's call was not recorded: "
                                                     + e);
                                     answer.accept(
                                             "cannot be kept: " + e.getClass().getSimpleName());
--- a/src/test/java/holdproxy/net/BoundedStartTest.java
+++ b/src/test/java/holdproxy/net/BoundedStartTest.java
@@ -36,8 +36,12 @@
         try (Peer.Listener discovery = new Peer.Listener()) {
             Config config = Config.load(Fixture.env(file, discovery.address()));
             Proxy proxy = Service.start(config, loop, null, null, null);
-            assertTrue(discovery.next().line().startsWith("GET "), "discovery was not asked for a list");
-            assertFalse(proxy.members().first().isDone(), "a first list is reported though discovery sent none");
+            assertTrue(
+                    discovery.next().line().startsWith("GET "),
+                    "discovery was not asked for a list");
+            assertFalse(
+                    proxy.members().first().isDone(),
+                    "a first list is reported though discovery sent none");
             try (Peer client = Peer.to(proxy.address())) {
                 client.send("mn\r\n");
                 client.expect("MN");
@@ -53,7 +57,11 @@
         int address = bound("BIND_TRIES") * bound("BIND_WAIT_MS");
         assertTrue(
                 firstList + address < READY_MS,
-                "a start may wait " + firstList + " ms for a list and " + address + " ms to listen");
+                "a start may wait "
+                        + firstList
+                        + " ms for a list and "
+                        + address
+                        + " ms to listen");
     }
 
     private static int bound(String name) throws Exception {
--- a/src/test/java/holdproxy/net/LatenessTest.java
+++ b/src/test/java/holdproxy/net/LatenessTest.java
@@ -57,7 +57,9 @@
         assertEquals(300 * MS, lateness.totalUs(320 * MS));
         lateness.ticked(320 * MS);
         assertEquals(
-                300 * MS, lateness.justNowUs(321 * MS), "input read right after the tick has waited as long");
+                300 * MS,
+                lateness.justNowUs(321 * MS),
+                "input read right after the tick has waited as long");
         assertEquals(0, lateness.justNowUs(330 * MS));
         assertEquals(300 * MS, lateness.totalUs(330 * MS));
         lateness.ticked(340 * MS);
@@ -70,7 +72,7 @@
         int refused = 0;
         for (int i = 0; i < 300; i++) {
             client.writeInbound(bytes(Fixture.read("r" + i, 5000)));
-            // the target is 750 ms: every third answer is read too late, the others after about half
+            // the target is 750 ms: every third answer is read too late, the others in time
             ticker.advance(i % 3 == 0 ? 800 : 400, TimeUnit.MILLISECONDS);
             refused += refusedOrAnswered("r" + i);
             proxy.tick(); // timers run after input
@@ -104,7 +106,8 @@
                 timers.runScheduledPendingTasks();
                 proxy.tick();
             }
-            assertTrue(text(client).startsWith("SERVER_ERROR busy"), "neither timed out nor refused");
+            assertTrue(
+                    text(client).startsWith("SERVER_ERROR busy"), "neither timed out nor refused");
         }
     }
 
--- a/src/test/java/holdproxy/net/SignalTest.java
+++ b/src/test/java/holdproxy/net/SignalTest.java
@@ -85,7 +85,12 @@
             before.append(line).append('\n');
         }
         throw new AssertionError(
-                "the process ended with " + process.waitFor() + " before it logged: " + part + "\n" + before);
+                "the process ended with "
+                        + process.waitFor()
+                        + " before it logged: "
+                        + part
+                        + "\n"
+                        + before);
     }
 
     private void signal(String name) throws Exception {
--- a/src/test/java/holdproxy/net/TurnsTest.java
+++ b/src/test/java/holdproxy/net/TurnsTest.java
@@ -121,9 +121,7 @@
                                 (select, tasks) -> {
                                     taken.incrementAndGet();
                                     // as Netty's default strategy: block if there are no tasks
-                                    return tasks
-                                            ? select.get()
-                                            : -1;
+                                    return tasks ? select.get() : -1;
                                 });
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, around.apply(sockets)).next();
         try {
