--- a/src/main/java/holdproxy/net/Config.java
+++ b/src/main/java/holdproxy/net/Config.java
@@ -104,23 +104,23 @@
     }
 
     private void checkShape(Map<String, Object> now) {
-        Map<String, Object> served = new HashMap<>(json);
+        Map<String, Object> inUse = new HashMap<>(json);
         // a running proxy has its node list from discovery: this one is checked only at a start
-        served.replace("known", Map.of());
-        Shape.check(served, now);
+        inUse.replace("known", Map.of());
+        Shape.check(inUse, now);
     }
 
     private Config next(InetSocketAddress discoveryNow, Map<String, Object> now) {
         Config next = new Config(name, listen, discoveryNow, console, now);
-        Retuning.check(settings, next.settings);
+        SettingsReload.check(settings, next.settings);
         return next;
     }
 
     /** Older deployments have neither the variable nor the key. */
     private static InetSocketAddress console(Map<String, String> env, Map<String, Object> json) {
-        String told = env.getOrDefault("LB_CONSOLE", "").strip();
-        if (!told.isEmpty()) {
-            return address(told, "LB_CONSOLE");
+        String fromEnvironment = env.getOrDefault("LB_CONSOLE", "").strip();
+        if (!fromEnvironment.isEmpty()) {
+            return address(fromEnvironment, "LB_CONSOLE");
         }
         return json.get("console") == null
                 ? null
--- a/src/main/java/holdproxy/net/ConfigFileWatcher.java
+++ b/src/main/java/holdproxy/net/ConfigFileWatcher.java
@@ -20,12 +20,12 @@
     private final Runnable onChange;
 
     /** The content at the last poll; null before the first one, or if the file could not be read. */
-    private byte[] seen;
+    private byte[] lastContent;
 
     /** The content at the last run of {@link #onChange}. */
-    private byte[] reported;
+    private byte[] reportedContent;
 
-    /** {@code onChange} runs in {@link #look} for each content that has settled, valid or not. */
+    /** {@code onChange} runs in {@link #poll} for each content that has settled, valid or not. */
     ConfigFileWatcher(Path file, Runnable onChange) {
         this.file = file;
         this.onChange = onChange;
@@ -33,15 +33,15 @@
 
     /** Starts polling on a daemon thread. */
     void start() {
-        Thread looking = new Thread(this::lookOn, "config-file");
-        looking.setDaemon(true);
-        looking.start();
+        Thread poller = new Thread(this::pollForever, "config-file");
+        poller.setDaemon(true);
+        poller.start();
     }
 
-    private void lookOn() {
+    private void pollForever() {
         try {
             while (true) {
-                look();
+                poll();
                 Thread.sleep(INTERVAL_MS);
             }
         } catch (InterruptedException e) {
@@ -50,12 +50,12 @@
     }
 
     /** Polls the file once. */
-    void look() {
+    void poll() {
         byte[] content = content();
-        boolean settled = Arrays.equals(content, seen);
-        seen = content;
-        if (settled && !Arrays.equals(content, reported)) {
-            reported = content;
+        boolean settled = Arrays.equals(content, lastContent);
+        lastContent = content;
+        if (settled && !Arrays.equals(content, reportedContent)) {
+            reportedContent = content;
             onChange.run();
         }
     }
--- a/src/main/java/holdproxy/net/Counting.java
+++ b/src/main/java/holdproxy/net/CounterLog.java
@@ -10,71 +10,71 @@
  * can be added up. The state of the event loop is included only if it ran late or often woke up without
  * work.
  */
-final class Counting {
-    private static final int EVERY_MS = 1000;
+final class CounterLog {
+    private static final int INTERVAL_MS = 1000;
 
     /**
      * Delay of the event loop within one interval from which it is logged; a start or a garbage collection
      * costs less.
      */
-    private static final long LATE_US = 100_000;
+    private static final long MIN_LOGGED_LATE_US = 100_000;
 
     /**
      * Idle iterations within one interval from which they are logged; a loop that waits for its timers has
      * about 10.
      */
-    private static final long IDLE_TURNS = 250;
+    private static final long MIN_LOGGED_IDLE_TURNS = 250;
 
     private final Tally tally;
     private final Supplier<String> connections;
     private final Lateness lateness;
-    private final Tally told = new Tally();
+    private final Tally logged = new Tally();
     private Turns turns;
-    private long toldTurns;
-    private long toldIdle;
-    private long toldLateUs;
+    private long loggedTurns;
+    private long loggedIdleTurns;
+    private long loggedLateUs;
 
     /** {@code connections} returns the connection counters since its last call, as text. */
-    Counting(Tally tally, Supplier<String> connections, Lateness lateness) {
+    CounterLog(Tally tally, Supplier<String> connections, Lateness lateness) {
         this.tally = tally;
         this.connections = connections;
         this.lateness = lateness;
     }
 
     /** Sets the iteration counters of the event loop; there are none without real sockets. */
-    void of(Turns loop) {
+    void setTurns(Turns loop) {
         turns = loop;
     }
 
     void start(EventLoop loop, Proxy proxy) {
         loop.schedule(
                 () -> {
-                    String counted = sinceThen(proxy.now());
-                    if (!counted.isEmpty()) {
-                        proxy.log("counted:" + counted);
+                    String changes = changesSinceLastCall(proxy.now());
+                    if (!changes.isEmpty()) {
+                        proxy.log("counted:" + changes);
                     }
                     start(loop, proxy);
                 },
-                EVERY_MS,
+                INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
     /** The counters that changed since the last call, each with a space before it. */
-    String sinceThen(long now) {
-        return tally.sinceThen(told) + connections.get() + loop(now);
+    String changesSinceLastCall(long now) {
+        return tally.sinceThen(logged) + connections.get() + loopChanges(now);
     }
 
-    private String loop(long now) {
+    private String loopChanges(long now) {
         long lateUs = lateness.totalUs(now);
-        long late = lateUs - toldLateUs;
-        toldLateUs = lateUs;
-        String text = late >= LATE_US ? " late_ms=" + late / 1000 : "";
+        long late = lateUs - loggedLateUs;
+        loggedLateUs = lateUs;
+        String text = late >= MIN_LOGGED_LATE_US ? " late_ms=" + late / 1000 : "";
         if (turns != null) {
-            long all = turns.all() - toldTurns;
-            long idle = turns.idle() - toldIdle;
-            toldTurns += all;
-            toldIdle += idle;
-            if (idle >= IDLE_TURNS) {
+            long all = turns.iterations() - loggedTurns;
+            long idle = turns.idleIterations() - loggedIdleTurns;
+            loggedTurns += all;
+            loggedIdleTurns += idle;
+            if (idle >= MIN_LOGGED_IDLE_TURNS) {
                 text += " turns=" + all + " idle_turns=" + idle;
             }
         }
--- a/src/main/java/holdproxy/net/Descriptors.java
+++ b/src/main/java/holdproxy/net/Descriptors.java
@@ -6,23 +6,23 @@
     static final int REFUSING = 16;
 
     /** Reserved for the process: libraries, selectors, listeners, console connections, discovery. */
-    private static final int OWN = 48;
+    private static final int RESERVED = 48;
 
     /** Divisor for the share of clients in all descriptors where two processes share the limit. */
-    private static final int CLIENTS_PART = 3;
+    private static final int SHARED_CLIENTS_DIVISOR = 3;
 
     /**
      * {@code shared}: during an upgrade another process serves the same clients within the same limit. The
      * clients are counted once, whichever process holds them, but each process needs its own descriptors for
      * node connections and for itself.
      */
-    static Descriptors of(int most, boolean shared) {
+    static Descriptors of(int limit, boolean shared) {
         if (!shared) {
-            int left = most - OWN;
-            return new Descriptors(left / 2, left - left / 2 - REFUSING);
+            int available = limit - RESERVED;
+            return new Descriptors(available / 2, available - available / 2 - REFUSING);
         }
-        int clients = most / CLIENTS_PART;
+        int clients = limit / SHARED_CLIENTS_DIVISOR;
         return new Descriptors(
-                clients, Math.max(REFUSING, (most - clients - REFUSING - 2 * OWN) / 2));
+                clients, Math.max(REFUSING, (limit - clients - REFUSING - 2 * RESERVED) / 2));
     }
 }
--- a/src/main/java/holdproxy/net/Lateness.java
+++ b/src/main/java/holdproxy/net/Lateness.java
@@ -10,7 +10,7 @@
     static final long TICK_US = 20_000;
 
     /** A tick within this time before a read counts as part of the same pause. */
-    private static final long JUST_US = 5_000;
+    private static final long RECENT_US = 5_000;
 
     private long dueUs;
     private long lastTickUs;
@@ -33,10 +33,10 @@
     /**
      * How long the loop was stalled just before now, which is how long input read now may have waited; 0
      * for less than a tick. Input is mostly read before timers run, so that the tick is still overdue; if
-     * the tick ran first, it was late within the last {@link #JUST_US}.
+     * the tick ran first, it was late within the last {@link #RECENT_US}.
      */
-    long justNowUs(long now) {
-        long late = now - lastTickUs < JUST_US ? Math.max(lastLateUs, now - dueUs) : now - dueUs;
+    long recentUs(long now) {
+        long late = now - lastTickUs < RECENT_US ? Math.max(lastLateUs, now - dueUs) : now - dueUs;
         return late > TICK_US ? late : 0;
     }
 
--- a/src/main/java/holdproxy/net/Log.java
+++ b/src/main/java/holdproxy/net/Log.java
@@ -7,11 +7,11 @@
  * that a burst of errors does not fill the disk.
  */
 final class Log {
-    private static final int MOST = 40;
+    private static final int MAX_LINES = 40;
     private static final long WINDOW_US = 10_000_000;
 
     private final Time time;
-    private final Consumer<String> taker;
+    private final Consumer<String> consumer;
     private long windowStart;
     private int lines;
 
@@ -19,31 +19,31 @@
         this(time, null); // linking a method reference would add some milliseconds to the start
     }
 
-    Log(Time time, Consumer<String> taker) {
+    Log(Time time, Consumer<String> consumer) {
         this.time = time;
-        this.taker = taker;
+        this.consumer = consumer;
         windowStart = time.us();
     }
 
     void line(String text) {
         long now = time.us();
         if (now - windowStart > WINDOW_US) {
-            if (lines > MOST) {
-                out((lines - MOST) + " log lines suppressed");
+            if (lines > MAX_LINES) {
+                out((lines - MAX_LINES) + " log lines suppressed");
             }
             windowStart = now;
             lines = 0;
         }
-        if (lines++ < MOST) {
+        if (lines++ < MAX_LINES) {
             out(text);
         }
     }
 
     private void out(String text) {
-        if (taker == null) {
+        if (consumer == null) {
             System.err.println("holdproxy: " + text);
         } else {
-            taker.accept(text);
+            consumer.accept(text);
         }
     }
 }
--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -21,18 +21,18 @@
  */
 public final class Proxy implements Router.Actions {
     /** Bound on the values of open write requests. */
-    private static final long MOST_HELD_BYTES = 16L << 20;
+    private static final long MAX_VALUE_BYTES = 16L << 20;
 
     /** Bound on the answers that clients have not read yet. */
-    private static final long MOST_UNTAKEN_BYTES = 12L << 20;
+    private static final long MAX_UNREAD_BYTES = 12L << 20;
 
     /** Additional room for clients that have read all earlier answers. */
-    private static final long UNTAKEN_FOR_TAKING_BYTES = 4L << 20;
+    private static final long EXTRA_UNREAD_BYTES = 4L << 20;
 
-    private static final int MOST_OPEN = 4096;
+    private static final int MAX_OPEN = 4096;
 
     /** Retry delay that is advised when a request is refused without asking the router. */
-    private static final long DEFAULT_ADVICE_US = 500_000;
+    private static final long DEFAULT_RETRY_AFTER_US = 500_000;
 
     /** Reserve for the network: the client's time-out runs from its sending to its receipt of the answer. */
     private static final long TRANSIT_US = 5_000;
@@ -42,28 +42,28 @@
 
     /**
      * After SIGTERM, SIGKILL comes no sooner than the longest deadline of a class, at most
-     * {@link #KILL_DEADLINE_MOST_MS}, plus this time.
+     * {@link #MAX_KILL_DEADLINE_MS}, plus this time.
      */
     private static final long KILL_AFTER_MS = 700;
 
-    private static final long KILL_DEADLINE_MOST_MS = 3_000;
+    private static final long MAX_KILL_DEADLINE_MS = 3_000;
 
     /** Requests still open this long before the earliest SIGKILL are failed, as they would get no answer. */
-    private static final long LAST_WORD_BEFORE_MS = 150;
+    private static final long FAIL_BEFORE_KILL_MS = 150;
 
     /**
-     * A time-out counts as the proxy's own fault if its loop was stalled for more than 1/OWN_PART of the
+     * A time-out counts as the proxy's own fault if its loop was stalled for more than 1/STALL_DIVISOR of the
      * wait.
      */
-    private static final int OWN_PART = 4;
+    private static final int STALL_DIVISOR = 4;
 
     /** How long a dropped class is still served, for requests that clients had already sent. */
-    private static final int DROPPED_MS = 5_000;
+    private static final int DROPPED_CLASS_MS = 5_000;
 
     private Router.Settings settings;
 
     /** The classes of the latest settings, without dropped ones that are still served. */
-    private Router.RequestClass[] kept;
+    private Router.RequestClass[] currentClasses;
 
     private final Time time;
     private final Log log;
@@ -73,17 +73,17 @@
     private final Discovery discovery;
     final Choice router;
     private final Figures figures = new Figures();
-    private final Map<Long, Exchange> table = new HashMap<>();
+    private final Map<Long, Exchange> exchanges = new HashMap<>();
     private final Router.Request request = new Router.Request();
     private final Router.Report report = new Router.Report();
     private final Members members;
     final Events events;
     final Reception reception;
     private final Lateness lateness;
-    final Counting counting;
+    final CounterLog counterLog;
     private long nextId = 1;
-    private final Room values = new Room(MOST_HELD_BYTES);
-    private long untakenBytes;
+    private final Room valueBytes = new Room(MAX_VALUE_BYTES);
+    private long unreadBytes;
     final Relays relays = new Relays(this);
 
     Proxy(Config config, EventLoop loop, Time time, Transport transport, Log log) {
@@ -95,7 +95,7 @@
         events = new Events(transport, log, this::now, lateness);
         reception = new Reception(this, config.listen, loop, transport, log, bound.clients());
         settings = config.settings;
-        kept = settings.classes;
+        currentClasses = settings.classes;
         names.set(settings);
         for (Router.RequestClass c : settings.classes) {
             figures.of(c.name); // metrics exist before the first request
@@ -104,7 +104,7 @@
         discovery = new Discovery(new ListReceiver(), config, transport, log);
         members = new Members(this, pools, discovery, log, loop);
         router = new Choice(config.settings, config.seed, now(), this);
-        counting = new Counting(router.tally, pools::counted, lateness);
+        counterLog = new CounterLog(router.tally, pools::counted, lateness);
     }
 
     /**
@@ -121,16 +121,17 @@
 
     /** The number of requests that are unanswered or still have an attempt in flight. */
     public int open() {
-        return table.size();
+        return exchanges.size();
     }
 
     /** Applies a reloaded configuration: its settings and discovery's address. */
     public void taken(Config now) {
         discovery.taken(now);
         Router.RequestClass[] classes = now.settings.classes;
-        now.settings.tenants = Retuning.tenants(settings.tenants, now.settings.tenants);
-        now.settings.classes = Retuning.withDropped(settings.classes, classes);
-        retune(now.settings);
+        now.settings.tenants =
+                SettingsReload.keepTenantIndexes(settings.tenants, now.settings.tenants);
+        now.settings.classes = SettingsReload.withDropped(settings.classes, classes);
+        applySettings(now.settings);
         figures.configApplied.add(1);
         log.line(
                 "settings taken: "
@@ -139,24 +140,24 @@
                         + (settings.classes.length - classes.length)
                         + " dropped, attempts "
                         + settings.maxAttempts);
-        kept = classes;
+        currentClasses = classes;
         loop.schedule(
                 () -> {
-                    if (kept == classes) {
-                        forgetDropped();
+                    if (currentClasses == classes) {
+                        dropOldClasses();
                     }
                 },
-                DROPPED_MS,
+                DROPPED_CLASS_MS,
                 TimeUnit.MILLISECONDS);
     }
 
     /** Stops serving the classes that the latest settings dropped. */
-    void forgetDropped() {
-        settings.classes = kept;
-        retune(settings);
+    void dropOldClasses() {
+        settings.classes = currentClasses;
+        applySettings(settings);
     }
 
-    private void retune(Router.Settings next) {
+    private void applySettings(Router.Settings next) {
         settings = next;
         names.set(next);
         for (Router.RequestClass c : next.classes) {
@@ -167,14 +168,14 @@
     }
 
     /** Records that a reload was rejected; the configuration in use stays. */
-    void turnedDown(String why) {
+    void reloadRejected(String why) {
         log.line("the old configuration is kept: " + why);
         figures.configRejected.add(1);
     }
 
     void begin() {
-        tickLater();
-        counting.start(loop, this);
+        scheduleTick();
+        counterLog.start(loop, this);
         discovery.start();
         if (!settings.askForNodes) {
             discovery.watch();
@@ -209,14 +210,16 @@
 
     /** The channel handlers of a client connection. */
     ChannelHandler[] handlers() {
-        return new ChannelHandler[] {new Command.Decoder(names, values), new ClientSession(this)};
+        return new ChannelHandler[] {
+            new Command.Decoder(names, valueBytes), new ClientSession(this)
+        };
     }
 
-    private void tickLater() {
+    private void scheduleTick() {
         loop.schedule(
                 () -> {
                     tick();
-                    tickLater();
+                    scheduleTick();
                 },
                 Lateness.TICK_US,
                 TimeUnit.MICROSECONDS);
@@ -248,7 +251,8 @@
             session.answer(slot, "CLIENT_ERROR c is not known here any longer");
             return null;
         }
-        if (table.size() >= Math.min(MOST_OPEN, settings.maxOpen) || !values.take(c.valueBytes())) {
+        if (exchanges.size() >= Math.min(MAX_OPEN, settings.maxOpen)
+                || !valueBytes.take(c.valueBytes())) {
             session.answer(slot, shed(c));
             return null;
         }
@@ -257,7 +261,7 @@
         long waitUs = c.waitMs == Command.NOT_STATED ? classUs : c.waitMs * 1000L;
         // a client's stated wait cannot exceed the deadline of the class
         waitUs = classUs > 0 ? Math.min(waitUs, classUs) : waitUs;
-        long dueUs = now + Math.max(waitUs / 2, waitUs - TRANSIT_US) - lateness.justNowUs(now);
+        long dueUs = now + Math.max(waitUs / 2, waitUs - TRANSIT_US) - lateness.recentUs(now);
         Exchange x =
                 new Exchange(
                         nextId++,
@@ -267,7 +271,7 @@
                         dueUs,
                         settings.maxAttempts,
                         settings.classes[type]);
-        table.put(x.id, x);
+        exchanges.put(x.id, x);
         figures.active.add(1);
         x.overdue =
                 loop.schedule(
@@ -302,21 +306,21 @@
 
     void clientGone(Exchange x) {
         if (!x.answered) {
-            concluded(x);
+            markAnswered(x);
             events.add(() -> router.onAborted(now(), x.id, this));
         }
     }
 
-    private void concluded(Exchange x) {
+    private void markAnswered(Exchange x) {
         x.answered = true;
         figures.active.add(-1);
         x.overdue.cancel(false);
-        settle(x);
+        removeIfFinished(x);
     }
 
-    private void settle(Exchange x) {
-        if (x.answered && x.out == 0 && table.remove(x.id) != null) {
-            values.give(x.command.valueBytes());
+    private void removeIfFinished(Exchange x) {
+        if (x.answered && x.out == 0 && exchanges.remove(x.id) != null) {
+            valueBytes.give(x.command.valueBytes());
         }
     }
 
@@ -328,31 +332,33 @@
     String shed(Command c) {
         outcomes(c).shed.add(1);
         log.line("too much is open: refusing");
-        return busy(
-                settings.retryAfter ? Math.min(DEFAULT_ADVICE_US, settings.maxRetryAfterUs) : 0);
+        return busyAnswer(
+                settings.retryAfter
+                        ? Math.min(DEFAULT_RETRY_AFTER_US, settings.maxRetryAfterUs)
+                        : 0);
     }
 
     /** Adds to the bytes of answers that clients have not read yet. */
     void untaken(int change) {
-        untakenBytes += change;
+        unreadBytes += change;
     }
 
     /**
      * Whether so many more bytes may be held; clients that have read all earlier answers have reserved
      * room.
      */
-    boolean untakenRoom(int bytes, boolean taking) {
-        return untakenBytes + bytes <= MOST_UNTAKEN_BYTES + (taking ? UNTAKEN_FOR_TAKING_BYTES : 0);
+    boolean untakenRoom(int bytes, boolean readAll) {
+        return unreadBytes + bytes <= MAX_UNREAD_BYTES + (readAll ? EXTRA_UNREAD_BYTES : 0);
     }
 
-    private String busy(long adviceUs) {
-        return adviceUs > 0
-                ? "SERVER_ERROR busy " + Math.max(1, adviceUs / 1000)
+    private String busyAnswer(long retryAfterUs) {
+        return retryAfterUs > 0
+                ? "SERVER_ERROR busy " + Math.max(1, retryAfterUs / 1000)
                 : "SERVER_ERROR busy";
     }
 
     private void answerFailed(Exchange x) {
-        concluded(x);
+        markAnswered(x);
         outcomes(x.command).errors.add(1);
         x.session.answer(x.slot, "SERVER_ERROR failed");
     }
@@ -365,12 +371,12 @@
         a.timer.cancel(false);
         x.out--;
         if (outcome == Router.Outcome.OK && !x.answered) {
-            concluded(x);
-            boolean given = x.session.answer(x.slot, answer.encode(ByteBufAllocator.DEFAULT));
+            markAnswered(x);
+            boolean written = x.session.answer(x.slot, answer.encode(ByteBufAllocator.DEFAULT));
             Figures.Outcomes outcomes = outcomes(x.command);
-            (given ? outcomes.ok : outcomes.errors).add(1);
+            (written ? outcomes.ok : outcomes.errors).add(1);
         }
-        settle(x);
+        removeIfFinished(x);
         long latencyUs = a.firstBytesUs >= 0 ? a.firstBytesUs : latencyUs(a, now());
         events.add(
                 () -> {
@@ -394,16 +400,16 @@
 
     /** The latency of an attempt without stalls of the loop, which say nothing about the node. */
     long latencyUs(Attempt a, long now) {
-        return Math.max(0, now - a.sentUs - stoodStillUs(a, now));
+        return Math.max(0, now - a.sentUs - stalledUs(a, now));
     }
 
     /** How long the loop was stalled just before now: input read now may have waited so long. */
     long justStoodStillUs(long now) {
-        return lateness.justNowUs(now);
+        return lateness.recentUs(now);
     }
 
     /** How long the loop has been stalled since an attempt was sent. */
-    private long stoodStillUs(Attempt a, long now) {
+    private long stalledUs(Attempt a, long now) {
         return lateness.totalUs(now) - a.stoodStillUs;
     }
 
@@ -414,7 +420,7 @@
      */
     private void timedOut(Attempt a) {
         if (!a.over) {
-            boolean ownFault = stoodStillUs(a, now()) > a.waitUs / OWN_PART;
+            boolean ownFault = stalledUs(a, now()) > a.waitUs / STALL_DIVISOR;
             // a command that was not written whole cannot run on the node: the router may refuse
             // the request or send it elsewhere
             boolean neverRan = !a.connection.giveUp(a);
@@ -433,15 +439,15 @@
      */
     long lastWordMs() {
         long longest = 0;
-        for (Router.RequestClass c : kept) {
-            long ms = c.deadlineUs > 0 ? c.deadlineUs / 1000 : KILL_DEADLINE_MOST_MS;
-            longest = Math.max(longest, Math.min(ms, KILL_DEADLINE_MOST_MS));
+        for (Router.RequestClass c : currentClasses) {
+            long ms = c.deadlineUs > 0 ? c.deadlineUs / 1000 : MAX_KILL_DEADLINE_MS;
+            longest = Math.max(longest, Math.min(ms, MAX_KILL_DEADLINE_MS));
         }
-        return longest + KILL_AFTER_MS - LAST_WORD_BEFORE_MS;
+        return longest + KILL_AFTER_MS - FAIL_BEFORE_KILL_MS;
     }
 
     void lastWord() {
-        for (Exchange x : List.copyOf(table.values())) {
+        for (Exchange x : List.copyOf(exchanges.values())) {
             failOverdue(x, "a request is still open before the process is killed; failing it");
         }
     }
@@ -487,7 +493,7 @@
 
     @Override
     public void send(long id, int node, long timeoutUs) {
-        Exchange x = table.get(id);
+        Exchange x = exchanges.get(id);
         NodePool pool = pools.get(node);
         if (x == null) {
             throw new IllegalStateException("attempt for an unknown request");
@@ -508,17 +514,17 @@
 
     @Override
     public void refuse(long id, long retryAfterUs) {
-        Exchange x = table.get(id);
+        Exchange x = exchanges.get(id);
         if (x != null && !x.answered) {
-            concluded(x);
+            markAnswered(x);
             outcomes(x.command).shed.add(1);
-            x.session.answer(x.slot, busy(retryAfterUs));
+            x.session.answer(x.slot, busyAnswer(retryAfterUs));
         }
     }
 
     @Override
     public void fail(long id) {
-        Exchange x = table.get(id);
+        Exchange x = exchanges.get(id);
         if (x != null && !x.answered) {
             answerFailed(x);
         }
@@ -526,7 +532,7 @@
 
     @Override
     public void cancel(long id, int attempt) {
-        Exchange x = table.get(id);
+        Exchange x = exchanges.get(id);
         if (x != null && attempt < x.attempts.size()) {
             Attempt a = x.attempts.get(attempt);
             if (!a.over) {
--- a/src/main/java/holdproxy/net/Rehearsal.java
+++ b/src/main/java/holdproxy/net/Rehearsal.java
@@ -23,7 +23,7 @@
     static final int ROUNDS = 600;
 
     /** For an upgrade: another process serves meanwhile, so there is time to have all of it compiled. */
-    static final int UNHURRIED_ROUNDS = 10 * ROUNDS;
+    static final int UPGRADE_ROUNDS = 10 * ROUNDS;
 
     private static final int ROUNDS_PER_CLIENT = 4;
 
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -23,24 +23,24 @@
      * The longest drain after SIGTERM. All requests are answered long before; what is left are values that
      * clients read slowly, which the process must not cut off.
      */
-    private static final long DRAIN_MOST_MS = 15_000;
+    private static final long MAX_DRAIN_MS = 15_000;
 
     /** How often the nodes left out through another process are read, and the loop is checked. */
-    private static final int LOOK_MS = 100;
+    private static final int CHECK_MS = 100;
 
     /** How often the loop is checked where there is no console. */
-    private static final int LOOK_ALONE_MS = 250;
+    private static final int CHECK_WITHOUT_CONSOLE_MS = 250;
 
     private static final int REFRESH_MS = 200;
 
     /** The folder in {@code TMPDIR} for the record of nodes left out. */
-    private static final String KEPT = "left-out";
+    private static final String LEFT_OUT_FOLDER = "left-out";
 
     /** The longest wait for the first node list in an upgrade, while another process serves the clients. */
     private static final int FIRST_LIST_MS = 2_000;
 
-    /** Where the router asks for lists, the wait is also at most 1/HELD_PART of a list's validity. */
-    private static final int HELD_PART = 2;
+    /** Where the router asks for lists, the wait is also at most 1/VALIDITY_DIVISOR of a list's validity. */
+    private static final int VALIDITY_DIVISOR = 2;
 
     /**
      * The longest wait for the first node list where no other process serves the clients. While discovery
@@ -55,15 +55,15 @@
     private final Proxy proxy;
     private final EventLoop loop;
     private final Log log;
-    private final KeptOut kept;
+    private final KeptOut leftOut;
     private final Consumer<String> lines;
-    private EventLoop console;
+    private EventLoop consoleLoop;
 
-    private Service(Proxy proxy, EventLoop loop, Log log, KeptOut kept, Consumer<String> lines) {
+    private Service(Proxy proxy, EventLoop loop, Log log, KeptOut leftOut, Consumer<String> lines) {
         this.proxy = proxy;
         this.loop = loop;
         this.log = log;
-        this.kept = kept;
+        this.leftOut = leftOut;
         this.lines = lines;
     }
 
@@ -99,26 +99,27 @@
             Consumer<Service> end) {
         Log log = new Log(Time.system(), lines);
         ServerSocketChannel inherited = inherited(env);
-        KeptOut kept = kept(config, env, log);
-        Rehearsal.run(config, inherited == null ? Rehearsal.ROUNDS : Rehearsal.UNHURRIED_ROUNDS);
+        KeptOut leftOut = openLeftOut(config, env, log);
+        Rehearsal.run(config, inherited == null ? Rehearsal.ROUNDS : Rehearsal.UPGRADE_ROUNDS);
         Turns turns = new Turns();
         EventLoop loop = loop(turns);
-        Proxy proxy = begun(config, loop, inherited, kept, lines);
-        loop.execute(() -> proxy.counting.of(turns));
-        Service service = new Service(proxy, loop, log, kept, lines);
+        Proxy proxy = prepare(config, loop, inherited, leftOut, lines);
+        loop.execute(() -> proxy.counterLog.setTurns(turns));
+        Service service = new Service(proxy, loop, log, leftOut, lines);
         followChanges(source, () -> reload(config, proxy, loop, source), log);
-        Thread ending = new Thread(() -> end.accept(service), "drain");
-        Runtime.getRuntime().addShutdownHook(ending);
+        Thread drainHook = new Thread(() -> end.accept(service), "drain");
+        Runtime.getRuntime().addShutdownHook(drainHook);
         try {
             listen(proxy, config, loop, inherited != null);
         } catch (BadInput e) {
-            unhook(ending); // there is nothing to drain, and the exit code must show the error
+            removeShutdownHook(
+                    drainHook); // there is nothing to drain, and the exit code must show the error
             throw e;
         }
         if (config.console != null) {
-            service.console(config);
+            service.startConsole(config);
         } else {
-            service.watchAlone();
+            service.startWatchdogThread();
         }
         return service;
     }
@@ -153,7 +154,7 @@
         return new MultiThreadIoEventLoopGroup(1, turns).next();
     }
 
-    private static void unhook(Thread hook) {
+    private static void removeShutdownHook(Thread hook) {
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
@@ -166,19 +167,19 @@
             Config config,
             EventLoop loop,
             ServerSocketChannel inherited,
-            KeptOut kept,
+            KeptOut leftOut,
             Consumer<String> lines) {
-        Proxy proxy = begun(config, loop, inherited, kept, lines);
+        Proxy proxy = prepare(config, loop, inherited, leftOut, lines);
         listen(proxy, config, loop, inherited != null);
         return proxy;
     }
 
     /** A proxy that already follows the node lists but does not listen yet. */
-    private static Proxy begun(
+    private static Proxy prepare(
             Config config,
             EventLoop loop,
             ServerSocketChannel inherited,
-            KeptOut kept,
+            KeptOut leftOut,
             Consumer<String> lines) {
         Time time = Time.system();
         try {
@@ -193,7 +194,7 @@
                                                 new Log(time, lines));
                                 // in the same task: the first call to discovery uses the list held
                                 proxy.begin();
-                                restore(proxy, kept);
+                                restoreLeftOut(proxy, leftOut);
                                 return proxy;
                             })
                     .get();
@@ -205,16 +206,16 @@
     }
 
     /** Applies the left-out nodes that the previous process recorded, before anything is sent. */
-    private static void restore(Proxy proxy, KeptOut kept) throws IOException {
-        if (kept != null) {
-            kept.all((node, out, at) -> proxy.members().restore(node, out, proxy.monotonic(at)));
+    private static void restoreLeftOut(Proxy proxy, KeptOut leftOut) throws IOException {
+        if (leftOut != null) {
+            leftOut.all((node, out, at) -> proxy.members().restore(node, out, proxy.monotonic(at)));
         }
     }
 
     static void listen(Proxy proxy, Config config, EventLoop loop, boolean inherited) {
         try {
             awaitFirstList(proxy, config, inherited);
-            ChannelFuture bound = bound(proxy, loop);
+            ChannelFuture bound = bind(proxy, loop);
             for (int i = 0;
                     i < BIND_TRIES && bound != null && bound.cause() instanceof BindException;
                     i++) {
@@ -224,7 +225,7 @@
                             () -> proxy.log("waiting for " + config.listen + ", which is in use"));
                 }
                 Thread.sleep(BIND_WAIT_MS);
-                bound = bound(proxy, loop);
+                bound = bind(proxy, loop);
             }
             if (bound != null && !bound.isSuccess()) {
                 throw new BadInput(
@@ -239,7 +240,7 @@
     }
 
     /** Null if the drain has begun meanwhile. */
-    private static ChannelFuture bound(Proxy proxy, EventLoop loop)
+    private static ChannelFuture bind(Proxy proxy, EventLoop loop)
             throws InterruptedException, ExecutionException {
         ChannelFuture bound = loop.submit(proxy::listen).get();
         return bound == null ? null : bound.await();
@@ -256,15 +257,16 @@
         if (inherited) {
             members.first().await(FIRST_LIST_MS);
         } else if (config.settings.askForNodes) {
-            long heldMs = config.settings.askWithinUs / 1000;
-            members.firstOrUnreachable().await(Math.min(FIRST_LIST_ALONE_MS, heldMs / HELD_PART));
+            long validMs = config.settings.askWithinUs / 1000;
+            members.firstOrUnreachable()
+                    .await(Math.min(FIRST_LIST_ALONE_MS, validMs / VALIDITY_DIVISOR));
         } else {
             members.first().await(FIRST_LIST_ALONE_MS);
         }
     }
 
     /** Null without a console, as then no node can be left out. */
-    private static KeptOut kept(Config config, Map<String, String> env, Log log) {
+    private static KeptOut openLeftOut(Config config, Map<String, String> env, Log log) {
         if (config.console == null) {
             return null;
         }
@@ -275,7 +277,8 @@
                             + " this process ends");
         }
         try {
-            return new KeptOut(folder.isEmpty() ? null : Path.of(folder, KEPT), Time.system());
+            return new KeptOut(
+                    folder.isEmpty() ? null : Path.of(folder, LEFT_OUT_FOLDER), Time.system());
         } catch (IOException e) {
             throw new BadInput("TMPDIR cannot be used: " + e);
         }
@@ -306,31 +309,31 @@
         throw new BadInput("descriptor 0, named by LB_FD, is no listening socket");
     }
 
-    private void console(Config config) {
-        console = loop(new Turns());
+    private void startConsole(Config config) {
+        consoleLoop = loop(new Turns());
         Time time = Time.system();
-        Log own = new Log(time, lines);
-        Watchdog watchdog = watchdog(time, own, LOOK_MS);
-        console.scheduleAtFixedRate(
-                () -> watchdog.look(time.us()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-        console.execute(
+        Log watchdogLog = new Log(time, lines);
+        Watchdog watchdog = createWatchdog(time, watchdogLog, CHECK_MS);
+        consoleLoop.scheduleAtFixedRate(
+                () -> watchdog.check(time.us()), CHECK_MS, CHECK_MS, TimeUnit.MILLISECONDS);
+        consoleLoop.execute(
                 () -> {
-                    new Console(console, this, line -> loop.execute(() -> proxy.log(line)))
+                    new Console(consoleLoop, this, line -> loop.execute(() -> proxy.log(line)))
                             .listen(
                                     config.console,
                                     listening ->
-                                            say(
+                                            logOnLoop(
                                                     "the console listens on "
                                                             + listening.localAddress()));
-                    console.scheduleAtFixedRate(
-                            this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+                    consoleLoop.scheduleAtFixedRate(
+                            this::applyRecordedChanges, CHECK_MS, CHECK_MS, TimeUnit.MILLISECONDS);
                 });
         loop.scheduleAtFixedRate(
                 proxy.members()::refresh, REFRESH_MS, REFRESH_MS, TimeUnit.MILLISECONDS);
     }
 
-    private Watchdog watchdog(Time time, Log own, int everyMs) {
-        Watchdog watchdog = new Watchdog(loopThread(), time.us(), own::line);
+    private Watchdog createWatchdog(Time time, Log log, int everyMs) {
+        Watchdog watchdog = new Watchdog(loopThread(), time.us(), log::line);
         loop.scheduleAtFixedRate(
                 () -> watchdog.beat(time.us()), everyMs, everyMs, TimeUnit.MILLISECONDS);
         return watchdog;
@@ -339,16 +342,16 @@
     /**
      * Without a console, a separate thread checks the loop, less often as many processes may share a core.
      */
-    private void watchAlone() {
+    private void startWatchdogThread() {
         Time time = Time.system();
-        Watchdog watchdog = watchdog(time, new Log(time, lines), LOOK_ALONE_MS);
-        Thread looking =
+        Watchdog watchdog = createWatchdog(time, new Log(time, lines), CHECK_WITHOUT_CONSOLE_MS);
+        Thread watchdogThread =
                 new Thread(
                         () -> {
                             try {
                                 while (true) {
-                                    Thread.sleep(LOOK_ALONE_MS);
-                                    watchdog.look(time.us());
+                                    Thread.sleep(CHECK_WITHOUT_CONSOLE_MS);
+                                    watchdog.check(time.us());
                                 }
                             } catch (InterruptedException e) {
                                 // not expected: this daemon thread ends with the process
@@ -356,8 +359,8 @@
                             }
                         },
                         "watchdog");
-        looking.setDaemon(true);
-        looking.start();
+        watchdogThread.setDaemon(true);
+        watchdogThread.start();
     }
 
     private Thread loopThread() {
@@ -369,9 +372,9 @@
     }
 
     /** Applies changes of left-out nodes that another process recorded, as during an upgrade. */
-    private void look() {
+    private void applyRecordedChanges() {
         try {
-            kept.changes(
+            leftOut.changes(
                     (node, out, atUnixMs) ->
                             loop.execute(
                                     () ->
@@ -379,11 +382,11 @@
                                                     .leaveOut(
                                                             node, out, proxy.monotonic(atUnixMs))));
         } catch (IOException e) {
-            say("the record of nodes left out by operators cannot be read: " + e);
+            logOnLoop("the record of nodes left out by operators cannot be read: " + e);
         }
     }
 
-    private void say(String line) {
+    private void logOnLoop(String line) {
         loop.execute(() -> proxy.log(line));
     }
 
@@ -399,10 +402,10 @@
                         answer.accept("no cache node is called " + Config.shown(node));
                         return;
                     }
-                    console.execute(
+                    consoleLoop.execute(
                             () -> {
                                 try {
-                                    long atUnixMs = kept.keep(node, out);
+                                    long atUnixMs = leftOut.keep(node, out);
                                     loop.execute(
                                             () -> {
                                                 proxy.members()
@@ -413,7 +416,7 @@
                                                 answer.accept(null);
                                             });
                                 } catch (IOException e) {
-                                    say(
+                                    logOnLoop(
                                             "node "
                                                     + node
                                                     + ": the operator's call was not recorded: "
@@ -440,7 +443,7 @@
                 loop.execute(() -> proxy.taken(now));
                 return null;
             } catch (BadInput e) {
-                loop.execute(() -> proxy.turnedDown(e.getMessage()));
+                loop.execute(() -> proxy.reloadRejected(e.getMessage()));
                 return e.getMessage();
             }
         }
@@ -458,7 +461,7 @@
     /** Drains as at SIGTERM and waits for the end, for a bounded time. */
     public void drain() {
         try {
-            if (!proxy.end().await(DRAIN_MOST_MS)) {
+            if (!proxy.end().await(MAX_DRAIN_MS)) {
                 log.line("the drain was not done in time; ending with connections open");
             }
         } catch (InterruptedException e) {
--- a/src/main/java/holdproxy/net/Retuning.java
+++ b/src/main/java/holdproxy/net/SettingsReload.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /** Replacing the settings of a running proxy: what may change, and what is kept of the old ones. */
-final class Retuning {
-    private Retuning() {}
+final class SettingsReload {
+    private SettingsReload() {}
 
     /** Throws a {@link BadInput} that names a value that a running proxy cannot apply. */
     static void check(Router.Settings inUse, Router.Settings next) {
@@ -42,31 +42,31 @@
      * Orders the next tenants so that each keeps its index, and with it the state learnt for it. The index
      * of a removed tenant goes to the next new one; until then it has a tenant without name and quota.
      */
-    static Router.Tenant[] tenants(Router.Tenant[] inUse, Router.Tenant[] next) {
-        List<Router.Tenant> fresh = new ArrayList<>(Arrays.asList(next));
-        List<Router.Tenant> placed = new ArrayList<>();
-        for (Router.Tenant before : inUse) {
+    static Router.Tenant[] keepTenantIndexes(Router.Tenant[] inUse, Router.Tenant[] next) {
+        List<Router.Tenant> added = new ArrayList<>(Arrays.asList(next));
+        List<Router.Tenant> ordered = new ArrayList<>();
+        for (Router.Tenant old : inUse) {
             Router.Tenant same =
-                    fresh.stream().filter(t -> t.name.equals(before.name)).findFirst().orElse(null);
-            fresh.remove(same);
-            placed.add(same);
+                    added.stream().filter(t -> t.name.equals(old.name)).findFirst().orElse(null);
+            added.remove(same);
+            ordered.add(same);
         }
-        for (int i = 0; i < placed.size(); i++) {
-            if (placed.get(i) == null) {
-                placed.set(i, fresh.isEmpty() ? new Router.Tenant() : fresh.remove(0));
+        for (int i = 0; i < ordered.size(); i++) {
+            if (ordered.get(i) == null) {
+                ordered.set(i, added.isEmpty() ? new Router.Tenant() : added.remove(0));
             }
         }
-        placed.addAll(fresh);
-        return placed.toArray(Router.Tenant[]::new);
+        ordered.addAll(added);
+        return ordered.toArray(Router.Tenant[]::new);
     }
 
     /** The next classes, followed by those in use that were dropped. */
     static Router.RequestClass[] withDropped(
             Router.RequestClass[] inUse, Router.RequestClass[] next) {
         List<Router.RequestClass> all = new ArrayList<>(Arrays.asList(next));
-        for (Router.RequestClass before : inUse) {
-            if (all.stream().noneMatch(c -> c.name.equals(before.name))) {
-                all.add(before);
+        for (Router.RequestClass old : inUse) {
+            if (all.stream().noneMatch(c -> c.name.equals(old.name))) {
+                all.add(old);
             }
         }
         return all.toArray(Router.RequestClass[]::new);
--- a/src/main/java/holdproxy/net/Turns.java
+++ b/src/main/java/holdproxy/net/Turns.java
@@ -21,38 +21,38 @@
  * <p>Each object serves one loop; its counts are read on that loop's thread.
  */
 final class Turns implements IoHandlerFactory {
-    private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long MILLISECOND_NS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    private final IoHandlerFactory sockets;
-    private long turns;
-    private long idle;
+    private final IoHandlerFactory delegate;
+    private long iterations;
+    private long idleIterations;
 
     Turns() {
         this(NioIoHandler.newFactory());
     }
 
-    Turns(IoHandlerFactory sockets) {
-        this.sockets = sockets;
+    Turns(IoHandlerFactory delegate) {
+        this.delegate = delegate;
     }
 
     /** Iterations so far. */
-    long all() {
-        return turns;
+    long iterations() {
+        return iterations;
     }
 
     /** Iterations that found no input, no task and no due timer. */
-    long idle() {
-        return idle;
+    long idleIterations() {
+        return idleIterations;
     }
 
     @Override
     public IoHandler newHandler(ThreadAwareExecutor executor) {
-        return new Handler(sockets.newHandler(executor));
+        return new Handler(delegate.newHandler(executor));
     }
 
     private final class Handler implements IoHandler {
         private final IoHandler inner;
-        private final Patient patient = new Patient();
+        private final RoundedContext roundedContext = new RoundedContext();
 
         Handler(IoHandler inner) {
             this.inner = inner;
@@ -60,11 +60,11 @@
 
         @Override
         public int run(IoHandlerContext context) {
-            patient.context = context;
-            int handled = inner.run(patient);
-            turns++;
+            roundedContext.context = context;
+            int handled = inner.run(roundedContext);
+            iterations++;
             if (handled == 0 && context.canBlock()) {
-                idle++;
+                idleIterations++;
             }
             return handled;
         }
@@ -101,7 +101,7 @@
     }
 
     /** The context of the loop, with the delay until its next timer rounded up to whole milliseconds. */
-    private static final class Patient implements IoHandlerContext {
+    private static final class RoundedContext implements IoHandlerContext {
         private IoHandlerContext context;
 
         @Override
@@ -112,9 +112,9 @@
         @Override
         public long delayNanos(long currentNanos) {
             long delay = context.delayNanos(currentNanos);
-            return delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND
+            return delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND_NS
                     ? delay
-                    : (delay + MILLISECOND - 1) / MILLISECOND * MILLISECOND;
+                    : (delay + MILLISECOND_NS - 1) / MILLISECOND_NS * MILLISECOND_NS;
         }
 
         @Override
--- a/src/test/java/holdproxy/net/BoundedStartTest.java
+++ b/src/test/java/holdproxy/net/BoundedStartTest.java
@@ -25,7 +25,7 @@
     /** Both ways to get node lists: asked for, which awaits an answer, and pushed. */
     @ParameterizedTest
     @ValueSource(strings = {"subscribe", "automatic"})
-    void aDiscoveryThatAcceptsAndNeverAnswersHoldsUpNoStart(String mode) throws Exception {
+    void discoveryThatNeverAnswersDoesNotBlockTheStart(String mode) throws Exception {
         String settings =
                 Fixture.SETTINGS
                         .replace("\"askWithinMs\":100.0", "\"askWithinMs\":10000.0")
--- a/src/test/java/holdproxy/net/ConfigFileWatcherTest.java
+++ b/src/test/java/holdproxy/net/ConfigFileWatcherTest.java
@@ -26,7 +26,7 @@
         watcher =
                 new ConfigFileWatcher(
                         file, () -> reported.add(Files.exists(file) ? read() : "none"));
-        look(2);
+        poll(2);
     }
 
     private String read() {
@@ -37,16 +37,16 @@
         }
     }
 
-    private void look(int times) {
+    private void poll(int times) {
         for (int i = 0; i < times; i++) {
-            watcher.look();
+            watcher.poll();
         }
     }
 
     @Test
     void eachContentIsReportedOnceAndThatOfTheStartToo() throws IOException {
         Files.writeString(file, "second");
-        look(5);
+        poll(5);
         assertEquals(List.of("first", "second"), reported);
     }
 
@@ -54,9 +54,9 @@
     void aFileThatIsBeingWrittenIsReportedOnceItStaysAsItIs() throws IOException {
         for (String part : List.of("s", "se", "sec", "second")) {
             Files.writeString(file, part);
-            look(1);
+            poll(1);
         }
-        look(1);
+        poll(1);
         assertEquals(List.of("first", "second"), reported);
     }
 
@@ -65,19 +65,19 @@
     void aChangeThatItsTimesDoNotShowIsReported() throws IOException {
         FileTime time = Files.getLastModifiedTime(file);
         Files.setLastModifiedTime(Files.writeString(file, "other"), time);
-        look(2);
+        poll(2);
         assertEquals(List.of("first", "other"), reported);
     }
 
     @Test
     void aFileThatIsGoneForOneLookIsNoChangeAndOneThatStaysAwayIs() throws IOException {
         Files.delete(file);
-        look(1);
+        poll(1);
         Files.writeString(file, "first");
-        look(2);
+        poll(2);
         assertEquals(List.of("first"), reported);
         Files.delete(file);
-        look(3);
+        poll(3);
         assertEquals(List.of("first", "none"), reported);
     }
 }
--- a/src/test/java/holdproxy/net/ConfigTest.java
+++ b/src/test/java/holdproxy/net/ConfigTest.java
@@ -101,7 +101,7 @@
 
     /** Without the setting a dial may take 1 s, for which repeat windows have to leave room. */
     @Test
-    void whereNoTimeForDialsIsStatedWhatTheyMayTakeIsReckonedWith() {
+    void aMissingDialTimeoutDefaultsToOneSecond() {
         for (String dial : new String[] {"", "caps.dialTimeoutMs=0\n"}) {
             assertEquals(
                     1_000_000,
--- a/src/test/java/holdproxy/net/FiguresTest.java
+++ b/src/test/java/holdproxy/net/FiguresTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void whatItsClientAbandonsIsActiveNoLonger() throws Exception {
+    void aRequestWhoseClientDisconnectsIsNoLongerActive() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
             client.send(Fixture.read("a1", 4000));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void clientsAreTakenUntilTheEndIsAskedFor() throws Exception {
+    void clientsAreAcceptedUntilTheDrainBegins() throws Exception {
         try (Fixture f = new Fixture(1)) {
             assertTrue(f.proxy.takesClients());
             Future<Void> end = f.proxy.end(10);
--- a/src/test/java/holdproxy/net/Fixture.java
+++ b/src/test/java/holdproxy/net/Fixture.java
@@ -70,11 +70,14 @@
                         sockets));
         loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         config = Config.load(env(file, discovery.address()));
-        proxy = clock == null ? Service.start(config, loop, null, null, null) : started(clock);
+        proxy =
+                clock == null
+                        ? Service.start(config, loop, null, null, null)
+                        : startWithClock(clock);
         Files.delete(file);
     }
 
-    private Proxy started(Ticker clock) {
+    private Proxy startWithClock(Ticker clock) {
         Proxy p =
                 loop.submit(
                                 () ->
@@ -114,21 +117,21 @@
 
     /** Has the loop run {@code first}, then blocks it while the input arrives. */
     void held(Runnable first, Coming all) throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         loop.execute(
                 () -> {
                     first.run();
-                    stands.countDown();
+                    blocked.countDown();
                     try {
-                        goesOn.await();
+                        resume.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        stands.await();
+        blocked.await();
         all.come();
-        goesOn.countDown();
+        resume.countDown();
     }
 
     /** Advances the router's clock without a stall of the loop. */
--- a/src/test/java/holdproxy/net/HangupSignalTest.java
+++ b/src/test/java/holdproxy/net/HangupSignalTest.java
@@ -13,11 +13,11 @@
     /** Unhandled, the signal would end the JVM of this test. */
     @Test
     void theSignalRunsTheAction() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
-        assertEquals(Optional.empty(), HangupSignal.handle(told::countDown));
+        CountDownLatch handled = new CountDownLatch(1);
+        assertEquals(Optional.empty(), HangupSignal.handle(handled::countDown));
         new ProcessBuilder("sh", "-c", "kill -HUP " + ProcessHandle.current().pid())
                 .start()
                 .waitFor();
-        assertTrue(told.await(20, TimeUnit.SECONDS));
+        assertTrue(handled.await(20, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/holdproxy/net/IdleClientsTest.java
+++ b/src/test/java/holdproxy/net/IdleClientsTest.java
@@ -36,8 +36,8 @@
     private static final String SETTINGS =
             Fixture.SETTINGS.replace("\"askWithinMs\":100.0", "\"askWithinMs\":10000.0");
 
-    private final Peer.Listener before = new Peer.Listener();
-    private final Peer.Listener after = new Peer.Listener();
+    private final Peer.Listener firstNode = new Peer.Listener();
+    private final Peer.Listener secondNode = new Peer.Listener();
     private final List<Peer> clients = new ArrayList<>();
     @TempDir Path folder;
     private Process process;
@@ -53,8 +53,8 @@
         for (Peer client : clients) {
             client.close();
         }
-        before.close();
-        after.close();
+        firstNode.close();
+        secondNode.close();
     }
 
     /** Only the jars that the program needs, as each one on the class path takes a descriptor. */
@@ -66,7 +66,7 @@
 
     private InetSocketAddress start(String discovery) throws Exception {
         Path file = folder.resolve("config.json");
-        String known = Fixture.list(1, true, entry("s-0", before));
+        String known = Fixture.list(1, true, entry("s-0", firstNode));
         Files.writeString(
                 file,
                 "{\"discovery\":\""
@@ -108,7 +108,7 @@
     }
 
     /** Accepts the next call, reads its request and answers with this list. */
-    private static Peer answered(Peer.Listener discovery, String list) throws Exception {
+    private static Peer answerWith(Peer.Listener discovery, String list) throws Exception {
         Peer call = discovery.next();
         for (String line = call.line(); !line.isEmpty(); line = call.line()) {
             // skips the request
@@ -138,7 +138,7 @@
         List<Peer> connections = new ArrayList<>();
         for (int i = 0; i < BOUND.nodes(); i++) {
             clients.get(i).send(Fixture.read("a" + i, 4900));
-            connections.add(before.next());
+            connections.add(firstNode.next());
             assertTrue(connections.get(i).line().contains("Oa" + i + " "));
         }
         for (int i = 0; i < BOUND.nodes(); i++) {
@@ -169,7 +169,7 @@
         // at least one call has failed while all of them were open
         line("discovery: no connection");
         try (Peer.Listener returned = new Peer.Listener(port)) {
-            answered(returned, Fixture.list(2, true, entry("s-1", after)));
+            answerWith(returned, Fixture.list(2, true, entry("s-1", secondNode)));
             for (Peer connection : connections) {
                 connection.expectEnd(); // its node is not in the new list
             }
@@ -178,7 +178,7 @@
                 client.expect("MN");
             }
             clients.get(0).send(Fixture.read("b0", 4900));
-            Peer node = after.next();
+            Peer node = secondNode.next();
             assertTrue(node.line().contains("Ob0 "));
             node.send("VA 1 Ob0\r\n1\r\n");
             clients.get(0).expect("VA 1 Ob0", "1");
--- a/src/test/java/holdproxy/net/TurnsTest.java
+++ b/src/test/java/holdproxy/net/LoopIoHandlerFactoryTest.java
@@ -18,22 +18,22 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-class TurnsTest {
+class LoopIoHandlerFactoryTest {
     private static final int TIMERS = 300;
 
     /** One iteration that the timer wakes, and some for other reasons to wake up. */
-    private static final int TURNS_A_TIMER = 4;
+    private static final int MAX_POLLS_PER_TIMER = 4;
 
     /** A fake context with settable values, and a fake handler that records the delay it was given. */
-    static final class ByHand implements IoHandlerContext, IoHandler {
+    static final class FakeLoop implements IoHandlerContext, IoHandler {
         long delay;
-        boolean mayWait = true;
+        boolean canBlock = true;
         int input;
-        long waited;
+        long delaySeen;
 
         @Override
         public boolean canBlock() {
-            return mayWait;
+            return canBlock;
         }
 
         @Override
@@ -48,7 +48,7 @@
 
         @Override
         public int run(IoHandlerContext context) {
-            waited = context.delayNanos(0);
+            delaySeen = context.delayNanos(0);
             return input;
         }
 
@@ -68,58 +68,58 @@
         }
     }
 
-    private final ByHand hand = new ByHand();
-    private final Turns turns = new Turns(executor -> hand);
+    private final FakeLoop fake = new FakeLoop();
+    private final Turns turns = new Turns(executor -> fake);
     private final IoHandler handler = turns.newHandler(null);
 
-    private long waits(long delay) {
-        hand.delay = delay;
-        handler.run(hand);
-        return hand.waited;
+    private long delaySeenFor(long delay) {
+        fake.delay = delay;
+        handler.run(fake);
+        return fake.delaySeen;
     }
 
     @Test
-    void aWaitIsNeverShorterThanTheTimeUntilTheNextTimerAndWhole() {
-        assertEquals(1_000_000, waits(1));
-        assertEquals(1_000_000, waits(499_999));
-        assertEquals(1_000_000, waits(1_000_000));
-        assertEquals(2_000_000, waits(1_000_001));
-        assertEquals(0, waits(0), "due now");
-        assertEquals(-5, waits(-5), "overdue");
-        assertEquals(Long.MAX_VALUE, waits(Long.MAX_VALUE), "no timer");
+    void waitsAreRoundedUpToWholeMilliseconds() {
+        assertEquals(1_000_000, delaySeenFor(1));
+        assertEquals(1_000_000, delaySeenFor(499_999));
+        assertEquals(1_000_000, delaySeenFor(1_000_000));
+        assertEquals(2_000_000, delaySeenFor(1_000_001));
+        assertEquals(0, delaySeenFor(0), "due now");
+        assertEquals(-5, delaySeenFor(-5), "overdue");
+        assertEquals(Long.MAX_VALUE, delaySeenFor(Long.MAX_VALUE), "no timer");
     }
 
     @Test
-    void aTurnIsIdleThatFoundNoInputNoTaskAndNoTimerDue() {
-        handler.run(hand);
-        hand.input = 1;
-        handler.run(hand);
-        hand.input = 0;
-        hand.mayWait = false;
-        handler.run(hand);
-        assertEquals(3, turns.all());
-        assertEquals(1, turns.idle());
+    void anIterationWithoutInputTaskOrDueTimerIsIdle() {
+        handler.run(fake);
+        fake.input = 1;
+        handler.run(fake);
+        fake.input = 0;
+        fake.canBlock = false;
+        handler.run(fake);
+        assertEquals(3, turns.iterations());
+        assertEquals(1, turns.idleIterations());
     }
 
     @Test
-    void aLoopOnSocketsTurnsForItsTimersAndNotForNothing() throws Exception {
-        int most = TIMERS * TURNS_A_TIMER;
-        int patient = turnsTaken(Turns::new);
-        assertTrue(patient <= most, patient + " turns for " + TIMERS + " timers");
+    void aLoopOnSocketsDoesNotBusyPollBeforeItsTimers() throws Exception {
+        int maxPolls = TIMERS * MAX_POLLS_PER_TIMER;
+        int rounded = countPolls(Turns::new);
+        assertTrue(rounded <= maxPolls, rounded + " turns for " + TIMERS + " timers");
         // the test must detect the defect that Netty's handler has on its own
-        int bare = turnsTaken(sockets -> sockets);
-        assertTrue(bare > most, "defect not detected: " + bare + " turns");
+        int nettyDefault = countPolls(sockets -> sockets);
+        assertTrue(nettyDefault > maxPolls, "defect not detected: " + nettyDefault + " turns");
     }
 
     /** How often a real loop polled for input during a chain of timers with fractions of a millisecond. */
-    private static int turnsTaken(UnaryOperator<IoHandlerFactory> around) throws Exception {
-        AtomicInteger taken = new AtomicInteger();
+    private static int countPolls(UnaryOperator<IoHandlerFactory> around) throws Exception {
+        AtomicInteger polls = new AtomicInteger();
         IoHandlerFactory sockets =
                 NioIoHandler.newFactory(
                         SelectorProvider.provider(),
                         () ->
                                 (select, tasks) -> {
-                                    taken.incrementAndGet();
+                                    polls.incrementAndGet();
                                     // as Netty's default strategy: block if there are no tasks
                                     return tasks ? select.get() : -1;
                                 });
@@ -128,7 +128,7 @@
             CompletableFuture<Void> done = new CompletableFuture<>();
             loop.execute(() -> next(loop, TIMERS, done));
             done.get(60, TimeUnit.SECONDS);
-            return taken.get();
+            return polls.get();
         } finally {
             loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
--- a/src/test/java/holdproxy/net/LatenessTest.java
+++ b/src/test/java/holdproxy/net/LoopLagTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class LatenessTest {
+class LoopLagTest {
     private static final long MS = 1000;
 
     private final MockTicker ticker = Ticker.newMockTicker();
@@ -41,26 +41,26 @@
     }
 
     @Test
-    void aLoopOnTimeHasStoodStillForNothing() {
+    void aLoopOnTimeHasNoLag() {
         Lateness lateness = new Lateness(0);
         for (long now = 20 * MS; now <= 200 * MS; now += 20 * MS) {
             lateness.ticked(now);
         }
-        assertEquals(0, lateness.justNowUs(219 * MS));
+        assertEquals(0, lateness.recentUs(219 * MS));
         assertEquals(0, lateness.totalUs(219 * MS));
     }
 
     @Test
-    void aStandstillIsSeenBeforeItsTickRunsAndCountedOnceAfter() {
+    void aStallIsSeenBeforeItsTickRunsAndCountedOnceAfter() {
         Lateness lateness = new Lateness(0);
-        assertEquals(300 * MS, lateness.justNowUs(320 * MS));
+        assertEquals(300 * MS, lateness.recentUs(320 * MS));
         assertEquals(300 * MS, lateness.totalUs(320 * MS));
         lateness.ticked(320 * MS);
         assertEquals(
                 300 * MS,
-                lateness.justNowUs(321 * MS),
+                lateness.recentUs(321 * MS),
                 "input read right after the tick has waited as long");
-        assertEquals(0, lateness.justNowUs(330 * MS));
+        assertEquals(0, lateness.recentUs(330 * MS));
         assertEquals(300 * MS, lateness.totalUs(330 * MS));
         lateness.ticked(340 * MS);
         assertEquals(400 * MS, lateness.totalUs(460 * MS), "a second stall adds to it");
@@ -68,7 +68,7 @@
 
     /** A proxy short of processor time, as right after a restart, in front of nodes that answer at once. */
     @Test
-    void answersThatLayThereWhileTheLoopStoodStillAreNotTakenForQueues() {
+    void answersUnreadDuringAStallAreNotTakenForOverload() {
         int refused = 0;
         for (int i = 0; i < 300; i++) {
             client.writeInbound(bytes(Fixture.read("r" + i, 5000)));
@@ -82,14 +82,14 @@
 
     /** After a stall, due timers end requests although no node was slow. */
     @Test
-    void timeOutsOfAStandstillAreNotTakenForSilence() {
-        timeOuts(40, 800, 1);
+    void timeOutsDuringAStallDoNotCountAgainstTheNode() {
+        sendUnansweredRequests(40, 800, 1);
         assertEquals(0, refusedOf(100));
     }
 
     @Test
-    void timeOutsOfALoopOnTimeAre() {
-        timeOuts(40, 20, 40);
+    void timeOutsOfALoopOnTimeCountAgainstTheNode() {
+        sendUnansweredRequests(40, 20, 40);
         int refused = refusedOf(100);
         assertTrue(refused > 50, refused + " of 100 refused");
     }
@@ -98,7 +98,7 @@
      * Sends requests in turn that the node never answers; the loop runs {@code runs} times until each is
      * due.
      */
-    private void timeOuts(int requests, int runEveryMs, int runs) {
+    private void sendUnansweredRequests(int requests, int runEveryMs, int runs) {
         for (int i = 0; i < requests; i++) {
             client.writeInbound(bytes(Fixture.read("t" + i, 800)));
             for (int run = 0; run < runs; run++) {
--- a/src/test/java/holdproxy/net/NettyLogTest.java
+++ b/src/test/java/holdproxy/net/NettyLogTest.java
@@ -7,7 +7,7 @@
 class NettyLogTest {
 
     @Test
-    void argumentsTakeTheirPlacesAndAThrowableLeftOverIsTheCause() {
+    void argumentsReplacePlaceholdersAndAnUnusedThrowableIsTheCause() {
         Exception cause = new IllegalStateException("closed");
         assertEquals(
                 "a 1 b null c: java.lang.IllegalStateException: closed",
--- a/src/test/java/holdproxy/net/RetuningTest.java
+++ b/src/test/java/holdproxy/net/SettingsReloadTest.java
@@ -18,7 +18,7 @@
  * with.
  */
 @Timeout(60)
-class RetuningTest {
+class SettingsReloadTest {
     private static final String SETTINGS = Fixture.SETTINGS;
     @TempDir Path folder;
 
@@ -46,13 +46,13 @@
                 .get();
     }
 
-    private static void sent(Peer node) throws IOException {
+    private static void receiveWrite(Peer node) throws IOException {
         node.line();
         node.expect("hello");
     }
 
     @Test
-    void anAddedClassIsServedAndADroppedOneFirstByItsOldRulesAndThenNoLonger() throws Exception {
+    void anAddedClassIsServedAndADroppedOneOnlyForAWhileByItsOldRules() throws Exception {
         try (Fixture f = new Fixture(1)) {
             assertEquals(
                     "1/0",
@@ -65,17 +65,17 @@
             Peer client = f.client();
             client.send(Fixture.write("renew", "r1", 4000));
             Peer node = f.nodes.get(0).next();
-            sent(node);
+            receiveWrite(node);
             node.send("HD Or1 c1\r\n");
             client.expect("HD Or1 c1");
             node.close();
             f.turn();
             client.send(Fixture.write("charge", "c1", 4000));
             node = f.nodes.get(0).next();
-            sent(node);
+            receiveWrite(node);
             node.reset();
             client.expect("SERVER_ERROR failed");
-            f.loop.submit(() -> f.proxy.forgetDropped()).get();
+            f.loop.submit(() -> f.proxy.dropOldClasses()).get();
             client.send(Fixture.write("charge", "c2", 4000));
             client.expect("CLIENT_ERROR c, t or d is not known here");
             f.loop.submit(
@@ -91,13 +91,13 @@
     }
 
     @Test
-    void anOpenRequestKeepsItsEffectAndItsAttemptsAndTheNextOneHasTheNewOnes() throws Exception {
+    void anOpenRequestKeepsItsEffectAndAttemptsAndTheNextOneHasTheNewOnes() throws Exception {
         try (Fixture f = new Fixture(2)) {
             Peer client = f.client();
             // keyed with 4 attempts: may be sent again
             client.send(Fixture.write("submit", "s1", 4000));
             Peer node = f.next();
-            sent(node);
+            receiveWrite(node);
             assertEquals(
                     "1/0",
                     reload(
@@ -110,14 +110,14 @@
                                             .replace("\"maxAttempts\":4", "\"maxAttempts\":1"))));
             node.reset();
             Peer again = f.next();
-            sent(again);
+            receiveWrite(again);
             again.send("HD Os1 c1\r\n");
             client.expect("HD Os1 c1");
             again.close();
             f.turn();
             client.send(Fixture.write("submit", "s2", 4000));
             again = f.next();
-            sent(again);
+            receiveWrite(again);
             again.reset();
             // no refusal, which would promise that the request never ran
             client.expect("SERVER_ERROR failed");
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void nothingIsTakenOfABrokenFileAndTheLastGoodOneCounts() throws Exception {
+    void aBrokenFileIsRejectedWholeAndALaterValidOneIsApplied() throws Exception {
         try (Fixture f = new Fixture(1)) {
             String good = file(f, SETTINGS.replace("\"name\":\"charge\"", "\"name\":\"renew\""));
             List<String> broken =
@@ -163,20 +163,21 @@
             client.expect("CLIENT_ERROR c, t or d is not known here");
             assertEquals("1/" + broken.size(), reload(f, good));
             client.send(Fixture.write("renew", "r2", 4000));
-            sent(f.nodes.get(0).next());
+            receiveWrite(f.nodes.get(0).next());
         }
     }
 
     @Test
-    void aTenantKeepsItsPlaceAndANewOneTakesThatOfOneThatLeft() {
+    void aTenantKeepsItsIndexAndANewOneTakesThatOfARemovedOne() {
         Router.Tenant[] before = {tenant("a", 1), tenant("b", 2), tenant("c", 3)};
         Router.Tenant[] after =
-                Retuning.tenants(before, new Router.Tenant[] {tenant("c", 30), tenant("a", 10)});
-        assertEquals(List.of("a 10.0", " 0.0", "c 30.0"), told(after));
+                SettingsReload.keepTenantIndexes(
+                        before, new Router.Tenant[] {tenant("c", 30), tenant("a", 10)});
+        assertEquals(List.of("a 10.0", " 0.0", "c 30.0"), namesAndQuotas(after));
         assertEquals(
                 List.of("a 10.0", "d 4.0", "c 30.0", "e 5.0"),
-                told(
-                        Retuning.tenants(
+                namesAndQuotas(
+                        SettingsReload.keepTenantIndexes(
                                 after,
                                 new Router.Tenant[] {
                                     tenant("a", 10), tenant("c", 30), tenant("d", 4), tenant("e", 5)
@@ -190,7 +191,7 @@
         return t;
     }
 
-    private static List<String> told(Router.Tenant[] tenants) {
+    private static List<String> namesAndQuotas(Router.Tenant[] tenants) {
         return Arrays.stream(tenants).map(t -> t.name + " " + t.quotaPerS).toList();
     }
 
@@ -218,7 +219,7 @@
      * Keys may be present in some classes only, such as a repeat window only where repeats are discarded.
      */
     @Test
-    void whatOnlySomeClassesHaveNoOtherOneNeeds() throws Exception {
+    void aKeyThatOnlySomeClassesHaveIsOptional() throws Exception {
         int charge = SETTINGS.indexOf("\"charge\"");
         String uneven =
                 SETTINGS.substring(0, charge)
@@ -232,7 +233,7 @@
     }
 
     @Test
-    void aShorterTimeToIdleHoldsForWhatIdlesAlready() throws Exception {
+    void aShorterIdleTimeAppliesToConnectionsAlreadyIdle() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
             client.send(Fixture.read("a1", 4000));
--- a/src/test/java/holdproxy/net/SignalTest.java
+++ b/src/test/java/holdproxy/net/SignalTest.java
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void bothSignalsAreHeededBeforeTheFirstClientCanHaveAnAnswer() throws Exception {
+    void bothSignalsAreHandledBeforeTheFirstClientCanGetAnAnswer() throws Exception {
         ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         start("127.0.0.1:" + held.getLocalPort());
         line("waiting for ");
@@ -124,7 +124,7 @@
 
     /** With SIGHUP ignored, the file is polled instead, also after it held a broken configuration. */
     @Test
-    void whereSighupIsIgnoredTheFileIsFollowed() throws Exception {
+    void whereSighupIsIgnoredTheFileIsPolled() throws Exception {
         start("127.0.0.1:0", List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
         assertTrue(line("SIGHUP has no effect").contains(file.toString()));
         line("settings taken"); // the first content; from here on only changes are reloaded
@@ -149,7 +149,7 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"TERM", "INT"})
-    void theRunLineHasAllSignalsHeeded(String end) throws Exception {
+    void theDeploymentRunLineRestoresAllSignals(String end) throws Exception {
         String run = Files.readString(Path.of("deploy/balancer.toml"));
         String before = run.substring(run.indexOf("run = \"") + 7);
         before = before.substring(0, before.indexOf("java "));
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void toldToEndWhileItWaitsForItsAddressItEnds() throws Exception {
+    void sigtermWhileWaitingForTheAddressEndsTheProcess() throws Exception {
         try (ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             start("127.0.0.1:" + held.getLocalPort());
             line("waiting for ");
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void anAddressThatCannotBeHadIsSaidAndEndsItWithTwo() throws Exception {
+    void anAddressInUseIsLoggedAndEndsTheProcessWithCode2() throws Exception {
         try (ServerSocket held = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             start("127.0.0.1:" + held.getLocalPort());
             line("cannot listen on ");
@@ -192,7 +192,7 @@
 
     /** Deadlines are 5 s here, so that SIGKILL may come 3.7 s after SIGTERM, before a request's deadline. */
     @Test
-    void whatIsOpenAtTheEndHasItsAnswerBeforeTheProcessIsGone() throws Exception {
+    void openRequestsAreAnsweredBeforeTheProcessIsKilled() throws Exception {
         start("127.0.0.1:0");
         String listening = line("listening on ");
         int port = Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1).strip());
--- a/src/test/java/holdproxy/net/UpgradeTest.java
+++ b/src/test/java/holdproxy/net/UpgradeTest.java
@@ -42,13 +42,13 @@
         file = folder.resolve("config.json");
         entry = "{\"id\":\"s-0\",\"addr\":\"" + node.address() + "\",\"state\":\"SERVING\"}";
         Files.writeString(file, Fixture.json(Fixture.list(1, true, entry), Fixture.SETTINGS, 1024));
-        Thread telling = new Thread(this::tell, "discovery");
-        telling.setDaemon(true);
-        telling.start();
+        Thread discoveryThread = new Thread(this::answerDiscovery, "discovery");
+        discoveryThread.setDaemon(true);
+        discoveryThread.start();
     }
 
     /** Discovery sends the initial list to each caller. */
-    private void tell() {
+    private void answerDiscovery() {
         try {
             while (true) {
                 Peer watch = discovery.next();
@@ -73,7 +73,7 @@
         discovery.close();
     }
 
-    private Proxy process() throws Exception {
+    private Proxy startProxy() throws Exception {
         EventLoop loop = Service.loop(new Turns());
         loops.add(loop);
         return Service.start(
@@ -84,7 +84,7 @@
         return Peer.to((InetSocketAddress) socket.getLocalAddress());
     }
 
-    private Peer greeted() throws Exception {
+    private Peer connectedClient() throws Exception {
         Peer p = client();
         p.send("mn\r\n");
         p.expect("MN");
@@ -92,22 +92,24 @@
     }
 
     @Test
-    void theOldOneTakesNothingNewAnswersWhatItTookAndEndsEachConnectionBehindAnAnswer()
+    void theOldProxyAcceptsNoClientsAnswersOpenRequestsAndClosesEachConnectionAfterAnAnswer()
             throws Exception {
-        Proxy old = process();
-        Peer waiting = greeted();
-        Peer used = greeted();
-        Peer idle = greeted();
+        Proxy old = startProxy();
+        Peer waiting = connectedClient();
+        Peer used = connectedClient();
+        Peer idle = connectedClient();
         waiting.send(Fixture.read("a1", 4000));
         Peer served = node.next();
         served.line();
-        Proxy fresh = process();
+        Proxy fresh = startProxy();
         assertTrue(fresh.takesClients());
         Future<Void> end = old.end(1000);
         loops.get(0).submit(() -> {}).sync();
         assertFalse(old.takesClients());
         for (int i = 0; i < 20; i++) {
-            Peer p = greeted(); // served by the new proxy: the old one would close after its answer
+            Peer p =
+                    connectedClient(); // served by the new proxy: the old one would close after its
+            // answer
             p.send("mn\r\n");
             p.expect("MN");
             p.close();
@@ -125,29 +127,29 @@
         }
         assertTrue(end.await(5000));
         assertTrue(socket.isOpen(), "closing the inherited socket would end the process's log");
-        greeted().close();
+        connectedClient().close();
     }
 
     @Test
     void anUpgradeDuringAnUpgradeLeavesTheLatestOneServing() throws Exception {
-        Proxy first = process();
-        Proxy second = process();
-        Proxy third = process();
+        Proxy first = startProxy();
+        Proxy second = startProxy();
+        Proxy third = startProxy();
         first.end(10);
         second.end(10);
         for (int i : new int[] {0, 1}) {
             loops.get(i).submit(() -> {}).sync();
         }
-        Peer p = greeted();
+        Peer p = connectedClient();
         p.send("mn\r\n");
         p.expect("MN");
         assertTrue(third.takesClients());
     }
 
     @Test
-    void clientsAreLeftToTheOldOneUntilDiscoveryHasToldTheNewOneOfTheNodes() throws Exception {
-        process();
-        Proxy fresh = process();
+    void theNewProxyAcceptsClientsOnlyOnceItHasANodeList() throws Exception {
+        startProxy();
+        Proxy fresh = startProxy();
         assertTrue(fresh.takesClients());
         assertTrue(fresh.members().first().isDone(), "it accepted clients before it had a list");
     }
--- a/src/test/java/holdproxy/net/RehearsalTest.java
+++ b/src/test/java/holdproxy/net/WarmUpTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class RehearsalTest {
+class WarmUpTest {
 
     @Test
     void everyRequestIsServedFromEndToEnd(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 1024));
         Config config = Config.load(Fixture.env(file, "127.0.0.1:1"));
-        for (int rounds : new int[] {Rehearsal.ROUNDS, Rehearsal.UNHURRIED_ROUNDS}) {
+        for (int rounds : new int[] {Rehearsal.ROUNDS, Rehearsal.UPGRADE_ROUNDS}) {
             assertEquals(rounds, Rehearsal.run(config, rounds));
         }
     }
