--- a/src/main/java/holdproxy/net/Log.java
+++ b/src/main/java/holdproxy/net/Log.java
@@ -3,47 +3,47 @@
 import java.util.function.Consumer;
 
 /**
- * Changes and faults, on standard error where nothing else takes them, so many in a while: a storm of
- * faults must not fill a disk.
+ * The log of state changes and errors, to standard error unless a consumer is given. Its rate is limited, so
+ * that a burst of errors does not fill the disk.
  */
 final class Log {
-    private static final int MOST = 40;
+    private static final int MAX_LINES = 40;
     private static final long WINDOW_US = 10_000_000;
 
     private final Time time;
-    private final Consumer<String> taker;
+    private final Consumer<String> consumer;
     private long windowStart;
     private int lines;
 
     Log(Time time) {
-        this(time, null); // no reference to a method: linking one costs a start some milliseconds
+        this(time, null); // linking a method reference would add some milliseconds to the start
     }
 
-    Log(Time time, Consumer<String> taker) {
+    Log(Time time, Consumer<String> consumer) {
         this.time = time;
-        this.taker = taker;
+        this.consumer = consumer;
         windowStart = time.us();
     }
 
     void line(String text) {
         long now = time.us();
         if (now - windowStart > WINDOW_US) {
-            if (lines > MOST) {
-                out((lines - MOST) + " lines left out");
+            if (lines > MAX_LINES) {
+                out((lines - MAX_LINES) + " log lines suppressed");
             }
             windowStart = now;
             lines = 0;
         }
-        if (lines++ < MOST) {
+        if (lines++ < MAX_LINES) {
             out(text);
         }
     }
 
     private void out(String text) {
-        if (taker == null) {
+        if (consumer == null) {
             System.err.println("holdproxy: " + text);
         } else {
-            taker.accept(text);
+            consumer.accept(text);
         }
     }
 }
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/Service.java
@@ -17,32 +17,35 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The process around a proxy: what it inherits at its start, the signals that it heeds, and its console. */
+/** The process around a proxy: inherited listening socket, signals, console and watchdog. */
 public final class Service implements Operations {
     /**
-     * The longest that it goes on after SIGTERM. Each request has its answer long before; what is left are
-     * values that their clients take slowly, which the process must not be the one to break off.
+     * The longest drain after SIGTERM. All requests are answered long before; what is left are values that
+     * clients read slowly, which the process must not cut off.
      */
-    private static final long DRAIN_MOST_MS = 15_000;
+    private static final long MAX_DRAIN_MS = 15_000;
 
-    /** How often it is looked up what another process was told. */
-    private static final int LOOK_MS = 100;
+    /** How often the nodes left out through another process are read, and the loop is checked. */
+    private static final int CHECK_MS = 100;
+
+    /** How often the loop is checked where there is no console. */
+    private static final int CHECK_WITHOUT_CONSOLE_MS = 250;
 
-    private static final int LOOK_ALONE_MS = 250;
     private static final int REFRESH_MS = 200;
 
-    /** The folder for them in {@code TMPDIR}. */
-    private static final String KEPT = "left-out";
+    /** The folder in {@code TMPDIR} for the record of nodes left out. */
+    private static final String LEFT_OUT_FOLDER = "left-out";
 
-    /** So long clients are left to another process until discovery has told this one of the nodes. */
+    /** The longest wait for the first node list in an upgrade, while another process serves the clients. */
     private static final int FIRST_LIST_MS = 2_000;
 
-    /** Where lists are asked for, also no longer than this part of the time for which one holds. */
-    private static final int HELD_PART = 2;
+    /** Where the router asks for lists, the wait is also at most 1/VALIDITY_DIVISOR of a list's validity. */
+    private static final int VALIDITY_DIVISOR = 2;
 
     /**
-     * So long clients wait where no other process serves them. While discovery is down or overbooked there is
-     * no list, and the longer a fleet that restarts together waits for it, the more goes unanswered.
+     * The longest wait for the first node list where no other process serves the clients. While discovery
+     * is down or overloaded no list comes, and the longer a fleet that restarts together waits for one, the
+     * more requests go unanswered.
      */
     private static final int FIRST_LIST_ALONE_MS = 500;
 
@@ -52,19 +55,19 @@
     private final Proxy proxy;
     private final EventLoop loop;
     private final Log log;
-    private final KeptOut kept;
+    private final KeptOut leftOut;
     private final Consumer<String> lines;
-    private EventLoop console;
+    private EventLoop consoleLoop;
 
-    private Service(Proxy proxy, EventLoop loop, Log log, KeptOut kept, Consumer<String> lines) {
+    private Service(Proxy proxy, EventLoop loop, Log log, KeptOut leftOut, Consumer<String> lines) {
         this.proxy = proxy;
         this.loop = loop;
         this.log = log;
-        this.kept = kept;
+        this.leftOut = leftOut;
         this.lines = lines;
     }
 
-    /** Runs a proxy until SIGTERM; at SIGHUP it reads its configuration again. */
+    /** Runs a proxy until SIGTERM; SIGHUP reloads its configuration. */
     public static void serve(Map<String, String> env) {
         NettyLog.install(new Log(Time.system()));
         run(
@@ -80,10 +83,13 @@
     }
 
     /**
-     * Starts a proxy, which takes clients when this returns. {@code source} is read again at SIGHUP, or when
-     * its file has changed where no SIGHUP reaches the process; {@code lines} takes the log's lines, on any
-     * thread (null: standard error); {@code env} is looked up for {@code LB_FD} and {@code TMPDIR};
-     * {@code end} is run at SIGTERM. Both signals are heeded before the first client can have an answer.
+     * Starts a proxy and returns once it accepts clients. Both signals are handled before the first client
+     * can get an answer.
+     *
+     * @param source read again at SIGHUP or, where SIGHUP is ignored, when its file has changed
+     * @param env used for {@code LB_FD} and {@code TMPDIR}
+     * @param lines receives the log lines, on any thread; null for standard error
+     * @param end run at SIGTERM
      */
     public static Service run(
             Config config,
@@ -93,34 +99,32 @@
             Consumer<Service> end) {
         Log log = new Log(Time.system(), lines);
         ServerSocketChannel inherited = inherited(env);
-        KeptOut kept = kept(config, env, log);
-        Rehearsal.run(config, inherited == null ? Rehearsal.ROUNDS : Rehearsal.UNHURRIED_ROUNDS);
+        KeptOut leftOut = openLeftOut(config, env, log);
+        Rehearsal.run(config, inherited == null ? Rehearsal.ROUNDS : Rehearsal.UPGRADE_ROUNDS);
         Turns turns = new Turns();
         EventLoop loop = loop(turns);
-        Proxy proxy = begun(config, loop, inherited, kept, lines);
-        loop.execute(() -> proxy.counting.of(turns));
-        Service service = new Service(proxy, loop, log, kept, lines);
+        Proxy proxy = prepare(config, loop, inherited, leftOut, lines);
+        loop.execute(() -> proxy.counterLog.setTurns(turns));
+        Service service = new Service(proxy, loop, log, leftOut, lines);
         followChanges(source, () -> reload(config, proxy, loop, source), log);
-        Thread ending = new Thread(() -> end.accept(service), "drain");
-        Runtime.getRuntime().addShutdownHook(ending);
+        Thread drainHook = new Thread(() -> end.accept(service), "drain");
+        Runtime.getRuntime().addShutdownHook(drainHook);
         try {
             listen(proxy, config, loop, inherited != null);
         } catch (BadInput e) {
-            unhook(ending); // it has nothing to answer, and its exit code tells why
+            removeShutdownHook(
+                    drainHook); // there is nothing to drain, and the exit code must show the error
             throw e;
         }
         if (config.console != null) {
-            service.console(config);
+            service.startConsole(config);
         } else {
-            service.watchAlone();
+            service.startWatchdogThread();
         }
         return service;
     }
 
-    /**
-     * Has the configuration read again at SIGHUP, or by what the file itself shows where that
-     * cannot come.
-     */
+    /** Reloads at SIGHUP or, where SIGHUP is ignored, when the file has changed. */
     private static void followChanges(ConfigSource source, Runnable reload, Log log) {
         HangupSignal.handle(reload)
                 .ifPresent(
@@ -136,7 +140,7 @@
                         });
     }
 
-    /** Says that all signals are heeded from here on: for who has seen to SIGTERM. */
+    /** Logs that the proxy listens and handles all signals; call it once SIGTERM is handled. */
     public void listening() {
         loop.execute(
                 () -> {
@@ -150,32 +154,32 @@
         return new MultiThreadIoEventLoopGroup(1, turns).next();
     }
 
-    private static void unhook(Thread hook) {
+    private static void removeShutdownHook(Thread hook) {
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // told to end meanwhile: it does
+            // the JVM is already shutting down
         }
     }
 
-    /** A proxy on this loop, once it listens: on the socket that was inherited, or on one of its own. */
+    /** Starts a proxy on this loop and returns once it listens, on the inherited socket or a new one. */
     static Proxy start(
             Config config,
             EventLoop loop,
             ServerSocketChannel inherited,
-            KeptOut kept,
+            KeptOut leftOut,
             Consumer<String> lines) {
-        Proxy proxy = begun(config, loop, inherited, kept, lines);
+        Proxy proxy = prepare(config, loop, inherited, leftOut, lines);
         listen(proxy, config, loop, inherited != null);
         return proxy;
     }
 
-    /** One that follows the lists already, and takes no clients yet. */
-    private static Proxy begun(
+    /** A proxy that already follows the node lists but does not listen yet. */
+    private static Proxy prepare(
             Config config,
             EventLoop loop,
             ServerSocketChannel inherited,
-            KeptOut kept,
+            KeptOut leftOut,
             Consumer<String> lines) {
         Time time = Time.system();
         try {
@@ -188,9 +192,9 @@
                                                 time,
                                                 new Sockets(loop, inherited),
                                                 new Log(time, lines));
-                                // in the same turn: the first call goes by the list that is held
+                                // in the same task: the first call to discovery uses the list held
                                 proxy.begin();
-                                restore(proxy, kept);
+                                restoreLeftOut(proxy, leftOut);
                                 return proxy;
                             })
                     .get();
@@ -201,33 +205,33 @@
         }
     }
 
-    /** Before anything is sent: what the process before this one was told holds here too. */
-    private static void restore(Proxy proxy, KeptOut kept) throws IOException {
-        if (kept != null) {
-            kept.all((node, out, at) -> proxy.members().restore(node, out, proxy.monotonic(at)));
+    /** Applies the left-out nodes that the previous process recorded, before anything is sent. */
+    private static void restoreLeftOut(Proxy proxy, KeptOut leftOut) throws IOException {
+        if (leftOut != null) {
+            leftOut.all((node, out, at) -> proxy.members().restore(node, out, proxy.monotonic(at)));
         }
     }
 
     static void listen(Proxy proxy, Config config, EventLoop loop, boolean inherited) {
         try {
             awaitFirstList(proxy, config, inherited);
-            ChannelFuture bound = bound(proxy, loop);
+            ChannelFuture bound = bind(proxy, loop);
             for (int i = 0;
                     i < BIND_TRIES && bound != null && bound.cause() instanceof BindException;
                     i++) {
-                // after a restart the one before may hold the address a moment longer
+                // after a restart the previous process may still hold the address for a moment
                 if (i == 0) {
                     loop.execute(
                             () -> proxy.log("waiting for " + config.listen + ", which is in use"));
                 }
                 Thread.sleep(BIND_WAIT_MS);
-                bound = bound(proxy, loop);
+                bound = bind(proxy, loop);
             }
             if (bound != null && !bound.isSuccess()) {
                 throw new BadInput(
                         "cannot listen on " + config.listen + ": " + bound.cause().getMessage());
             }
-            loop.submit(() -> {}).get(); // the proxy itself has heard of it, and says so
+            loop.submit(() -> {}).get(); // lets the proxy's own listener of the bind run first
         } catch (ExecutionException e) {
             throw new BadInput("cannot start: " + e.getCause().getMessage());
         } catch (InterruptedException e) {
@@ -235,17 +239,17 @@
         }
     }
 
-    /** Null: it was told to end meanwhile. */
-    private static ChannelFuture bound(Proxy proxy, EventLoop loop)
+    /** Null if the drain has begun meanwhile. */
+    private static ChannelFuture bind(Proxy proxy, EventLoop loop)
             throws InterruptedException, ExecutionException {
         ChannelFuture bound = loop.submit(proxy::listen).get();
         return bound == null ? null : bound.await();
     }
 
     /**
-     * Clients are taken once the first list has come, or after a bounded time: the list of the
-     * configuration may be old, and what discovery has had for long counts for a new process as well. Where
-     * discovery cannot be reached nothing can be told, and clients are taken at once.
+     * Waits a bounded time for the first node list: the list of the configuration may be out of date, and a
+     * new process has to honour what discovery has known for long. Where the router asks for lists and
+     * discovery cannot be reached, it returns at once.
      */
     private static void awaitFirstList(Proxy proxy, Config config, boolean inherited)
             throws InterruptedException {
@@ -253,34 +257,36 @@
         if (inherited) {
             members.first().await(FIRST_LIST_MS);
         } else if (config.settings.askForNodes) {
-            long heldMs = config.settings.askWithinUs / 1000;
-            members.firstOrUnreachable().await(Math.min(FIRST_LIST_ALONE_MS, heldMs / HELD_PART));
+            long validMs = config.settings.askWithinUs / 1000;
+            members.firstOrUnreachable()
+                    .await(Math.min(FIRST_LIST_ALONE_MS, validMs / VALIDITY_DIVISOR));
         } else {
             members.first().await(FIRST_LIST_ALONE_MS);
         }
     }
 
-    /** Null where nobody calls: then nothing is looked up either. */
-    private static KeptOut kept(Config config, Map<String, String> env, Log log) {
+    /** Null without a console, as then no node can be left out. */
+    private static KeptOut openLeftOut(Config config, Map<String, String> env, Log log) {
         if (config.console == null) {
             return null;
         }
         String folder = env.getOrDefault("TMPDIR", "");
         if (folder.isEmpty()) {
             log.line(
-                    "TMPDIR is not set: nodes left out by operators are forgotten with this"
-                            + " process");
+                    "TMPDIR is not set: nodes left out by operators are forgotten when"
+                            + " this process ends");
         }
         try {
-            return new KeptOut(folder.isEmpty() ? null : Path.of(folder, KEPT), Time.system());
+            return new KeptOut(
+                    folder.isEmpty() ? null : Path.of(folder, LEFT_OUT_FOLDER), Time.system());
         } catch (IOException e) {
             throw new BadInput("TMPDIR cannot be used: " + e);
         }
     }
 
     /**
-     * The listening socket that {@code LB_FD} names; null where it names none. Only standard input can be
-     * taken over: the platform's way to a socket that it did not open itself.
+     * The listening socket that {@code LB_FD} names; null if it is not set. Only descriptor 0 works: the
+     * JDK gives access to an inherited socket only as standard input.
      */
     private static ServerSocketChannel inherited(Map<String, String> env) {
         String descriptor = env.getOrDefault("LB_FD", "").strip();
@@ -303,57 +309,58 @@
         throw new BadInput("descriptor 0, named by LB_FD, is no listening socket");
     }
 
-    private void console(Config config) {
-        console = loop(new Turns());
+    private void startConsole(Config config) {
+        consoleLoop = loop(new Turns());
         Time time = Time.system();
-        Log own = new Log(time, lines);
-        Watchdog watchdog = watchdog(time, own, LOOK_MS);
-        console.scheduleAtFixedRate(
-                () -> watchdog.look(time.us()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-        console.execute(
+        Log watchdogLog = new Log(time, lines);
+        Watchdog watchdog = createWatchdog(time, watchdogLog, CHECK_MS);
+        consoleLoop.scheduleAtFixedRate(
+                () -> watchdog.check(time.us()), CHECK_MS, CHECK_MS, TimeUnit.MILLISECONDS);
+        consoleLoop.execute(
                 () -> {
-                    new Console(console, this, line -> loop.execute(() -> proxy.log(line)))
+                    new Console(consoleLoop, this, line -> loop.execute(() -> proxy.log(line)))
                             .listen(
                                     config.console,
                                     listening ->
-                                            say(
+                                            logOnLoop(
                                                     "the console listens on "
                                                             + listening.localAddress()));
-                    console.scheduleAtFixedRate(
-                            this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+                    consoleLoop.scheduleAtFixedRate(
+                            this::applyRecordedChanges, CHECK_MS, CHECK_MS, TimeUnit.MILLISECONDS);
                 });
         loop.scheduleAtFixedRate(
                 proxy.members()::refresh, REFRESH_MS, REFRESH_MS, TimeUnit.MILLISECONDS);
     }
 
-    private Watchdog watchdog(Time time, Log own, int everyMs) {
-        Watchdog watchdog = new Watchdog(loopThread(), time.us(), own::line);
+    private Watchdog createWatchdog(Time time, Log log, int everyMs) {
+        Watchdog watchdog = new Watchdog(loopThread(), time.us(), log::line);
         loop.scheduleAtFixedRate(
                 () -> watchdog.beat(time.us()), everyMs, everyMs, TimeUnit.MILLISECONDS);
         return watchdog;
     }
 
-    /** Where there is no console a thread of its own looks, less often: a core may be shared by many. */
-    private void watchAlone() {
+    /**
+     * Without a console, a separate thread checks the loop, less often as many processes may share a core.
+     */
+    private void startWatchdogThread() {
         Time time = Time.system();
-        Watchdog watchdog = watchdog(time, new Log(time, lines), LOOK_ALONE_MS);
-        Thread looking =
+        Watchdog watchdog = createWatchdog(time, new Log(time, lines), CHECK_WITHOUT_CONSOLE_MS);
+        Thread watchdogThread =
                 new Thread(
                         () -> {
                             try {
                                 while (true) {
-                                    Thread.sleep(LOOK_ALONE_MS);
-                                    watchdog.look(time.us());
+                                    Thread.sleep(CHECK_WITHOUT_CONSOLE_MS);
+                                    watchdog.check(time.us());
                                 }
                             } catch (InterruptedException e) {
-                                Thread.currentThread()
-                                        .interrupt(); // nobody does; the process ends with the
-                                // others
+                                // not expected: this daemon thread ends with the process
+                                Thread.currentThread().interrupt();
                             }
                         },
                         "watchdog");
-        looking.setDaemon(true);
-        looking.start();
+        watchdogThread.setDaemon(true);
+        watchdogThread.start();
     }
 
     private Thread loopThread() {
@@ -364,10 +371,10 @@
         }
     }
 
-    /** What the process before, or the other one in an upgrade, was told of nodes left out. */
-    private void look() {
+    /** Applies changes of left-out nodes that another process recorded, as during an upgrade. */
+    private void applyRecordedChanges() {
         try {
-            kept.changes(
+            leftOut.changes(
                     (node, out, atUnixMs) ->
                             loop.execute(
                                     () ->
@@ -375,15 +382,18 @@
                                                     .leaveOut(
                                                             node, out, proxy.monotonic(atUnixMs))));
         } catch (IOException e) {
-            say("which nodes are left out cannot be read: " + e);
+            logOnLoop("the record of nodes left out by operators cannot be read: " + e);
         }
     }
 
-    private void say(String line) {
+    private void logOnLoop(String line) {
         loop.execute(() -> proxy.log(line));
     }
 
-    /** The call holds once it is kept for the next process and the module has it; else nothing of it does. */
+    /**
+     * The call succeeds once it is recorded for the next process and the router has it; otherwise it changes
+     * nothing.
+     */
     @Override
     public void leaveOut(String node, boolean out, Consumer<String> answer) {
         loop.execute(
@@ -392,10 +402,10 @@
                         answer.accept("no cache node is called " + Config.shown(node));
                         return;
                     }
-                    console.execute(
+                    consoleLoop.execute(
                             () -> {
                                 try {
-                                    long atUnixMs = kept.keep(node, out);
+                                    long atUnixMs = leftOut.keep(node, out);
                                     loop.execute(
                                             () -> {
                                                 proxy.members()
@@ -406,10 +416,10 @@
                                                 answer.accept(null);
                                             });
                                 } catch (IOException e) {
-                                    say(
+                                    logOnLoop(
                                             "node "
                                                     + node
-                                                    + " could not be kept as left out or used: "
+                                                    + ": the operator's call was not recorded: "
                                                     + e);
                                     answer.accept(
                                             "cannot be kept: " + e.getClass().getSimpleName());
@@ -419,8 +429,8 @@
     }
 
     /**
-     * What SIGHUP asks for: the file as it is now, or nothing of it. On any thread, and each signal has one
-     * of its own: one after the other, so that the last file is the last that is taken.
+     * Reloads the configuration, whole or not at all. Each SIGHUP has its own thread: reloads run one after
+     * the other, so that the latest file is applied last.
      */
     static void reload(Config inUse, Proxy proxy, EventLoop loop, ConfigSource source) {
         replace(() -> source.read().apply(inUse), proxy, loop);
@@ -433,26 +443,26 @@
                 loop.execute(() -> proxy.taken(now));
                 return null;
             } catch (BadInput e) {
-                loop.execute(() -> proxy.turnedDown(e.getMessage()));
+                loop.execute(() -> proxy.reloadRejected(e.getMessage()));
                 return e.getMessage();
             }
         }
     }
 
     /**
-     * Takes a configuration as SIGHUP does, whole or not at all: {@code checked} makes it, or throws a
-     * {@link BadInput}, one call after the other and none beside a SIGHUP. Returns why it is turned down,
-     * else null; on any thread.
+     * Applies a configuration as SIGHUP does, whole or not at all. {@code checked} creates it or throws
+     * {@link BadInput}; its calls never overlap with each other or with a reload at SIGHUP. Returns why it
+     * was rejected, or null. Thread-safe.
      */
     public String take(Supplier<Config> checked) {
         return replace(checked, proxy, loop);
     }
 
-    /** Does what SIGTERM asks for and waits for its end, but not for long. */
+    /** Drains as at SIGTERM and waits for the end, for a bounded time. */
     public void drain() {
         try {
-            if (!proxy.end().await(DRAIN_MOST_MS)) {
-                log.line("ending with requests open");
+            if (!proxy.end().await(MAX_DRAIN_MS)) {
+                log.line("the drain was not done in time; ending with connections open");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/holdproxy/net/Turns.java
+++ b/src/main/java/holdproxy/net/Turns.java
@@ -10,48 +10,49 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The turns of an event loop on sockets: counts them, and has the loop wait for its next timer.
+ * Wraps the NIO handler of an event loop: counts the loop's iterations, and rounds its waits up to whole
+ * milliseconds.
  *
- * <p>Netty's own NIO loop waits in whole milliseconds, rounded to the nearest: in the last half millisecond
- * before a timer it does not wait at all but looks for input again and again, hundreds of turns for one
- * timer. Of a core that is a tenth; a process that has only a share of one needs it for its requests. Here
- * the wait is rounded up: a timer runs up to a millisecond late, and a turn finds something to do.
+ * <p>Netty's NIO handler rounds a wait to the nearest millisecond. In the last half millisecond before a
+ * timer it therefore does not wait but polls for input, hundreds of iterations for one timer. That takes a
+ * tenth of a core, which a process with only a share of a core needs for requests. With waits rounded up, a
+ * timer runs at most a millisecond late and an iteration finds work.
  *
- * <p>One object belongs to one loop; its counts are read on that loop's thread.
+ * <p>Each object serves one loop; its counts are read on that loop's thread.
  */
 final class Turns implements IoHandlerFactory {
-    private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long MILLISECOND_NS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    private final IoHandlerFactory sockets;
-    private long turns;
-    private long idle;
+    private final IoHandlerFactory delegate;
+    private long iterations;
+    private long idleIterations;
 
     Turns() {
         this(NioIoHandler.newFactory());
     }
 
-    Turns(IoHandlerFactory sockets) {
-        this.sockets = sockets;
+    Turns(IoHandlerFactory delegate) {
+        this.delegate = delegate;
     }
 
-    /** Turns so far. */
-    long all() {
-        return turns;
+    /** Iterations so far. */
+    long iterations() {
+        return iterations;
     }
 
-    /** Those that found no input, no task and no timer that was due: the loop woke for nothing. */
-    long idle() {
-        return idle;
+    /** Iterations that found no input, no task and no due timer. */
+    long idleIterations() {
+        return idleIterations;
     }
 
     @Override
     public IoHandler newHandler(ThreadAwareExecutor executor) {
-        return new Handler(sockets.newHandler(executor));
+        return new Handler(delegate.newHandler(executor));
     }
 
     private final class Handler implements IoHandler {
         private final IoHandler inner;
-        private final Patient patient = new Patient();
+        private final RoundedContext roundedContext = new RoundedContext();
 
         Handler(IoHandler inner) {
             this.inner = inner;
@@ -59,11 +60,11 @@
 
         @Override
         public int run(IoHandlerContext context) {
-            patient.context = context;
-            int handled = inner.run(patient);
-            turns++;
+            roundedContext.context = context;
+            int handled = inner.run(roundedContext);
+            iterations++;
             if (handled == 0 && context.canBlock()) {
-                idle++;
+                idleIterations++;
             }
             return handled;
         }
@@ -99,8 +100,8 @@
         }
     }
 
-    /** The loop's own word on when its next timer is due, in whole milliseconds and no sooner than that. */
-    private static final class Patient implements IoHandlerContext {
+    /** The context of the loop, with the delay until its next timer rounded up to whole milliseconds. */
+    private static final class RoundedContext implements IoHandlerContext {
         private IoHandlerContext context;
 
         @Override
@@ -111,9 +112,9 @@
         @Override
         public long delayNanos(long currentNanos) {
             long delay = context.delayNanos(currentNanos);
-            return delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND
+            return delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND_NS
                     ? delay
-                    : (delay + MILLISECOND - 1) / MILLISECOND * MILLISECOND;
+                    : (delay + MILLISECOND_NS - 1) / MILLISECOND_NS * MILLISECOND_NS;
         }
 
         @Override
--- a/src/test/java/holdproxy/net/UpgradeTest.java
+++ b/src/test/java/holdproxy/net/UpgradeTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two proxies on one listening socket, as two processes have it in an upgrade. */
+/** Two proxies on one listening socket, as the old and the new process during an upgrade. */
 @Timeout(60)
 class UpgradeTest {
     private final Peer.Listener node = new Peer.Listener();
@@ -42,18 +42,18 @@
         file = folder.resolve("config.json");
         entry = "{\"id\":\"s-0\",\"addr\":\"" + node.address() + "\",\"state\":\"SERVING\"}";
         Files.writeString(file, Fixture.json(Fixture.list(1, true, entry), Fixture.SETTINGS, 1024));
-        Thread telling = new Thread(this::tell, "discovery");
-        telling.setDaemon(true);
-        telling.start();
+        Thread discoveryThread = new Thread(this::answerDiscovery, "discovery");
+        discoveryThread.setDaemon(true);
+        discoveryThread.start();
     }
 
-    /** Discovery gives each that calls the list of the start. */
-    private void tell() {
+    /** Discovery sends the initial list to each caller. */
+    private void answerDiscovery() {
         try {
             while (true) {
                 Peer watch = discovery.next();
                 for (String line = watch.line(); !line.isEmpty(); line = watch.line()) {
-                    // the request's lines
+                    // skips the request
                 }
                 watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 Fixture.chunk(watch, Fixture.list(2, true, entry));
@@ -73,7 +73,7 @@
         discovery.close();
     }
 
-    private Proxy process() throws Exception {
+    private Proxy startProxy() throws Exception {
         EventLoop loop = Service.loop(new Turns());
         loops.add(loop);
         return Service.start(
@@ -84,7 +84,7 @@
         return Peer.to((InetSocketAddress) socket.getLocalAddress());
     }
 
-    private Peer greeted() throws Exception {
+    private Peer connectedClient() throws Exception {
         Peer p = client();
         p.send("mn\r\n");
         p.expect("MN");
@@ -92,22 +92,24 @@
     }
 
     @Test
-    void theOldOneTakesNothingNewAnswersWhatItTookAndEndsEachConnectionBehindAnAnswer()
+    void theOldProxyAcceptsNoClientsAnswersOpenRequestsAndClosesEachConnectionAfterAnAnswer()
             throws Exception {
-        Proxy old = process();
-        Peer waiting = greeted();
-        Peer used = greeted();
-        Peer idle = greeted();
+        Proxy old = startProxy();
+        Peer waiting = connectedClient();
+        Peer used = connectedClient();
+        Peer idle = connectedClient();
         waiting.send(Fixture.read("a1", 4000));
         Peer served = node.next();
         served.line();
-        Proxy fresh = process();
+        Proxy fresh = startProxy();
         assertTrue(fresh.takesClients());
         Future<Void> end = old.end(1000);
         loops.get(0).submit(() -> {}).sync();
         assertFalse(old.takesClients());
         for (int i = 0; i < 20; i++) {
-            Peer p = greeted(); // each by the new one: the old one would end it behind its answer
+            Peer p =
+                    connectedClient(); // served by the new proxy: the old one would close after its
+            // answer
             p.send("mn\r\n");
             p.expect("MN");
             p.close();
@@ -119,37 +121,37 @@
         served.send("VA 1 Oa1\r\n1\r\n");
         waiting.expect("VA 1 Oa1", "1");
         waiting.expectEnd();
-        idle.expectEnd(); // when the time for it is over
+        idle.expectEnd(); // when the time for the drain is over
         for (Peer p : List.of(waiting, used, idle)) {
             p.close();
         }
         assertTrue(end.await(5000));
-        assertTrue(socket.isOpen(), "closing it would end the process's log");
-        greeted().close();
+        assertTrue(socket.isOpen(), "closing the inherited socket would end the process's log");
+        connectedClient().close();
     }
 
     @Test
     void anUpgradeDuringAnUpgradeLeavesTheLatestOneServing() throws Exception {
-        Proxy first = process();
-        Proxy second = process();
-        Proxy third = process();
+        Proxy first = startProxy();
+        Proxy second = startProxy();
+        Proxy third = startProxy();
         first.end(10);
         second.end(10);
         for (int i : new int[] {0, 1}) {
             loops.get(i).submit(() -> {}).sync();
         }
-        Peer p = greeted();
+        Peer p = connectedClient();
         p.send("mn\r\n");
         p.expect("MN");
         assertTrue(third.takesClients());
     }
 
     @Test
-    void clientsAreLeftToTheOldOneUntilDiscoveryHasToldTheNewOneOfTheNodes() throws Exception {
-        process();
-        Proxy fresh = process();
+    void theNewProxyAcceptsClientsOnlyOnceItHasANodeList() throws Exception {
+        startProxy();
+        Proxy fresh = startProxy();
         assertTrue(fresh.takesClients());
-        assertTrue(fresh.members().first().isDone(), "it took clients before it had a list");
+        assertTrue(fresh.members().first().isDone(), "it accepted clients before it had a list");
     }
 
     @Test
