--- a/src/main/java/holdproxy/net/Discovery.java
+++ b/src/main/java/holdproxy/net/Discovery.java
@@ -29,46 +29,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The list of cache nodes: a watch or one whole list when the module asks, which also decides when to ask
- * again after a failure. A list that does not parse changes nothing and ends the call as failed, since the
- * changes after it would not fit what we hold.
+ * Client of the discovery service: gets the list of cache nodes, by a watch or by a single call for the full
+ * list. The router requests each call and decides when to retry after a failure. A list that does not parse
+ * is not applied, and the call fails: later deltas would not fit the list that is held.
  */
 final class Discovery {
     private static final String PATH = "/registry/instances";
     private static final int LONGEST_LIST = 1 << 20;
 
     /**
-     * An empty line comes every 2 s; a cut-off machine says nothing at all. What a silent watch misses counts
-     * as told 6 s after it fell silent: it has to be given up, opened anew and answered within that time.
+     * Read timeout of a call. Discovery sends an empty line every 2 s; a machine that is cut off sends
+     * nothing. Changes that a silent watch misses have to be in effect 6 s after it fell silent, so within
+     * that time the watch has to time out and a new one has to be opened and answered.
      */
     private static final int SILENCE_MS = 3000;
 
     private static final int CONNECT_MS = 2000;
 
     /**
-     * A call that follows a silent watch has to be answered within this time, dial included: an answer takes
-     * up to 1 s, and one more call has to fit into the 6 s.
+     * Limit for the answer to a call that follows a silent watch, connecting included: an answer takes up to
+     * 1 s, and one more call has to fit into the 6 s.
      */
     private static final int ANSWER_AFTER_SILENCE_MS = 1200;
 
-    /** Where lists are pushed a dial may take this part of the grace: 1 of so many. */
+    /** Where lists are pushed, connecting may take the drain grace divided by this. */
     private static final int PUSHED_PART = 2;
 
-    /** An entry of a list with the address and name that the module does not need. */
+    /** An entry of a list, with the name and address, which the router does not need. */
     record Entry(Router.Node node, String name, InetSocketAddress address) {}
 
-    /** Who takes the lists, and whose clock counts. */
+    /** Receives the lists and supplies the clock. */
     interface Receiver {
-        /** Microseconds, never going back. */
+        /** Monotonic time in microseconds. */
         long now();
 
-        /** A Unix time in milliseconds on that clock. */
+        /** Converts a Unix time in milliseconds to the time of {@link #now}. */
         long monotonic(long unixMs);
 
-        /** A list has come; none, with a kind that says so, where a call has failed. */
+        /** A list was received, or a call failed: then {@code kind} says so and there are no entries. */
         void nodes(Router.ListKind kind, List<Entry> entries);
 
-        /** Discovery cannot be connected to. */
+        /** No connection to discovery could be opened. */
         void unreachable();
     }
 
@@ -85,7 +86,7 @@
     private long version;
     private Call watch;
 
-    /** The watch before has fallen silent, so that the next call may find silence as well. */
+    /** The last watch fell silent, so the next call may get no answer either. */
     private boolean afterSilence;
 
     Discovery(Receiver receiver, Config config, Transport transport, Log log) {
@@ -99,7 +100,7 @@
         this.log = log;
     }
 
-    /** What is pushed counts at once: a dial that does not come up must not outlast the grace. */
+    /** Pushed lists take effect at once, so a failing connection attempt must end within the drain grace. */
     private static int connectMs(Router.Settings settings) {
         long graceMs = settings.drainGraceUs / 1000;
         return settings.askForNodes || graceMs == 0
@@ -107,14 +108,14 @@
                 : (int) Math.max(1, Math.min(CONNECT_MS, graceMs / PUSHED_PART));
     }
 
-    /** The list that the configuration holds. */
+    /** Reports the list that the configuration contains. */
     void start() {
         List<Entry> entries = entries(config.known);
         version = version(config.known);
         receiver.nodes(Router.ListKind.CACHED, entries);
     }
 
-    /** The module asks for a watch: nothing where one is open, since each call costs list lines. */
+    /** Opens a watch unless one is open: each call costs discovery the lines of a list. */
     void watch() {
         if (watch == null || watch.over) {
             open(version);
@@ -129,9 +130,10 @@
     }
 
     /**
-     * SIGHUP: the watch goes on where this file says, and at once: what discovery has to tell counts from
-     * the signal on, whether a watch was open or the module is waiting to ask again. Where machine rooms or
-     * kinds have other numbers now, the nodes get them with the whole list.
+     * Applies a configuration that was reloaded on SIGHUP. If the address of discovery has changed, a watch is
+     * opened there at once, whether one was open or the router is waiting to retry: changes at the new address
+     * count from the signal on. If zones or kinds are numbered differently now, the full list is requested,
+     * which gives the nodes their new numbers.
      */
     void taken(Config now) {
         boolean renumbered = !now.zones.equals(zones) || !now.kinds.equals(kinds);
@@ -148,12 +150,11 @@
         }
     }
 
-    /** The version of the list that is held. */
     long version() {
         return version;
     }
 
-    /** Ends the watch without a word of it. */
+    /** Closes the watch without reporting a failure. */
     void close() {
         if (watch != null) {
             watch.silently();
@@ -178,7 +179,7 @@
         List<Entry> entries = new ArrayList<>(servers.size());
         for (Object o : servers) {
             if (!(o instanceof Map<?, ?>)) {
-                throw new BadInput("a list entry is no object");
+                throw new BadInput("a list entry is not an object");
             }
             @SuppressWarnings("unchecked") // the parser makes no other maps than these
             Map<String, Object> m = (Map<String, Object>) o;
@@ -220,10 +221,13 @@
         if (o instanceof Number n && n.doubleValue() >= 0 && n.doubleValue() < 1e15) {
             return n.doubleValue();
         }
-        throw new BadInput(key + " in a list entry is no number");
+        throw new BadInput(key + " in a list entry is not a non-negative number below 1e15");
     }
 
-    /** The module's number for a node: from its id alone, so that all proxies rank the nodes alike. */
+    /**
+     * The router's number for a node: a hash of the id alone (collisions aside), so that all proxies rank the
+     * nodes alike.
+     */
     int number(String id) {
         Integer known = numbers.get(id);
         if (known != null) {
@@ -242,29 +246,32 @@
         return number;
     }
 
-    /** The number of a node that a list has named; null where none has, or it is forgotten. */
+    /** The number of a node that a list has contained; null if none has or the node was forgotten. */
     Integer known(String id) {
         return numbers.get(id);
     }
 
-    /** The node is gone for good, unless kept; ids are new with each machine and would pile up. */
+    /**
+     * Drops the number of a node that is gone, unless its id is in {@code kept}. Each new machine has a new
+     * id, so that the numbers would accumulate.
+     */
     void forget(int number, Set<String> kept) {
         if (!kept.contains(names.get(number))) {
             numbers.remove(names.remove(number));
         }
     }
 
-    /** One request to discovery: a watch or a single list. */
+    /** One request to discovery: a watch or a call for the full list. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private final boolean stream;
         private final JsonFraming framing = new JsonFraming(LONGEST_LIST);
         private final Channel channel;
         private boolean over;
 
-        /** It has served: silence then is the connection's, and not that of a discovery that is down. */
+        /** Content was received: silence is then a fault of the connection, not a discovery that is down. */
         private boolean served;
 
-        /** When no list was begun and not ended last. */
+        /** When the stream was last between two lists, with none incomplete. */
         private long betweenUs = receiver.now();
 
         Call(String path, boolean stream) {
@@ -305,8 +312,8 @@
 
         private void silentAgain() {
             if (!served) {
-                failed("no answer after silence", Router.ListKind.SILENT);
-                afterSilence = false; // once: from here on calls are further apart
+                failed("no answer to the call after a silent watch", Router.ListKind.SILENT);
+                afterSilence = false; // only one call is limited: later ones are further apart
             }
         }
 
@@ -338,11 +345,11 @@
                 return;
             }
             if (message.decoderResult().isFailure()) {
-                failed("an answer that is no HTTP");
+                failed("the response is not valid HTTP");
                 return;
             }
             if (message instanceof HttpResponse r && r.status().code() != 200) {
-                failed("answer " + r.status().code());
+                failed("unexpected HTTP status " + r.status().code());
                 return;
             }
             if (message instanceof HttpContent c) {
@@ -350,9 +357,9 @@
                 content(c.content());
                 if (c instanceof LastHttpContent && !over) {
                     if (!framing.between()) {
-                        failed("a list breaks off");
+                        failed("the response ended in the middle of a list");
                     } else if (stream) {
-                        failed("the watch has ended");
+                        failed("the watch was ended by discovery");
                     } else {
                         silently();
                     }
@@ -360,7 +367,7 @@
             }
         }
 
-        /** Each whole object is a list, on as many lines as it likes; a call for a single one has one. */
+        /** Each JSON object is a list, whatever its line breaks; a call for the full list returns one. */
         private void content(ByteBuf bytes) {
             while (bytes.isReadable() && !over) {
                 try {
@@ -369,14 +376,14 @@
                         list(text);
                     }
                 } catch (BadInput e) {
-                    failed("a list is skipped: " + e.getMessage());
+                    failed("list rejected: " + e.getMessage());
                 }
             }
             if (framing.between()) {
                 betweenUs = receiver.now();
             } else if (receiver.now() - betweenUs > SILENCE_MS * 1000L) {
-                failed("a list does not end"); // the lines that say that it lives would keep it
-                // for ever
+                // the read timeout does not catch this: keep-alive lines reset it
+                failed("a list was not completed in time");
             }
         }
 
@@ -384,38 +391,39 @@
             Map<String, Object> list = Config.parse(text);
             try {
                 if (list == null) {
-                    throw new BadInput("not JSON: " + Config.shown(text));
+                    throw new BadInput("not valid JSON: " + Config.shown(text));
                 }
                 List<Entry> entries = entries(list);
                 long newVersion = version(list);
                 boolean full = Boolean.TRUE.equals(list.get("full"));
                 if (newVersion < version) {
-                    // of a discovery that has less: a node that drains would be sent to again
+                    // this instance of discovery lags behind: its list could make a draining node
+                    // eligible again
                     log.line(
                             "discovery: list "
                                     + newVersion
                                     + " is older than "
                                     + version
-                                    + ": not taken");
+                                    + ": ignored");
                     return;
                 }
                 version = newVersion;
                 receiver.nodes(full ? Router.ListKind.FULL : Router.ListKind.DELTA, entries);
             } catch (BadInput e) {
-                failed("a list is skipped: " + e.getMessage());
+                failed("list rejected: " + e.getMessage());
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            failed("the connection has ended");
+            failed("connection closed");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             boolean silent = stream && served && cause instanceof ReadTimeoutException;
             failed(
-                    silent ? "the watch has fallen silent" : cause.getClass().getSimpleName(),
+                    silent ? "the watch fell silent" : cause.getClass().getSimpleName(),
                     silent ? Router.ListKind.SILENT : Router.ListKind.FAILED);
         }
     }
--- a/src/main/java/holdproxy/net/DiscoveryWatch.java
+++ b/src/main/java/holdproxy/net/DiscoveryWatch.java
@@ -7,25 +7,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * Discovery's watch without a proxy around it: the same calls, framing, parsing and limits, and no connection
- * to any node. For measurements of how the watch bears many proxies. On one event loop.
+ * The discovery watch without a proxy: the same calls, framing, parsing and limits, but no connections to
+ * nodes. Used to measure discovery with many proxies. Confined to one event loop.
  */
 public final class DiscoveryWatch {
-    /** Hears of lists, on the event loop. */
+    /** Called on the event loop. */
     public interface Listener {
         /**
-         * A list of this version has come, whole or of changes, with so many entries; the last of them has
-         * been started at this Unix time.
+         * A list was received: full or a delta, with its version, its number of entries and the start time of
+         * the last entry's node (0 if there are none).
          */
         void list(boolean whole, long version, int entries, long lastStartedUnixUs);
 
-        /** The call has ended without one; it is for the listener to call {@link #open} again. */
+        /** The call ended without a list; the listener has to call {@link #open} again. */
         void failed();
     }
 
     private final Discovery discovery;
 
-    /** {@code unixUs}: a clock in microseconds since 1970; {@code log} takes lines. */
+    /** {@code unixUs}: a clock in microseconds since 1970; {@code log} receives log lines. */
     public DiscoveryWatch(
             Config config,
             Transport transport,
@@ -37,12 +37,12 @@
                 new Discovery(new Lists(unixUs, listener), config, transport, new Log(time, log));
     }
 
-    /** Opens the watch from the version that is held, unless one is open. */
+    /** Opens a watch for changes after the version that is held, unless one is open. */
     public void open() {
         discovery.watch();
     }
 
-    /** Ends the watch; it can be opened again. */
+    /** Closes the watch; it can be opened again. */
     public void close() {
         discovery.close();
     }
@@ -85,7 +85,7 @@
 
         @Override
         public void unreachable() {
-            // the failed call itself is told by its list
+            // nodes() reports the failed call
         }
     }
 }
--- a/src/main/java/holdproxy/net/JsonFraming.java
+++ b/src/main/java/holdproxy/net/JsonFraming.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts a stream into its JSON objects, where their braces close and not where lines end: lists may come
- * indented, and in pieces that end anywhere. What stands between objects is white space; none is kept but
- * that within texts, so that a list's size does not depend on how it is set.
+ * Splits a byte stream into JSON objects at their closing braces, not at line ends: lists may be indented and
+ * arrive in pieces that end anywhere. Only white space may stand between objects. White space outside strings
+ * is dropped, so that the size limit does not depend on the formatting of a list.
  */
 final class JsonFraming {
     private final int longest;
@@ -17,12 +17,12 @@
     private boolean inText;
     private boolean escaped;
 
-    /** {@code longest}: the bytes that an object may have; a longer one is refused before it is held. */
+    /** {@code longest}: the most bytes of an object; a larger one is refused before all of it is buffered. */
     JsonFraming(int longest) {
         this.longest = longest;
     }
 
-    /** Reads on to the end of an object, which is returned, or of what has come: then null. */
+    /** Reads up to the end of the next object and returns it, or null if the bytes end before that. */
     String read(ByteBuf bytes) {
         while (bytes.isReadable()) {
             byte b = bytes.readByte();
@@ -33,7 +33,7 @@
             } else if (b != ' ' && b != '\n' && b != '\r' && b != '\t') {
                 if (depth == 0 && b != '{') {
                     throw new BadInput(
-                            "no JSON object: "
+                            "not a JSON object: "
                                     + Config.shown(
                                             (char) (b & 0xff)
                                                     + bytes.toString(StandardCharsets.ISO_8859_1)));
@@ -53,12 +53,12 @@
 
     private void keep(byte b) {
         if (object.size() == longest) {
-            throw new BadInput("a list longer than " + longest + " bytes");
+            throw new BadInput("a list is longer than " + longest + " bytes");
         }
         object.write(b);
     }
 
-    /** Whether no object has begun that is not whole. */
+    /** Whether no object is incomplete. */
     boolean between() {
         return depth == 0;
     }
--- a/src/main/java/holdproxy/net/KeptOut.java
+++ b/src/main/java/holdproxy/net/KeptOut.java
@@ -14,36 +14,36 @@
 import java.util.Set;
 
 /**
- * Which cache nodes operators have left out, kept for the next process, and shared with the other one while
- * two run. An empty file stands for a node that is out, another for one that is used again, and since when:
- * one is there or is not, so that no half-written state can be met and two processes need no lock. Not
- * thread-safe.
+ * Stores which cache nodes operators have left out, for the next process and for the other process while two
+ * run. An empty file marks a node that is left out, another one a node that is used again; its modification
+ * time tells since when. A file exists or does not, so that no partial write can be read and two processes
+ * need no lock. Not thread-safe.
  */
 final class KeptOut {
-    /** A file that tells of a return is of no use once the node is warm for certain. */
+    /** How long the file of a returned node is of use: by then the node is warm for certain. */
     private static final long RETURNS_FOR_MS = 600_000;
 
     private static final String OUT = "out-";
     private static final String BACK = "back-";
 
-    /** What a call has changed, and when it came, in milliseconds since 1970. */
+    /** Receives an operator's change, with its time in milliseconds since 1970. */
     interface Change {
         void made(String node, boolean out, long atUnixMs);
     }
 
-    /** Null: nothing outlives the process. */
+    /** Null: nothing is stored beyond this process. */
     private final Path folder;
 
     private final Time time;
     private final Set<String> out = new HashSet<>();
 
-    /** {@code folder} is made if it is not there; null: there is none. */
+    /** {@code folder} is created if it does not exist; null: nothing is stored beyond this process. */
     KeptOut(Path folder, Time time) throws IOException {
         this.folder = folder == null ? null : Files.createDirectories(folder);
         this.time = time;
     }
 
-    /** All that is kept, for a process that starts: nodes that are out, and returns of late. */
+    /** Reports all that is stored, at the start of a process: nodes left out and recent returns. */
     void all(Change change) throws IOException {
         Map<String, Long> back = new HashMap<>();
         for (Map.Entry<String, Long> e : files(OUT).entrySet()) {
@@ -60,7 +60,7 @@
         back.forEach((node, at) -> change.made(node, false, at));
     }
 
-    /** What another process was told since this was asked last. Where this fails all stays as it was. */
+    /** Reports what another process has stored since the last call. On failure the state is unchanged. */
     void changes(Change change) throws IOException {
         Map<String, Long> now = files(OUT);
         for (Map.Entry<String, Long> e : now.entrySet()) {
@@ -71,20 +71,20 @@
         for (String node : Set.copyOf(out)) {
             if (!now.containsKey(node)) {
                 out.remove(node);
-                // the other process has just been told: later than it was is on the safe side
+                // the return was stored just now; a time after the real one is on the safe side
                 change.made(node, false, time.unixMs());
             }
         }
     }
 
-    /** Keeps what a call asks for; returns when, in milliseconds since 1970. If it fails nothing holds. */
+    /** Stores a change; returns its time in milliseconds since 1970. On failure nothing has changed. */
     long keep(String node, boolean leaveOut) throws IOException {
         if (folder != null && leaveOut) {
             make(file(OUT, node));
         } else if (folder != null && Files.exists(file(OUT, node))) {
             Files.deleteIfExists(file(BACK, node));
-            make(file(BACK, node)); // first, so that the return is not missed by one that starts
-            // just now
+            // before the deletion: a process that starts at this moment must not miss the return
+            make(file(BACK, node));
             Files.deleteIfExists(file(OUT, node));
         }
         if (leaveOut) {
@@ -99,7 +99,7 @@
         try {
             Files.createFile(file);
         } catch (FileAlreadyExistsException e) {
-            // the call has been made before
+            // already stored by an earlier call
         }
     }
 
@@ -107,7 +107,7 @@
         return folder.resolve(kind + URLEncoder.encode(node, StandardCharsets.UTF_8));
     }
 
-    /** Nodes of that kind and when their files were made. */
+    /** The nodes that have a file of this kind, with the modification times of the files. */
     private Map<String, Long> files(String kind) throws IOException {
         Map<String, Long> found = new HashMap<>();
         if (folder == null) {
@@ -122,9 +122,9 @@
                             URLDecoder.decode(name, StandardCharsets.UTF_8),
                             Files.getLastModifiedTime(file).toMillis());
                 } catch (java.nio.file.NoSuchFileException e) {
-                    // taken away between the two looks
+                    // deleted since the folder was listed
                 } catch (IllegalArgumentException e) {
-                    throw new IOException("no name of a node: " + Config.shown(name));
+                    throw new IOException("not an encoded node name: " + Config.shown(name));
                 }
             }
         } catch (java.nio.file.DirectoryIteratorException e) {
--- a/src/main/java/holdproxy/net/Members.java
+++ b/src/main/java/holdproxy/net/Members.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * The cache nodes that there are, by the lists, and those of them that operators have left out: what the
- * module and the connections are told of either. On the request loop.
+ * Tracks the cache nodes of the lists and those that operators have left out, and passes changes of either on
+ * to the router and the connection pools. Confined to the request loop.
  */
 final class Members {
     private final Proxy proxy;
@@ -18,15 +18,15 @@
     private final Discovery discovery;
     private final Log log;
 
-    /** Done with the first list that discovery has given. */
+    /** Completes with the first list from discovery. */
     private final Promise<Void> first;
 
-    /** Done with the first list, or once a call has found that discovery cannot be reached. */
+    /** Completes with the first list from discovery, or once a call cannot connect to it. */
     private final Promise<Void> firstOrUnreachable;
 
     private final Set<Integer> listed = new HashSet<>();
 
-    /** By their names in the list, which they may have left. */
+    /** The names of the nodes that operators have left out; these may have gone from the list. */
     private final Set<String> leftOut = new HashSet<>();
 
     Members(Proxy proxy, NodePools pools, Discovery discovery, Log log, EventLoop loop) {
@@ -38,7 +38,7 @@
         this.log = log;
     }
 
-    /** A list has come, or a call for one has failed. */
+    /** Handles a list, or the failure of a call for one. */
     void told(Router.ListKind kind, List<Discovery.Entry> entries) {
         Router.Node[] nodes = new Router.Node[entries.size()];
         Set<Integer> named = new HashSet<>();
@@ -72,17 +72,17 @@
         }
     }
 
-    /** On any thread. */
+    /** May be called on any thread. */
     Future<Void> first() {
         return first;
     }
 
-    /** On any thread. */
+    /** May be called on any thread. */
     Future<Void> firstOrUnreachable() {
         return firstOrUnreachable;
     }
 
-    /** A call to discovery got no connection: what it has cannot be told for now. */
+    /** A call could not connect to discovery, so that waiting for its list is of no use for now. */
     void discoveryUnreachable() {
         firstOrUnreachable.trySuccess(null);
     }
@@ -94,15 +94,15 @@
         }
     }
 
-    /** Whether operators may name this node: it is in the list, or out already and to be used again. */
+    /** Whether operators may name this node: it is in the list, or is left out and to be used again. */
     boolean knows(String node, boolean out) {
         return listed.contains(discovery.known(node)) || !out && leftOut.contains(node);
     }
 
-    /** Leaves a node out, or uses it again as one that was started at {@code atUs}, when the call came. */
+    /** Leaves a node out, or uses it again as if started at {@code atUs}, the time of the operator's call. */
     void leaveOut(String node, boolean out, long atUs) {
         if (out ? !leftOut.add(node) : !leftOut.remove(node)) {
-            return; // two calls out need one call back
+            return; // no change: one return undoes any number of calls
         }
         int id = discovery.number(node);
         log.line("node " + node + (out ? " is left out by operators" : " is used again"));
@@ -113,15 +113,15 @@
         }
     }
 
-    /** What a process before this one was told. */
+    /** Applies a change that an earlier process has stored. */
     void restore(String node, boolean out, long atUs) {
         if (!out) {
-            leftOut.add(node); // as it was until then: the return counts
+            leftOut.add(node); // the state before the return, so that the return is applied
         }
         leaveOut(node, out, atUs);
     }
 
-    /** What only the module knows of the figures. */
+    /** Updates the metrics that only the router knows. */
     void refresh() {
         proxy.figures().poolEjected.set(proxy.router.avoided(proxy.now()));
     }
--- a/src/main/java/holdproxy/net/NodeConnection.java
+++ b/src/main/java/holdproxy/net/NodeConnection.java
@@ -9,48 +9,50 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 
-/** One connection to a cache node, with the attempts on it in the order of their answers. */
+/** One connection to a cache node. Answers come in the order of the attempts, which are pipelined. */
 final class NodeConnection extends SimpleChannelInboundHandler<Object> {
     private static final int SLICE_BYTES = 32 * 1024;
 
-    /** So long after an answer a second one to the same command may still come, which bears no id. */
+    /** How long after an answer a node may send a second one, without an id, to the same command. */
     private static final long SECOND_ANSWER_US = 50_000;
 
     final NodePool pool;
     final InetSocketAddress address;
 
-    /** How long what is put on it may wait for it to come up. */
+    /** How long an attempt may wait for the connection to be established. */
     private final long dialUs;
 
-    /** Those that are begun, in the order of their answers, and behind them those that are not yet. */
+    /** The attempts whose commands have been started, in the order of their answers. */
     private final ArrayDeque<Attempt> line = new ArrayDeque<>();
 
+    /** The attempts that have not been started; they come after those of {@link #line}. */
     private final ArrayDeque<Attempt> unsent = new ArrayDeque<>();
 
-    /** Those whose values are on their way, and how much of the first one's has gone. */
+    /** The attempts whose large values are being written. */
     private final ArrayDeque<Attempt> sending = new ArrayDeque<>();
 
+    /** Bytes written of the value of the first one of {@link #sending}. */
     private int sent;
     private Channel channel;
     private boolean up;
     private boolean wanted;
     private boolean closed;
 
-    /** An attempt on it was given up: what went on it now would wait behind that one's answer. */
+    /** An attempt was given up: a new one would have to wait for that one's answer. */
     private boolean retired;
 
-    /** Where the value goes that comes in pieces now; null: nowhere, it is thrown away. */
+    /** Takes the pieces of the value that is being received; null: they are discarded. */
     private Relay relay;
 
-    /** A value comes in pieces now. */
+    /** A value is being received in pieces. */
     private boolean inPieces;
 
     private Answer relayed;
 
-    /** When it came back from its last answer; before the first one it never idles. */
+    /** When it became idle last: after its last answer, or once established if nothing was sent on it. */
     long idleSinceUs;
 
-    /** The last answer may have been another command's: failures and refusals bear no id. */
+    /** The last answer may have belonged to another command: failures and refusals have no id. */
     private boolean doubtful;
 
     private boolean answered;
@@ -71,9 +73,9 @@
     }
 
     /**
-     * Whether the next line without an id that comes can be no other command's answer than the next one's.
-     * On no such connection a refusal proves that a write did not run: it may be the second answer to what
-     * was asked before, or the late one of what such a second answer was taken for.
+     * Whether the next answer without an id can only belong to the next command. Otherwise a refusal does not
+     * prove that a write did not run: it may be a second answer to the previous command, or the late answer
+     * to a command that such a second answer was taken to belong to.
      */
     boolean certain(long now) {
         long quietUs = now - pool.pools.proxy.justStoodStillUs(now) - idleSinceUs;
@@ -91,7 +93,7 @@
         begin();
     }
 
-    /** Begins what waits, each behind the whole of the one before it. */
+    /** Starts the waiting attempts, each after the one before it has been written whole. */
     private void begin() {
         while (up && !unsent.isEmpty() && sending.isEmpty() && !closed) {
             Attempt a = unsent.poll();
@@ -105,8 +107,8 @@
     }
 
     /**
-     * Not where its client has left meanwhile or has its answer, where the node was told to drain or is left
-     * out, or where it has waited longer than a dial may take, by which the module has reckoned.
+     * False if the client has left or has its answer, if the node is draining or left out, or if the attempt
+     * has waited longer than the dial timeout, which the router has reckoned with.
      */
     private boolean mayBegin(Attempt a) {
         return !a.exchange.answered
@@ -118,7 +120,7 @@
         long waitUs = a.waitUs - (pool.pools.proxy.now() - a.sentUs);
         Command c = a.exchange.command;
         if (c.large()) {
-            sending.add(a); // before its line, whose write may make room and come back here
+            sending.add(a); // first: the write of its command line may call send()
         }
         ChannelFuture written = channel.writeAndFlush(c.encode(channel.alloc(), waitUs));
         if (c.large()) {
@@ -128,13 +130,13 @@
         }
     }
 
-    /** Large values go out in slices, so that no more of them waits for the socket than it takes. */
+    /** Writes large values in slices, so that little more is buffered than the socket takes. */
     private void send() {
         while (!sending.isEmpty() && channel.isWritable() && !closed) {
             Attempt a = sending.peek();
             if (pool.pools.proxy.now() >= a.lastByteByUs) {
                 line.remove(a);
-                end(a, Router.Outcome.NOT_SENT, null); // whole it might run a second time
+                end(a, Router.Outcome.NOT_SENT, null); // sent whole, it might run twice
                 close();
                 return;
             }
@@ -146,8 +148,7 @@
                 sent = 0;
                 sending.poll();
             }
-            // the write may make room, which comes back here: what this slice is has been put down
-            // before
+            // the write may call send() again, so the state was updated before it
             ChannelFuture written = channel.writeAndFlush(c.slice(from, SLICE_BYTES));
             if (last) {
                 written.addListener(f -> written(a, f.isSuccess()));
@@ -166,21 +167,21 @@
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         send();
         if (!unsent.isEmpty() && sending.isEmpty()) {
-            pool.pools.proxy.events.add(this::begin); // as where it comes up
+            pool.pools.proxy.events.add(this::begin); // as in channelActive
         }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         up = true;
-        // the end of the client that waits for it may lie behind this in the same turn
+        // the same pass of the event loop may still read that the waiting client has left
         pool.pools.proxy.events.add(this::beginFirst);
     }
 
     private void beginFirst() {
         begin();
         if (wanted && !answered && line.isEmpty() && unsent.isEmpty() && !closed) {
-            pool.idle(this); // nobody wants any more what it was opened for
+            pool.idle(this); // the attempts that it was opened for have ended
         }
     }
 
@@ -192,10 +193,11 @@
     }
 
     /**
-     * The wait for an attempt is over. With no other live attempt in line the connection is closed, which
-     * tells the node. Otherwise it takes nothing new, and the late answer is read and thrown away in its
-     * turn: taken for the next attempt's it would serve a client another's value. Returns whether the attempt
-     * may run or have run. If not it may be sent elsewhere, so its bytes must not go out from here later.
+     * Stops waiting for an attempt. If no other attempt waits for an answer, the connection is closed, which
+     * the node sees. Otherwise the connection takes nothing new, and the late answer is read and discarded in
+     * its place in the order: taken for the next attempt's, it would serve a client another one's value.
+     * Returns whether the attempt may have run or may still run. If not, it may be sent elsewhere, so its
+     * bytes must not be written here later.
      */
     boolean giveUp(Attempt a) {
         a.over = true;
@@ -215,14 +217,14 @@
         return written;
     }
 
-    /** What is not begun may be sent elsewhere. */
+    /** Ends the attempts that have not been started: they may be sent elsewhere. */
     void handBack() {
         boolean dialing = !up;
         for (Attempt a = unsent.poll(); a != null; a = unsent.poll()) {
             end(a, Router.Outcome.NOT_SENT, null);
         }
         if (dialing) {
-            close(); // nobody waits for it any more
+            close(); // no attempt waits for it any more
         }
     }
 
@@ -242,7 +244,7 @@
     private void answered(Answer answer) {
         Attempt a = line.peek();
         if (a == null || closed) {
-            close(); // an answer to nothing
+            close(); // an answer without a command
             return;
         }
         boolean ours = answer.outcome != Router.Outcome.OK || fits(answer, a);
@@ -252,13 +254,12 @@
                             + pool.name
                             + " broke the protocol"
                             + (answer.broken ? ": " + Config.shown(answer.receipt) : ""));
-            // a broken connection, not a read error: it may have run, and it says nothing of
-            // capacity
+            // RESET, not ERROR: the command may have run, and this tells nothing of capacity
             if (!inPieces) {
                 line.poll();
                 end(a, Router.Outcome.RESET, null);
             }
-            close(); // whose its further answers are cannot be told
+            close(); // further answers cannot be matched to attempts
             return;
         }
         if (answer.follows > 0) {
@@ -266,9 +267,9 @@
             relayed = answer;
             relay = a.over ? null : pool.pools.proxy.relays.begin(a, answer, this);
             if (relay == null) {
-                end(a, answer.outcome, answer); // it stays in line for its pieces
+                end(a, answer.outcome, answer); // it stays in line until its pieces are read
                 if (!anyWaitingBehind()) {
-                    close(); // 4 MiB that nobody waits for cost more than a new connection
+                    close(); // discarding up to 4 MiB costs more than a new connection
                 }
             }
             return;
@@ -276,7 +277,7 @@
         finished(a, answer);
     }
 
-    /** The value that came in pieces is whole. */
+    /** The value that was received in pieces is complete. */
     private void pieced() {
         inPieces = false;
         Attempt a = line.peek();
@@ -292,7 +293,7 @@
         relayed = null;
     }
 
-    /** The attempt that was due an answer has it. */
+    /** The first attempt in line has its whole answer. */
     private void finished(Attempt a, Answer answer) {
         line.poll();
         answered = true;
@@ -308,12 +309,12 @@
         }
     }
 
-    /** Whether more is read from it. */
+    /** Turns reading from the connection on or off. */
     void read(boolean on) {
         channel.config().setAutoRead(on);
     }
 
-    /** The client of the value that is being relayed has gone. */
+    /** The client that the value is being relayed to has left. */
     void abandon(Attempt a) {
         relay = null;
         read(true);
@@ -333,7 +334,7 @@
         return false;
     }
 
-    /** The same for those behind the one that is being answered. */
+    /** Whether an attempt in line, other than the first, still waits for its answer. */
     private boolean anyWaitingBehind() {
         boolean first = true;
         for (Attempt a : line) {
@@ -345,7 +346,7 @@
         return false;
     }
 
-    /** Whether an answer is of the kind and bears the id of the attempt that is due one. */
+    /** Whether an answer has the kind and the id that this attempt calls for. */
     private static boolean fits(Answer answer, Attempt a) {
         Command c = a.exchange.command;
         return c.opaque.equals(answer.opaque) && c.write != answer.isValue();
@@ -368,7 +369,7 @@
         close();
     }
 
-    /** The bytes of what is still in line were either written, and may run, or never will be. */
+    /** Closes the connection. Attempts still on it were written, and may run, or never will be. */
     void close() {
         if (!closed) {
             channel.close();
--- a/src/main/java/holdproxy/net/NodePool.java
+++ b/src/main/java/holdproxy/net/NodePool.java
@@ -15,12 +15,12 @@
     final String name;
     InetSocketAddress address;
 
-    /** Its node takes nothing new: a connection that comes back from its last answer would only be held. */
+    /** The node gets no new requests, so a connection is closed rather than kept after its last answer. */
     private boolean left;
 
     private final List<NodeConnection> all = new ArrayList<>();
 
-    /** Newest last: the newest is used first, so that what is not needed grows old and is closed. */
+    /** Most recently used last. The last is taken first, so that surplus connections time out. */
     private final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
 
     private final Map<NodeConnection, Future<?>> idleTimers = new HashMap<>();
@@ -41,18 +41,21 @@
             c = shared();
         }
         if (c == null) {
-            pools.log.line("no descriptor left for a connection to node " + name);
+            pools.log.line("no file descriptor left for a connection to node " + name);
             pools.proxy.ended(a, a.broken(), null);
             return;
         }
         c.add(a);
     }
 
-    /** The newest that still may be used; where the request must not run twice, one that is beyond doubt. */
+    /**
+     * The most recently used idle connection that is usable; for a request that must not run twice, one whose
+     * next answer can only be its own. Null if there is none.
+     */
     private NodeConnection idle(boolean repeatable) {
         long now = pools.proxy.now();
         while (!idle.isEmpty() && now - idle.peekFirst().idleSinceUs >= pools.idleUs) {
-            idle.peekFirst().close(); // its timer is late, as this loop was
+            idle.peekFirst().close(); // the event loop was late to run its timer
         }
         for (Iterator<NodeConnection> newest = idle.descendingIterator(); newest.hasNext(); ) {
             NodeConnection c = newest.next();
@@ -66,12 +69,15 @@
         return null;
     }
 
-    /** Whether something new may be begun on this connection: to this node, where it is now. */
+    /** Whether new attempts may start on this connection: the node takes them and has not moved. */
     boolean takes(NodeConnection c) {
         return !left && address.equals(c.address);
     }
 
-    /** Only for want of a descriptor: a quick answer would wait behind the slow one that is due before it. */
+    /**
+     * The usable connection with the fewest attempts, to share it. Only for when no descriptor is left: on a
+     * shared connection a quick answer waits behind a slow one.
+     */
     private NodeConnection shared() {
         NodeConnection best = null;
         if (pools.streams > 1) {
@@ -100,13 +106,13 @@
         closeWhenOld(c);
     }
 
-    /** The node closes it at its own time; a request written then would end as a reset. */
+    /** Closes the connection before the node does: a request written just then would end as a reset. */
     private void closeWhenOld(NodeConnection c) {
         long left = c.idleSinceUs + pools.idleUs - pools.proxy.now();
         idleTimers.put(c, pools.after(Math.max(0, left), c::close));
     }
 
-    /** Other settings: what idles already goes by them too. */
+    /** Applies new settings to the connections that are idle already. */
     void retuned() {
         for (NodeConnection c : idle) {
             stopTimer(c);
@@ -134,7 +140,7 @@
         nothingNew();
     }
 
-    /** What is begun goes on; what waits for a connection goes back to the module at once. */
+    /** Started attempts go on; those that wait for a connection go back to the router at once. */
     private void nothingNew() {
         closeIdle();
         for (NodeConnection c : List.copyOf(all)) {
@@ -158,7 +164,7 @@
         }
     }
 
-    /** Closes the connection that has been idle longest; false where none is. */
+    /** Closes the connection that has been idle longest; returns false if none is idle. */
     boolean closeOldest() {
         if (idle.isEmpty()) {
             return false;
--- a/src/main/java/holdproxy/net/NodePools.java
+++ b/src/main/java/holdproxy/net/NodePools.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** All connections to cache nodes, by the module's number of the node, within one bound on descriptors. */
+/** All connections to cache nodes, by the router's number of the node, within one limit on descriptors. */
 final class NodePools {
+    /** Idle connections are closed before the node does it: 1 part in this many of its timeout earlier. */
     private static final long IDLE_SHARE = 5;
 
     final Proxy proxy;
@@ -36,20 +37,20 @@
         retune(config.settings);
     }
 
-    /** What the settings say of connections, for those that are made or become idle from here on. */
+    /** Applies settings to the connections that are opened from now on and to all idle ones. */
     void retune(Router.Settings settings) {
-        // drains: what waits for a connection must be written within the grace of a change told
-        // meanwhile
+        // a drain may be received while an attempt waits for its connection: the attempt has to be
+        // written within the drain's grace
         long grace = settings.drainGraceUs;
         dialUs = grace > 0 ? Math.min(settings.dialTimeoutUs, grace / 2) : settings.dialTimeoutUs;
-        // an attempt given up on a shared connection stays out: where no second copy may be, none
-        // is shared
+        // an attempt given up on a shared connection still runs at the node, so connections are
+        // shared only where second copies are allowed
         streams = settings.secondCopies ? settings.streamsPerConnection : 1;
         idleUs = settings.idleCloseUs - settings.idleCloseUs / IDLE_SHARE;
         byId.values().forEach(NodePool::retuned);
     }
 
-    /** The list names this node: unless operators have left it out it may be sent to, at this address. */
+    /** Adds or updates a node of the list; it gets requests unless operators have left it out. */
     void put(int id, String name, InetSocketAddress address, boolean out) {
         NodePool pool = byId.computeIfAbsent(id, i -> new NodePool(this, name, address));
         pool.listed(address);
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Operators have left this node out, or use it again. */
+    /** Applies that operators have left this node out or use it again. */
     void leaveOut(int id, boolean out) {
         NodePool pool = byId.get(id);
         if (pool != null && out) {
@@ -68,7 +69,7 @@
         }
     }
 
-    /** The node has left the list, or takes nothing new. */
+    /** The node has left the list ({@code gone}) or takes no new requests. */
     void leave(int id, boolean gone) {
         NodePool pool = byId.get(id);
         if (pool != null) {
@@ -87,7 +88,7 @@
         return loop.schedule(task, us, TimeUnit.MICROSECONDS);
     }
 
-    /** A new connection; null where no descriptor is left for it. */
+    /** Opens a connection; null if no descriptor is left for it. */
     NodeConnection open(NodePool pool) {
         if (open >= most && byId.values().stream().noneMatch(NodePool::closeOldest)) {
             return null;
@@ -110,7 +111,7 @@
         reused++;
     }
 
-    /** Connections made, failed and used again since this was asked last, and how many are open. */
+    /** Connections opened, failed and reused since the last call, and how many are open. */
     String counted() {
         String text =
                 dials + reused == 0
--- a/src/main/java/holdproxy/net/Sockets.java
+++ b/src/main/java/holdproxy/net/Sockets.java
@@ -17,28 +17,26 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** TCP, all of it on one event loop. */
+/** TCP sockets, all on one event loop. */
 final class Sockets implements Transport {
     private static final int BACKLOG = 512;
 
-    /** Of at most 64 KiB each: small answers on other connections do not wait behind a large value. */
+    /** Reads of one socket, of at most 64 KiB each, before the others: a large value must not delay them. */
     private static final int READS_A_TURN = 4;
 
     private final EventLoop loop;
     private final Bootstrap client;
     private final ServerSocketChannel inherited;
 
-    /** {@code inherited}: the listening socket that clients come to; null: one is opened when needed. */
+    /** {@code inherited}: the listening socket to accept clients on; null: one is opened when needed. */
     Sockets(EventLoop loop, ServerSocketChannel inherited) {
         this.loop = loop;
         this.inherited = inherited;
         client =
                 new Bootstrap()
                         .group(loop)
-                        .channelFactory(
-                                NioSocketChannel
-                                        ::new) // by reflection, a start would pay for it again and
-                        // again
+                        // not channel(Class), whose reflection is costly during start-up
+                        .channelFactory(NioSocketChannel::new)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(
                                 ChannelOption.RECVBUF_ALLOCATOR,
@@ -83,15 +81,15 @@
                 .bind(address);
     }
 
-    /** An inherited socket is never closed: the JDK would then send the log to nowhere. */
+    /** An inherited socket is never closed: the JDK would then discard the log. */
     @Override
     public boolean shared() {
         return inherited != null;
     }
 
     /**
-     * A turn of the loop reads every socket before it runs a task; what lies behind the first bytes of one,
-     * and its end, it reads in the next turn.
+     * One pass of the event loop reads from every socket before it runs tasks; what follows the first bytes
+     * on a socket, and its end, is read in the next pass.
      */
     @Override
     public void whenRead(Runnable task, boolean late) {
