--- a/src/main/java/holdproxy/net/Discovery.java
+++ b/src/main/java/holdproxy/net/Discovery.java
@@ -130,10 +130,10 @@
     }
 
     /**
-     * Applies a configuration that was reloaded on SIGHUP. If the address of discovery has changed, a watch is
-     * opened there at once, whether one was open or the router is waiting to retry: changes at the new address
-     * count from the signal on. If zones or kinds are numbered differently now, the full list is requested,
-     * which gives the nodes their new numbers.
+     * Applies a configuration that was reloaded on SIGHUP. If the address of discovery has changed, a watch
+     * is opened there at once, whether one was open or the router is waiting to retry: changes at the new
+     * address count from the signal on. If zones or kinds are numbered differently now, the full list is
+     * requested, which gives the nodes their new numbers.
      */
     void taken(Config now) {
         boolean renumbered = !now.zones.equals(zones) || !now.kinds.equals(kinds);
--- a/src/test/java/holdproxy/net/CrossingsTest.java
+++ b/src/test/java/holdproxy/net/CrossingsTest.java
@@ -25,10 +25,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two events at one connection to a node in their bad order, which the test causes each time. */
+/** Answers, requests, lists and closed connections in harmful orders, which the tests force. */
 @Timeout(60)
 class CrossingsTest {
-    /** Lists are asked for, and one holds for 10 s. */
+    /** Settings with which the proxy asks for lists, at least every 10 s. */
     private static final String ASKING =
             Fixture.SETTINGS.replace("\"askWithinMs\":100.0", "\"askWithinMs\":10000.0");
 
@@ -38,7 +38,7 @@
         client.expect("VA 1 O" + id, "1");
     }
 
-    /** No time passes on the module's clock between an answer and the next request, whatever the machine does. */
+    /** On the mock clock no time passes between an answer and the next request, however slow the machine. */
     @Test
     void aSecondAnswerWithoutAnIdIsNotTakenForThatOfAWrite() throws Exception {
         MockTicker clock = Ticker.newMockTicker();
@@ -51,7 +51,7 @@
             Peer second = f.nodes.get(0).next();
             second.line();
             second.expect("hello");
-            first.send("SERVER_ERROR busy\r\n"); // once more to a1
+            first.send("SERVER_ERROR busy\r\n"); // a second answer to a1
             first.expectEnd();
             second.send("HD Oc1 c7\r\n");
             client.expect("HD Oc1 c7");
@@ -68,9 +68,8 @@
             client.send(Fixture.read("a1", 4000));
             Peer first = f.nodes.get(0).next();
             assertTrue(first.line().contains("Oa1 "));
-            first.send(
-                    "SERVER_ERROR busy\r\n"); // it may be of what was asked before, and a1's is to
-            // come
+            // it may answer an earlier command, and a1's answer may still come
+            first.send("SERVER_ERROR busy\r\n");
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
             f.pass(clock, 1_000);
             client.send(Fixture.write("charge", "c1", 4000));
@@ -99,7 +98,7 @@
         }
     }
 
-    /** The timer that closes it is behind the request, as after a standstill of the loop. */
+    /** The timer that closes it runs after the request, as when the event loop was stalled. */
     @Test
     void aConnectionThatHasIdledTooLongIsNotUsedAgain() throws Exception {
         MockTicker clock = Ticker.newMockTicker();
@@ -108,7 +107,7 @@
             client.send(Fixture.read("a1", 4000));
             Peer old = f.nodes.get(0).next();
             served(client, old, "a1");
-            f.pass(clock, 25_000); // of 30 s, a fifth of which is kept back
+            f.pass(clock, 25_000); // the limit is 30 s less a fifth
             client.send(Fixture.read("a2", 4000));
             served(client, f.nodes.get(0).next(), "a2");
             old.expectEnd();
@@ -161,7 +160,7 @@
         }
     }
 
-    /** It may have been told long before: the loop is late by more than the grace, and reads the request first. */
+    /** Discovery may have sent it long before: the loop is later than the grace and reads the request first. */
     @Test
     void aDrainThatIsReadBehindARequestInOneTurnHoldsForIt() throws Exception {
         try (Fixture f = new Fixture(1)) {
@@ -184,7 +183,7 @@
         }
     }
 
-    /** The same for what follows from an answer: here for the next attempt after a refusal. */
+    /** The same for an attempt that follows from an answer: the retry after a refusal. */
     @Test
     void aDrainThatIsReadBehindARefusalInOneTurnHoldsForTheNextAttempt() throws Exception {
         try (Fixture f = new Fixture(2)) {
@@ -194,10 +193,8 @@
             Peer second = f.client();
             client.send(Fixture.read("a1", 4000));
             Peer one = f.next();
-            second.send(
-                    Fixture.read(
-                            "a2",
-                            4000)); // the less busy of the two is taken: each has a connection then
+            // goes to the less busy node, so that each node has a connection
+            second.send(Fixture.read("a2", 4000));
             Peer two = f.next();
             served(client, one, "a1");
             served(second, two, "a2");
@@ -233,7 +230,7 @@
             client.send(Fixture.read("a1", 4000));
             Peer old = f.nodes.get(0).next();
             served(client, old, "a1");
-            f.pass(clock, 1_000); // a write may go on it
+            f.pass(clock, 1_000); // long enough for a write to use the connection
             f.inOneTurn(
                     () -> {
                         client.send(Fixture.write("charge", "c1", 4000));
@@ -281,8 +278,8 @@
     }
 
     /**
-     * SIGTERM right behind the first answer: the thread that starts it has the socket bound, and stands where it
-     * would put down which it is.
+     * SIGTERM right after the first answer: the thread that starts the proxy has bound the socket, but has not
+     * yet stored the channel.
      */
     @Test
     void toldToEndAsSoonAsItListensItGoesOnWhileConnectionsCome(@TempDir Path folder)
@@ -385,7 +382,7 @@
         }
     }
 
-    /** Its end lies behind its request, which one reading of the socket does not reach. */
+    /** The end of the connection follows the request, and one read of the socket does not reach it. */
     @Test
     void aClientThatSentAndLeftWhileTheLoopStoodStillHasNothingSentOn() throws Exception {
         MockTicker clock = Ticker.newMockTicker();
@@ -398,14 +395,14 @@
                     () -> {
                         client.send(Fixture.read("a2", 4000));
                         client.close();
-                        clock.advance(400, TimeUnit.MILLISECONDS); // it left so long ago
+                        clock.advance(400, TimeUnit.MILLISECONDS); // the time since it left
                     });
             assertEquals(0, f.active());
             assertEquals(1, f.proxy.figures().tries.get());
         }
     }
 
-    /** More than one turn accepts: the loop stood still for the last of the time in which connections come. */
+    /** More connections than one pass accepts: the loop was stalled at the end of the time for new ones. */
     @Test
     void whatTheKernelHasAcceptedBeforeTheEndIsTakenAndAnswered() throws Exception {
         try (Fixture f = new Fixture(1)) {
@@ -427,7 +424,7 @@
         }
     }
 
-    /** What is pushed counts from the process's first moment on, and its own list may be older. */
+    /** Pushed changes count from the start of the process, and the list of its configuration may be older. */
     @Test
     void wherePushedListsCountFromTheStartNobodyIsTakenBeforeTheFirst(@TempDir Path folder)
             throws Exception {
@@ -435,13 +432,13 @@
                 folder, Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\""));
     }
 
-    /** What discovery has had for 6 s counts for a new process as well, whatever list it starts with. */
+    /** Changes that discovery has had for 6 s count for a new process too, whatever list it starts with. */
     @Test
     void whereListsAreAskedForNobodyIsTakenBeforeTheFirst(@TempDir Path folder) throws Exception {
         nobodyIsTakenBeforeTheFirstList(folder, ASKING);
     }
 
-    /** Nothing can be told then: it does not wait for what cannot come. */
+    /** No list can be received then, so the start does not wait for one. */
     @Test
     void whereDiscoveryCannotBeReachedClientsAreTakenWithTheListThatIsHeld(@TempDir Path folder)
             throws Exception {
@@ -453,7 +450,7 @@
             discovery.close();
             Config config = Config.load(Fixture.env(file, closed));
             Proxy proxy = Service.start(config, loop, null, null, null);
-            assertTrue(proxy.members().firstOrUnreachable().isDone(), "it waited to the bound");
+            assertTrue(proxy.members().firstOrUnreachable().isDone(), "the start waited for its time limit");
             assertFalse(proxy.members().first().isDone());
         } finally {
             loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -480,7 +477,7 @@
             starting.start();
             Peer watch = discovery.next();
             for (String line = watch.line(); !line.isEmpty(); line = watch.line()) {
-                // the request's lines
+                // skips the lines of the request
             }
             boolean waits = false;
             while (starting.isAlive() && !waits) {
@@ -488,7 +485,7 @@
                         Arrays.stream(starting.getStackTrace())
                                 .anyMatch(e -> e.getMethodName().equals("awaitFirstList"));
             }
-            assertTrue(waits, "it listens and has no list yet");
+            assertTrue(waits, "the proxy listens although it has no list yet");
             watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             Fixture.chunk(watch, Fixture.list(2, true, old.replace("SERVING", "DRAINING"), fresh));
             Proxy proxy = started.get();
@@ -504,7 +501,7 @@
         }
     }
 
-    /** Each of these ends the watch, and what is held stays. */
+    /** Each of these ends the watch, and the list that is held stays in use. */
     @Test
     void whatIsNoListEndsTheWatchAlone() throws Exception {
         for (String bad :
@@ -522,7 +519,7 @@
                     Fixture.chunk(watch, bad);
                     watch.expectEnd();
                 } catch (java.net.SocketException e) {
-                    // it ended while the rest was still being sent
+                    // the proxy closed the connection while the rest was still being sent
                 }
                 Peer client = f.client();
                 client.send(Fixture.read("a1", 4000));
--- a/src/test/java/holdproxy/net/DiscoveryHerdTest.java
+++ b/src/test/java/holdproxy/net/DiscoveryHerdTest.java
@@ -21,8 +21,9 @@
 
 /**
  * Many proxies that call one discovery at the same time, in virtual time: discovery serves one call after
- * another and turns away a call that has waited too long. A change counts as told 6 s after discovery had it
- * and could be reached, however young the process is and whatever failed before.
+ * another and refuses a call that has waited too long. Every proxy has to have the list within 6 s of
+ * discovery having it and being reachable, however new the process is and whatever failed before. Guards
+ * against retries that come too late or overload discovery.
  */
 class DiscoveryHerdTest {
     private static final int TOLD_MS = 6_000;
@@ -33,10 +34,10 @@
 
     @TempDir Path folder;
 
-    /** One call of a proxy: its connection and when its request arrived. */
+    /** A call of a proxy, with the time at which its request arrived. */
     private record Call(EmbeddedChannel channel, int proxy, long arrivedMs) {}
 
-    /** A discovery that serves calls one after another. */
+    /** A simulated discovery that serves calls one after another. */
     private final class Discovery {
         private final MockTicker ticker = Ticker.newMockTicker();
         private final ArrayDeque<Call> queue = new ArrayDeque<>();
@@ -95,7 +96,7 @@
             }
         }
 
-        /** As when discovery goes down: its watches end and each call fails. */
+        /** Takes discovery down, which ends all watches and fails each call, or up again. */
         void down(boolean isDown) {
             down = isDown;
             if (isDown) {
@@ -119,7 +120,7 @@
         }
     }
 
-    /** A proxy whose only peer is discovery. */
+    /** A proxy that is connected to discovery alone. */
     private final class ProxyAlone implements Transport {
         private final Discovery discovery;
         private final int number;
@@ -176,13 +177,13 @@
         return discovery;
     }
 
-    /** How long calls take altogether, in milliseconds; at 4 s one of the calls may be turned away twice. */
+    /** How long the calls of all proxies take together; at 4 s one of the calls may be refused twice. */
     private static final int[] ALL_CALLS_MS = {500, 2_000, 4_000, 8_000};
 
     private static final int SEEDS = 3;
     private static final int OUTAGE_MS = 8_000;
 
-    /** The proxies start together, as after a crash of all of them. */
+    /** All proxies start together, as after a crash of all of them. */
     @Test
     void everyNewProcessHasTheListInTimeWhateverTheNumberOfThem() throws Exception {
         for (int allCallsMs : ALL_CALLS_MS) {
@@ -196,7 +197,7 @@
         }
     }
 
-    /** Discovery goes down with all watches and comes back: no pause after failures outlasts the term. */
+    /** Discovery goes down, which ends all watches, and comes back: no retry delay may exceed the 6 s. */
     @Test
     void afterAnOutageEveryProxyHasTheListInTimeWhateverTheNumberOfThem() throws Exception {
         for (int allCallsMs : ALL_CALLS_MS) {
@@ -218,14 +219,14 @@
         }
     }
 
-    /** In time, where one call after another fits into it, and without many more calls than proxies. */
+    /** The last list comes within 6 s, or later if the calls together take longer; few calls are repeated. */
     private static void judge(Discovery discovery, int proxies, int allCallsMs, long fromMs) {
         String what = proxies + " proxies, all calls take " + allCallsMs + " ms: ";
         long tookMs = discovery.lastListedMs() - fromMs;
         long mostMs = Math.max(TOLD_MS, allCallsMs + 2 * WAIT_MOST_MS);
-        assertTrue(tookMs <= mostMs, what + "the last list after " + tookMs + " ms");
+        assertTrue(tookMs <= mostMs, what + "the last list came after " + tookMs + " ms");
         double callsEach = discovery.calls / (double) proxies;
         double mostCalls = 2 + allCallsMs / 4_000.0;
-        assertTrue(callsEach <= mostCalls, what + callsEach + " calls each");
+        assertTrue(callsEach <= mostCalls, what + callsEach + " calls per proxy");
     }
 }
--- a/src/test/java/holdproxy/net/DiscoveryTest.java
+++ b/src/test/java/holdproxy/net/DiscoveryTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The list of cache nodes: what changes reach, and that a bad or failing discovery takes nothing away. */
+/** Effects of lists of cache nodes; bad lists and failing calls leave the list that is held in use. */
 @Timeout(60)
 class DiscoveryTest {
 
-    /** Has a request served by a node on a connection that came or was open already. */
+    /** Has a request served by a node on {@code open}, or on a new connection if null; returns the connection. */
     private static Peer serve(Fixture f, Peer client, String id, int node, Peer open)
             throws Exception {
         client.send(Fixture.read(id, 4000));
@@ -29,7 +29,7 @@
     private static String callLine(Peer call) throws IOException {
         String first = call.line();
         for (String line = first; !line.isEmpty(); line = call.line()) {
-            // the rest of the call
+            // skips the rest of the request
         }
         return first;
     }
@@ -117,7 +117,7 @@
             Path file = folder.resolve("config.json");
             Map<String, String> env = Fixture.env(file, f.discovery.address());
             Files.writeString(file, "{\"discovery\":");
-            Service.reload(f.config, f.proxy, f.loop, ConfigSource.of(env)); // kept as it was
+            Service.reload(f.config, f.proxy, f.loop, ConfigSource.of(env)); // rejected
             String json = Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 1024);
             Files.writeString(
                     file, "{\"discovery\":\"" + other.address() + "\"," + json.substring(1));
--- a/src/test/java/holdproxy/net/EmbeddedNodes.java
+++ b/src/test/java/holdproxy/net/EmbeddedNodes.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Connections of a proxy in memory, each up at once; clients come by hand. */
+/** In-memory connections of a proxy, each established at once. Tests connect clients themselves. */
 final class EmbeddedNodes implements Transport {
-    /** Where {@code Fixture.env} is told that discovery is. */
+    /** The port of discovery that the tests pass to {@code Fixture.env}. */
     private static final int DISCOVERY_PORT = 1;
 
-    /** Those to cache nodes, in their order. */
+    /** The connections to cache nodes, in the order in which they were opened. */
     final List<EmbeddedChannel> all = new ArrayList<>();
 
     EmbeddedChannel latest() {
@@ -33,7 +33,7 @@
 
     @Override
     public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
-        throw new UnsupportedOperationException("clients come by hand");
+        throw new UnsupportedOperationException("tests connect clients themselves");
     }
 
     @Override
--- a/src/test/java/holdproxy/net/KeptOutTest.java
+++ b/src/test/java/holdproxy/net/KeptOutTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators' calls leave behind for the next process, and for the other one of two. */
+/** How operators' changes reach the next process, and the other one while two run. */
 class KeptOutTest {
     @TempDir Path folder;
     private final MockTicker ticker = Ticker.newMockTicker();
@@ -44,7 +44,7 @@
         first.keep("s-3", true);
         first.keep("s-3", false);
         first.keep("s-4", false);
-        // the file system's clock is not the test's: the return came just now by the latter
+        // the file system has another clock than the test: by the test's, the return came just now
         Files.setLastModifiedTime(
                 folder.resolve("left-out/back-s-3"), FileTime.fromMillis(time.unixMs()));
         process().all(this::change);
@@ -78,7 +78,7 @@
         assertEquals(List.of("s-1 out"), told());
         old.keep("s-1", false);
         old.changes(this::change);
-        assertEquals(List.of(), told(), "it was told itself");
+        assertEquals(List.of(), told(), "a process does not report its own change");
         fresh.changes(this::change);
         fresh.changes(this::change);
         assertEquals(List.of("s-1 back"), told());
@@ -95,7 +95,7 @@
         assertEquals(List.of(), told());
         Files.move(folder.resolve("away"), kept);
         process.changes(this::change);
-        assertEquals(List.of(), told(), "s-1 is out as before, s-2 was never");
+        assertEquals(List.of(), told(), "s-1 is left out as before, s-2 is not");
         assertThrows(IOException.class, () -> process.keep("s".repeat(300), true));
     }
 
--- a/src/test/java/holdproxy/net/LeftOutTest.java
+++ b/src/test/java/holdproxy/net/LeftOutTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Operators' calls on a proxy with real sockets: connections and the ids that are known. */
+/** Nodes left out by operators, on a proxy with real sockets: connections and accepted node names. */
 @Timeout(60)
 class LeftOutTest {
     private static void leaveOut(Fixture f, String node, boolean out) throws Exception {
@@ -33,15 +33,15 @@
             assertTrue(client.line().startsWith("SERVER_ERROR busy"));
             Peer watch = f.watch();
             Fixture.chunk(watch, Fixture.list(2, true, f.entry(0, "SERVING")));
-            Fixture.chunk(watch, "{}"); // ends the watch, behind the list
+            Fixture.chunk(watch, "{}"); // is no list: ends the watch after the one before
             watch.expectEnd();
             client.send(Fixture.read("a3", 4000));
-            assertTrue(client.line().startsWith("SERVER_ERROR busy"), "the list does not end it");
+            assertTrue(client.line().startsWith("SERVER_ERROR busy"), "a list does not bring the node back");
             assertEquals(1, f.nodes.get(0).count());
             f.loop.submit(() -> f.proxy.members().refresh()).get();
             assertEquals(1, f.proxy.figures().poolEjected.get());
             leaveOut(f, "s-0", false);
-            // cold at first: of a hundred keys some go there
+            // the node is cold and gets few requests: some of a hundred keys go there
             for (int i = 0; i < 100; i++) {
                 String key = Integer.toHexString(i * 7919 + 1);
                 client.send("mg " + key + " v Ob" + i + " Pc=lookup,t=acme,d=4000\r\n");
@@ -77,7 +77,7 @@
             Fixture.chunk(watch, "{}");
             watch.expectEnd();
             assertFalse(knows(f, "s-0", true), "it has left the list");
-            assertTrue(knows(f, "s-0", false), "but is out");
+            assertTrue(knows(f, "s-0", false), "but is left out");
             leaveOut(f, "s-0", false);
             assertFalse(knows(f, "s-0", false));
             assertEquals(1, f.proxy.figures().poolSize.get());
--- a/src/test/java/holdproxy/net/OneDialTest.java
+++ b/src/test/java/holdproxy/net/OneDialTest.java
@@ -20,20 +20,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two that wait for one dial, as no descriptor is left for a second one: the first has a large value. */
+/**
+ * Two requests wait for one connection to be established, as no descriptor is left for another. The first is
+ * a write of a large value: the command of the second must not be sent in the middle of it.
+ */
 class OneDialTest implements Transport {
     private static final int MIB = 1 << 20;
 
-    /** Of 128 descriptors so many are for nodes. */
+    /** The connections to nodes that a limit of 128 descriptors allows. */
     private static final int NODES = 24;
 
     @TempDir Path folder;
     private final List<EmbeddedChannel> channels = new ArrayList<>();
 
-    /** Next to the wire of the first one. */
+    /** The handler next to the network on the first connection. */
     private ChannelHandler wire = new TakingTheHeadAlone();
 
-    /** The first is not up yet, all others are. */
+    /** Leaves the first connection unestablished; all others are established at once. */
     @Override
     public ChannelFuture connect(
             InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
@@ -46,7 +49,7 @@
         return first ? channel.newPromise() : channel.newSucceededFuture();
     }
 
-    /** A socket that has no more room once it is up. */
+    /** Makes the channel unwritable once it is active, as a full socket does. */
     private static final class TakingTheHeadAlone extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
@@ -69,7 +72,7 @@
         channel.close();
     }
 
-    /** Returns the first connection, on which a large value waits, and a read behind it. */
+    /** Returns the first connection, on which the write of a large value waits, and a read after it. */
     private EmbeddedChannel waiting() throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(
--- a/src/test/java/holdproxy/net/WatchTimesTest.java
+++ b/src/test/java/holdproxy/net/WatchTimesTest.java
@@ -22,23 +22,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** When discovery is called again, on a clock that the test moves: before what was missed counts as told. */
+/**
+ * The times of repeated calls to discovery, on a mock clock: soon enough that missed changes take effect in
+ * time.
+ */
 class WatchTimesTest {
     private static final int SEEDS = 200;
 
-    /** What a silent watch misses counts so long after it fell silent; an answer takes up to 1 s of it. */
+    /** Changes that a silent watch misses must be in effect this long after it fell silent. */
     private static final int SILENT_TOLD_MS = 6_000;
 
+    /** The longest that discovery takes to answer. */
     private static final int ANSWER_MS = 1_000;
 
-    /** Behind a second silence up to so much of the time for the answer is gone. */
+    /** After a second silent call up to this much of the time for the answer is used up. */
     private static final int SECOND_SILENCE_MS = 200;
 
     private static final int STEP_MS = 10;
 
     @TempDir Path folder;
 
-    /** A proxy whose only peer is discovery. */
+    /** A proxy that is connected to discovery alone. */
     private final class Town implements Transport {
         private final MockTicker ticker = Ticker.newMockTicker();
         private final EmbeddedChannel timers = EmbeddedChannel.builder().ticker(ticker).build();
@@ -49,7 +53,7 @@
         private final Proxy proxy;
         private boolean down;
 
-        /** Of the latest dial. */
+        /** The connect timeout of the latest call. */
         private int timeoutMs;
 
         Town(long seed, String settings) throws Exception {
@@ -118,7 +122,7 @@
             List.copyOf(calls).forEach(EmbeddedChannel::runScheduledPendingTasks);
         }
 
-        /** Until so many calls were made; returns how long that took. */
+        /** Moves the clock until {@code count} calls were made; returns the time that took. */
         int passUntilCall(int count, int mostMs) {
             int passed = 0;
             for (; calls.size() < count; passed += STEP_MS) {
@@ -150,7 +154,7 @@
         }
     }
 
-    /** The call that opens it anew is not answered either: the one after it is, in the time that is left. */
+    /** The call that opens a new watch is not answered either: the next one has to fit into the time left. */
     @Test
     void aSecondSilentCallIsGivenUpBeforeWhatTheWatchMissedCountsAsTold() throws Exception {
         for (int routers : new int[] {2, 6, 100}) {
@@ -187,14 +191,13 @@
             town.latest().close();
             for (int i = 0; i < 10; i++) {
                 int took = town.passUntilCall(town.calls.size() + 1, 60_000);
-                assertTrue(
-                        took <= 700,
-                        took + " ms"); // the agent's lists count while no watch is open
+                // lists that are pushed count even while no watch is open
+                assertTrue(took <= 700, took + " ms");
             }
         }
     }
 
-    /** What a silent agent gets at its return counts at once: dial and pause are over within the grace. */
+    /** Lists of a discovery that is back count at once: retry delay and connecting must fit in the grace. */
     @Test
     void wherePushedListsStopTheNextDialIsUpWithinTheGraceOfItsReturn() throws Exception {
         for (int grace : new int[] {100, 300, 1_000}) {
@@ -240,7 +243,7 @@
             Town town = new Town(1, asking(6_000, 6));
             EmbeddedChannel old = town.latest();
             if (failing) {
-                old.close(); // the module waits to ask again
+                old.close(); // the router waits to retry
             } else {
                 town.say(old, Fixture.list(2, true));
             }
@@ -248,12 +251,12 @@
             town.proxy.taken(town.config.reload(Fixture.env(town.file, "127.0.0.1:1")));
             assertEquals(2, town.calls.size());
             assertEquals(2, town.called.get(1).getPort());
-            // and its answer to what was asked before comes to nothing
+            // the old address's answer to the earlier call is ignored
             if (old.isOpen()) {
                 town.say(old, Fixture.list(9, true));
             }
             assertEquals(0, town.proxy.figures().poolSize.get());
-            // the module's own turn to ask comes: one watch is enough
+            // the router's retry falls due, but does not open a second watch
             town.say(town.latest(), Fixture.list(3, true) + "\n");
             for (int i = 0; i < 10; i++) {
                 town.pass(1_000);
@@ -263,7 +266,7 @@
         }
     }
 
-    /** The empty lines that say that it lives go on behind it. */
+    /** The empty keep-alive lines go on after it. */
     @Test
     void aListThatDoesNotEndEndsItsWatch() throws Exception {
         Town town = new Town(1, asking(6_000, 6));
