--- a/src/test/java/holdproxy/net/CrossingsTest.java
+++ b/src/test/java/holdproxy/net/CrossingsTest.java
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Discovery may have sent it long before: the loop is later than the grace and reads the request first. */
+    /** Discovery may have sent the drain long before: the loop is late by more than the grace. */
     @Test
     void aDrainThatIsReadBehindARequestInOneTurnHoldsForIt() throws Exception {
         try (Fixture f = new Fixture(1)) {
@@ -278,8 +278,8 @@
     }
 
     /**
-     * SIGTERM right after the first answer: the thread that starts the proxy has bound the socket, but has not
-     * yet stored the channel.
+     * SIGTERM right after the first answer: the thread that starts the proxy has bound the socket, but has
+     * not yet stored the channel.
      */
     @Test
     void toldToEndAsSoonAsItListensItGoesOnWhileConnectionsCome(@TempDir Path folder)
--- a/src/test/java/holdproxy/net/DiscoveryTest.java
+++ b/src/test/java/holdproxy/net/DiscoveryTest.java
@@ -15,7 +15,7 @@
 @Timeout(60)
 class DiscoveryTest {
 
-    /** Has a request served by a node on {@code open}, or on a new connection if null; returns the connection. */
+    /** Has a node serve a request on {@code open}, or on a new connection if null; returns the connection. */
     private static Peer serve(Fixture f, Peer client, String id, int node, Peer open)
             throws Exception {
         client.send(Fixture.read(id, 4000));
