--- a/src/main/java/holdproxy/net/NodePools.java
+++ b/src/main/java/holdproxy/net/NodePools.java
@@ -43,7 +43,7 @@
         // written within the drain's grace
         long grace = settings.drainGraceUs;
         dialUs = grace > 0 ? Math.min(settings.dialTimeoutUs, grace / 2) : settings.dialTimeoutUs;
-        // an attempt given up on a shared connection still runs at the node, so connections are
+        // an attempt given up on a shared connection may still run at the node: connections are
         // shared only where second copies are allowed
         streams = settings.secondCopies ? settings.streamsPerConnection : 1;
         idleUs = settings.idleCloseUs - settings.idleCloseUs / IDLE_SHARE;
--- a/src/test/java/holdproxy/net/CrossingsTest.java
+++ b/src/test/java/holdproxy/net/CrossingsTest.java
@@ -450,7 +450,9 @@
             discovery.close();
             Config config = Config.load(Fixture.env(file, closed));
             Proxy proxy = Service.start(config, loop, null, null, null);
-            assertTrue(proxy.members().firstOrUnreachable().isDone(), "the start waited for its time limit");
+            assertTrue(
+                    proxy.members().firstOrUnreachable().isDone(),
+                    "the start waited for its time limit");
             assertFalse(proxy.members().first().isDone());
         } finally {
             loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/src/test/java/holdproxy/net/LeftOutTest.java
+++ b/src/test/java/holdproxy/net/LeftOutTest.java
@@ -36,7 +36,9 @@
             Fixture.chunk(watch, "{}"); // is no list: ends the watch after the one before
             watch.expectEnd();
             client.send(Fixture.read("a3", 4000));
-            assertTrue(client.line().startsWith("SERVER_ERROR busy"), "a list does not bring the node back");
+            assertTrue(
+                    client.line().startsWith("SERVER_ERROR busy"),
+                    "a list does not bring the node back");
             assertEquals(1, f.nodes.get(0).count());
             f.loop.submit(() -> f.proxy.members().refresh()).get();
             assertEquals(1, f.proxy.figures().poolEjected.get());
