--- a/src/main/java/holdproxy/net/NodeConnection.java
+++ b/src/main/java/holdproxy/net/NodeConnection.java
@@ -33,6 +33,7 @@
 
     /** Bytes written of the value of the first one of {@link #sending}. */
     private int sent;
+
     private Channel channel;
     private boolean up;
     private boolean wanted;
