--- a/src/main/java/holdproxy/net/Discovery.java
+++ b/src/main/java/holdproxy/net/Discovery.java
@@ -35,25 +35,25 @@
  */
 final class Discovery {
     private static final String PATH = "/registry/instances";
-    private static final int LONGEST_LIST = 1 << 20;
+    private static final int MAX_LIST_BYTES = 1 << 20;
 
     /**
      * Read timeout of a call. Discovery sends an empty line every 2 s; a machine that is cut off sends
      * nothing. Changes that a silent watch misses have to be in effect 6 s after it fell silent, so within
      * that time the watch has to time out and a new one has to be opened and answered.
      */
-    private static final int SILENCE_MS = 3000;
+    private static final int READ_TIMEOUT_MS = 3000;
 
-    private static final int CONNECT_MS = 2000;
+    private static final int CONNECT_TIMEOUT_MS = 2000;
 
     /**
      * Limit for the answer to a call that follows a silent watch, connecting included: an answer takes up to
      * 1 s, and one more call has to fit into the 6 s.
      */
-    private static final int ANSWER_AFTER_SILENCE_MS = 1200;
+    private static final int ANSWER_TIMEOUT_AFTER_SILENCE_MS = 1200;
 
     /** Where lists are pushed, connecting may take the drain grace divided by this. */
-    private static final int PUSHED_PART = 2;
+    private static final int PUSHED_GRACE_DIVISOR = 2;
 
     /** An entry of a list, with the name and address, which the router does not need. */
     record Entry(Router.Node node, String name, InetSocketAddress address) {}
@@ -78,11 +78,11 @@
     private InetSocketAddress address;
     private List<?> zones;
     private List<?> kinds;
-    private int connectMs;
+    private int connectTimeoutMs;
     private final Transport transport;
     private final Log log;
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final Map<Integer, String> names = new HashMap<>();
+    private final Map<String, Integer> numberById = new HashMap<>();
+    private final Map<Integer, String> idByNumber = new HashMap<>();
     private long version;
     private Call watch;
 
@@ -95,38 +95,38 @@
         address = config.discovery;
         zones = config.zones;
         kinds = config.kinds;
-        connectMs = connectMs(config.settings);
+        connectTimeoutMs = connectTimeoutMs(config.settings);
         this.transport = transport;
         this.log = log;
     }
 
     /** Pushed lists take effect at once, so a failing connection attempt must end within the drain grace. */
-    private static int connectMs(Router.Settings settings) {
+    private static int connectTimeoutMs(Router.Settings settings) {
         long graceMs = settings.drainGraceUs / 1000;
         return settings.askForNodes || graceMs == 0
-                ? CONNECT_MS
-                : (int) Math.max(1, Math.min(CONNECT_MS, graceMs / PUSHED_PART));
+                ? CONNECT_TIMEOUT_MS
+                : (int) Math.max(1, Math.min(CONNECT_TIMEOUT_MS, graceMs / PUSHED_GRACE_DIVISOR));
     }
 
     /** Reports the list that the configuration contains. */
     void start() {
-        List<Entry> entries = entries(config.known);
-        version = version(config.known);
+        List<Entry> entries = parseEntries(config.known);
+        version = parseVersion(config.known);
         receiver.nodes(Router.ListKind.CACHED, entries);
     }
 
     /** Opens a watch unless one is open: each call costs discovery the lines of a list. */
     void watch() {
-        if (watch == null || watch.over) {
-            open(version);
+        if (watch == null || watch.ended) {
+            openWatch(version);
         }
     }
 
-    private void open(long from) {
+    private void openWatch(long fromVersion) {
         if (watch != null) {
-            watch.silently();
+            watch.cancel();
         }
-        watch = new Call(PATH + "?stream=1&index=" + from, true);
+        watch = new Call(PATH + "?stream=1&index=" + fromVersion, true);
     }
 
     /**
@@ -135,18 +135,18 @@
      * address count from the signal on. If zones or kinds are numbered differently now, the full list is
      * requested, which gives the nodes their new numbers.
      */
-    void taken(Config now) {
-        boolean renumbered = !now.zones.equals(zones) || !now.kinds.equals(kinds);
-        boolean moved = !now.discovery.equals(address);
-        zones = now.zones;
-        kinds = now.kinds;
-        connectMs = connectMs(now.settings);
+    void taken(Config reloaded) {
+        boolean renumbered = !reloaded.zones.equals(zones) || !reloaded.kinds.equals(kinds);
+        boolean moved = !reloaded.discovery.equals(address);
+        zones = reloaded.zones;
+        kinds = reloaded.kinds;
+        connectTimeoutMs = connectTimeoutMs(reloaded.settings);
         if (moved) {
-            log.line("discovery is now at " + now.discovery);
-            address = now.discovery;
+            log.line("discovery is now at " + reloaded.discovery);
+            address = reloaded.discovery;
         }
         if (moved || renumbered) {
-            open(renumbered ? 0 : version);
+            openWatch(renumbered ? 0 : version);
         }
     }
 
@@ -157,7 +157,7 @@
     /** Closes the watch without reporting a failure. */
     void close() {
         if (watch != null) {
-            watch.silently();
+            watch.cancel();
         }
     }
 
@@ -165,14 +165,14 @@
         new Call(PATH, false);
     }
 
-    private static long version(Map<String, Object> list) {
+    private static long parseVersion(Map<String, Object> list) {
         if (list.get("version") instanceof Number n) {
             return n.longValue();
         }
         throw new BadInput("version is missing from the list");
     }
 
-    private List<Entry> entries(Map<String, Object> list) {
+    private List<Entry> parseEntries(Map<String, Object> list) {
         if (!(list.get("servers") instanceof List<?> servers)) {
             throw new BadInput("servers is missing from the list");
         }
@@ -183,12 +183,12 @@
             }
             @SuppressWarnings("unchecked") // the parser makes no other maps than these
             Map<String, Object> m = (Map<String, Object>) o;
-            entries.add(entry(m));
+            entries.add(parseEntry(m));
         }
         return entries;
     }
 
-    private Entry entry(Map<String, Object> m) {
+    private Entry parseEntry(Map<String, Object> m) {
         String where = "a list entry";
         String id = Config.text(m, "id", where);
         Router.Node n = new Router.Node();
@@ -199,12 +199,12 @@
                     case "DELETED" -> Router.NodeState.GONE;
                     default -> throw new BadInput("a list entry has an unknown state");
                 };
-        n.id = number(id);
+        n.id = numberFor(id);
         n.zone = zones.indexOf(m.get("zone"));
         n.kind = kinds.indexOf(m.get("kind"));
-        n.cell = (int) figure(m, "cell", 0);
-        n.weight = figure(m, "weight", 1);
-        double started = figure(m, "started_ms", 0);
+        n.cell = (int) numberField(m, "cell", 0);
+        n.weight = numberField(m, "weight", 1);
+        double started = numberField(m, "started_ms", 0);
         n.startedUs = started > 0 ? receiver.monotonic((long) started) : Long.MIN_VALUE;
         InetSocketAddress address =
                 n.state == Router.NodeState.GONE && !(m.get("addr") instanceof String)
@@ -213,7 +213,7 @@
         return new Entry(n, id, address);
     }
 
-    private static double figure(Map<String, Object> m, String key, double fallback) {
+    private static double numberField(Map<String, Object> m, String key, double fallback) {
         Object o = m.get(key);
         if (o == null) {
             return fallback;
@@ -228,8 +228,8 @@
      * The router's number for a node: a hash of the id alone (collisions aside), so that all proxies rank the
      * nodes alike.
      */
-    int number(String id) {
-        Integer known = numbers.get(id);
+    int numberFor(String id) {
+        Integer known = numberById.get(id);
         if (known != null) {
             return known;
         }
@@ -238,17 +238,17 @@
             h = (h ^ id.charAt(i)) * 0x100000001b3L;
         }
         int number = (int) (h ^ h >>> 32);
-        while (names.containsKey(number)) {
+        while (idByNumber.containsKey(number)) {
             number++;
         }
-        numbers.put(id, number);
-        names.put(number, id);
+        numberById.put(id, number);
+        idByNumber.put(number, id);
         return number;
     }
 
     /** The number of a node that a list has contained; null if none has or the node was forgotten. */
-    Integer known(String id) {
-        return numbers.get(id);
+    Integer knownNumber(String id) {
+        return numberById.get(id);
     }
 
     /**
@@ -256,40 +256,42 @@
      * id, so that the numbers would accumulate.
      */
     void forget(int number, Set<String> kept) {
-        if (!kept.contains(names.get(number))) {
-            numbers.remove(names.remove(number));
+        if (!kept.contains(idByNumber.get(number))) {
+            numberById.remove(idByNumber.remove(number));
         }
     }
 
     /** One request to discovery: a watch or a call for the full list. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private final boolean stream;
-        private final JsonFraming framing = new JsonFraming(LONGEST_LIST);
+        private final JsonFraming framing = new JsonFraming(MAX_LIST_BYTES);
         private final Channel channel;
-        private boolean over;
+        private boolean ended;
 
         /** Content was received: silence is then a fault of the connection, not a discovery that is down. */
-        private boolean served;
+        private boolean contentReceived;
 
         /** When the stream was last between two lists, with none incomplete. */
-        private long betweenUs = receiver.now();
+        private long lastCompleteUs = receiver.now();
 
         Call(String path, boolean stream) {
             this.stream = stream;
-            boolean limited = afterSilence;
+            boolean limitAnswerTime = afterSilence;
             afterSilence = false;
             ChannelFuture connected =
                     transport.connect(
                             address,
-                            connectMs,
-                            new ReadTimeoutHandler(SILENCE_MS, TimeUnit.MILLISECONDS),
+                            connectTimeoutMs,
+                            new ReadTimeoutHandler(READ_TIMEOUT_MS, TimeUnit.MILLISECONDS),
                             new HttpClientCodec(),
                             this);
             channel = connected.channel();
-            if (limited) {
+            if (limitAnswerTime) {
                 channel.eventLoop()
                         .schedule(
-                                this::silentAgain, ANSWER_AFTER_SILENCE_MS, TimeUnit.MILLISECONDS);
+                                this::answerOverdue,
+                                ANSWER_TIMEOUT_AFTER_SILENCE_MS,
+                                TimeUnit.MILLISECONDS);
             }
             connected.addListener(
                     (ChannelFutureListener)
@@ -304,33 +306,33 @@
                                                     NetUtil.toSocketAddressString(address));
                                     f.channel().writeAndFlush(get);
                                 } else {
-                                    failed("no connection");
+                                    fail("no connection");
                                     receiver.unreachable();
                                 }
                             });
         }
 
-        private void silentAgain() {
-            if (!served) {
-                failed("no answer to the call after a silent watch", Router.ListKind.SILENT);
+        private void answerOverdue() {
+            if (!contentReceived) {
+                fail("no answer to the call after a silent watch", Router.ListKind.SILENT);
                 afterSilence = false; // only one call is limited: later ones are further apart
             }
         }
 
-        void silently() {
-            over = true;
+        void cancel() {
+            ended = true;
             channel.close();
         }
 
-        private void failed(String why) {
-            failed(why, Router.ListKind.FAILED);
+        private void fail(String why) {
+            fail(why, Router.ListKind.FAILED);
         }
 
-        private void failed(String why, Router.ListKind kind) {
-            if (over) {
+        private void fail(String why, Router.ListKind kind) {
+            if (ended) {
                 return;
             }
-            silently();
+            cancel();
             if (watch == this) {
                 watch = null;
             }
@@ -341,60 +343,60 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-            if (over) {
+            if (ended) {
                 return;
             }
             if (message.decoderResult().isFailure()) {
-                failed("the response is not valid HTTP");
+                fail("the response is not valid HTTP");
                 return;
             }
             if (message instanceof HttpResponse r && r.status().code() != 200) {
-                failed("unexpected HTTP status " + r.status().code());
+                fail("unexpected HTTP status " + r.status().code());
                 return;
             }
             if (message instanceof HttpContent c) {
-                served = true;
-                content(c.content());
-                if (c instanceof LastHttpContent && !over) {
-                    if (!framing.between()) {
-                        failed("the response ended in the middle of a list");
+                contentReceived = true;
+                handleContent(c.content());
+                if (c instanceof LastHttpContent && !ended) {
+                    if (!framing.betweenObjects()) {
+                        fail("the response ended in the middle of a list");
                     } else if (stream) {
-                        failed("the watch was ended by discovery");
+                        fail("the watch was ended by discovery");
                     } else {
-                        silently();
+                        cancel();
                     }
                 }
             }
         }
 
         /** Each JSON object is a list, whatever its line breaks; a call for the full list returns one. */
-        private void content(ByteBuf bytes) {
-            while (bytes.isReadable() && !over) {
+        private void handleContent(ByteBuf bytes) {
+            while (bytes.isReadable() && !ended) {
                 try {
                     String text = framing.read(bytes);
                     if (text != null) {
-                        list(text);
+                        handleList(text);
                     }
                 } catch (BadInput e) {
-                    failed("list rejected: " + e.getMessage());
+                    fail("list rejected: " + e.getMessage());
                 }
             }
-            if (framing.between()) {
-                betweenUs = receiver.now();
-            } else if (receiver.now() - betweenUs > SILENCE_MS * 1000L) {
+            if (framing.betweenObjects()) {
+                lastCompleteUs = receiver.now();
+            } else if (receiver.now() - lastCompleteUs > READ_TIMEOUT_MS * 1000L) {
                 // the read timeout does not catch this: keep-alive lines reset it
-                failed("a list was not completed in time");
+                fail("a list was not completed in time");
             }
         }
 
-        private void list(String text) {
+        private void handleList(String text) {
             Map<String, Object> list = Config.parse(text);
             try {
                 if (list == null) {
                     throw new BadInput("not valid JSON: " + Config.shown(text));
                 }
-                List<Entry> entries = entries(list);
-                long newVersion = version(list);
+                List<Entry> entries = parseEntries(list);
+                long newVersion = parseVersion(list);
                 boolean full = Boolean.TRUE.equals(list.get("full"));
                 if (newVersion < version) {
                     // this instance of discovery lags behind: its list could make a draining node
@@ -410,19 +412,19 @@
                 version = newVersion;
                 receiver.nodes(full ? Router.ListKind.FULL : Router.ListKind.DELTA, entries);
             } catch (BadInput e) {
-                failed("list rejected: " + e.getMessage());
+                fail("list rejected: " + e.getMessage());
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            failed("connection closed");
+            fail("connection closed");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            boolean silent = stream && served && cause instanceof ReadTimeoutException;
-            failed(
+            boolean silent = stream && contentReceived && cause instanceof ReadTimeoutException;
+            fail(
                     silent ? "the watch fell silent" : cause.getClass().getSimpleName(),
                     silent ? Router.ListKind.SILENT : Router.ListKind.FAILED);
         }
--- a/src/main/java/holdproxy/net/DiscoveryWatch.java
+++ b/src/main/java/holdproxy/net/DiscoveryWatch.java
@@ -17,7 +17,7 @@
          * A list was received: full or a delta, with its version, its number of entries and the start time of
          * the last entry's node (0 if there are none).
          */
-        void list(boolean whole, long version, int entries, long lastStartedUnixUs);
+        void list(boolean full, long version, int entries, long lastStartedUnixUs);
 
         /** The call ended without a list; the listener has to call {@link #open} again. */
         void failed();
@@ -34,7 +34,8 @@
             Listener listener) {
         Time time = new Time(Ticker.systemTicker(), System::currentTimeMillis);
         discovery =
-                new Discovery(new Lists(unixUs, listener), config, transport, new Log(time, log));
+                new Discovery(
+                        new ListReceiver(unixUs, listener), config, transport, new Log(time, log));
     }
 
     /** Opens a watch for changes after the version that is held, unless one is open. */
@@ -52,11 +53,11 @@
         return discovery.version();
     }
 
-    private final class Lists implements Discovery.Receiver {
+    private final class ListReceiver implements Discovery.Receiver {
         private final LongSupplier unixUs;
         private final Listener listener;
 
-        Lists(LongSupplier unixUs, Listener listener) {
+        ListReceiver(LongSupplier unixUs, Listener listener) {
             this.unixUs = unixUs;
             this.listener = listener;
         }
--- a/src/main/java/holdproxy/net/JsonFraming.java
+++ b/src/main/java/holdproxy/net/JsonFraming.java
@@ -11,24 +11,24 @@
  * is dropped, so that the size limit does not depend on the formatting of a list.
  */
 final class JsonFraming {
-    private final int longest;
-    private final ByteArrayOutputStream object = new ByteArrayOutputStream();
+    private final int maxBytes;
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private int depth;
-    private boolean inText;
+    private boolean inString;
     private boolean escaped;
 
-    /** {@code longest}: the most bytes of an object; a larger one is refused before all of it is buffered. */
-    JsonFraming(int longest) {
-        this.longest = longest;
+    /** {@code maxBytes}: the most bytes of an object; a larger one is refused before it is all buffered. */
+    JsonFraming(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     /** Reads up to the end of the next object and returns it, or null if the bytes end before that. */
     String read(ByteBuf bytes) {
         while (bytes.isReadable()) {
             byte b = bytes.readByte();
-            if (inText) {
-                keep(b);
-                inText = escaped || b != '"';
+            if (inString) {
+                append(b);
+                inString = escaped || b != '"';
                 escaped = b == '\\' && !escaped;
             } else if (b != ' ' && b != '\n' && b != '\r' && b != '\t') {
                 if (depth == 0 && b != '{') {
@@ -38,12 +38,12 @@
                                             (char) (b & 0xff)
                                                     + bytes.toString(StandardCharsets.ISO_8859_1)));
                 }
-                keep(b);
-                inText = b == '"';
+                append(b);
+                inString = b == '"';
                 depth += b == '{' || b == '[' ? 1 : b == '}' || b == ']' ? -1 : 0;
                 if (depth == 0) {
-                    String text = object.toString(StandardCharsets.UTF_8);
-                    object.reset();
+                    String text = buffer.toString(StandardCharsets.UTF_8);
+                    buffer.reset();
                     return text;
                 }
             }
@@ -51,15 +51,15 @@
         return null;
     }
 
-    private void keep(byte b) {
-        if (object.size() == longest) {
-            throw new BadInput("a list is longer than " + longest + " bytes");
+    private void append(byte b) {
+        if (buffer.size() == maxBytes) {
+            throw new BadInput("a list is longer than " + maxBytes + " bytes");
         }
-        object.write(b);
+        buffer.write(b);
     }
 
     /** Whether no object is incomplete. */
-    boolean between() {
+    boolean betweenObjects() {
         return depth == 0;
     }
 }
--- a/src/main/java/holdproxy/net/KeptOut.java
+++ b/src/main/java/holdproxy/net/KeptOut.java
@@ -21,21 +21,21 @@
  */
 final class KeptOut {
     /** How long the file of a returned node is of use: by then the node is warm for certain. */
-    private static final long RETURNS_FOR_MS = 600_000;
+    private static final long RETURN_RETENTION_MS = 600_000;
 
     private static final String OUT = "out-";
     private static final String BACK = "back-";
 
     /** Receives an operator's change, with its time in milliseconds since 1970. */
-    interface Change {
-        void made(String node, boolean out, long atUnixMs);
+    interface ChangeListener {
+        void onChange(String node, boolean out, long atUnixMs);
     }
 
     /** Null: nothing is stored beyond this process. */
     private final Path folder;
 
     private final Time time;
-    private final Set<String> out = new HashSet<>();
+    private final Set<String> leftOut = new HashSet<>();
 
     /** {@code folder} is created if it does not exist; null: nothing is stored beyond this process. */
     KeptOut(Path folder, Time time) throws IOException {
@@ -44,35 +44,35 @@
     }
 
     /** Reports all that is stored, at the start of a process: nodes left out and recent returns. */
-    void all(Change change) throws IOException {
-        Map<String, Long> back = new HashMap<>();
+    void all(ChangeListener listener) throws IOException {
+        Map<String, Long> returned = new HashMap<>();
         for (Map.Entry<String, Long> e : files(OUT).entrySet()) {
-            out.add(e.getKey());
-            change.made(e.getKey(), true, e.getValue());
+            leftOut.add(e.getKey());
+            listener.onChange(e.getKey(), true, e.getValue());
         }
         for (Map.Entry<String, Long> e : files(BACK).entrySet()) {
-            if (time.unixMs() - e.getValue() > RETURNS_FOR_MS) {
+            if (time.unixMs() - e.getValue() > RETURN_RETENTION_MS) {
                 Files.deleteIfExists(file(BACK, e.getKey()));
-            } else if (!out.contains(e.getKey())) {
-                back.put(e.getKey(), e.getValue());
+            } else if (!leftOut.contains(e.getKey())) {
+                returned.put(e.getKey(), e.getValue());
             }
         }
-        back.forEach((node, at) -> change.made(node, false, at));
+        returned.forEach((node, at) -> listener.onChange(node, false, at));
     }
 
     /** Reports what another process has stored since the last call. On failure the state is unchanged. */
-    void changes(Change change) throws IOException {
-        Map<String, Long> now = files(OUT);
-        for (Map.Entry<String, Long> e : now.entrySet()) {
-            if (out.add(e.getKey())) {
-                change.made(e.getKey(), true, e.getValue());
+    void changes(ChangeListener listener) throws IOException {
+        Map<String, Long> stored = files(OUT);
+        for (Map.Entry<String, Long> e : stored.entrySet()) {
+            if (leftOut.add(e.getKey())) {
+                listener.onChange(e.getKey(), true, e.getValue());
             }
         }
-        for (String node : Set.copyOf(out)) {
-            if (!now.containsKey(node)) {
-                out.remove(node);
+        for (String node : Set.copyOf(leftOut)) {
+            if (!stored.containsKey(node)) {
+                leftOut.remove(node);
                 // the return was stored just now; a time after the real one is on the safe side
-                change.made(node, false, time.unixMs());
+                listener.onChange(node, false, time.unixMs());
             }
         }
     }
@@ -80,22 +80,22 @@
     /** Stores a change; returns its time in milliseconds since 1970. On failure nothing has changed. */
     long keep(String node, boolean leaveOut) throws IOException {
         if (folder != null && leaveOut) {
-            make(file(OUT, node));
+            createIfAbsent(file(OUT, node));
         } else if (folder != null && Files.exists(file(OUT, node))) {
             Files.deleteIfExists(file(BACK, node));
             // before the deletion: a process that starts at this moment must not miss the return
-            make(file(BACK, node));
+            createIfAbsent(file(BACK, node));
             Files.deleteIfExists(file(OUT, node));
         }
         if (leaveOut) {
-            out.add(node);
+            leftOut.add(node);
         } else {
-            out.remove(node);
+            leftOut.remove(node);
         }
         return time.unixMs();
     }
 
-    private static void make(Path file) throws IOException {
+    private static void createIfAbsent(Path file) throws IOException {
         try {
             Files.createFile(file);
         } catch (FileAlreadyExistsException e) {
@@ -111,7 +111,7 @@
     private Map<String, Long> files(String kind) throws IOException {
         Map<String, Long> found = new HashMap<>();
         if (folder == null) {
-            out.forEach(node -> found.put(node, 0L));
+            leftOut.forEach(node -> found.put(node, 0L));
             return found;
         }
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, kind + "*")) {
--- a/src/main/java/holdproxy/net/Members.java
+++ b/src/main/java/holdproxy/net/Members.java
@@ -19,10 +19,10 @@
     private final Log log;
 
     /** Completes with the first list from discovery. */
-    private final Promise<Void> first;
+    private final Promise<Void> firstList;
 
     /** Completes with the first list from discovery, or once a call cannot connect to it. */
-    private final Promise<Void> firstOrUnreachable;
+    private final Promise<Void> firstListOrUnreachable;
 
     private final Set<Integer> listed = new HashSet<>();
 
@@ -30,8 +30,8 @@
     private final Set<String> leftOut = new HashSet<>();
 
     Members(Proxy proxy, NodePools pools, Discovery discovery, Log log, EventLoop loop) {
-        first = loop.newPromise();
-        firstOrUnreachable = loop.newPromise();
+        firstList = loop.newPromise();
+        firstListOrUnreachable = loop.newPromise();
         this.proxy = proxy;
         this.pools = pools;
         this.discovery = discovery;
@@ -55,40 +55,40 @@
                 () -> proxy.router.onNodes(proxy.now(), kind, nodes, nodes.length, proxy));
         for (Router.Node n : nodes) {
             if (n.state != Router.NodeState.READY) {
-                left(n.id, n.state == Router.NodeState.GONE);
+                nodeLeft(n.id, n.state == Router.NodeState.GONE);
             }
         }
         if (kind == Router.ListKind.FULL || kind == Router.ListKind.CACHED) {
             for (Integer id : List.copyOf(listed)) {
                 if (!named.contains(id)) {
-                    left(id, true);
+                    nodeLeft(id, true);
                 }
             }
         }
         proxy.figures().poolSize.set(listed.size());
         if (kind == Router.ListKind.FULL || kind == Router.ListKind.DELTA) {
-            first.trySuccess(null);
-            firstOrUnreachable.trySuccess(null);
+            firstList.trySuccess(null);
+            firstListOrUnreachable.trySuccess(null);
         }
     }
 
     /** May be called on any thread. */
     Future<Void> first() {
-        return first;
+        return firstList;
     }
 
     /** May be called on any thread. */
     Future<Void> firstOrUnreachable() {
-        return firstOrUnreachable;
+        return firstListOrUnreachable;
     }
 
     /** A call could not connect to discovery, so that waiting for its list is of no use for now. */
     void discoveryUnreachable() {
-        firstOrUnreachable.trySuccess(null);
+        firstListOrUnreachable.trySuccess(null);
     }
 
-    private void left(int id, boolean gone) {
-        pools.leave(id, gone);
+    private void nodeLeft(int id, boolean gone) {
+        pools.exclude(id, gone);
         if (gone && listed.remove(id)) {
             discovery.forget(id, leftOut);
         }
@@ -96,7 +96,7 @@
 
     /** Whether operators may name this node: it is in the list, or is left out and to be used again. */
     boolean knows(String node, boolean out) {
-        return listed.contains(discovery.known(node)) || !out && leftOut.contains(node);
+        return listed.contains(discovery.knownNumber(node)) || !out && leftOut.contains(node);
     }
 
     /** Leaves a node out, or uses it again as if started at {@code atUs}, the time of the operator's call. */
@@ -104,7 +104,7 @@
         if (out ? !leftOut.add(node) : !leftOut.remove(node)) {
             return; // no change: one return undoes any number of calls
         }
-        int id = discovery.number(node);
+        int id = discovery.numberFor(node);
         log.line("node " + node + (out ? " is left out by operators" : " is used again"));
         proxy.events.add(() -> proxy.router.onLeftOut(proxy.now(), id, out, atUs));
         pools.leaveOut(id, out);
--- a/src/main/java/holdproxy/net/NodeConnection.java
+++ b/src/main/java/holdproxy/net/NodeConnection.java
@@ -14,29 +14,29 @@
     private static final int SLICE_BYTES = 32 * 1024;
 
     /** How long after an answer a node may send a second one, without an id, to the same command. */
-    private static final long SECOND_ANSWER_US = 50_000;
+    private static final long SECOND_ANSWER_WINDOW_US = 50_000;
 
     final NodePool pool;
     final InetSocketAddress address;
 
     /** How long an attempt may wait for the connection to be established. */
-    private final long dialUs;
+    private final long dialTimeoutUs;
 
     /** The attempts whose commands have been started, in the order of their answers. */
-    private final ArrayDeque<Attempt> line = new ArrayDeque<>();
+    private final ArrayDeque<Attempt> awaitingAnswer = new ArrayDeque<>();
 
-    /** The attempts that have not been started; they come after those of {@link #line}. */
+    /** The attempts that have not been started; they come after {@link #awaitingAnswer}. */
     private final ArrayDeque<Attempt> unsent = new ArrayDeque<>();
 
     /** The attempts whose large values are being written. */
     private final ArrayDeque<Attempt> sending = new ArrayDeque<>();
 
     /** Bytes written of the value of the first one of {@link #sending}. */
-    private int sent;
+    private int sentBytes;
 
     private Channel channel;
-    private boolean up;
-    private boolean wanted;
+    private boolean established;
+    private boolean everUsed;
     private boolean closed;
 
     /** An attempt was given up: a new one would have to wait for that one's answer. */
@@ -46,22 +46,22 @@
     private Relay relay;
 
     /** A value is being received in pieces. */
-    private boolean inPieces;
+    private boolean receivingPieces;
 
-    private Answer relayed;
+    private Answer relayedAnswer;
 
     /** When it became idle last: after its last answer, or once established if nothing was sent on it. */
     long idleSinceUs;
 
     /** The last answer may have belonged to another command: failures and refusals have no id. */
-    private boolean doubtful;
+    private boolean lastAnswerUncertain;
 
-    private boolean answered;
+    private boolean anyAnswer;
 
-    NodeConnection(NodePool pool, InetSocketAddress address, long dialUs) {
+    NodeConnection(NodePool pool, InetSocketAddress address, long dialTimeoutUs) {
         this.pool = pool;
         this.address = address;
-        this.dialUs = dialUs;
+        this.dialTimeoutUs = dialTimeoutUs;
     }
 
     @Override
@@ -70,7 +70,7 @@
     }
 
     int load() {
-        return line.size() + unsent.size();
+        return awaitingAnswer.size() + unsent.size();
     }
 
     /**
@@ -78,28 +78,28 @@
      * prove that a write did not run: it may be a second answer to the previous command, or the late answer
      * to a command that such a second answer was taken to belong to.
      */
-    boolean certain(long now) {
+    boolean nextAnswerUnambiguous(long now) {
         long quietUs = now - pool.pools.proxy.justStoodStillUs(now) - idleSinceUs;
-        return !answered || !doubtful && quietUs > SECOND_ANSWER_US;
+        return !anyAnswer || !lastAnswerUncertain && quietUs > SECOND_ANSWER_WINDOW_US;
     }
 
     boolean usable() {
-        return !closed && !retired && sending.isEmpty() && (!up || channel.isActive());
+        return !closed && !retired && sending.isEmpty() && (!established || channel.isActive());
     }
 
     void add(Attempt a) {
         a.connection = this;
-        wanted = true;
+        everUsed = true;
         unsent.add(a);
-        begin();
+        startWaiting();
     }
 
     /** Starts the waiting attempts, each after the one before it has been written whole. */
-    private void begin() {
-        while (up && !unsent.isEmpty() && sending.isEmpty() && !closed) {
+    private void startWaiting() {
+        while (established && !unsent.isEmpty() && sending.isEmpty() && !closed) {
             Attempt a = unsent.poll();
-            if (mayBegin(a)) {
-                line.add(a);
+            if (mayStart(a)) {
+                awaitingAnswer.add(a);
                 write(a);
             } else {
                 end(a, Router.Outcome.NOT_SENT, null);
@@ -111,53 +111,53 @@
      * False if the client has left or has its answer, if the node is draining or left out, or if the attempt
      * has waited longer than the dial timeout, which the router has reckoned with.
      */
-    private boolean mayBegin(Attempt a) {
+    private boolean mayStart(Attempt a) {
         return !a.exchange.answered
-                && pool.takes(this)
-                && pool.pools.proxy.now() - a.sentUs <= dialUs;
+                && pool.acceptsAttempts(this)
+                && pool.pools.proxy.now() - a.sentUs <= dialTimeoutUs;
     }
 
     private void write(Attempt a) {
         long waitUs = a.waitUs - (pool.pools.proxy.now() - a.sentUs);
         Command c = a.exchange.command;
         if (c.large()) {
-            sending.add(a); // first: the write of its command line may call send()
+            sending.add(a); // first: the write of its command line may call sendSlices()
         }
         ChannelFuture written = channel.writeAndFlush(c.encode(channel.alloc(), waitUs));
         if (c.large()) {
-            send();
+            sendSlices();
         } else {
-            written.addListener(f -> written(a, f.isSuccess()));
+            written.addListener(f -> onWritten(a, f.isSuccess()));
         }
     }
 
     /** Writes large values in slices, so that little more is buffered than the socket takes. */
-    private void send() {
+    private void sendSlices() {
         while (!sending.isEmpty() && channel.isWritable() && !closed) {
             Attempt a = sending.peek();
             if (pool.pools.proxy.now() >= a.lastByteByUs) {
-                line.remove(a);
+                awaitingAnswer.remove(a);
                 end(a, Router.Outcome.NOT_SENT, null); // sent whole, it might run twice
                 close();
                 return;
             }
             Command c = a.exchange.command;
-            int from = sent;
-            sent += SLICE_BYTES;
-            boolean last = sent >= c.valueBytes();
+            int from = sentBytes;
+            sentBytes += SLICE_BYTES;
+            boolean last = sentBytes >= c.valueBytes();
             if (last) {
-                sent = 0;
+                sentBytes = 0;
                 sending.poll();
             }
-            // the write may call send() again, so the state was updated before it
+            // the write may call sendSlices() again, so the state was updated before it
             ChannelFuture written = channel.writeAndFlush(c.slice(from, SLICE_BYTES));
             if (last) {
-                written.addListener(f -> written(a, f.isSuccess()));
+                written.addListener(f -> onWritten(a, f.isSuccess()));
             }
         }
     }
 
-    private void written(Attempt a, boolean whole) {
+    private void onWritten(Attempt a, boolean whole) {
         if (whole) {
             a.written = true;
             pool.pools.proxy.figures().tries.add(1);
@@ -166,30 +166,30 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        send();
+        sendSlices();
         if (!unsent.isEmpty() && sending.isEmpty()) {
-            pool.pools.proxy.events.add(this::begin); // as in channelActive
+            pool.pools.proxy.events.add(this::startWaiting); // as in channelActive
         }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        up = true;
+        established = true;
         // the same pass of the event loop may still read that the waiting client has left
-        pool.pools.proxy.events.add(this::beginFirst);
+        pool.pools.proxy.events.add(this::startFirst);
     }
 
-    private void beginFirst() {
-        begin();
-        if (wanted && !answered && line.isEmpty() && unsent.isEmpty() && !closed) {
-            pool.idle(this); // the attempts that it was opened for have ended
+    private void startFirst() {
+        startWaiting();
+        if (everUsed && !anyAnswer && awaitingAnswer.isEmpty() && unsent.isEmpty() && !closed) {
+            pool.onIdle(this); // the attempts that it was opened for have ended
         }
     }
 
-    void dialed(ChannelFuture f) {
+    void onConnectDone(ChannelFuture f) {
         if (!f.isSuccess()) {
-            pool.pools.dialFailed();
-            gone();
+            pool.pools.countFailedDial();
+            onClosed();
         }
     }
 
@@ -203,13 +203,13 @@
     boolean giveUp(Attempt a) {
         a.over = true;
         if (unsent.remove(a)) {
-            if (line.isEmpty() && unsent.isEmpty()) {
+            if (awaitingAnswer.isEmpty() && unsent.isEmpty()) {
                 close();
             }
             return false;
         }
         retired = true;
-        handBack();
+        returnUnstarted();
         if (anyWaiting()) {
             return true;
         }
@@ -219,8 +219,8 @@
     }
 
     /** Ends the attempts that have not been started: they may be sent elsewhere. */
-    void handBack() {
-        boolean dialing = !up;
+    void returnUnstarted() {
+        boolean dialing = !established;
         for (Attempt a = unsent.poll(); a != null; a = unsent.poll()) {
             end(a, Router.Outcome.NOT_SENT, null);
         }
@@ -232,56 +232,56 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
         if (message instanceof Answer answer) {
-            answered(answer);
+            onAnswer(answer);
         } else if (message instanceof ByteBuf bytes) {
             if (relay != null) {
                 relay.more(bytes.retain());
             }
         } else {
-            pieced();
+            valueComplete();
         }
     }
 
-    private void answered(Answer answer) {
-        Attempt a = line.peek();
+    private void onAnswer(Answer answer) {
+        Attempt a = awaitingAnswer.peek();
         if (a == null || closed) {
             close(); // an answer without a command
             return;
         }
-        boolean ours = answer.outcome != Router.Outcome.OK || fits(answer, a);
-        if (answer.broken || inPieces || !a.written || !ours) {
+        boolean ours = answer.outcome != Router.Outcome.OK || matches(answer, a);
+        if (answer.broken || receivingPieces || !a.written || !ours) {
             pool.pools.log.line(
                     "node "
                             + pool.name
                             + " broke the protocol"
                             + (answer.broken ? ": " + Config.shown(answer.receipt) : ""));
             // RESET, not ERROR: the command may have run, and this tells nothing of capacity
-            if (!inPieces) {
-                line.poll();
+            if (!receivingPieces) {
+                awaitingAnswer.poll();
                 end(a, Router.Outcome.RESET, null);
             }
             close(); // further answers cannot be matched to attempts
             return;
         }
         if (answer.follows > 0) {
-            inPieces = true;
-            relayed = answer;
+            receivingPieces = true;
+            relayedAnswer = answer;
             relay = a.over ? null : pool.pools.proxy.relays.begin(a, answer, this);
             if (relay == null) {
-                end(a, answer.outcome, answer); // it stays in line until its pieces are read
-                if (!anyWaitingBehind()) {
+                end(a, answer.outcome, answer); // it stays queued until its pieces are read
+                if (!anyWaitingAfterFirst()) {
                     close(); // discarding up to 4 MiB costs more than a new connection
                 }
             }
             return;
         }
-        finished(a, answer);
+        answerComplete(a, answer);
     }
 
     /** The value that was received in pieces is complete. */
-    private void pieced() {
-        inPieces = false;
-        Attempt a = line.peek();
+    private void valueComplete() {
+        receivingPieces = false;
+        Attempt a = awaitingAnswer.peek();
         if (relay != null) {
             Relay r = relay;
             relay = null;
@@ -289,18 +289,18 @@
             r.whole();
         }
         if (a != null) {
-            finished(a, relayed);
+            answerComplete(a, relayedAnswer);
         }
-        relayed = null;
+        relayedAnswer = null;
     }
 
-    /** The first attempt in line has its whole answer. */
-    private void finished(Attempt a, Answer answer) {
-        line.poll();
-        answered = true;
-        doubtful = answer.outcome != Router.Outcome.OK;
-        if (line.isEmpty() && unsent.isEmpty() && !retired) {
-            pool.idle(this);
+    /** The first attempt of {@link #awaitingAnswer} has its whole answer. */
+    private void answerComplete(Attempt a, Answer answer) {
+        awaitingAnswer.poll();
+        anyAnswer = true;
+        lastAnswerUncertain = answer.outcome != Router.Outcome.OK;
+        if (awaitingAnswer.isEmpty() && unsent.isEmpty() && !retired) {
+            pool.onIdle(this);
         }
         if (!a.over) {
             end(a, answer.outcome, answer);
@@ -325,9 +325,9 @@
         }
     }
 
-    /** Whether an attempt in line still waits for its answer. */
+    /** Whether an attempt that was not given up waits for its answer. */
     private boolean anyWaiting() {
-        for (Attempt a : line) {
+        for (Attempt a : awaitingAnswer) {
             if (!a.over) {
                 return true;
             }
@@ -335,10 +335,10 @@
         return false;
     }
 
-    /** Whether an attempt in line, other than the first, still waits for its answer. */
-    private boolean anyWaitingBehind() {
+    /** The same for the attempts after the first. */
+    private boolean anyWaitingAfterFirst() {
         boolean first = true;
-        for (Attempt a : line) {
+        for (Attempt a : awaitingAnswer) {
             if (!first && !a.over) {
                 return true;
             }
@@ -348,7 +348,7 @@
     }
 
     /** Whether an answer has the kind and the id that this attempt calls for. */
-    private static boolean fits(Answer answer, Attempt a) {
+    private static boolean matches(Answer answer, Attempt a) {
         Command c = a.exchange.command;
         return c.opaque.equals(answer.opaque) && c.write != answer.isValue();
     }
@@ -362,7 +362,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        gone();
+        onClosed();
     }
 
     @Override
@@ -375,22 +375,22 @@
         if (!closed) {
             channel.close();
         }
-        gone();
+        onClosed();
     }
 
-    private void gone() {
+    private void onClosed() {
         if (closed) {
             return;
         }
         closed = true;
-        pool.removed(this);
+        pool.onClosed(this);
         if (relay != null) {
             Relay r = relay;
             relay = null;
             r.brokenOff();
         }
-        while (!line.isEmpty()) {
-            Attempt a = line.poll();
+        while (!awaitingAnswer.isEmpty()) {
+            Attempt a = awaitingAnswer.poll();
             end(a, a.broken(), null);
         }
         while (!unsent.isEmpty()) {
--- a/src/main/java/holdproxy/net/NodePool.java
+++ b/src/main/java/holdproxy/net/NodePool.java
@@ -16,9 +16,9 @@
     InetSocketAddress address;
 
     /** The node gets no new requests, so a connection is closed rather than kept after its last answer. */
-    private boolean left;
+    private boolean excluded;
 
-    private final List<NodeConnection> all = new ArrayList<>();
+    private final List<NodeConnection> connections = new ArrayList<>();
 
     /** Most recently used last. The last is taken first, so that surplus connections time out. */
     private final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
@@ -33,12 +33,12 @@
 
     void send(Attempt a) {
         boolean repeatable = a.exchange.repeatable;
-        NodeConnection c = idle(repeatable);
+        NodeConnection c = takeIdle(repeatable);
         if (c == null) {
             c = pools.open(this);
         }
         if (c == null && repeatable) {
-            c = shared();
+            c = leastLoaded();
         }
         if (c == null) {
             pools.log.line("no file descriptor left for a connection to node " + name);
@@ -52,17 +52,17 @@
      * The most recently used idle connection that is usable; for a request that must not run twice, one whose
      * next answer can only be its own. Null if there is none.
      */
-    private NodeConnection idle(boolean repeatable) {
+    private NodeConnection takeIdle(boolean repeatable) {
         long now = pools.proxy.now();
-        while (!idle.isEmpty() && now - idle.peekFirst().idleSinceUs >= pools.idleUs) {
+        while (!idle.isEmpty() && now - idle.peekFirst().idleSinceUs >= pools.idleTimeoutUs) {
             idle.peekFirst().close(); // the event loop was late to run its timer
         }
         for (Iterator<NodeConnection> newest = idle.descendingIterator(); newest.hasNext(); ) {
             NodeConnection c = newest.next();
-            if (c.usable() && (repeatable || c.certain(now))) {
+            if (c.usable() && (repeatable || c.nextAnswerUnambiguous(now))) {
                 newest.remove();
                 stopTimer(c);
-                pools.reused();
+                pools.countReused();
                 return c;
             }
         }
@@ -70,20 +70,20 @@
     }
 
     /** Whether new attempts may start on this connection: the node takes them and has not moved. */
-    boolean takes(NodeConnection c) {
-        return !left && address.equals(c.address);
+    boolean acceptsAttempts(NodeConnection c) {
+        return !excluded && address.equals(c.address);
     }
 
     /**
      * The usable connection with the fewest attempts, to share it. Only for when no descriptor is left: on a
      * shared connection a quick answer waits behind a slow one.
      */
-    private NodeConnection shared() {
+    private NodeConnection leastLoaded() {
         NodeConnection best = null;
-        if (pools.streams > 1) {
-            for (NodeConnection c : all) {
+        if (pools.maxStreams > 1) {
+            for (NodeConnection c : connections) {
                 if (c.usable()
-                        && c.load() < pools.streams
+                        && c.load() < pools.maxStreams
                         && (best == null || c.load() < best.load())) {
                     best = c;
                 }
@@ -92,31 +92,31 @@
         return best;
     }
 
-    void added(NodeConnection c) {
-        all.add(c);
+    void onOpened(NodeConnection c) {
+        connections.add(c);
     }
 
-    void idle(NodeConnection c) {
-        if (!takes(c)) {
+    void onIdle(NodeConnection c) {
+        if (!acceptsAttempts(c)) {
             c.close();
             return;
         }
         c.idleSinceUs = pools.proxy.now();
         idle.addLast(c);
-        closeWhenOld(c);
+        scheduleIdleClose(c);
     }
 
     /** Closes the connection before the node does: a request written just then would end as a reset. */
-    private void closeWhenOld(NodeConnection c) {
-        long left = c.idleSinceUs + pools.idleUs - pools.proxy.now();
-        idleTimers.put(c, pools.after(Math.max(0, left), c::close));
+    private void scheduleIdleClose(NodeConnection c) {
+        long remainingUs = c.idleSinceUs + pools.idleTimeoutUs - pools.proxy.now();
+        idleTimers.put(c, pools.schedule(Math.max(0, remainingUs), c::close));
     }
 
     /** Applies new settings to the connections that are idle already. */
-    void retuned() {
+    void onSettingsChanged() {
         for (NodeConnection c : idle) {
             stopTimer(c);
-            closeWhenOld(c);
+            scheduleIdleClose(c);
         }
     }
 
@@ -127,34 +127,34 @@
         }
     }
 
-    void removed(NodeConnection c) {
-        if (all.remove(c)) {
+    void onClosed(NodeConnection c) {
+        if (connections.remove(c)) {
             idle.remove(c);
             stopTimer(c);
-            pools.closed();
+            pools.connectionClosed();
         }
     }
 
-    void leave() {
-        left = true;
-        nothingNew();
+    void exclude() {
+        excluded = true;
+        stopNewAttempts();
     }
 
     /** Started attempts go on; those that wait for a connection go back to the router at once. */
-    private void nothingNew() {
+    private void stopNewAttempts() {
         closeIdle();
-        for (NodeConnection c : List.copyOf(all)) {
-            if (!takes(c)) {
-                c.handBack();
+        for (NodeConnection c : List.copyOf(connections)) {
+            if (!acceptsAttempts(c)) {
+                c.returnUnstarted();
             }
         }
     }
 
-    void listed(InetSocketAddress now) {
-        left = false;
-        if (!address.equals(now)) {
-            address = now;
-            nothingNew();
+    void include(InetSocketAddress listedAddress) {
+        excluded = false;
+        if (!address.equals(listedAddress)) {
+            address = listedAddress;
+            stopNewAttempts();
         }
     }
 
--- a/src/main/java/holdproxy/net/NodePools.java
+++ b/src/main/java/holdproxy/net/NodePools.java
@@ -12,26 +12,32 @@
 /** All connections to cache nodes, by the router's number of the node, within one limit on descriptors. */
 final class NodePools {
     /** Idle connections are closed before the node does it: 1 part in this many of its timeout earlier. */
-    private static final long IDLE_SHARE = 5;
+    private static final long IDLE_MARGIN_DIVISOR = 5;
 
     final Proxy proxy;
     final Log log;
-    int streams;
-    long idleUs;
-    private final int most;
+    int maxStreams;
+    long idleTimeoutUs;
+    private final int maxConnections;
     private final EventLoop loop;
     private final Transport transport;
-    private long dialUs;
+    private long dialTimeoutUs;
     private final Map<Integer, NodePool> byId = new HashMap<>();
-    private int open;
+    private int openConnections;
     private int dials;
     private int dialsFailed;
     private int reused;
 
-    NodePools(Proxy proxy, Config config, EventLoop loop, Log log, int most, Transport transport) {
+    NodePools(
+            Proxy proxy,
+            Config config,
+            EventLoop loop,
+            Log log,
+            int maxConnections,
+            Transport transport) {
         this.proxy = proxy;
         this.log = log;
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.loop = loop;
         this.transport = transport;
         retune(config.settings);
@@ -41,21 +47,24 @@
     void retune(Router.Settings settings) {
         // a drain may be received while an attempt waits for its connection: the attempt has to be
         // written within the drain's grace
-        long grace = settings.drainGraceUs;
-        dialUs = grace > 0 ? Math.min(settings.dialTimeoutUs, grace / 2) : settings.dialTimeoutUs;
+        long graceUs = settings.drainGraceUs;
+        dialTimeoutUs =
+                graceUs > 0
+                        ? Math.min(settings.dialTimeoutUs, graceUs / 2)
+                        : settings.dialTimeoutUs;
         // an attempt given up on a shared connection may still run at the node: connections are
         // shared only where second copies are allowed
-        streams = settings.secondCopies ? settings.streamsPerConnection : 1;
-        idleUs = settings.idleCloseUs - settings.idleCloseUs / IDLE_SHARE;
-        byId.values().forEach(NodePool::retuned);
+        maxStreams = settings.secondCopies ? settings.streamsPerConnection : 1;
+        idleTimeoutUs = settings.idleCloseUs - settings.idleCloseUs / IDLE_MARGIN_DIVISOR;
+        byId.values().forEach(NodePool::onSettingsChanged);
     }
 
     /** Adds or updates a node of the list; it gets requests unless operators have left it out. */
     void put(int id, String name, InetSocketAddress address, boolean out) {
         NodePool pool = byId.computeIfAbsent(id, i -> new NodePool(this, name, address));
-        pool.listed(address);
+        pool.include(address);
         if (out) {
-            pool.leave();
+            pool.exclude();
         }
     }
 
@@ -63,17 +72,17 @@
     void leaveOut(int id, boolean out) {
         NodePool pool = byId.get(id);
         if (pool != null && out) {
-            pool.leave();
+            pool.exclude();
         } else if (pool != null) {
-            pool.listed(pool.address);
+            pool.include(pool.address);
         }
     }
 
     /** The node has left the list ({@code gone}) or takes no new requests. */
-    void leave(int id, boolean gone) {
+    void exclude(int id, boolean gone) {
         NodePool pool = byId.get(id);
         if (pool != null) {
-            pool.leave();
+            pool.exclude();
             if (gone) {
                 byId.remove(id);
             }
@@ -84,30 +93,35 @@
         return byId.get(id);
     }
 
-    Future<?> after(long us, Runnable task) {
+    Future<?> schedule(long us, Runnable task) {
         return loop.schedule(task, us, TimeUnit.MICROSECONDS);
     }
 
     /** Opens a connection; null if no descriptor is left for it. */
     NodeConnection open(NodePool pool) {
-        if (open >= most && byId.values().stream().noneMatch(NodePool::closeOldest)) {
+        if (openConnections >= maxConnections
+                && byId.values().stream().noneMatch(NodePool::closeOldest)) {
             return null;
         }
-        open++;
+        openConnections++;
         dials++;
-        NodeConnection c = new NodeConnection(pool, pool.address, dialUs);
-        pool.added(c);
+        NodeConnection c = new NodeConnection(pool, pool.address, dialTimeoutUs);
+        pool.onOpened(c);
         transport
-                .connect(pool.address, (int) Math.max(1, dialUs / 1000), new Answer.Decoder(), c)
-                .addListener((ChannelFutureListener) c::dialed);
+                .connect(
+                        pool.address,
+                        (int) Math.max(1, dialTimeoutUs / 1000),
+                        new Answer.Decoder(),
+                        c)
+                .addListener((ChannelFutureListener) c::onConnectDone);
         return c;
     }
 
-    void dialFailed() {
+    void countFailedDial() {
         dialsFailed++;
     }
 
-    void reused() {
+    void countReused() {
         reused++;
     }
 
@@ -123,12 +137,12 @@
                                 + " reused="
                                 + reused
                                 + " open="
-                                + open;
+                                + openConnections;
         dials = dialsFailed = reused = 0;
         return text;
     }
 
-    void closed() {
-        open--;
+    void connectionClosed() {
+        openConnections--;
     }
 }
--- a/src/main/java/holdproxy/net/Sockets.java
+++ b/src/main/java/holdproxy/net/Sockets.java
@@ -22,7 +22,7 @@
     private static final int BACKLOG = 512;
 
     /** Reads of one socket, of at most 64 KiB each, before the others: a large value must not delay them. */
-    private static final int READS_A_TURN = 4;
+    private static final int MAX_READS_PER_PASS = 4;
 
     private final EventLoop loop;
     private final Bootstrap client;
@@ -41,7 +41,7 @@
                         .option(
                                 ChannelOption.RECVBUF_ALLOCATOR,
                                 new AdaptiveRecvByteBufAllocator()
-                                        .maxMessagesPerRead(READS_A_TURN));
+                                        .maxMessagesPerRead(MAX_READS_PER_PASS));
     }
 
     @Override
@@ -92,8 +92,8 @@
      * on a socket, and its end, is read in the next pass.
      */
     @Override
-    public void whenRead(Runnable task, boolean late) {
-        if (late) {
+    public void whenRead(Runnable task, boolean stalled) {
+        if (stalled) {
             loop.schedule(task, 1, TimeUnit.MILLISECONDS);
         } else {
             loop.execute(task);
--- a/src/main/java/holdproxy/net/Transport.java
+++ b/src/main/java/holdproxy/net/Transport.java
@@ -24,10 +24,10 @@
 
     /**
      * Runs a task once all that has been received so far is read: in memory, where messages are delivered one
-     * by one, that is at once. {@code late}: the event loop was stalled, so that the end of a connection may
-     * follow what was read from it.
+     * by one, that is at once. {@code stalled}: the event loop was stalled, so that the end of a connection
+     * may follow what was read from it.
      */
-    default void whenRead(Runnable task, boolean late) {
+    default void whenRead(Runnable task, boolean stalled) {
         task.run();
     }
 
--- a/src/test/java/holdproxy/net/DiscoveryTest.java
+++ b/src/test/java/holdproxy/net/DiscoveryTest.java
@@ -26,7 +26,7 @@
         return p;
     }
 
-    private static String callLine(Peer call) throws IOException {
+    private static String requestLine(Peer call) throws IOException {
         String first = call.line();
         for (String line = first; !line.isEmpty(); line = call.line()) {
             // skips the rest of the request
@@ -39,7 +39,7 @@
         try (Fixture f = new Fixture(1)) {
             assertEquals(
                     "GET /registry/instances?stream=1&index=1 HTTP/1.1",
-                    callLine(f.discovery.next()));
+                    requestLine(f.discovery.next()));
         }
     }
 
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void anAttemptOutAtANodeThatDrainsIsStillAnswered() throws Exception {
+    void anAttemptInProgressAtADrainingNodeIsStillAnswered() throws Exception {
         try (Fixture f = new Fixture(1)) {
             f.nodes.add(new Peer.Listener());
             Peer client = f.client();
@@ -90,7 +90,7 @@
             serve(f, f.client(), "a1", 0, null);
             assertEquals(
                     "GET /registry/instances?stream=1&index=5 HTTP/1.1",
-                    callLine(f.discovery.next()));
+                    requestLine(f.discovery.next()));
         }
     }
 
@@ -98,16 +98,16 @@
     void aCallThatFailsIsMadeAgainAndTheKnownListServesMeanwhile() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer call = f.discovery.next();
-            callLine(call);
+            requestLine(call);
             call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             call.expectEnd();
             serve(f, f.client(), "a1", 0, null);
-            callLine(f.discovery.next());
+            requestLine(f.discovery.next());
         }
     }
 
     @Test
-    void theWatchGoesOnWhereTheConfigurationReadAgainSays(@TempDir Path folder) throws Exception {
+    void theWatchMovesToTheAddressOfAReloadedConfiguration(@TempDir Path folder) throws Exception {
         try (Fixture f = new Fixture(1);
                 Peer.Listener other = new Peer.Listener()) {
             Peer open = serve(f, f.client(), "a1", 0, null);
@@ -123,17 +123,17 @@
                     file, "{\"discovery\":\"" + other.address() + "\"," + json.substring(1));
             Service.reload(f.config, f.proxy, f.loop, ConfigSource.of(env));
             assertEquals(
-                    "GET /registry/instances?stream=1&index=5 HTTP/1.1", callLine(other.next()));
+                    "GET /registry/instances?stream=1&index=5 HTTP/1.1", requestLine(other.next()));
             watch.expectEnd();
         }
     }
 
     @Test
-    void whereListsArePushedTheWatchBeginsWithTheProxy() throws Exception {
+    void withPushedListsTheWatchIsOpenedWhenTheProxyStarts() throws Exception {
         try (Fixture f = new Fixture(1, s -> s.replace("\"subscribe\"", "\"automatic\""), 1024)) {
             assertEquals(
                     "GET /registry/instances?stream=1&index=1 HTTP/1.1",
-                    callLine(f.discovery.next()));
+                    requestLine(f.discovery.next()));
         }
     }
 }
--- a/src/test/java/holdproxy/net/CrossingsTest.java
+++ b/src/test/java/holdproxy/net/EventOrderTest.java
@@ -27,9 +27,9 @@
 
 /** Answers, requests, lists and closed connections in harmful orders, which the tests force. */
 @Timeout(60)
-class CrossingsTest {
+class EventOrderTest {
     /** Settings with which the proxy asks for lists, at least every 10 s. */
-    private static final String ASKING =
+    private static final String REQUESTED_LISTS =
             Fixture.SETTINGS.replace("\"askWithinMs\":100.0", "\"askWithinMs\":10000.0");
 
     private static void served(Peer client, Peer node, String id) throws Exception {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void behindAnAnswerWithoutAnIdNoWriteIsBegun() throws Exception {
+    void noWriteIsSentOnAConnectionAfterAnAnswerWithoutAnId() throws Exception {
         MockTicker clock = Ticker.newMockTicker();
         try (Fixture f =
                 new Fixture(
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void aConnectionThatComesBackFromWhereItsNodeWasBeforeIsNotUsedAgain() throws Exception {
+    void aConnectionToTheOldAddressOfANodeIsNotReused() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer watch = f.watch();
             Peer client = f.client();
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aListThatIsOlderThanTheOneHeldIsNotTaken() throws Exception {
+    void aListThatIsOlderThanTheOneHeldIsIgnored() throws Exception {
         try (Fixture f = new Fixture(1)) {
             f.nodes.add(new Peer.Listener());
             Peer watch = f.watch();
@@ -162,7 +162,7 @@
 
     /** Discovery may have sent the drain long before: the loop is late by more than the grace. */
     @Test
-    void aDrainThatIsReadBehindARequestInOneTurnHoldsForIt() throws Exception {
+    void aDrainReadAfterARequestInTheSamePassAppliesToTheRequest() throws Exception {
         try (Fixture f = new Fixture(1)) {
             f.nodes.add(new Peer.Listener());
             Peer watch = f.watch();
@@ -185,7 +185,7 @@
 
     /** The same for an attempt that follows from an answer: the retry after a refusal. */
     @Test
-    void aDrainThatIsReadBehindARefusalInOneTurnHoldsForTheNextAttempt() throws Exception {
+    void aDrainReadAfterARefusalInTheSamePassAppliesToTheNextAttempt() throws Exception {
         try (Fixture f = new Fixture(2)) {
             f.nodes.add(new Peer.Listener());
             Peer watch = f.watch();
@@ -223,7 +223,7 @@
     }
 
     @Test
-    void aNodeThatEndsAConnectionInTheTurnOfARequestGetsItOnANewOne() throws Exception {
+    void aRequestReadInTheSamePassAsTheEndOfAConnectionUsesANewOne() throws Exception {
         MockTicker clock = Ticker.newMockTicker();
         try (Fixture f = new Fixture(1, s -> s, 1024, clock)) {
             Peer client = f.client();
@@ -282,7 +282,7 @@
      * not yet stored the channel.
      */
     @Test
-    void toldToEndAsSoonAsItListensItGoesOnWhileConnectionsCome(@TempDir Path folder)
+    void aShutdownRightAfterListeningStillServesNewConnections(@TempDir Path folder)
             throws Exception {
         EventLoop loop = Service.loop(new Turns());
         try (Peer.Listener node = new Peer.Listener();
@@ -303,7 +303,7 @@
             Sockets sockets = new Sockets(loop, null);
             AtomicReference<Proxy> proxy = new AtomicReference<>();
             List<Boolean> endedAtOnce = new ArrayList<>();
-            Told told =
+            Shutdown shutdown =
                     address -> {
                         Future<Void> ended;
                         try (Peer client = Peer.to(address)) {
@@ -334,7 +334,7 @@
                                 InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
                             ChannelFuture bound = sockets.listen(address, handlers);
                             if (!loop.inEventLoop()) {
-                                told.toEnd(
+                                shutdown.runUnchecked(
                                         (InetSocketAddress)
                                                 bound.syncUninterruptibly()
                                                         .channel()
@@ -362,7 +362,7 @@
             loop.submit(proxy.get()::begin).get();
             Service.listen(proxy.get(), config, loop, false);
             if (endedAtOnce.isEmpty()) {
-                told.toEnd(proxy.get().address());
+                shutdown.runUnchecked(proxy.get().address());
             }
             assertEquals(List.of(false), endedAtOnce);
         } finally {
@@ -370,12 +370,12 @@
         }
     }
 
-    private interface Told {
-        void with(InetSocketAddress address) throws Exception;
+    private interface Shutdown {
+        void run(InetSocketAddress address) throws Exception;
 
-        default void toEnd(InetSocketAddress address) {
+        default void runUnchecked(InetSocketAddress address) {
             try {
-                with(address);
+                run(address);
             } catch (Exception e) {
                 throw new AssertionError(e);
             }
@@ -384,7 +384,7 @@
 
     /** The end of the connection follows the request, and one read of the socket does not reach it. */
     @Test
-    void aClientThatSentAndLeftWhileTheLoopStoodStillHasNothingSentOn() throws Exception {
+    void requestsOfAClientThatLeftWhileTheLoopWasStalledAreNotForwarded() throws Exception {
         MockTicker clock = Ticker.newMockTicker();
         try (Fixture f = new Fixture(1, s -> s, 1024, clock)) {
             Peer client = f.client();
@@ -404,7 +404,7 @@
 
     /** More connections than one pass accepts: the loop was stalled at the end of the time for new ones. */
     @Test
-    void whatTheKernelHasAcceptedBeforeTheEndIsTakenAndAnswered() throws Exception {
+    void connectionsTheKernelAcceptedBeforeTheShutdownAreServed() throws Exception {
         try (Fixture f = new Fixture(1)) {
             List<Peer> late = new ArrayList<>();
             f.turn();
@@ -426,25 +426,26 @@
 
     /** Pushed changes count from the start of the process, and the list of its configuration may be older. */
     @Test
-    void wherePushedListsCountFromTheStartNobodyIsTakenBeforeTheFirst(@TempDir Path folder)
+    void withPushedListsNoClientIsAcceptedBeforeTheFirstList(@TempDir Path folder)
             throws Exception {
-        nobodyIsTakenBeforeTheFirstList(
+        checkNoClientIsAcceptedBeforeTheFirstList(
                 folder, Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\""));
     }
 
     /** Changes that discovery has had for 6 s count for a new process too, whatever list it starts with. */
     @Test
-    void whereListsAreAskedForNobodyIsTakenBeforeTheFirst(@TempDir Path folder) throws Exception {
-        nobodyIsTakenBeforeTheFirstList(folder, ASKING);
+    void withRequestedListsNoClientIsAcceptedBeforeTheFirstList(@TempDir Path folder)
+            throws Exception {
+        checkNoClientIsAcceptedBeforeTheFirstList(folder, REQUESTED_LISTS);
     }
 
     /** No list can be received then, so the start does not wait for one. */
     @Test
-    void whereDiscoveryCannotBeReachedClientsAreTakenWithTheListThatIsHeld(@TempDir Path folder)
+    void withUnreachableDiscoveryClientsAreAcceptedWithTheListThatIsHeld(@TempDir Path folder)
             throws Exception {
         EventLoop loop = Service.loop(new Turns());
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Fixture.json(Fixture.list(1, true), ASKING, 1024));
+        Files.writeString(file, Fixture.json(Fixture.list(1, true), REQUESTED_LISTS, 1024));
         try (Peer.Listener discovery = new Peer.Listener()) {
             String closed = discovery.address();
             discovery.close();
@@ -459,7 +460,7 @@
         }
     }
 
-    private static void nobodyIsTakenBeforeTheFirstList(Path folder, String settings)
+    private static void checkNoClientIsAcceptedBeforeTheFirstList(Path folder, String settings)
             throws Exception {
         EventLoop loop = Service.loop(new Turns());
         try (Peer.Listener drains = new Peer.Listener();
@@ -505,7 +506,7 @@
 
     /** Each of these ends the watch, and the list that is held stays in use. */
     @Test
-    void whatIsNoListEndsTheWatchAlone() throws Exception {
+    void anInvalidListEndsOnlyTheWatch() throws Exception {
         for (String bad :
                 new String[] {
                     "nothing",
--- a/src/test/java/holdproxy/net/LeftOutTest.java
+++ b/src/test/java/holdproxy/net/LeftOutNodesTest.java
@@ -9,7 +9,7 @@
 
 /** Nodes left out by operators, on a proxy with real sockets: connections and accepted node names. */
 @Timeout(60)
-class LeftOutTest {
+class LeftOutNodesTest {
     private static void leaveOut(Fixture f, String node, boolean out) throws Exception {
         f.loop.submit(() -> f.proxy.members().leaveOut(node, out, f.proxy.now())).get();
     }
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void itsIdleConnectionsEndAndItIsSentNothingUntilItIsUsedAgain() throws Exception {
+    void aLeftOutNodeLosesItsIdleConnectionsAndGetsNothingUntilItIsUsedAgain() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
             client.send(Fixture.read("a1", 4000));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void anAnswerThatWasUnderWayIsServedAndItsConnectionEndsThen() throws Exception {
+    void anAttemptInProgressIsAnsweredBeforeItsConnectionIsClosed() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer client = f.client();
             client.send(Fixture.read("a1", 4000));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void onlyIdsOfTheListAreKnownAndThoseThatAreOutMayComeBack() throws Exception {
+    void onlyNodesThatAreListedOrLeftOutAreKnown() throws Exception {
         try (Fixture f = new Fixture(2)) {
             assertTrue(knows(f, "s-0", true));
             assertTrue(knows(f, "s-0", false));
--- a/src/test/java/holdproxy/net/KeptOutTest.java
+++ b/src/test/java/holdproxy/net/LeftOutStoreTest.java
@@ -16,29 +16,29 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** How operators' changes reach the next process, and the other one while two run. */
-class KeptOutTest {
+class LeftOutStoreTest {
     @TempDir Path folder;
     private final MockTicker ticker = Ticker.newMockTicker();
     private final Time time = new Time(ticker, () -> 1_000_000);
     private final List<String> changes = new ArrayList<>();
 
-    private KeptOut process() throws IOException {
+    private KeptOut openStore() throws IOException {
         return new KeptOut(folder.resolve("left-out"), time);
     }
 
-    private List<String> told() {
-        List<String> told = List.copyOf(changes);
+    private List<String> takeChanges() {
+        List<String> taken = List.copyOf(changes);
         changes.clear();
-        return told;
+        return taken;
     }
 
-    private void change(String node, boolean out, long at) {
+    private void recordChange(String node, boolean out, long at) {
         changes.add(node + (out ? " out" : " back"));
     }
 
     @Test
-    void theNextProcessKnowsWhatIsOutAndWhatHasJustComeBack() throws Exception {
-        KeptOut first = process();
+    void theNextProcessReadsWhichNodesAreLeftOutOrHaveJustReturned() throws Exception {
+        KeptOut first = openStore();
         first.keep("s-1", true);
         first.keep("s-2/..", true);
         first.keep("s-3", true);
@@ -47,63 +47,64 @@
         // the file system has another clock than the test: by the test's, the return came just now
         Files.setLastModifiedTime(
                 folder.resolve("left-out/back-s-3"), FileTime.fromMillis(time.unixMs()));
-        process().all(this::change);
+        openStore().all(this::recordChange);
         assertEquals(
-                List.of("s-1 out", "s-2/.. out", "s-3 back"), told().stream().sorted().toList());
+                List.of("s-1 out", "s-2/.. out", "s-3 back"),
+                takeChanges().stream().sorted().toList());
         ticker.advance(1, TimeUnit.HOURS);
-        process().all(this::change);
-        assertEquals(List.of("s-1 out", "s-2/.. out"), told().stream().sorted().toList());
+        openStore().all(this::recordChange);
+        assertEquals(List.of("s-1 out", "s-2/.. out"), takeChanges().stream().sorted().toList());
     }
 
     @Test
-    void aReturnIsToldWithTheTimeOfItsCall() throws Exception {
-        KeptOut first = process();
+    void aReturnIsReportedWithTheTimeOfItsCall() throws Exception {
+        KeptOut first = openStore();
         first.keep("s-1", true);
         first.keep("s-1", false);
         Files.setLastModifiedTime(
                 folder.resolve("left-out/back-s-1"), FileTime.fromMillis(999_000));
         List<Long> at = new ArrayList<>();
-        process().all((node, out, when) -> at.add(when));
+        openStore().all((node, out, when) -> at.add(when));
         assertEquals(List.of(999_000L), at);
     }
 
     @Test
     void aCallToOneOfTwoProcessesIsSeenByTheOtherOnce() throws Exception {
-        KeptOut old = process();
-        KeptOut fresh = process();
+        KeptOut old = openStore();
+        KeptOut fresh = openStore();
         fresh.keep("s-1", true);
         fresh.keep("s-1", true);
-        old.changes(this::change);
-        old.changes(this::change);
-        assertEquals(List.of("s-1 out"), told());
+        old.changes(this::recordChange);
+        old.changes(this::recordChange);
+        assertEquals(List.of("s-1 out"), takeChanges());
         old.keep("s-1", false);
-        old.changes(this::change);
-        assertEquals(List.of(), told(), "a process does not report its own change");
-        fresh.changes(this::change);
-        fresh.changes(this::change);
-        assertEquals(List.of("s-1 back"), told());
+        old.changes(this::recordChange);
+        assertEquals(List.of(), takeChanges(), "a process does not report its own change");
+        fresh.changes(this::recordChange);
+        fresh.changes(this::recordChange);
+        assertEquals(List.of("s-1 back"), takeChanges());
     }
 
     @Test
-    void whatCannotBeReadOrKeptChangesNothing() throws Exception {
-        KeptOut process = process();
+    void aFailedReadOrWriteChangesNothing() throws Exception {
+        KeptOut process = openStore();
         process.keep("s-1", true);
         Path kept = folder.resolve("left-out");
         Files.move(kept, folder.resolve("away"));
-        assertThrows(IOException.class, () -> process.changes(this::change));
+        assertThrows(IOException.class, () -> process.changes(this::recordChange));
         assertThrows(IOException.class, () -> process.keep("s-2", true));
-        assertEquals(List.of(), told());
+        assertEquals(List.of(), takeChanges());
         Files.move(folder.resolve("away"), kept);
-        process.changes(this::change);
-        assertEquals(List.of(), told(), "s-1 is left out as before, s-2 is not");
+        process.changes(this::recordChange);
+        assertEquals(List.of(), takeChanges(), "s-1 is left out as before, s-2 is not");
         assertThrows(IOException.class, () -> process.keep("s".repeat(300), true));
     }
 
     @Test
-    void withoutAFolderItIsKnownToThisProcessAlone() throws Exception {
+    void withoutAFolderChangesStayInThisProcess() throws Exception {
         KeptOut process = new KeptOut(null, time);
         process.keep("s-1", true);
-        process.changes(this::change);
-        assertEquals(List.of(), told());
+        process.changes(this::recordChange);
+        assertEquals(List.of(), takeChanges());
     }
 }
--- a/src/test/java/holdproxy/net/DiscoveryHerdTest.java
+++ b/src/test/java/holdproxy/net/ManyProxiesDiscoveryTest.java
@@ -25,12 +25,12 @@
  * discovery having it and being reachable, however new the process is and whatever failed before. Guards
  * against retries that come too late or overload discovery.
  */
-class DiscoveryHerdTest {
-    private static final int TOLD_MS = 6_000;
-    private static final int WAIT_MOST_MS = 1_000;
+class ManyProxiesDiscoveryTest {
+    private static final int LIST_DUE_MS = 6_000;
+    private static final int MAX_WAIT_MS = 1_000;
     private static final int STEP_MS = 10;
-    private static final int DAY_MS = 40_000;
-    private static final int[] FLEETS = {2, 6, 30, 100};
+    private static final int TIME_LIMIT_MS = 40_000;
+    private static final int[] FLEET_SIZES = {2, 6, 30, 100};
 
     @TempDir Path folder;
 
@@ -38,25 +38,25 @@
     private record Call(EmbeddedChannel channel, int proxy, long arrivedMs) {}
 
     /** A simulated discovery that serves calls one after another. */
-    private final class Discovery {
+    private final class SimulatedDiscovery {
         private final MockTicker ticker = Ticker.newMockTicker();
         private final ArrayDeque<Call> queue = new ArrayDeque<>();
         private final List<EmbeddedChannel> open = new ArrayList<>();
-        private final List<ProxyAlone> proxies = new ArrayList<>();
+        private final List<SimulatedProxy> proxies = new ArrayList<>();
         private final double serviceMs;
         private long nowMs;
         private double freeAtMs;
         private boolean down;
         private int calls;
 
-        Discovery(double serviceMs) {
+        SimulatedDiscovery(double serviceMs) {
             this.serviceMs = serviceMs;
         }
 
-        void pass() throws Exception {
+        void advance() throws Exception {
             ticker.advance(STEP_MS, TimeUnit.MILLISECONDS);
             nowMs += STEP_MS;
-            for (ProxyAlone proxy : proxies) {
+            for (SimulatedProxy proxy : proxies) {
                 proxy.timers.runScheduledPendingTasks();
             }
             serve();
@@ -65,7 +65,7 @@
         private void serve() {
             while (!queue.isEmpty()) {
                 Call next = queue.peek();
-                if (down || nowMs - next.arrivedMs > WAIT_MOST_MS) {
+                if (down || nowMs - next.arrivedMs > MAX_WAIT_MS) {
                     queue.poll();
                     next.channel.writeInbound(
                             Rehearsal.bytes(
@@ -113,21 +113,22 @@
                     .orElseThrow();
         }
 
-        void passUntilAllHaveTheList() throws Exception {
-            for (int i = 0; i < DAY_MS / STEP_MS && lastListedMs() == Long.MAX_VALUE; i++) {
-                pass();
+        void advanceUntilAllHaveTheList() throws Exception {
+            for (int i = 0; i < TIME_LIMIT_MS / STEP_MS && lastListedMs() == Long.MAX_VALUE; i++) {
+                advance();
             }
         }
     }
 
     /** A proxy that is connected to discovery alone. */
-    private final class ProxyAlone implements Transport {
-        private final Discovery discovery;
+    private final class SimulatedProxy implements Transport {
+        private final SimulatedDiscovery discovery;
         private final int number;
         private final EmbeddedChannel timers;
         private long listedAtMs = -1;
 
-        ProxyAlone(Discovery discovery, int number, int fleet, long seed) throws Exception {
+        SimulatedProxy(SimulatedDiscovery discovery, int number, int fleet, long seed)
+                throws Exception {
             this.discovery = discovery;
             this.number = number;
             timers = EmbeddedChannel.builder().ticker(discovery.ticker).build();
@@ -169,10 +170,10 @@
         }
     }
 
-    private Discovery fleet(int proxies, double allCallMs, long seed) throws Exception {
-        Discovery discovery = new Discovery(allCallMs / proxies);
+    private SimulatedDiscovery fleet(int proxies, double allCallMs, long seed) throws Exception {
+        SimulatedDiscovery discovery = new SimulatedDiscovery(allCallMs / proxies);
         for (int i = 0; i < proxies; i++) {
-            discovery.proxies.add(new ProxyAlone(discovery, i, proxies, seed));
+            discovery.proxies.add(new SimulatedProxy(discovery, i, proxies, seed));
         }
         return discovery;
     }
@@ -185,13 +186,13 @@
 
     /** All proxies start together, as after a crash of all of them. */
     @Test
-    void everyNewProcessHasTheListInTimeWhateverTheNumberOfThem() throws Exception {
+    void newProcessesOfAnyNumberHaveTheListInTime() throws Exception {
         for (int allCallsMs : ALL_CALLS_MS) {
-            for (int proxies : FLEETS) {
+            for (int proxies : FLEET_SIZES) {
                 for (long seed = 1; seed <= SEEDS; seed++) {
-                    Discovery discovery = fleet(proxies, allCallsMs, seed);
-                    discovery.passUntilAllHaveTheList();
-                    judge(discovery, proxies, allCallsMs, 0);
+                    SimulatedDiscovery discovery = fleet(proxies, allCallsMs, seed);
+                    discovery.advanceUntilAllHaveTheList();
+                    check(discovery, proxies, allCallsMs, 0);
                 }
             }
         }
@@ -199,34 +200,35 @@
 
     /** Discovery goes down, which ends all watches, and comes back: no retry delay may exceed the 6 s. */
     @Test
-    void afterAnOutageEveryProxyHasTheListInTimeWhateverTheNumberOfThem() throws Exception {
+    void proxiesOfAnyNumberHaveTheListInTimeAfterAnOutage() throws Exception {
         for (int allCallsMs : ALL_CALLS_MS) {
-            for (int proxies : FLEETS) {
+            for (int proxies : FLEET_SIZES) {
                 for (long seed = 1; seed <= SEEDS; seed++) {
-                    Discovery discovery = fleet(proxies, allCallsMs, seed);
-                    discovery.passUntilAllHaveTheList();
+                    SimulatedDiscovery discovery = fleet(proxies, allCallsMs, seed);
+                    discovery.advanceUntilAllHaveTheList();
                     discovery.down(true);
                     for (int ms = 0; ms < OUTAGE_MS; ms += STEP_MS) {
-                        discovery.pass();
+                        discovery.advance();
                     }
                     discovery.down(false);
                     discovery.calls = 0;
                     long backMs = discovery.nowMs;
-                    discovery.passUntilAllHaveTheList();
-                    judge(discovery, proxies, allCallsMs, backMs);
+                    discovery.advanceUntilAllHaveTheList();
+                    check(discovery, proxies, allCallsMs, backMs);
                 }
             }
         }
     }
 
     /** The last list comes within 6 s, or later if the calls together take longer; few calls are repeated. */
-    private static void judge(Discovery discovery, int proxies, int allCallsMs, long fromMs) {
+    private static void check(
+            SimulatedDiscovery discovery, int proxies, int allCallsMs, long fromMs) {
         String what = proxies + " proxies, all calls take " + allCallsMs + " ms: ";
         long tookMs = discovery.lastListedMs() - fromMs;
-        long mostMs = Math.max(TOLD_MS, allCallsMs + 2 * WAIT_MOST_MS);
-        assertTrue(tookMs <= mostMs, what + "the last list came after " + tookMs + " ms");
+        long maxMs = Math.max(LIST_DUE_MS, allCallsMs + 2 * MAX_WAIT_MS);
+        assertTrue(tookMs <= maxMs, what + "the last list came after " + tookMs + " ms");
         double callsEach = discovery.calls / (double) proxies;
-        double mostCalls = 2 + allCallsMs / 4_000.0;
-        assertTrue(callsEach <= mostCalls, what + callsEach + " calls per proxy");
+        double maxCalls = 2 + allCallsMs / 4_000.0;
+        assertTrue(callsEach <= maxCalls, what + callsEach + " calls per proxy");
     }
 }
--- a/src/test/java/holdproxy/net/OneDialTest.java
+++ b/src/test/java/holdproxy/net/SharedConnectTest.java
@@ -24,17 +24,17 @@
  * Two requests wait for one connection to be established, as no descriptor is left for another. The first is
  * a write of a large value: the command of the second must not be sent in the middle of it.
  */
-class OneDialTest implements Transport {
+class SharedConnectTest implements Transport {
     private static final int MIB = 1 << 20;
 
     /** The connections to nodes that a limit of 128 descriptors allows. */
-    private static final int NODES = 24;
+    private static final int NODE_CONNECTIONS = 24;
 
     @TempDir Path folder;
     private final List<EmbeddedChannel> channels = new ArrayList<>();
 
     /** The handler next to the network on the first connection. */
-    private ChannelHandler wire = new TakingTheHeadAlone();
+    private ChannelHandler networkHandler = new UnwritableOnceActive();
 
     /** Leaves the first connection unestablished; all others are established at once. */
     @Override
@@ -43,14 +43,14 @@
         boolean first = channels.isEmpty();
         EmbeddedChannel channel =
                 first
-                        ? new EmbeddedChannel(false, false, behind(wire, handlers))
+                        ? new EmbeddedChannel(false, false, prepend(networkHandler, handlers))
                         : new EmbeddedChannel(handlers);
         channels.add(channel);
         return first ? channel.newPromise() : channel.newSucceededFuture();
     }
 
     /** Makes the channel unwritable once it is active, as a full socket does. */
-    private static final class TakingTheHeadAlone extends ChannelInboundHandlerAdapter {
+    private static final class UnwritableOnceActive extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             ctx.channel().unsafe().outboundBuffer().setUserDefinedWritability(1, false);
@@ -58,7 +58,7 @@
         }
     }
 
-    private static ChannelHandler[] behind(ChannelHandler first, ChannelHandler... others) {
+    private static ChannelHandler[] prepend(ChannelHandler first, ChannelHandler... others) {
         return Stream.concat(Stream.of(first), Stream.of(others)).toArray(ChannelHandler[]::new);
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** Returns the first connection, on which the write of a large value waits, and a read after it. */
-    private EmbeddedChannel waiting() throws Exception {
+    private EmbeddedChannel queueReadAfterLargeWrite() throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
@@ -106,18 +106,18 @@
                                 + " Ow1 Pc=lookup,t=acme,d=4000\r\n"
                                 + "x".repeat(MIB)
                                 + "\r\n"));
-        for (int i = 1; i < NODES; i++) {
+        for (int i = 1; i < NODE_CONNECTIONS; i++) {
             client.writeInbound(Rehearsal.bytes(Fixture.read("a" + i, 4000)));
         }
-        assertEquals(NODES, channels.size());
+        assertEquals(NODE_CONNECTIONS, channels.size());
         client.writeInbound(Rehearsal.bytes(Fixture.read("last", 4000)));
-        assertEquals(NODES, channels.size());
+        assertEquals(NODE_CONNECTIONS, channels.size());
         return channels.get(0);
     }
 
     @Test
-    void theNextCommandComesBehindTheWholeOfALargeValue() throws Exception {
-        EmbeddedChannel dialed = waiting();
+    void theNextCommandIsSentAfterTheWholeOfALargeValue() throws Exception {
+        EmbeddedChannel dialed = queueReadAfterLargeWrite();
         dialed.register();
         String head = Rehearsal.text(dialed);
         assertTrue(head.startsWith("ms 7f ") && !head.contains("Olast"), head);
@@ -129,9 +129,9 @@
     }
 
     @Test
-    void soItDoesWhereTheWriteOfItsLineMakesRoom() throws Exception {
-        wire = new LargeWriteTest.RoomAtOnce();
-        EmbeddedChannel dialed = waiting();
+    void theSameHoldsWhenTheChannelBecomesWritableDuringTheWrite() throws Exception {
+        networkHandler = new LargeWriteTest.RoomAtOnce();
+        EmbeddedChannel dialed = queueReadAfterLargeWrite();
         dialed.register();
         String all = Rehearsal.text(dialed);
         int value = all.indexOf("\r\n") + 2;
--- a/src/test/java/holdproxy/net/WatchTimesTest.java
+++ b/src/test/java/holdproxy/net/WatchRetryTimesTest.java
@@ -26,24 +26,24 @@
  * The times of repeated calls to discovery, on a mock clock: soon enough that missed changes take effect in
  * time.
  */
-class WatchTimesTest {
+class WatchRetryTimesTest {
     private static final int SEEDS = 200;
 
     /** Changes that a silent watch misses must be in effect this long after it fell silent. */
-    private static final int SILENT_TOLD_MS = 6_000;
+    private static final int MISSED_CHANGES_DUE_MS = 6_000;
 
     /** The longest that discovery takes to answer. */
     private static final int ANSWER_MS = 1_000;
 
     /** After a second silent call up to this much of the time for the answer is used up. */
-    private static final int SECOND_SILENCE_MS = 200;
+    private static final int SECOND_SILENCE_EXTRA_MS = 200;
 
     private static final int STEP_MS = 10;
 
     @TempDir Path folder;
 
     /** A proxy that is connected to discovery alone. */
-    private final class Town implements Transport {
+    private final class WatchingProxy implements Transport {
         private final MockTicker ticker = Ticker.newMockTicker();
         private final EmbeddedChannel timers = EmbeddedChannel.builder().ticker(ticker).build();
         private final List<EmbeddedChannel> calls = new ArrayList<>();
@@ -56,13 +56,13 @@
         /** The connect timeout of the latest call. */
         private int timeoutMs;
 
-        Town(long seed, String settings) throws Exception {
+        WatchingProxy(long seed, String settings) throws Exception {
             write("127.0.0.1:1", settings, seed);
             config = Config.load(Fixture.env(file, "127.0.0.1:1"));
             Time time = new Time(ticker, () -> 0);
             proxy = new Proxy(config, timers.eventLoop(), time, this, new Log(time, line -> {}));
             proxy.begin();
-            passUntilCall(1, 10_000);
+            advanceUntilCall(1, 10_000);
         }
 
         private void write(String discovery, String settings, long seed) throws Exception {
@@ -106,7 +106,7 @@
             return calls.get(calls.size() - 1);
         }
 
-        void say(EmbeddedChannel call, String list) {
+        void answer(EmbeddedChannel call, String list) {
             call.writeInbound(
                     Rehearsal.bytes(
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -116,39 +116,39 @@
                                     + "\r\n"));
         }
 
-        void pass(int ms) {
+        void advance(int ms) {
             ticker.advance(ms, TimeUnit.MILLISECONDS);
             timers.runScheduledPendingTasks();
             List.copyOf(calls).forEach(EmbeddedChannel::runScheduledPendingTasks);
         }
 
         /** Moves the clock until {@code count} calls were made; returns the time that took. */
-        int passUntilCall(int count, int mostMs) {
+        int advanceUntilCall(int count, int maxMs) {
             int passed = 0;
             for (; calls.size() < count; passed += STEP_MS) {
-                assertTrue(passed < mostMs, "no call within " + mostMs + " ms");
-                pass(STEP_MS);
+                assertTrue(passed < maxMs, "no call within " + maxMs + " ms");
+                advance(STEP_MS);
             }
             return passed;
         }
     }
 
-    private static String asking(int withinMs, int routers) {
+    private static String requestedLists(int withinMs, int proxies) {
         return Fixture.SETTINGS
                 .replace("\"askWithinMs\":100.0", "\"askWithinMs\":" + withinMs)
-                .replace("\"balancers\":1", "\"balancers\":" + routers);
+                .replace("\"balancers\":1", "\"balancers\":" + proxies);
     }
 
     @Test
-    void aSilentWatchIsOpenedAnewBeforeWhatItMissesCountsAsTold() throws Exception {
+    void aSilentWatchIsReopenedBeforeTheChangesItMissedAreDue() throws Exception {
         for (int routers : new int[] {2, 6, 100}) {
             for (long seed = 1; seed <= SEEDS; seed++) {
-                Town town = new Town(seed, asking(6_000, routers));
-                town.say(town.latest(), Fixture.list(2, true) + "\n");
-                int before = town.calls.size();
-                int took = town.passUntilCall(before + 1, 60_000);
+                WatchingProxy watching = new WatchingProxy(seed, requestedLists(6_000, routers));
+                watching.answer(watching.latest(), Fixture.list(2, true) + "\n");
+                int before = watching.calls.size();
+                int took = watching.advanceUntilCall(before + 1, 60_000);
                 assertTrue(
-                        took <= SILENT_TOLD_MS - ANSWER_MS,
+                        took <= MISSED_CHANGES_DUE_MS - ANSWER_MS,
                         "seed " + seed + " of " + routers + ": " + took + " ms");
             }
         }
@@ -156,14 +156,14 @@
 
     /** The call that opens a new watch is not answered either: the next one has to fit into the time left. */
     @Test
-    void aSecondSilentCallIsGivenUpBeforeWhatTheWatchMissedCountsAsTold() throws Exception {
+    void aSecondSilentCallTimesOutBeforeTheMissedChangesAreDue() throws Exception {
         for (int routers : new int[] {2, 6, 100}) {
             for (long seed = 1; seed <= SEEDS; seed++) {
-                Town town = new Town(seed, asking(6_000, routers));
-                town.say(town.latest(), Fixture.list(2, true) + "\n");
-                int took = town.passUntilCall(3, 60_000);
+                WatchingProxy watching = new WatchingProxy(seed, requestedLists(6_000, routers));
+                watching.answer(watching.latest(), Fixture.list(2, true) + "\n");
+                int took = watching.advanceUntilCall(3, 60_000);
                 assertTrue(
-                        took <= SILENT_TOLD_MS - ANSWER_MS + SECOND_SILENCE_MS,
+                        took <= MISSED_CHANGES_DUE_MS - ANSWER_MS + SECOND_SILENCE_EXTRA_MS,
                         "seed " + seed + " of " + routers + ": " + took + " ms");
             }
         }
@@ -173,9 +173,9 @@
     void manyProxiesWhoseWatchesFallSilentAtOnceDoNotCallAtOnce() throws Exception {
         int[] perTenth = new int[100];
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Town town = new Town(seed, asking(6_000, 100));
-            town.say(town.latest(), Fixture.list(2, true) + "\n");
-            perTenth[town.passUntilCall(town.calls.size() + 1, 60_000) / 100]++;
+            WatchingProxy watching = new WatchingProxy(seed, requestedLists(6_000, 100));
+            watching.answer(watching.latest(), Fixture.list(2, true) + "\n");
+            perTenth[watching.advanceUntilCall(watching.calls.size() + 1, 60_000) / 100]++;
         }
         for (int n : perTenth) {
             assertTrue(n <= SEEDS / 4, n + " of " + SEEDS + " in a tenth of a second");
@@ -183,14 +183,16 @@
     }
 
     @Test
-    void wherePushedListsStopTheNextWatchComesAtOnce() throws Exception {
+    void withPushedListsAClosedWatchIsReopenedAtOnce() throws Exception {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Town town = new Town(seed, Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\""));
-            town.say(town.latest(), Fixture.list(2, true) + "\n");
-            town.down = true;
-            town.latest().close();
+            WatchingProxy watching =
+                    new WatchingProxy(
+                            seed, Fixture.SETTINGS.replace("\"subscribe\"", "\"automatic\""));
+            watching.answer(watching.latest(), Fixture.list(2, true) + "\n");
+            watching.down = true;
+            watching.latest().close();
             for (int i = 0; i < 10; i++) {
-                int took = town.passUntilCall(town.calls.size() + 1, 60_000);
+                int took = watching.advanceUntilCall(watching.calls.size() + 1, 60_000);
                 // lists that are pushed count even while no watch is open
                 assertTrue(took <= 700, took + " ms");
             }
@@ -199,38 +201,38 @@
 
     /** Lists of a discovery that is back count at once: retry delay and connecting must fit in the grace. */
     @Test
-    void wherePushedListsStopTheNextDialIsUpWithinTheGraceOfItsReturn() throws Exception {
+    void withPushedListsReconnectingFitsIntoTheDrainGrace() throws Exception {
         for (int grace : new int[] {100, 300, 1_000}) {
             for (long seed = 1; seed <= SEEDS; seed++) {
-                Town town =
-                        new Town(
+                WatchingProxy watching =
+                        new WatchingProxy(
                                 seed,
                                 Fixture.SETTINGS
                                         .replace("\"subscribe\"", "\"automatic\"")
                                         .replace(
                                                 "\"drainGraceMs\":1000.0",
                                                 "\"drainGraceMs\":" + grace));
-                town.down = true;
-                town.latest().close();
+                watching.down = true;
+                watching.latest().close();
                 for (int i = 0; i < 6; i++) {
-                    int took = town.passUntilCall(town.calls.size() + 1, 60_000);
+                    int took = watching.advanceUntilCall(watching.calls.size() + 1, 60_000);
                     assertTrue(
-                            took + town.timeoutMs < grace,
-                            took + " and " + town.timeoutMs + " ms of " + grace);
+                            took + watching.timeoutMs < grace,
+                            took + " and " + watching.timeoutMs + " ms of " + grace);
                 }
             }
         }
     }
 
     @Test
-    void aDiscoveryThatIsDownIsAskedAgainWithinTheTimeThatTheSettingsAllow() throws Exception {
+    void aDiscoveryThatIsDownIsCalledAgainWithinTheTimeOfTheSettings() throws Exception {
         for (int within : new int[] {800, 2_000, 8_000}) {
             for (long seed = 1; seed <= SEEDS; seed++) {
-                Town town = new Town(seed, asking(within, 6));
-                town.down = true;
-                town.latest().close();
+                WatchingProxy watching = new WatchingProxy(seed, requestedLists(within, 6));
+                watching.down = true;
+                watching.latest().close();
                 for (int i = 0; i < 6; i++) {
-                    int took = town.passUntilCall(town.calls.size() + 1, 60_000);
+                    int took = watching.advanceUntilCall(watching.calls.size() + 1, 60_000);
                     assertTrue(took <= 4 * within, took + " ms of " + within);
                 }
             }
@@ -238,57 +240,58 @@
     }
 
     @Test
-    void whereDiscoveryHasMovedItIsCalledAtOnceAlsoWhileNoWatchIsOpen() throws Exception {
+    void aMovedDiscoveryIsCalledAtOnceEvenWhileNoWatchIsOpen() throws Exception {
         for (boolean failing : new boolean[] {false, true}) {
-            Town town = new Town(1, asking(6_000, 6));
-            EmbeddedChannel old = town.latest();
+            WatchingProxy watching = new WatchingProxy(1, requestedLists(6_000, 6));
+            EmbeddedChannel old = watching.latest();
             if (failing) {
                 old.close(); // the router waits to retry
             } else {
-                town.say(old, Fixture.list(2, true));
+                watching.answer(old, Fixture.list(2, true));
             }
-            town.write("127.0.0.1:2", asking(6_000, 6), 1);
-            town.proxy.taken(town.config.reload(Fixture.env(town.file, "127.0.0.1:1")));
-            assertEquals(2, town.calls.size());
-            assertEquals(2, town.called.get(1).getPort());
+            watching.write("127.0.0.1:2", requestedLists(6_000, 6), 1);
+            watching.proxy.taken(watching.config.reload(Fixture.env(watching.file, "127.0.0.1:1")));
+            assertEquals(2, watching.calls.size());
+            assertEquals(2, watching.called.get(1).getPort());
             // the old address's answer to the earlier call is ignored
             if (old.isOpen()) {
-                town.say(old, Fixture.list(9, true));
+                watching.answer(old, Fixture.list(9, true));
             }
-            assertEquals(0, town.proxy.figures().poolSize.get());
+            assertEquals(0, watching.proxy.figures().poolSize.get());
             // the router's retry falls due, but does not open a second watch
-            town.say(town.latest(), Fixture.list(3, true) + "\n");
+            watching.answer(watching.latest(), Fixture.list(3, true) + "\n");
             for (int i = 0; i < 10; i++) {
-                town.pass(1_000);
-                town.latest().writeInbound(Rehearsal.bytes("1\r\n\n\r\n"));
+                watching.advance(1_000);
+                watching.latest().writeInbound(Rehearsal.bytes("1\r\n\n\r\n"));
             }
-            assertEquals(2, town.calls.size());
+            assertEquals(2, watching.calls.size());
         }
     }
 
     /** The empty keep-alive lines go on after it. */
     @Test
-    void aListThatDoesNotEndEndsItsWatch() throws Exception {
-        Town town = new Town(1, asking(6_000, 6));
-        town.say(town.latest(), Fixture.list(2, true));
-        EmbeddedChannel watch = town.latest();
+    void anUnfinishedListEndsItsWatch() throws Exception {
+        WatchingProxy watching = new WatchingProxy(1, requestedLists(6_000, 6));
+        watching.answer(watching.latest(), Fixture.list(2, true));
+        EmbeddedChannel watch = watching.latest();
         watch.writeInbound(Rehearsal.bytes("9\r\n{\"version\r\n"));
         for (int i = 0; i < 3 && watch.isOpen(); i++) {
-            town.pass(2_000);
+            watching.advance(2_000);
             watch.writeInbound(Rehearsal.bytes("1\r\n\n\r\n"));
         }
         assertFalse(watch.isOpen());
     }
 
     @Test
-    void whereRoomsHaveOtherNumbersNowTheWholeListIsAskedFor() throws Exception {
-        Town town = new Town(1, asking(6_000, 6));
-        town.say(town.latest(), Fixture.list(7, true));
-        String swapped = asking(6_000, 6).replace("[\"east\",\"west\"]", "[\"west\",\"east\"]");
-        town.write("127.0.0.1:1", swapped, 1);
-        town.proxy.taken(town.config.reload(Fixture.env(town.file, "127.0.0.1:1")));
-        assertEquals(2, town.calls.size());
-        String call = Rehearsal.text(town.latest());
+    void renumberedZonesCauseARequestForTheFullList() throws Exception {
+        WatchingProxy watching = new WatchingProxy(1, requestedLists(6_000, 6));
+        watching.answer(watching.latest(), Fixture.list(7, true));
+        String swapped =
+                requestedLists(6_000, 6).replace("[\"east\",\"west\"]", "[\"west\",\"east\"]");
+        watching.write("127.0.0.1:1", swapped, 1);
+        watching.proxy.taken(watching.config.reload(Fixture.env(watching.file, "127.0.0.1:1")));
+        assertEquals(2, watching.calls.size());
+        String call = Rehearsal.text(watching.latest());
         assertTrue(call.contains("stream=1&index=0 "), call);
     }
 }
