--- a/src/main/java/holdproxy/net/JsonFraming.java
+++ b/src/main/java/holdproxy/net/JsonFraming.java
@@ -6,44 +6,44 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts a stream into its JSON objects, where their braces close and not where lines end: lists may come
- * indented, and in pieces that end anywhere. What stands between objects is white space; none is kept but
- * that within texts, so that a list's size does not depend on how it is set.
+ * Splits a byte stream into JSON objects at their closing braces, not at line ends: lists may be indented and
+ * arrive in pieces that end anywhere. Only white space may stand between objects. White space outside strings
+ * is dropped, so that the size limit does not depend on the formatting of a list.
  */
 final class JsonFraming {
-    private final int longest;
-    private final ByteArrayOutputStream object = new ByteArrayOutputStream();
+    private final int maxBytes;
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private int depth;
-    private boolean inText;
+    private boolean inString;
     private boolean escaped;
 
-    /** {@code longest}: the bytes that an object may have; a longer one is refused before it is held. */
-    JsonFraming(int longest) {
-        this.longest = longest;
+    /** {@code maxBytes}: the most bytes of an object; a larger one is refused before it is all buffered. */
+    JsonFraming(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** Reads on to the end of an object, which is returned, or of what has come: then null. */
+    /** Reads up to the end of the next object and returns it, or null if the bytes end before that. */
     String read(ByteBuf bytes) {
         while (bytes.isReadable()) {
             byte b = bytes.readByte();
-            if (inText) {
-                keep(b);
-                inText = escaped || b != '"';
+            if (inString) {
+                append(b);
+                inString = escaped || b != '"';
                 escaped = b == '\\' && !escaped;
             } else if (b != ' ' && b != '\n' && b != '\r' && b != '\t') {
                 if (depth == 0 && b != '{') {
                     throw new BadInput(
-                            "no JSON object: "
+                            "not a JSON object: "
                                     + Config.shown(
                                             (char) (b & 0xff)
                                                     + bytes.toString(StandardCharsets.ISO_8859_1)));
                 }
-                keep(b);
-                inText = b == '"';
+                append(b);
+                inString = b == '"';
                 depth += b == '{' || b == '[' ? 1 : b == '}' || b == ']' ? -1 : 0;
                 if (depth == 0) {
-                    String text = object.toString(StandardCharsets.UTF_8);
-                    object.reset();
+                    String text = buffer.toString(StandardCharsets.UTF_8);
+                    buffer.reset();
                     return text;
                 }
             }
@@ -51,15 +51,15 @@
         return null;
     }
 
-    private void keep(byte b) {
-        if (object.size() == longest) {
-            throw new BadInput("a list longer than " + longest + " bytes");
+    private void append(byte b) {
+        if (buffer.size() == maxBytes) {
+            throw new BadInput("a list is longer than " + maxBytes + " bytes");
         }
-        object.write(b);
+        buffer.write(b);
     }
 
-    /** Whether no object has begun that is not whole. */
-    boolean between() {
+    /** Whether no object is incomplete. */
+    boolean betweenObjects() {
         return depth == 0;
     }
 }
--- a/src/main/java/holdproxy/net/Members.java
+++ b/src/main/java/holdproxy/net/Members.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * The cache nodes that there are, by the lists, and those of them that operators have left out: what the
- * module and the connections are told of either. On the request loop.
+ * Tracks the cache nodes of the lists and those that operators have left out, and passes changes of either on
+ * to the router and the connection pools. Confined to the request loop.
  */
 final class Members {
     private final Proxy proxy;
@@ -18,27 +18,27 @@
     private final Discovery discovery;
     private final Log log;
 
-    /** Done with the first list that discovery has given. */
-    private final Promise<Void> first;
+    /** Completes with the first list from discovery. */
+    private final Promise<Void> firstList;
 
-    /** Done with the first list, or once a call has found that discovery cannot be reached. */
-    private final Promise<Void> firstOrUnreachable;
+    /** Completes with the first list from discovery, or once a call cannot connect to it. */
+    private final Promise<Void> firstListOrUnreachable;
 
     private final Set<Integer> listed = new HashSet<>();
 
-    /** By their names in the list, which they may have left. */
+    /** The names of the nodes that operators have left out; these may have gone from the list. */
     private final Set<String> leftOut = new HashSet<>();
 
     Members(Proxy proxy, NodePools pools, Discovery discovery, Log log, EventLoop loop) {
-        first = loop.newPromise();
-        firstOrUnreachable = loop.newPromise();
+        firstList = loop.newPromise();
+        firstListOrUnreachable = loop.newPromise();
         this.proxy = proxy;
         this.pools = pools;
         this.discovery = discovery;
         this.log = log;
     }
 
-    /** A list has come, or a call for one has failed. */
+    /** Handles a list, or the failure of a call for one. */
     void told(Router.ListKind kind, List<Discovery.Entry> entries) {
         Router.Node[] nodes = new Router.Node[entries.size()];
         Set<Integer> named = new HashSet<>();
@@ -55,56 +55,56 @@
                 () -> proxy.router.onNodes(proxy.now(), kind, nodes, nodes.length, proxy));
         for (Router.Node n : nodes) {
             if (n.state != Router.NodeState.READY) {
-                left(n.id, n.state == Router.NodeState.GONE);
+                nodeLeft(n.id, n.state == Router.NodeState.GONE);
             }
         }
         if (kind == Router.ListKind.FULL || kind == Router.ListKind.CACHED) {
             for (Integer id : List.copyOf(listed)) {
                 if (!named.contains(id)) {
-                    left(id, true);
+                    nodeLeft(id, true);
                 }
             }
         }
         proxy.figures().poolSize.set(listed.size());
         if (kind == Router.ListKind.FULL || kind == Router.ListKind.DELTA) {
-            first.trySuccess(null);
-            firstOrUnreachable.trySuccess(null);
+            firstList.trySuccess(null);
+            firstListOrUnreachable.trySuccess(null);
         }
     }
 
-    /** On any thread. */
+    /** May be called on any thread. */
     Future<Void> first() {
-        return first;
+        return firstList;
     }
 
-    /** On any thread. */
+    /** May be called on any thread. */
     Future<Void> firstOrUnreachable() {
-        return firstOrUnreachable;
+        return firstListOrUnreachable;
     }
 
-    /** A call to discovery got no connection: what it has cannot be told for now. */
+    /** A call could not connect to discovery, so that waiting for its list is of no use for now. */
     void discoveryUnreachable() {
-        firstOrUnreachable.trySuccess(null);
+        firstListOrUnreachable.trySuccess(null);
     }
 
-    private void left(int id, boolean gone) {
-        pools.leave(id, gone);
+    private void nodeLeft(int id, boolean gone) {
+        pools.exclude(id, gone);
         if (gone && listed.remove(id)) {
             discovery.forget(id, leftOut);
         }
     }
 
-    /** Whether operators may name this node: it is in the list, or out already and to be used again. */
+    /** Whether operators may name this node: it is in the list, or is left out and to be used again. */
     boolean knows(String node, boolean out) {
-        return listed.contains(discovery.known(node)) || !out && leftOut.contains(node);
+        return listed.contains(discovery.knownNumber(node)) || !out && leftOut.contains(node);
     }
 
-    /** Leaves a node out, or uses it again as one that was started at {@code atUs}, when the call came. */
+    /** Leaves a node out, or uses it again as if started at {@code atUs}, the time of the operator's call. */
     void leaveOut(String node, boolean out, long atUs) {
         if (out ? !leftOut.add(node) : !leftOut.remove(node)) {
-            return; // two calls out need one call back
+            return; // no change: one return undoes any number of calls
         }
-        int id = discovery.number(node);
+        int id = discovery.numberFor(node);
         log.line("node " + node + (out ? " is left out by operators" : " is used again"));
         proxy.events.add(() -> proxy.router.onLeftOut(proxy.now(), id, out, atUs));
         pools.leaveOut(id, out);
@@ -113,15 +113,15 @@
         }
     }
 
-    /** What a process before this one was told. */
+    /** Applies a change that an earlier process has stored. */
     void restore(String node, boolean out, long atUs) {
         if (!out) {
-            leftOut.add(node); // as it was until then: the return counts
+            leftOut.add(node); // the state before the return, so that the return is applied
         }
         leaveOut(node, out, atUs);
     }
 
-    /** What only the module knows of the figures. */
+    /** Updates the metrics that only the router knows. */
     void refresh() {
         proxy.figures().poolEjected.set(proxy.router.avoided(proxy.now()));
     }
--- a/src/main/java/holdproxy/net/NodeConnection.java
+++ b/src/main/java/holdproxy/net/NodeConnection.java
@@ -9,56 +9,59 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 
-/** One connection to a cache node, with the attempts on it in the order of their answers. */
+/** One connection to a cache node. Answers come in the order of the attempts, which are pipelined. */
 final class NodeConnection extends SimpleChannelInboundHandler<Object> {
     private static final int SLICE_BYTES = 32 * 1024;
 
-    /** So long after an answer a second one to the same command may still come, which bears no id. */
-    private static final long SECOND_ANSWER_US = 50_000;
+    /** How long after an answer a node may send a second one, without an id, to the same command. */
+    private static final long SECOND_ANSWER_WINDOW_US = 50_000;
 
     final NodePool pool;
     final InetSocketAddress address;
 
-    /** How long what is put on it may wait for it to come up. */
-    private final long dialUs;
+    /** How long an attempt may wait for the connection to be established. */
+    private final long dialTimeoutUs;
 
-    /** Those that are begun, in the order of their answers, and behind them those that are not yet. */
-    private final ArrayDeque<Attempt> line = new ArrayDeque<>();
+    /** The attempts whose commands have been started, in the order of their answers. */
+    private final ArrayDeque<Attempt> awaitingAnswer = new ArrayDeque<>();
 
+    /** The attempts that have not been started; they come after {@link #awaitingAnswer}. */
     private final ArrayDeque<Attempt> unsent = new ArrayDeque<>();
 
-    /** Those whose values are on their way, and how much of the first one's has gone. */
+    /** The attempts whose large values are being written. */
     private final ArrayDeque<Attempt> sending = new ArrayDeque<>();
 
-    private int sent;
+    /** Bytes written of the value of the first one of {@link #sending}. */
+    private int sentBytes;
+
     private Channel channel;
-    private boolean up;
-    private boolean wanted;
+    private boolean established;
+    private boolean everUsed;
     private boolean closed;
 
-    /** An attempt on it was given up: what went on it now would wait behind that one's answer. */
+    /** An attempt was given up: a new one would have to wait for that one's answer. */
     private boolean retired;
 
-    /** Where the value goes that comes in pieces now; null: nowhere, it is thrown away. */
+    /** Takes the pieces of the value that is being received; null: they are discarded. */
     private Relay relay;
 
-    /** A value comes in pieces now. */
-    private boolean inPieces;
+    /** A value is being received in pieces. */
+    private boolean receivingPieces;
 
-    private Answer relayed;
+    private Answer relayedAnswer;
 
-    /** When it came back from its last answer; before the first one it never idles. */
+    /** When it became idle last: after its last answer, or once established if nothing was sent on it. */
     long idleSinceUs;
 
-    /** The last answer may have been another command's: failures and refusals bear no id. */
-    private boolean doubtful;
+    /** The last answer may have belonged to another command: failures and refusals have no id. */
+    private boolean lastAnswerUncertain;
 
-    private boolean answered;
+    private boolean anyAnswer;
 
-    NodeConnection(NodePool pool, InetSocketAddress address, long dialUs) {
+    NodeConnection(NodePool pool, InetSocketAddress address, long dialTimeoutUs) {
         this.pool = pool;
         this.address = address;
-        this.dialUs = dialUs;
+        this.dialTimeoutUs = dialTimeoutUs;
     }
 
     @Override
@@ -67,36 +70,36 @@
     }
 
     int load() {
-        return line.size() + unsent.size();
+        return awaitingAnswer.size() + unsent.size();
     }
 
     /**
-     * Whether the next line without an id that comes can be no other command's answer than the next one's.
-     * On no such connection a refusal proves that a write did not run: it may be the second answer to what
-     * was asked before, or the late one of what such a second answer was taken for.
+     * Whether the next answer without an id can only belong to the next command. Otherwise a refusal does not
+     * prove that a write did not run: it may be a second answer to the previous command, or the late answer
+     * to a command that such a second answer was taken to belong to.
      */
-    boolean certain(long now) {
+    boolean nextAnswerUnambiguous(long now) {
         long quietUs = now - pool.pools.proxy.justStoodStillUs(now) - idleSinceUs;
-        return !answered || !doubtful && quietUs > SECOND_ANSWER_US;
+        return !anyAnswer || !lastAnswerUncertain && quietUs > SECOND_ANSWER_WINDOW_US;
     }
 
     boolean usable() {
-        return !closed && !retired && sending.isEmpty() && (!up || channel.isActive());
+        return !closed && !retired && sending.isEmpty() && (!established || channel.isActive());
     }
 
     void add(Attempt a) {
         a.connection = this;
-        wanted = true;
+        everUsed = true;
         unsent.add(a);
-        begin();
+        startWaiting();
     }
 
-    /** Begins what waits, each behind the whole of the one before it. */
-    private void begin() {
-        while (up && !unsent.isEmpty() && sending.isEmpty() && !closed) {
+    /** Starts the waiting attempts, each after the one before it has been written whole. */
+    private void startWaiting() {
+        while (established && !unsent.isEmpty() && sending.isEmpty() && !closed) {
             Attempt a = unsent.poll();
-            if (mayBegin(a)) {
-                line.add(a);
+            if (mayStart(a)) {
+                awaitingAnswer.add(a);
                 write(a);
             } else {
                 end(a, Router.Outcome.NOT_SENT, null);
@@ -105,57 +108,56 @@
     }
 
     /**
-     * Not where its client has left meanwhile or has its answer, where the node was told to drain or is left
-     * out, or where it has waited longer than a dial may take, by which the module has reckoned.
+     * False if the client has left or has its answer, if the node is draining or left out, or if the attempt
+     * has waited longer than the dial timeout, which the router has reckoned with.
      */
-    private boolean mayBegin(Attempt a) {
+    private boolean mayStart(Attempt a) {
         return !a.exchange.answered
-                && pool.takes(this)
-                && pool.pools.proxy.now() - a.sentUs <= dialUs;
+                && pool.acceptsAttempts(this)
+                && pool.pools.proxy.now() - a.sentUs <= dialTimeoutUs;
     }
 
     private void write(Attempt a) {
         long waitUs = a.waitUs - (pool.pools.proxy.now() - a.sentUs);
         Command c = a.exchange.command;
         if (c.large()) {
-            sending.add(a); // before its line, whose write may make room and come back here
+            sending.add(a); // first: the write of its command line may call sendSlices()
         }
         ChannelFuture written = channel.writeAndFlush(c.encode(channel.alloc(), waitUs));
         if (c.large()) {
-            send();
+            sendSlices();
         } else {
-            written.addListener(f -> written(a, f.isSuccess()));
+            written.addListener(f -> onWritten(a, f.isSuccess()));
         }
     }
 
-    /** Large values go out in slices, so that no more of them waits for the socket than it takes. */
-    private void send() {
+    /** Writes large values in slices, so that little more is buffered than the socket takes. */
+    private void sendSlices() {
         while (!sending.isEmpty() && channel.isWritable() && !closed) {
             Attempt a = sending.peek();
             if (pool.pools.proxy.now() >= a.lastByteByUs) {
-                line.remove(a);
-                end(a, Router.Outcome.NOT_SENT, null); // whole it might run a second time
+                awaitingAnswer.remove(a);
+                end(a, Router.Outcome.NOT_SENT, null); // sent whole, it might run twice
                 close();
                 return;
             }
             Command c = a.exchange.command;
-            int from = sent;
-            sent += SLICE_BYTES;
-            boolean last = sent >= c.valueBytes();
+            int from = sentBytes;
+            sentBytes += SLICE_BYTES;
+            boolean last = sentBytes >= c.valueBytes();
             if (last) {
-                sent = 0;
+                sentBytes = 0;
                 sending.poll();
             }
-            // the write may make room, which comes back here: what this slice is has been put down
-            // before
+            // the write may call sendSlices() again, so the state was updated before it
             ChannelFuture written = channel.writeAndFlush(c.slice(from, SLICE_BYTES));
             if (last) {
-                written.addListener(f -> written(a, f.isSuccess()));
+                written.addListener(f -> onWritten(a, f.isSuccess()));
             }
         }
     }
 
-    private void written(Attempt a, boolean whole) {
+    private void onWritten(Attempt a, boolean whole) {
         if (whole) {
             a.written = true;
             pool.pools.proxy.figures().tries.add(1);
@@ -164,49 +166,50 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        send();
+        sendSlices();
         if (!unsent.isEmpty() && sending.isEmpty()) {
-            pool.pools.proxy.events.add(this::begin); // as where it comes up
+            pool.pools.proxy.events.add(this::startWaiting); // as in channelActive
         }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        up = true;
-        // the end of the client that waits for it may lie behind this in the same turn
-        pool.pools.proxy.events.add(this::beginFirst);
+        established = true;
+        // the same pass of the event loop may still read that the waiting client has left
+        pool.pools.proxy.events.add(this::startFirst);
     }
 
-    private void beginFirst() {
-        begin();
-        if (wanted && !answered && line.isEmpty() && unsent.isEmpty() && !closed) {
-            pool.idle(this); // nobody wants any more what it was opened for
+    private void startFirst() {
+        startWaiting();
+        if (everUsed && !anyAnswer && awaitingAnswer.isEmpty() && unsent.isEmpty() && !closed) {
+            pool.onIdle(this); // the attempts that it was opened for have ended
         }
     }
 
-    void dialed(ChannelFuture f) {
+    void onConnectDone(ChannelFuture f) {
         if (!f.isSuccess()) {
-            pool.pools.dialFailed();
-            gone();
+            pool.pools.countFailedDial();
+            onClosed();
         }
     }
 
     /**
-     * The wait for an attempt is over. With no other live attempt in line the connection is closed, which
-     * tells the node. Otherwise it takes nothing new, and the late answer is read and thrown away in its
-     * turn: taken for the next attempt's it would serve a client another's value. Returns whether the attempt
-     * may run or have run. If not it may be sent elsewhere, so its bytes must not go out from here later.
+     * Stops waiting for an attempt. If no other attempt waits for an answer, the connection is closed, which
+     * the node sees. Otherwise the connection takes nothing new, and the late answer is read and discarded in
+     * its place in the order: taken for the next attempt's, it would serve a client another one's value.
+     * Returns whether the attempt may have run or may still run. If not, it may be sent elsewhere, so its
+     * bytes must not be written here later.
      */
     boolean giveUp(Attempt a) {
         a.over = true;
         if (unsent.remove(a)) {
-            if (line.isEmpty() && unsent.isEmpty()) {
+            if (awaitingAnswer.isEmpty() && unsent.isEmpty()) {
                 close();
             }
             return false;
         }
         retired = true;
-        handBack();
+        returnUnstarted();
         if (anyWaiting()) {
             return true;
         }
@@ -215,71 +218,70 @@
         return written;
     }
 
-    /** What is not begun may be sent elsewhere. */
-    void handBack() {
-        boolean dialing = !up;
+    /** Ends the attempts that have not been started: they may be sent elsewhere. */
+    void returnUnstarted() {
+        boolean dialing = !established;
         for (Attempt a = unsent.poll(); a != null; a = unsent.poll()) {
             end(a, Router.Outcome.NOT_SENT, null);
         }
         if (dialing) {
-            close(); // nobody waits for it any more
+            close(); // no attempt waits for it any more
         }
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
         if (message instanceof Answer answer) {
-            answered(answer);
+            onAnswer(answer);
         } else if (message instanceof ByteBuf bytes) {
             if (relay != null) {
                 relay.more(bytes.retain());
             }
         } else {
-            pieced();
+            valueComplete();
         }
     }
 
-    private void answered(Answer answer) {
-        Attempt a = line.peek();
+    private void onAnswer(Answer answer) {
+        Attempt a = awaitingAnswer.peek();
         if (a == null || closed) {
-            close(); // an answer to nothing
+            close(); // an answer without a command
             return;
         }
-        boolean ours = answer.outcome != Router.Outcome.OK || fits(answer, a);
-        if (answer.broken || inPieces || !a.written || !ours) {
+        boolean ours = answer.outcome != Router.Outcome.OK || matches(answer, a);
+        if (answer.broken || receivingPieces || !a.written || !ours) {
             pool.pools.log.line(
                     "node "
                             + pool.name
                             + " broke the protocol"
                             + (answer.broken ? ": " + Config.shown(answer.receipt) : ""));
-            // a broken connection, not a read error: it may have run, and it says nothing of
-            // capacity
-            if (!inPieces) {
-                line.poll();
+            // RESET, not ERROR: the command may have run, and this tells nothing of capacity
+            if (!receivingPieces) {
+                awaitingAnswer.poll();
                 end(a, Router.Outcome.RESET, null);
             }
-            close(); // whose its further answers are cannot be told
+            close(); // further answers cannot be matched to attempts
             return;
         }
         if (answer.follows > 0) {
-            inPieces = true;
-            relayed = answer;
+            receivingPieces = true;
+            relayedAnswer = answer;
             relay = a.over ? null : pool.pools.proxy.relays.begin(a, answer, this);
             if (relay == null) {
-                end(a, answer.outcome, answer); // it stays in line for its pieces
-                if (!anyWaitingBehind()) {
-                    close(); // 4 MiB that nobody waits for cost more than a new connection
+                end(a, answer.outcome, answer); // it stays queued until its pieces are read
+                if (!anyWaitingAfterFirst()) {
+                    close(); // discarding up to 4 MiB costs more than a new connection
                 }
             }
             return;
         }
-        finished(a, answer);
+        answerComplete(a, answer);
     }
 
-    /** The value that came in pieces is whole. */
-    private void pieced() {
-        inPieces = false;
-        Attempt a = line.peek();
+    /** The value that was received in pieces is complete. */
+    private void valueComplete() {
+        receivingPieces = false;
+        Attempt a = awaitingAnswer.peek();
         if (relay != null) {
             Relay r = relay;
             relay = null;
@@ -287,18 +289,18 @@
             r.whole();
         }
         if (a != null) {
-            finished(a, relayed);
+            answerComplete(a, relayedAnswer);
         }
-        relayed = null;
+        relayedAnswer = null;
     }
 
-    /** The attempt that was due an answer has it. */
-    private void finished(Attempt a, Answer answer) {
-        line.poll();
-        answered = true;
-        doubtful = answer.outcome != Router.Outcome.OK;
-        if (line.isEmpty() && unsent.isEmpty() && !retired) {
-            pool.idle(this);
+    /** The first attempt of {@link #awaitingAnswer} has its whole answer. */
+    private void answerComplete(Attempt a, Answer answer) {
+        awaitingAnswer.poll();
+        anyAnswer = true;
+        lastAnswerUncertain = answer.outcome != Router.Outcome.OK;
+        if (awaitingAnswer.isEmpty() && unsent.isEmpty() && !retired) {
+            pool.onIdle(this);
         }
         if (!a.over) {
             end(a, answer.outcome, answer);
@@ -308,12 +310,12 @@
         }
     }
 
-    /** Whether more is read from it. */
+    /** Turns reading from the connection on or off. */
     void read(boolean on) {
         channel.config().setAutoRead(on);
     }
 
-    /** The client of the value that is being relayed has gone. */
+    /** The client that the value is being relayed to has left. */
     void abandon(Attempt a) {
         relay = null;
         read(true);
@@ -323,9 +325,9 @@
         }
     }
 
-    /** Whether an attempt in line still waits for its answer. */
+    /** Whether an attempt that was not given up waits for its answer. */
     private boolean anyWaiting() {
-        for (Attempt a : line) {
+        for (Attempt a : awaitingAnswer) {
             if (!a.over) {
                 return true;
             }
@@ -333,10 +335,10 @@
         return false;
     }
 
-    /** The same for those behind the one that is being answered. */
-    private boolean anyWaitingBehind() {
+    /** The same for the attempts after the first. */
+    private boolean anyWaitingAfterFirst() {
         boolean first = true;
-        for (Attempt a : line) {
+        for (Attempt a : awaitingAnswer) {
             if (!first && !a.over) {
                 return true;
             }
@@ -345,8 +347,8 @@
         return false;
     }
 
-    /** Whether an answer is of the kind and bears the id of the attempt that is due one. */
-    private static boolean fits(Answer answer, Attempt a) {
+    /** Whether an answer has the kind and the id that this attempt calls for. */
+    private static boolean matches(Answer answer, Attempt a) {
         Command c = a.exchange.command;
         return c.opaque.equals(answer.opaque) && c.write != answer.isValue();
     }
@@ -360,7 +362,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        gone();
+        onClosed();
     }
 
     @Override
@@ -368,27 +370,27 @@
         close();
     }
 
-    /** The bytes of what is still in line were either written, and may run, or never will be. */
+    /** Closes the connection. Attempts still on it were written, and may run, or never will be. */
     void close() {
         if (!closed) {
             channel.close();
         }
-        gone();
+        onClosed();
     }
 
-    private void gone() {
+    private void onClosed() {
         if (closed) {
             return;
         }
         closed = true;
-        pool.removed(this);
+        pool.onClosed(this);
         if (relay != null) {
             Relay r = relay;
             relay = null;
             r.brokenOff();
         }
-        while (!line.isEmpty()) {
-            Attempt a = line.poll();
+        while (!awaitingAnswer.isEmpty()) {
+            Attempt a = awaitingAnswer.poll();
             end(a, a.broken(), null);
         }
         while (!unsent.isEmpty()) {
--- a/src/main/java/holdproxy/net/NodePools.java
+++ b/src/main/java/holdproxy/net/NodePools.java
@@ -9,70 +9,80 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** All connections to cache nodes, by the module's number of the node, within one bound on descriptors. */
+/** All connections to cache nodes, by the router's number of the node, within one limit on descriptors. */
 final class NodePools {
-    private static final long IDLE_SHARE = 5;
+    /** Idle connections are closed before the node does it: 1 part in this many of its timeout earlier. */
+    private static final long IDLE_MARGIN_DIVISOR = 5;
 
     final Proxy proxy;
     final Log log;
-    int streams;
-    long idleUs;
-    private final int most;
+    int maxStreams;
+    long idleTimeoutUs;
+    private final int maxConnections;
     private final EventLoop loop;
     private final Transport transport;
-    private long dialUs;
+    private long dialTimeoutUs;
     private final Map<Integer, NodePool> byId = new HashMap<>();
-    private int open;
+    private int openConnections;
     private int dials;
     private int dialsFailed;
     private int reused;
 
-    NodePools(Proxy proxy, Config config, EventLoop loop, Log log, int most, Transport transport) {
+    NodePools(
+            Proxy proxy,
+            Config config,
+            EventLoop loop,
+            Log log,
+            int maxConnections,
+            Transport transport) {
         this.proxy = proxy;
         this.log = log;
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.loop = loop;
         this.transport = transport;
         retune(config.settings);
     }
 
-    /** What the settings say of connections, for those that are made or become idle from here on. */
+    /** Applies settings to the connections that are opened from now on and to all idle ones. */
     void retune(Router.Settings settings) {
-        // drains: what waits for a connection must be written within the grace of a change told
-        // meanwhile
-        long grace = settings.drainGraceUs;
-        dialUs = grace > 0 ? Math.min(settings.dialTimeoutUs, grace / 2) : settings.dialTimeoutUs;
-        // an attempt given up on a shared connection stays out: where no second copy may be, none
-        // is shared
-        streams = settings.secondCopies ? settings.streamsPerConnection : 1;
-        idleUs = settings.idleCloseUs - settings.idleCloseUs / IDLE_SHARE;
-        byId.values().forEach(NodePool::retuned);
+        // a drain may be received while an attempt waits for its connection: the attempt has to be
+        // written within the drain's grace
+        long graceUs = settings.drainGraceUs;
+        dialTimeoutUs =
+                graceUs > 0
+                        ? Math.min(settings.dialTimeoutUs, graceUs / 2)
+                        : settings.dialTimeoutUs;
+        // an attempt given up on a shared connection may still run at the node: connections are
+        // shared only where second copies are allowed
+        maxStreams = settings.secondCopies ? settings.streamsPerConnection : 1;
+        idleTimeoutUs = settings.idleCloseUs - settings.idleCloseUs / IDLE_MARGIN_DIVISOR;
+        byId.values().forEach(NodePool::onSettingsChanged);
     }
 
-    /** The list names this node: unless operators have left it out it may be sent to, at this address. */
+    /** Adds or updates a node of the list; it gets requests unless operators have left it out. */
     void put(int id, String name, InetSocketAddress address, boolean out) {
         NodePool pool = byId.computeIfAbsent(id, i -> new NodePool(this, name, address));
-        pool.listed(address);
+        pool.include(address);
         if (out) {
-            pool.leave();
+            pool.exclude();
         }
     }
 
-    /** Operators have left this node out, or use it again. */
+    /** Applies that operators have left this node out or use it again. */
     void leaveOut(int id, boolean out) {
         NodePool pool = byId.get(id);
         if (pool != null && out) {
-            pool.leave();
+            pool.exclude();
         } else if (pool != null) {
-            pool.listed(pool.address);
+            pool.include(pool.address);
         }
     }
 
-    /** The node has left the list, or takes nothing new. */
-    void leave(int id, boolean gone) {
+    /** The node has left the list ({@code gone}) or takes no new requests. */
+    void exclude(int id, boolean gone) {
         NodePool pool = byId.get(id);
         if (pool != null) {
-            pool.leave();
+            pool.exclude();
             if (gone) {
                 byId.remove(id);
             }
@@ -83,34 +93,39 @@
         return byId.get(id);
     }
 
-    Future<?> after(long us, Runnable task) {
+    Future<?> schedule(long us, Runnable task) {
         return loop.schedule(task, us, TimeUnit.MICROSECONDS);
     }
 
-    /** A new connection; null where no descriptor is left for it. */
+    /** Opens a connection; null if no descriptor is left for it. */
     NodeConnection open(NodePool pool) {
-        if (open >= most && byId.values().stream().noneMatch(NodePool::closeOldest)) {
+        if (openConnections >= maxConnections
+                && byId.values().stream().noneMatch(NodePool::closeOldest)) {
             return null;
         }
-        open++;
+        openConnections++;
         dials++;
-        NodeConnection c = new NodeConnection(pool, pool.address, dialUs);
-        pool.added(c);
+        NodeConnection c = new NodeConnection(pool, pool.address, dialTimeoutUs);
+        pool.onOpened(c);
         transport
-                .connect(pool.address, (int) Math.max(1, dialUs / 1000), new Answer.Decoder(), c)
-                .addListener((ChannelFutureListener) c::dialed);
+                .connect(
+                        pool.address,
+                        (int) Math.max(1, dialTimeoutUs / 1000),
+                        new Answer.Decoder(),
+                        c)
+                .addListener((ChannelFutureListener) c::onConnectDone);
         return c;
     }
 
-    void dialFailed() {
+    void countFailedDial() {
         dialsFailed++;
     }
 
-    void reused() {
+    void countReused() {
         reused++;
     }
 
-    /** Connections made, failed and used again since this was asked last, and how many are open. */
+    /** Connections opened, failed and reused since the last call, and how many are open. */
     String counted() {
         String text =
                 dials + reused == 0
@@ -122,12 +137,12 @@
                                 + " reused="
                                 + reused
                                 + " open="
-                                + open;
+                                + openConnections;
         dials = dialsFailed = reused = 0;
         return text;
     }
 
-    void closed() {
-        open--;
+    void connectionClosed() {
+        openConnections--;
     }
 }
--- a/src/test/java/holdproxy/net/DiscoveryTest.java
+++ b/src/test/java/holdproxy/net/DiscoveryTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The list of cache nodes: what changes reach, and that a bad or failing discovery takes nothing away. */
+/** Effects of lists of cache nodes; bad lists and failing calls leave the list that is held in use. */
 @Timeout(60)
 class DiscoveryTest {
 
-    /** Has a request served by a node on a connection that came or was open already. */
+    /** Has a node serve a request on {@code open}, or on a new connection if null; returns the connection. */
     private static Peer serve(Fixture f, Peer client, String id, int node, Peer open)
             throws Exception {
         client.send(Fixture.read(id, 4000));
@@ -26,10 +26,10 @@
         return p;
     }
 
-    private static String callLine(Peer call) throws IOException {
+    private static String requestLine(Peer call) throws IOException {
         String first = call.line();
         for (String line = first; !line.isEmpty(); line = call.line()) {
-            // the rest of the call
+            // skips the rest of the request
         }
         return first;
     }
@@ -39,7 +39,7 @@
         try (Fixture f = new Fixture(1)) {
             assertEquals(
                     "GET /registry/instances?stream=1&index=1 HTTP/1.1",
-                    callLine(f.discovery.next()));
+                    requestLine(f.discovery.next()));
         }
     }
 
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void anAttemptOutAtANodeThatDrainsIsStillAnswered() throws Exception {
+    void anAttemptInProgressAtADrainingNodeIsStillAnswered() throws Exception {
         try (Fixture f = new Fixture(1)) {
             f.nodes.add(new Peer.Listener());
             Peer client = f.client();
@@ -90,7 +90,7 @@
             serve(f, f.client(), "a1", 0, null);
             assertEquals(
                     "GET /registry/instances?stream=1&index=5 HTTP/1.1",
-                    callLine(f.discovery.next()));
+                    requestLine(f.discovery.next()));
         }
     }
 
@@ -98,16 +98,16 @@
     void aCallThatFailsIsMadeAgainAndTheKnownListServesMeanwhile() throws Exception {
         try (Fixture f = new Fixture(1)) {
             Peer call = f.discovery.next();
-            callLine(call);
+            requestLine(call);
             call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             call.expectEnd();
             serve(f, f.client(), "a1", 0, null);
-            callLine(f.discovery.next());
+            requestLine(f.discovery.next());
         }
     }
 
     @Test
-    void theWatchGoesOnWhereTheConfigurationReadAgainSays(@TempDir Path folder) throws Exception {
+    void theWatchMovesToTheAddressOfAReloadedConfiguration(@TempDir Path folder) throws Exception {
         try (Fixture f = new Fixture(1);
                 Peer.Listener other = new Peer.Listener()) {
             Peer open = serve(f, f.client(), "a1", 0, null);
@@ -117,23 +117,23 @@
             Path file = folder.resolve("config.json");
             Map<String, String> env = Fixture.env(file, f.discovery.address());
             Files.writeString(file, "{\"discovery\":");
-            Service.reload(f.config, f.proxy, f.loop, ConfigSource.of(env)); // kept as it was
+            Service.reload(f.config, f.proxy, f.loop, ConfigSource.of(env)); // rejected
             String json = Fixture.json(Fixture.list(1, true), Fixture.SETTINGS, 1024);
             Files.writeString(
                     file, "{\"discovery\":\"" + other.address() + "\"," + json.substring(1));
             Service.reload(f.config, f.proxy, f.loop, ConfigSource.of(env));
             assertEquals(
-                    "GET /registry/instances?stream=1&index=5 HTTP/1.1", callLine(other.next()));
+                    "GET /registry/instances?stream=1&index=5 HTTP/1.1", requestLine(other.next()));
             watch.expectEnd();
         }
     }
 
     @Test
-    void whereListsArePushedTheWatchBeginsWithTheProxy() throws Exception {
+    void withPushedListsTheWatchIsOpenedWhenTheProxyStarts() throws Exception {
         try (Fixture f = new Fixture(1, s -> s.replace("\"subscribe\"", "\"automatic\""), 1024)) {
             assertEquals(
                     "GET /registry/instances?stream=1&index=1 HTTP/1.1",
-                    callLine(f.discovery.next()));
+                    requestLine(f.discovery.next()));
         }
     }
 }
--- a/src/test/java/holdproxy/net/DiscoveryHerdTest.java
+++ b/src/test/java/holdproxy/net/ManyProxiesDiscoveryTest.java
@@ -21,41 +21,42 @@
 
 /**
  * Many proxies that call one discovery at the same time, in virtual time: discovery serves one call after
- * another and turns away a call that has waited too long. A change counts as told 6 s after discovery had it
- * and could be reached, however young the process is and whatever failed before.
+ * another and refuses a call that has waited too long. Every proxy has to have the list within 6 s of
+ * discovery having it and being reachable, however new the process is and whatever failed before. Guards
+ * against retries that come too late or overload discovery.
  */
-class DiscoveryHerdTest {
-    private static final int TOLD_MS = 6_000;
-    private static final int WAIT_MOST_MS = 1_000;
+class ManyProxiesDiscoveryTest {
+    private static final int LIST_DUE_MS = 6_000;
+    private static final int MAX_WAIT_MS = 1_000;
     private static final int STEP_MS = 10;
-    private static final int DAY_MS = 40_000;
-    private static final int[] FLEETS = {2, 6, 30, 100};
+    private static final int TIME_LIMIT_MS = 40_000;
+    private static final int[] FLEET_SIZES = {2, 6, 30, 100};
 
     @TempDir Path folder;
 
-    /** One call of a proxy: its connection and when its request arrived. */
+    /** A call of a proxy, with the time at which its request arrived. */
     private record Call(EmbeddedChannel channel, int proxy, long arrivedMs) {}
 
-    /** A discovery that serves calls one after another. */
-    private final class Discovery {
+    /** A simulated discovery that serves calls one after another. */
+    private final class SimulatedDiscovery {
         private final MockTicker ticker = Ticker.newMockTicker();
         private final ArrayDeque<Call> queue = new ArrayDeque<>();
         private final List<EmbeddedChannel> open = new ArrayList<>();
-        private final List<ProxyAlone> proxies = new ArrayList<>();
+        private final List<SimulatedProxy> proxies = new ArrayList<>();
         private final double serviceMs;
         private long nowMs;
         private double freeAtMs;
         private boolean down;
         private int calls;
 
-        Discovery(double serviceMs) {
+        SimulatedDiscovery(double serviceMs) {
             this.serviceMs = serviceMs;
         }
 
-        void pass() throws Exception {
+        void advance() throws Exception {
             ticker.advance(STEP_MS, TimeUnit.MILLISECONDS);
             nowMs += STEP_MS;
-            for (ProxyAlone proxy : proxies) {
+            for (SimulatedProxy proxy : proxies) {
                 proxy.timers.runScheduledPendingTasks();
             }
             serve();
@@ -64,7 +65,7 @@
         private void serve() {
             while (!queue.isEmpty()) {
                 Call next = queue.peek();
-                if (down || nowMs - next.arrivedMs > WAIT_MOST_MS) {
+                if (down || nowMs - next.arrivedMs > MAX_WAIT_MS) {
                     queue.poll();
                     next.channel.writeInbound(
                             Rehearsal.bytes(
@@ -95,7 +96,7 @@
             }
         }
 
-        /** As when discovery goes down: its watches end and each call fails. */
+        /** Takes discovery down, which ends all watches and fails each call, or up again. */
         void down(boolean isDown) {
             down = isDown;
             if (isDown) {
@@ -112,21 +113,22 @@
                     .orElseThrow();
         }
 
-        void passUntilAllHaveTheList() throws Exception {
-            for (int i = 0; i < DAY_MS / STEP_MS && lastListedMs() == Long.MAX_VALUE; i++) {
-                pass();
+        void advanceUntilAllHaveTheList() throws Exception {
+            for (int i = 0; i < TIME_LIMIT_MS / STEP_MS && lastListedMs() == Long.MAX_VALUE; i++) {
+                advance();
             }
         }
     }
 
-    /** A proxy whose only peer is discovery. */
-    private final class ProxyAlone implements Transport {
-        private final Discovery discovery;
+    /** A proxy that is connected to discovery alone. */
+    private final class SimulatedProxy implements Transport {
+        private final SimulatedDiscovery discovery;
         private final int number;
         private final EmbeddedChannel timers;
         private long listedAtMs = -1;
 
-        ProxyAlone(Discovery discovery, int number, int fleet, long seed) throws Exception {
+        SimulatedProxy(SimulatedDiscovery discovery, int number, int fleet, long seed)
+                throws Exception {
             this.discovery = discovery;
             this.number = number;
             timers = EmbeddedChannel.builder().ticker(discovery.ticker).build();
@@ -168,64 +170,65 @@
         }
     }
 
-    private Discovery fleet(int proxies, double allCallMs, long seed) throws Exception {
-        Discovery discovery = new Discovery(allCallMs / proxies);
+    private SimulatedDiscovery fleet(int proxies, double allCallMs, long seed) throws Exception {
+        SimulatedDiscovery discovery = new SimulatedDiscovery(allCallMs / proxies);
         for (int i = 0; i < proxies; i++) {
-            discovery.proxies.add(new ProxyAlone(discovery, i, proxies, seed));
+            discovery.proxies.add(new SimulatedProxy(discovery, i, proxies, seed));
         }
         return discovery;
     }
 
-    /** How long calls take altogether, in milliseconds; at 4 s one of the calls may be turned away twice. */
+    /** How long the calls of all proxies take together; at 4 s one of the calls may be refused twice. */
     private static final int[] ALL_CALLS_MS = {500, 2_000, 4_000, 8_000};
 
     private static final int SEEDS = 3;
     private static final int OUTAGE_MS = 8_000;
 
-    /** The proxies start together, as after a crash of all of them. */
+    /** All proxies start together, as after a crash of all of them. */
     @Test
-    void everyNewProcessHasTheListInTimeWhateverTheNumberOfThem() throws Exception {
+    void newProcessesOfAnyNumberHaveTheListInTime() throws Exception {
         for (int allCallsMs : ALL_CALLS_MS) {
-            for (int proxies : FLEETS) {
+            for (int proxies : FLEET_SIZES) {
                 for (long seed = 1; seed <= SEEDS; seed++) {
-                    Discovery discovery = fleet(proxies, allCallsMs, seed);
-                    discovery.passUntilAllHaveTheList();
-                    judge(discovery, proxies, allCallsMs, 0);
+                    SimulatedDiscovery discovery = fleet(proxies, allCallsMs, seed);
+                    discovery.advanceUntilAllHaveTheList();
+                    check(discovery, proxies, allCallsMs, 0);
                 }
             }
         }
     }
 
-    /** Discovery goes down with all watches and comes back: no pause after failures outlasts the term. */
+    /** Discovery goes down, which ends all watches, and comes back: no retry delay may exceed the 6 s. */
     @Test
-    void afterAnOutageEveryProxyHasTheListInTimeWhateverTheNumberOfThem() throws Exception {
+    void proxiesOfAnyNumberHaveTheListInTimeAfterAnOutage() throws Exception {
         for (int allCallsMs : ALL_CALLS_MS) {
-            for (int proxies : FLEETS) {
+            for (int proxies : FLEET_SIZES) {
                 for (long seed = 1; seed <= SEEDS; seed++) {
-                    Discovery discovery = fleet(proxies, allCallsMs, seed);
-                    discovery.passUntilAllHaveTheList();
+                    SimulatedDiscovery discovery = fleet(proxies, allCallsMs, seed);
+                    discovery.advanceUntilAllHaveTheList();
                     discovery.down(true);
                     for (int ms = 0; ms < OUTAGE_MS; ms += STEP_MS) {
-                        discovery.pass();
+                        discovery.advance();
                     }
                     discovery.down(false);
                     discovery.calls = 0;
                     long backMs = discovery.nowMs;
-                    discovery.passUntilAllHaveTheList();
-                    judge(discovery, proxies, allCallsMs, backMs);
+                    discovery.advanceUntilAllHaveTheList();
+                    check(discovery, proxies, allCallsMs, backMs);
                 }
             }
         }
     }
 
-    /** In time, where one call after another fits into it, and without many more calls than proxies. */
-    private static void judge(Discovery discovery, int proxies, int allCallsMs, long fromMs) {
+    /** The last list comes within 6 s, or later if the calls together take longer; few calls are repeated. */
+    private static void check(
+            SimulatedDiscovery discovery, int proxies, int allCallsMs, long fromMs) {
         String what = proxies + " proxies, all calls take " + allCallsMs + " ms: ";
         long tookMs = discovery.lastListedMs() - fromMs;
-        long mostMs = Math.max(TOLD_MS, allCallsMs + 2 * WAIT_MOST_MS);
-        assertTrue(tookMs <= mostMs, what + "the last list after " + tookMs + " ms");
+        long maxMs = Math.max(LIST_DUE_MS, allCallsMs + 2 * MAX_WAIT_MS);
+        assertTrue(tookMs <= maxMs, what + "the last list came after " + tookMs + " ms");
         double callsEach = discovery.calls / (double) proxies;
-        double mostCalls = 2 + allCallsMs / 4_000.0;
-        assertTrue(callsEach <= mostCalls, what + callsEach + " calls each");
+        double maxCalls = 2 + allCallsMs / 4_000.0;
+        assertTrue(callsEach <= maxCalls, what + callsEach + " calls per proxy");
     }
 }
--- a/src/test/java/holdproxy/net/OneDialTest.java
+++ b/src/test/java/holdproxy/net/SharedConnectTest.java
@@ -20,34 +20,37 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two that wait for one dial, as no descriptor is left for a second one: the first has a large value. */
-class OneDialTest implements Transport {
+/**
+ * Two requests wait for one connection to be established, as no descriptor is left for another. The first is
+ * a write of a large value: the command of the second must not be sent in the middle of it.
+ */
+class SharedConnectTest implements Transport {
     private static final int MIB = 1 << 20;
 
-    /** Of 128 descriptors so many are for nodes. */
-    private static final int NODES = 24;
+    /** The connections to nodes that a limit of 128 descriptors allows. */
+    private static final int NODE_CONNECTIONS = 24;
 
     @TempDir Path folder;
     private final List<EmbeddedChannel> channels = new ArrayList<>();
 
-    /** Next to the wire of the first one. */
-    private ChannelHandler wire = new TakingTheHeadAlone();
+    /** The handler next to the network on the first connection. */
+    private ChannelHandler networkHandler = new UnwritableOnceActive();
 
-    /** The first is not up yet, all others are. */
+    /** Leaves the first connection unestablished; all others are established at once. */
     @Override
     public ChannelFuture connect(
             InetSocketAddress address, int timeoutMs, ChannelHandler... handlers) {
         boolean first = channels.isEmpty();
         EmbeddedChannel channel =
                 first
-                        ? new EmbeddedChannel(false, false, behind(wire, handlers))
+                        ? new EmbeddedChannel(false, false, prepend(networkHandler, handlers))
                         : new EmbeddedChannel(handlers);
         channels.add(channel);
         return first ? channel.newPromise() : channel.newSucceededFuture();
     }
 
-    /** A socket that has no more room once it is up. */
-    private static final class TakingTheHeadAlone extends ChannelInboundHandlerAdapter {
+    /** Makes the channel unwritable once it is active, as a full socket does. */
+    private static final class UnwritableOnceActive extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             ctx.channel().unsafe().outboundBuffer().setUserDefinedWritability(1, false);
@@ -55,7 +58,7 @@
         }
     }
 
-    private static ChannelHandler[] behind(ChannelHandler first, ChannelHandler... others) {
+    private static ChannelHandler[] prepend(ChannelHandler first, ChannelHandler... others) {
         return Stream.concat(Stream.of(first), Stream.of(others)).toArray(ChannelHandler[]::new);
     }
 
@@ -69,8 +72,8 @@
         channel.close();
     }
 
-    /** Returns the first connection, on which a large value waits, and a read behind it. */
-    private EmbeddedChannel waiting() throws Exception {
+    /** Returns the first connection, on which the write of a large value waits, and a read after it. */
+    private EmbeddedChannel queueReadAfterLargeWrite() throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
@@ -103,18 +106,18 @@
                                 + " Ow1 Pc=lookup,t=acme,d=4000\r\n"
                                 + "x".repeat(MIB)
                                 + "\r\n"));
-        for (int i = 1; i < NODES; i++) {
+        for (int i = 1; i < NODE_CONNECTIONS; i++) {
             client.writeInbound(Rehearsal.bytes(Fixture.read("a" + i, 4000)));
         }
-        assertEquals(NODES, channels.size());
+        assertEquals(NODE_CONNECTIONS, channels.size());
         client.writeInbound(Rehearsal.bytes(Fixture.read("last", 4000)));
-        assertEquals(NODES, channels.size());
+        assertEquals(NODE_CONNECTIONS, channels.size());
         return channels.get(0);
     }
 
     @Test
-    void theNextCommandComesBehindTheWholeOfALargeValue() throws Exception {
-        EmbeddedChannel dialed = waiting();
+    void theNextCommandIsSentAfterTheWholeOfALargeValue() throws Exception {
+        EmbeddedChannel dialed = queueReadAfterLargeWrite();
         dialed.register();
         String head = Rehearsal.text(dialed);
         assertTrue(head.startsWith("ms 7f ") && !head.contains("Olast"), head);
@@ -126,9 +129,9 @@
     }
 
     @Test
-    void soItDoesWhereTheWriteOfItsLineMakesRoom() throws Exception {
-        wire = new LargeWriteTest.RoomAtOnce();
-        EmbeddedChannel dialed = waiting();
+    void theSameHoldsWhenTheChannelBecomesWritableDuringTheWrite() throws Exception {
+        networkHandler = new LargeWriteTest.RoomAtOnce();
+        EmbeddedChannel dialed = queueReadAfterLargeWrite();
         dialed.register();
         String all = Rehearsal.text(dialed);
         int value = all.indexOf("\r\n") + 2;
