--- a/src/main/java/holdproxy/policy/Blue.java
+++ b/src/main/java/holdproxy/policy/Blue.java
@@ -2,9 +2,12 @@
 
 import java.util.Arrays;
 
-/** FAIR's table: levels x buckets, each a value and its last update; values fade exponentially with time. */
+/**
+ * FAIR's table: levels x buckets, each with a value and the time of its last update; values decay
+ * exponentially.
+ */
 final class Blue {
-    /** A trial always gets through: no bucket refuses or passes over more often than this. */
+    /** Upper limit of every probability: some trial requests always get through. */
     static final double CHANCE_MOST = 0.98;
 
     private final int levels;
@@ -14,7 +17,7 @@
     private final long[] updated;
     private long seed;
 
-    /** {@code buckets}: a power of two. */
+    /** {@code buckets} must be a power of two. */
     Blue(int levels, int buckets, double fadeUs, long seed) {
         this.levels = levels;
         this.buckets = buckets;
@@ -24,7 +27,7 @@
         updated = new long[levels * buckets];
     }
 
-    /** Kirsch and Mitzenmacher: one hash gives the buckets of all levels. */
+    /** Kirsch-Mitzenmacher: one hash gives the buckets of all levels. */
     private int bucket(long hash, int level) {
         int h = (int) hash + level * ((int) (hash >>> 32) | 1);
         return level * buckets + (h & buckets - 1);
@@ -40,7 +43,7 @@
         return least;
     }
 
-    /** Adds a step, up or down, to the bucket of each level, within 0 and {@code most}. */
+    /** Adds a positive or negative step to the bucket of each level, clamped to 0 to {@code most}. */
     void add(long id, double step, double most, long now) {
         long hash = Random.mix(id ^ seed);
         for (int level = 0; level < levels; level++) {
@@ -51,12 +54,12 @@
         }
     }
 
-    /** From now on values fade by 1/e in this time, counted from each bucket's last update. */
+    /** Sets the decay time: values fall to 1/e in this time, counted from each bucket's last update. */
     void fadeIn(double us) {
         fadeUs = us;
     }
 
-    /** Forgets everything and hashes differently from here on. */
+    /** Clears all values and changes the hash seed. */
     void restart(long newSeed) {
         Arrays.fill(value, 0);
         seed = newSeed;
--- a/src/main/java/holdproxy/policy/Choice.java
+++ b/src/main/java/holdproxy/policy/Choice.java
@@ -3,51 +3,52 @@
 import holdproxy.policy.Tally.Count;
 import java.util.Arrays;
 
-// The interface, with its types, events and actions, stands in Router.java.
+// The interface, with its types, events and actions, is in Router.java.
 
 /**
- * The decisions of holdproxy: stochastic fair BLUE per proxy after "FAIR: Allocating Resources Fairly at
- * Scale" (M. Sathe), with two hashed candidates per key. Here: attempts, retries and their budget,
- * connections, calls to discovery. {@link Door} lets requests in or refuses them, {@link Placement} finds
- * their nodes. The comments name what departs from FAIR and when.
+ * The routing policy of holdproxy: admission by stochastic fair BLUE in each proxy, after "FAIR:
+ * Allocating Resources Fairly at Scale" (M. Sathe), and node selection among two hashed candidates per
+ * key. This class handles attempts, retries and their budget, connections, and calls to discovery. {@link
+ * Door} admits or refuses requests, {@link Placement} selects nodes. Comments name each departure from
+ * FAIR and when it applies.
  */
 public final class Choice implements Router {
-    // About this part of all requests goes on to the origin; only the steps of its bucket depend on
-    // it.
+    // About this fraction of all requests goes on to the origin. It only scales the steps of the
+    // origin's bucket.
     static final double ORIGIN_PART = 0.1;
-    // The origin serves every proxy: its bucket balances at about a sixth of fetches failing, not
-    // at half.
+    // All proxies share the origin: its bucket is in equilibrium at about a sixth of fetches
+    // failing, not at half.
     static final double ORIGIN_WEIGHT = 3;
-    // Further attempts and second copies are paid from a budget earned by requests.
+    // Retries and second copies are paid from a budget that successful attempts earn.
     static final double BUDGET_EARN = 0.1;
     static final double BUDGET_MOST = 10;
     static final double BUDGET_FIRST = 1;
-    // A copy may turn out needless and costs its second cache a miss, so it is dearer than a
-    // further attempt.
+    // A second copy may prove unnecessary and costs its node a cache miss, so it is dearer than a
+    // retry.
     static final double COPY_PRICE = 5;
-    // Second copies go out between these shares of the aim, by the round-trip estimate in between.
+    // Second copies are sent after the estimated round-trip time, within these fractions of the
+    // latency target.
     static final double COPY_SOONEST = 0.3;
     static final double COPY_LATEST = 0.6;
-    // Discovery: after a failed call the next one follows within this time for each router, twice
-    // as
-    // long after each further failure, and within what leaves two further calls of 1 s before what
-    // discovery has counts as told, 6 s after it could be reached.
+    // Discovery: after a failed call the next one follows at a random time within this bound per
+    // router, which doubles with each further failure. Its limit leaves room for two further calls
+    // of 1 s each before a change that discovery knows counts as delivered, 6 s after discovery
+    // became reachable.
     static final double ASK_RETRY_US_PER_ROUTER = 100_000;
     static final double ASK_RETRY_MOST_US = 2_000_000;
     static final double ASK_RETRY_PART = 0.4;
-    // After silence: two calls of which one is not answered either fit into what is left of the 6
-    // s.
+    // After a silent watch: two calls, one of them unanswered, fit into what is left of the 6 s.
     static final double SILENT_SPREAD_US = 500_000;
     static final double SILENT_US_PER_ROUTER = 50_000;
     static final long PUSHED_RETRY_US = 100_000;
-    // Pushed lists count at once: pause, dial (at most half) and answer together stay within the
-    // grace.
+    // Pushed lists take effect at once: the pause, the dial (at most half) and the answer together
+    // must fit into the drain grace period.
     static final double PUSHED_RETRY_PART = 0.2;
     static final long REPORT_EVERY_US = 20_000_000;
     static final int TIMER_ASK = 0;
     static final int TIMER_COPY = 1;
 
-    /** For people who count; nothing is decided by it. */
+    /** Counters for operators; no decision depends on them. */
     public final Tally tally = new Tally();
 
     private Settings set;
@@ -76,8 +77,8 @@
         door.begin(nowUs);
         onSettings(nowUs, settings);
         if (settings.askForNodes) {
-            out.timer(
-                    0, TIMER_ASK); // what is held may be old: a change counts however young one is
+            // the list from before the start may be stale, and a change counts for a new process too
+            out.timer(0, TIMER_ASK);
         }
     }
 
@@ -95,7 +96,7 @@
         placement.settings(settings);
     }
 
-    // ---- the node list ----
+    // ---- node list ----
 
     @Override
     public void onNodes(long now, ListKind kind, Node[] nodes, int count, Actions out) {
@@ -103,7 +104,7 @@
         tally.add(none ? Count.LISTS_FAILED : Count.LISTS);
         if (none) {
             subscribed = false;
-            report(now, "node list call failed", out);
+            report(now, "discovery call failed", out);
             out.timer((long) askAgainUs(kind), TIMER_ASK);
             return;
         }
@@ -112,11 +113,12 @@
     }
 
     /**
-     * When to ask again. A silent watch is opened anew before what it misses counts as told, spread over no
-     * more than that leaves, as all proxies may have met the silence at once. After a failed call:
-     * exponential backoff with full jitter, by the number of routers, since all of them may have failed at
-     * once. Lists that are pushed count at once, also those that come when a silent agent is back, and it is
-     * this proxy's own.
+     * The delay before the next call to discovery. A silent watch is reopened before the changes it
+     * misses count as delivered, and the calls are spread over no more than the time left, as all proxies
+     * may have seen the silence at once. After a failed call: exponential backoff with full jitter,
+     * scaled by the number of routers, since all of them may have failed at once. Pushed lists take
+     * effect at once, also those sent when a silent agent returns, and the agent serves this proxy alone,
+     * so the delay is short.
      */
     private double askAgainUs(ListKind kind) {
         if (!set.askForNodes) {
@@ -138,12 +140,15 @@
         fleet.leaveOut(node, out, at);
     }
 
-    /** Listed nodes that are avoided: left out by operators, down, or passed over more often than not. */
+    /**
+     * The number of listed nodes that are avoided: left out by operators, down, or passed over more often
+     * than not.
+     */
     public int avoided(long now) {
         return placement.avoided(now);
     }
 
-    // ---- arrival: the tenant's chance ----
+    // ---- request arrival: admission by the tenant's refusal probability ----
 
     @Override
     public void onRequest(long now, Request q, Actions out) {
@@ -166,29 +171,28 @@
         start(r, now, out);
     }
 
-    /** A line for the people on call, at most one in a while however bad it gets. */
+    /** Logs a status line, at most one every {@link #REPORT_EVERY_US} however many requests are refused. */
     private void report(long now, String what, Actions out) {
         if (now >= reportAt) {
             reportAt = now + REPORT_EVERY_US;
-            // joined and not formatted: a formatter's classes cost a starting proxy a tenth of a
-            // second
+            // concatenated: loading String.format costs a starting proxy a tenth of a second
             out.log(
                     what
-                            + ": origin chance "
+                            + ": origin refusal probability "
                             + Math.round(100 * originChance.get(now)) / 100.0
                             + ", "
                             + door.seen()
-                            + ", list calls failed "
+                            + ", consecutive failed discovery calls "
                             + askFailures);
         }
     }
 
-    /** The surer the refusal, the longer the advice. */
+    /** The higher the refusal probability, the longer the advised delay. */
     private long retryAfter(double chance) {
         return set.retryAfter ? (long) (set.maxRetryAfterUs * Math.max(0.2, chance)) : 0;
     }
 
-    // ---- choosing a node ----
+    // ---- node selection ----
 
     private void start(Open r, long now, Actions out) {
         if (set.aside && r.write) {
@@ -216,7 +220,10 @@
 
     // ---- attempts ----
 
-    /** When waiting on stops being worth anything: the aim where late answers earn nothing, else when due. */
+    /**
+     * When an answer loses its value: at the latency target if late answers earn nothing, else at the due
+     * time.
+     */
     private long giveUpAt(Open r) {
         return r.type.lateWorth > 0
                 ? r.due
@@ -233,7 +240,7 @@
                                 : r.attempts > 0 && budget < 1
                                         ? Count.REFUSED_WITHOUT_BUDGET
                                         : Count.REFUSED_WITHOUT_NODE);
-                finish(r, now, out); // else an attempt still out may bring the answer
+                finish(r, now, out); // else an outstanding attempt may still succeed
             }
             return;
         }
@@ -247,17 +254,18 @@
     }
 
     /**
-     * Connections: silence on one that had idled (dropped unseen), or a node that takes no new ones (all its
-     * places held by idle ones) shortens the time that any may idle. One that would be closed before its next
-     * use is closed at once, which leaves room for others; where handshakes have a price, not before silence
-     * was met. A node that is down turns connections away too: where each new one is paid for by the whole
-     * fleet, that is no reason to close those to all other nodes.
+     * Updates the state of the connection that an attempt used. Silence on a connection that had been
+     * idle (dropped unnoticed), or a node that accepts no new ones (idle ones fill its connection table),
+     * shortens the time that any connection may idle. One that would reach the limit before its next use
+     * is closed at once, which leaves room for others; where handshakes have a price, only after silence
+     * was observed. A node that is down refuses connections too: where the whole fleet pays for each new
+     * connection, that is no reason to close those to all other nodes.
      */
     private void released(Open r, int attempt, Outcome o, long now, Actions out) {
         Target t = r.node[attempt];
         double limit = idling.limitUs(now);
         if (fleet.isOrigin(t)) {
-            return; // one that all share: a handshake there costs the most when it is slow
+            return; // shared by all proxies: a handshake costs the most while it is slow
         }
         if (o == Outcome.CONNECT_FAILED) {
             if (set.handshakePrice == 0) {
@@ -271,7 +279,7 @@
             }
             t.idleSince = now;
             boolean freely = set.handshakePrice == 0 || limit < set.idleCloseUs / 2.0;
-            // silence on one says nothing of others that idled no longer than those that came back
+            // silence says nothing about those that idled no longer than others that still worked
             boolean suspect = o == Outcome.TIMEOUT && idling.suspect(r.idledUs[attempt], now);
             if (suspect || freely && fleet.readyCount / demand.rate(now) * 1e6 > limit) {
                 closeIdle(t, out);
@@ -287,23 +295,22 @@
 
     private void sendToOrigin(Open r, long now, Actions out) {
         double chance = originChance.get(now);
-        // what is worth more goes on longer: each class meets the chance to the power of its worth
+        // the higher a class's worth, the later it is refused: its worth is the exponent
         boolean refused = chance > 0 && random.unit() < Math.pow(chance, r.type.worth / leastWorth);
         Target t = refused ? null : origin();
-        // an earlier attempt of a missed read may have run
+        // an earlier attempt of a read that missed may have run, which limits the nodes allowed now
         t = t == null || r.mayGoTo(t, set, now) ? t : null;
         r.atOrigin |= t != null;
         send(r, t, now, out);
     }
 
-    /** Trouble is not multiplied: further attempts are paid from what ordinary requests have earned. */
+    /** Retries must not multiply an overload: they are paid from what ordinary requests have earned. */
     private void retry(Open r, long now, Actions out) {
         boolean toOrigin = set.aside && r.write;
         if (r.out != 0 && budget < COPY_PRICE) {
             tally.add(Count.COPIES_WITHOUT_BUDGET);
         }
-        // what was never begun has cost no node anything: what follows is in effect the first
-        // attempt
+        // an attempt that never started cost no node any work: the next one counts as the first
         boolean begun = r.last != Outcome.CONNECT_FAILED && r.last != Outcome.NOT_SENT;
         double price = r.out != 0 ? COPY_PRICE : begun ? 1 : 0;
         boolean may = budget >= price && giveUpAt(r) > now && (r.out == 0 || set.secondCopies);
@@ -411,11 +418,11 @@
             long latency,
             long now) {
         boolean good = o == Outcome.OK || o == Outcome.MISS;
-        // by what the answer took: what it lay unread is not in the latency
+        // by the latency, which excludes the time that the answer waited to be read
         boolean late = good && r.sentAt[attempt] + latency - r.arrived > r.type.aimUs;
         boolean fetched = !set.aside && !r.write && note != CacheNote.HIT && note != CacheNote.NONE;
-        double ofNode =
-                t.chance.get(now); // as known before this outcome, which is one failure only
+        // before this outcome is counted, which is a single failure
+        double ofNode = t.chance.get(now);
         if (fromOrigin || fetched) {
             boolean failed = !good || fetched && latency > r.type.aimUs;
             originFailed(failed, ORIGIN_WEIGHT, now);
@@ -441,9 +448,9 @@
                             || o == Outcome.TIMEOUT
                             || o == Outcome.OVERLOADED
                             || o == Outcome.ERROR && !set.aside;
-            // blame: the origin's failures are its own first; so are a node's that fails more than
-            // others do,
-            // but for tenants that run over their quota more than others do
+            // Blame: failures of the origin are attributed to the origin first; so are those of a
+            // node that fails more than others to that node, unless the tenant exceeds its quota by
+            // more than the mean request does.
             boolean over = demand.quotaRatio(r.tenant, now) > demand.meanRatio();
             double beyond = placement.learnUsual(ofNode);
             double known = fromOrigin || fetched ? originChance.get(now) : over ? 0 : beyond;
@@ -456,7 +463,7 @@
         Placement.step(originChance, failed, demand.rate(now) * ORIGIN_PART, weight, now);
     }
 
-    // ---- the rest ----
+    // ---- other events ----
 
     @Override
     public void onStreaming(long now, long id, int attempt, Actions out) {
@@ -464,7 +471,7 @@
         if (r == null || r.done) {
             return;
         }
-        // the attempt belongs to the client: nothing else is sent, and nothing answered
+        // the attempt belongs to the client now: nothing else is sent, and no other answer given
         for (int i = 0; i < r.attempts && set.mayCancel; i++) {
             if (i != attempt && r.isOut(i)) {
                 out.cancel(id, i);
@@ -491,11 +498,12 @@
         } else if (r == null || r.done) {
             return;
         } else if (kind == TIMER_COPY && r.out != 0 && r.write && r.atOrigin && r.attempts == 1) {
-            // a write still out tells of a slow origin before its time-out, which would be too late
+            // a write still outstanding indicates a slow origin before its time-out, which would be
+            // too late
             originFailed(true, ORIGIN_WEIGHT * Placement.SOFT, now);
         } else if (kind == TIMER_COPY && r.out != 0 && !r.atOrigin) {
-            // slow compared with others: without this a node whose copies win elsewhere would never
-            // be blamed
+            // slow compared with others: without this, a node whose copies are answered first
+            // elsewhere would never be blamed
             int first = Integer.numberOfTrailingZeros(r.out);
             Target slow = r.node[first];
             if (idling.silent(r.idledUs[first], now)) {
@@ -511,11 +519,11 @@
 
     @Override
     public void onProbe(long now, int node, Outcome o, long latency, Report report, Actions out) {
-        // none is asked for
+        // probes are not used
     }
 
     @Override
     public void onTold(long now, int router, byte[] data, Actions out) {
-        // none is asked for either: every rule and the ordinary path hold without
+        // messages are not used: all rules and the normal path work without them
     }
 }
--- a/src/main/java/holdproxy/policy/Demand.java
+++ b/src/main/java/holdproxy/policy/Demand.java
@@ -1,13 +1,13 @@
 package holdproxy.policy;
 
 /**
- * What is asked for here: requests a second, in all and by tenant, also against the tenants' quotas. It
- * counts and decides nothing. Times in microseconds.
+ * The request rates at this proxy, in total and per tenant, also relative to the tenants' quotas. It only
+ * counts. Times are in microseconds.
  */
 final class Demand {
-    // Own rates are counted over about this time.
+    // Rates are averaged over about this time.
     static final double RATE_US = 10e6;
-    // Quotas: so many requests of doubt on either side.
+    // Requests added to both sides of a quota ratio, for the uncertainty of small counts.
     static final double QUOTA_DOUBT = 3;
     static final double RATIO_LEARN = 1.0 / 64;
 
@@ -29,46 +29,49 @@
         admitted = Fading.grown(admitted, asked.length, RATE_US);
     }
 
-    /** The tenant's place in what is counted; one that is not known counts with the first. */
+    /** The index of the tenant's counters; an unknown tenant is counted with the first. */
     int tenant(int index) {
         return index >= 0 && index < asked.length ? index : 0;
     }
 
-    /** A request has come. */
+    /** Counts a request that has arrived. */
     void asked(int tenant, boolean repeat, long now) {
         if (!repeat) {
-            asked[tenant].count(now); // what clients repeat after a refusal is not more demand
+            asked[tenant].count(now); // a repeat after a refusal is not additional demand
         }
-        // the first ones count alike: begun from 1, the mean would for long be far from what any
-        // tenant sends
+        // The first samples have equal weights: started from 1, the mean would for long be far from
+        // what any tenant sends.
         meanRatio +=
                 (quotaRatio(tenant, now) - meanRatio) * Math.max(RATIO_LEARN, 1.0 / ++requests);
         all.count(now);
     }
 
-    /** It was let in. */
+    /** Counts an admitted request. */
     void admitted(int tenant, long now) {
         admitted[tenant].count(now);
     }
 
-    /** Requests a second here. */
+    /** Requests per second at this proxy. */
     double rate(long now) {
         return rate(all, now);
     }
 
-    /** Those of a tenant that were let in. */
+    /** Admitted requests per second of a tenant. */
     double admittedRate(int tenant, long now) {
         return rate(admitted[tenant], now);
     }
 
-    /** A second; after a start of the time that has passed, and never of less than one. */
+    /** Events per second; after a start over the time that has passed, but over 1 s at least. */
     private double rate(Fading counted, long now) {
         return counted.get(now)
                 / (RATE_US * (1 - Math.exp((startedAt - now) / RATE_US)) + 1e6)
                 * 1e6;
     }
 
-    /** What is asked for over all quotas, which stand for what the fleet can do; 1 where none do. */
+    /**
+     * Total demand relative to the sum of all quotas, which stands for the fleet's capacity; 1 without
+     * quotas.
+     */
     double overQuotas(long now) {
         double quota = 0;
         double wanted = 0;
@@ -79,7 +82,7 @@
         return quota <= 0 ? 1 : wanted * set.routers / quota;
     }
 
-    /** What a tenant asks for over its part of its quota. */
+    /** A tenant's demand here relative to this proxy's part of its quota. */
     double quotaRatio(int tenant, long now) {
         if (tenant >= set.tenants.length || set.tenants[tenant].quotaPerS <= 0) {
             return 1;
@@ -88,7 +91,7 @@
         return (asked[tenant].get(now) + QUOTA_DOUBT) / (due + QUOTA_DOUBT);
     }
 
-    /** The same for the mean request here. */
+    /** The mean of {@link #quotaRatio} over the requests at this proxy. */
     double meanRatio() {
         return meanRatio;
     }
--- a/src/main/java/holdproxy/policy/Door.java
+++ b/src/main/java/holdproxy/policy/Door.java
@@ -1,45 +1,43 @@
 package holdproxy.policy;
 
-/** Whether a request is let in: FAIR's table of the tenants' chances, and what outcomes add to it. */
+/** Admission control: FAIR's table of the tenants' refusal probabilities, and its updates from outcomes. */
 final class Door {
-    // FAIR: levels x buckets. Two tenants share all buckets with chance 64^-3; two tables are 5 KB
-    // a proxy.
+    // FAIR: levels x buckets. Two tenants share all buckets with probability 64^-3; two tables take
+    // 5 KB per proxy.
     static final int LEVELS = 3;
     static final int BUCKETS = 64;
-    // FAIR: Pi is such that so many seconds of nothing but failures take a chance from 0 to 1,
-    // however many
-    // requests these are; a success takes back a hundredth of one failure.
+    // FAIR: Pi is such that this many seconds of nothing but failures raise a probability from 0 to
+    // 1, whatever the request rate; a success takes back a hundredth of one failure.
     static final double EVIDENCE_S = 1.5;
     static final double PD_SHARE = 0.01;
     static final double PI_MOST = 0.8;
-    // Redemption: a chance fades by 1/e in this time while this share of requests fails or that of
-    // answers
-    // is crowded, sooner in proportion while less is: the door opens once its cause is gone.
+    // Decay: a probability falls to 1/e in this time while FADE_SHARE of the requests fail or
+    // FADE_CROWDED of the answers indicate queueing, proportionally sooner while fewer do: refusals
+    // end once their cause is gone.
     static final double TENANT_FADE_US = 10e6;
     static final double TENANT_FADE_LEAST_US = 0.4e6;
     static final double FADE_SHARE = 0.1;
     static final double FADE_CROWDED = 0.2;
-    // The share of failures is counted over so many requests, but no less and no more than these
-    // times.
+    // The share of failures is averaged over this many requests, but over no less and no more than
+    // these times.
     static final double SHARE_REQUESTS = 20;
     static final double SHARE_US = 0.3e6;
     static final double SHARE_MOST_US = 3e6;
-    // Fresh seeds this often; several fading times, so that the shadow has learnt what the live
-    // table knows.
+    // The hash seeds change this often: several decay times, so that the shadow table has learnt
+    // what the live one knows.
     static final long ROTATE_US = 60_000_000;
-    // Running over a quota weighs at most this much more than one step.
+    // Exceeding a quota multiplies a step by at most this.
     static final double QUOTA_MOST = 4;
-    // A choked fleet heals only at a fraction of its load: failures running without one success
-    // prove it. The
-    // less is asked for, the less likely it is choked: where a quarter fails two in a row are mere
-    // chance.
+    // A congested fleet recovers only at a fraction of its load; consecutive failures without one
+    // success indicate this. The lower the demand, the less likely is congestion: where a quarter
+    // of the requests fail, two failures in a row are mere coincidence.
     static final double STREAK_TELLS = 3;
     static final double STREAK_MOST = 4;
-    // While they run, chances fade up to so many times slower: many proxies' trials keep a fleet
-    // choked.
+    // During such a streak, probabilities decay up to this many times slower: the trial requests of
+    // many proxies keep a fleet congested.
     static final double FADE_MOST = 3;
-    // Queues show in answers that took over this part of their aim: crowded. So many of them tell
-    // it surely.
+    // Answers that took over this part of their latency target indicate queueing; at this share of
+    // such answers it is certain.
     static final double CROWDED_PART = 0.5;
     static final double CROWDED_SURE = 0.15;
 
@@ -49,7 +47,7 @@
     private Blue shadow;
     private long rotateAt;
 
-    /** Share of crowded answers lately. */
+    /** Recent share of answers that indicate queueing. */
     private double crowding;
 
     private long crowdingAt;
@@ -64,12 +62,12 @@
         shadow = new Blue(LEVELS, BUCKETS, TENANT_FADE_US, random.next());
     }
 
-    /** The first rotation comes within half to the whole of its time. */
+    /** Schedules the first rotation, after half to all of the rotation period. */
     void begin(long now) {
         rotateAt = now + (long) (ROTATE_US * (0.5 + 0.5 * random.unit()));
     }
 
-    /** Rotation: the shadow, which has learnt meanwhile, takes over from the live table. */
+    /** Rotation: the shadow table, which has learnt in the meantime, replaces the live one. */
     void rotate(long now) {
         if (now >= rotateAt) {
             Blue old = live;
@@ -80,23 +78,23 @@
         }
     }
 
-    /** The tenant's chance of being refused: the least over the levels. */
+    /** The probability that a request of the tenant is refused: the minimum over the levels. */
     double chance(int tenant, long now) {
         return live.min(tenant, now);
     }
 
-    /** For people: what the door has seen lately. */
+    /** Recent observations, for the status line in the log. */
     String seen() {
-        return "failures running "
+        return "consecutive failures "
                 + (long) streak
-                + ", failing "
+                + ", failure share "
                 + Math.round(100 * failing)
-                + "%, answers crowded "
+                + "%, answers indicating queueing "
                 + Math.round(100 * crowding)
                 + "%";
     }
 
-    /** An answer came, served after so long or as "busy". */
+    /** Counts an answer and its latency; {@code served} is false if the node was overloaded. */
     void answered(boolean served, long latencyUs, long aimUs, long now) {
         boolean crowded = !served || latencyUs > CROWDED_PART * aimUs;
         crowding += ((crowded ? 1 : 0) - crowding) * part(crowdingAt, now);
@@ -104,8 +102,9 @@
     }
 
     /**
-     * An attempt of an open request has failed, or served ({@code ok}), or neither. {@code known}: how much
-     * of a failure is somebody else's; {@code told}: the node said so, instead of being silent or late.
+     * Counts an attempt that failed, succeeded ({@code ok}), or neither. {@code known}: the part of a
+     * failure that others are to blame for; {@code told}: the node reported the failure, instead of being
+     * silent or late.
      */
     void outcome(
             Open r,
@@ -118,9 +117,10 @@
         streak = fromOrigin ? streak : failed ? streak + 1 : ok ? 0 : streak;
         double share = 1 - Math.max(0, known);
         if (!told) {
-            share *= Math.min(1, crowding / CROWDED_SURE); // else silence, not want of capacity
+            // without queueing, silence is no lack of capacity
+            share *= Math.min(1, crowding / CROWDED_SURE);
         }
-        // but if nothing succeeds at all, neither single nodes nor the network are to blame
+        // if nothing succeeds at all, neither single nodes nor the network are to blame
         share = Math.max(share, Math.min(1, streak / (STREAK_TELLS * STREAK_MOST)));
         if (failed || ok) {
             fade(failed ? share : 0, now);
@@ -128,7 +128,7 @@
         evidence(r, failed, ok, share, now);
     }
 
-    /** Decay: slow while requests fail or answers tell of queues, quick once neither is the case. */
+    /** Decay: slow while requests fail or answers indicate queueing, fast once neither is the case. */
     private void fade(double failure, long now) {
         failing += (failure - failing) * part(failingAt, now);
         failingAt = now;
@@ -139,7 +139,7 @@
         shadow.fadeIn(fade);
     }
 
-    /** The weight of one more in a moving share, the one before having come at that time. */
+    /** The weight of a new sample in a moving average whose previous sample came at {@code since}. */
     private double part(long since, long now) {
         double overUs =
                 Math.max(
@@ -147,7 +147,7 @@
         return 1 - Math.exp((since - now) / overUs);
     }
 
-    /** FAIR's two steps, on the live and the shadow table; a request counts as one failure at most. */
+    /** Applies FAIR's steps to the live and the shadow table; a request counts as one failure at most. */
     private void evidence(Open r, boolean failure, boolean success, double share, long now) {
         if (failure ? r.blamed : !success) {
             return;
@@ -161,8 +161,9 @@
     }
 
     /**
-     * Flushes and slowdowns fail everyone: a tenant is blamed by how far it runs over its quota compared with
-     * the mean request here, so that within one proxy those beyond their quota are refused first.
+     * Cache flushes and slowdowns fail requests of all tenants. A tenant is blamed by how far it exceeds
+     * its quota compared with the mean request here, so that within one proxy tenants beyond their quota
+     * are refused first.
      */
     private double overQuota(int tenant, long now) {
         double mean = demand.meanRatio();
--- a/src/main/java/holdproxy/policy/Fading.java
+++ b/src/main/java/holdproxy/policy/Fading.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** One value with its last update, fading with time: a rate, a report or a single BLUE bucket. */
+/** A value that decays exponentially since its last update: a rate, a report or a single BLUE bucket. */
 final class Fading {
     private double fadeUs;
     private double value;
@@ -16,7 +16,7 @@
         return grown(new Fading[0], n, fadeUs);
     }
 
-    /** At least so many: those given, and new ones behind them. */
+    /** Extends an array to at least {@code n} elements; the given ones come first. */
     static Fading[] grown(Fading[] before, int n, double fadeUs) {
         Fading[] all = Arrays.copyOf(before, Math.max(before.length, n));
         for (int i = before.length; i < all.length; i++) {
@@ -29,7 +29,7 @@
         return faded(value, updated, now, fadeUs);
     }
 
-    /** Adds a step, up or down, within 0 and {@code most}; returns the new value. */
+    /** Adds a positive or negative step, clamped to 0 to {@code most}; returns the new value. */
     double add(double step, double most, long now) {
         set(Math.max(0, Math.min(most, get(now) + step)), now);
         return value;
@@ -40,7 +40,7 @@
         return add(1, Double.MAX_VALUE, now);
     }
 
-    /** From the last update on fades by 1/e in this time. */
+    /** Sets the decay time: the value falls to 1/e in this time, counted from its last update. */
     void fadeIn(double us) {
         fadeUs = us;
     }
--- a/src/main/java/holdproxy/policy/Fleet.java
+++ b/src/main/java/holdproxy/policy/Fleet.java
@@ -6,15 +6,16 @@
 import java.util.function.Predicate;
 
 /**
- * The node list as last told, without what is gone and has nothing out; and flat arrays of what takes
- * requests, which {@link Target#takesNew} says: this only keeps the books.
+ * The node list as last received, without nodes that are gone and have no attempt outstanding; and flat
+ * arrays of those that accept requests. {@link Target#takesNew} decides which do; this class only keeps
+ * the lists.
  */
 final class Fleet {
     private final LongMap<Target> byId = new LongMap<>();
     private final boolean aside;
     private final int originKind;
 
-    /** Nodes that operators have left out, in the list or not. */
+    /** Nodes that operators have left out, whether listed or not. */
     private final Set<Integer> leftOut = new HashSet<>();
 
     private Target[] known = new Target[16];
@@ -37,7 +38,7 @@
     void apply(Router.ListKind kind, Router.Node[] nodes, int count) {
         if (kind != Router.ListKind.DELTA) {
             for (int i = 0; i < knownCount; i++) {
-                known[i].state = Router.NodeState.GONE; // unless the whole list names it below
+                known[i].state = Router.NodeState.GONE; // unless the full list has it, below
             }
         }
         for (int i = 0; i < count; i++) {
@@ -61,7 +62,7 @@
         }
         if (n.startedUs != t.startedUs) {
             t.up();
-            t.chance.set(0, 0); // a new process: what the old one did no longer counts
+            t.chance.set(0, 0); // a new process: the old one's failures no longer count
         }
         t.cell = n.cell;
         t.zone = n.zone;
@@ -71,7 +72,7 @@
         t.startedUs = n.startedUs;
     }
 
-    /** By operators' call; it holds whatever the lists say, and until the call back. */
+    /** Applies an operator's command, which holds whatever the lists say until it is revoked. */
     void leaveOut(int id, boolean out, long at) {
         Target t = byId.get(id & 0xffffffffL);
         if (out) {
@@ -88,7 +89,7 @@
         arrange();
     }
 
-    /** How many of the nodes are so. */
+    /** The number of known nodes that match. */
     int count(Predicate<Target> so) {
         int count = 0;
         for (int i = 0; i < knownCount; i++) {
@@ -101,7 +102,7 @@
         return knownCount;
     }
 
-    /** Memory stays bounded over months of churn: what is gone with nothing in flight is forgotten. */
+    /** Removes nodes that are gone with nothing in flight: memory stays bounded over months of churn. */
     private void forget() {
         int kept = 0;
         for (int i = 0; i < knownCount; i++) {
--- a/src/main/java/holdproxy/policy/Idling.java
+++ b/src/main/java/holdproxy/policy/Idling.java
@@ -1,21 +1,24 @@
 package holdproxy.policy;
 
-/** How long a connection may idle before it is no longer trusted, by what came of those that had idled. */
+/**
+ * How long a connection may idle before it is no longer trusted, learnt from connections used after
+ * idling.
+ */
 final class Idling {
-    // Connections: a failure cuts the time that one may idle by e, a use of one that had idled wins
-    // it back.
+    // A failure divides the time that a connection may idle by e; successful use after idling
+    // restores it.
     static final double THRIFT_STEP = 1;
     static final double THRIFT_MOST = 12;
     static final double THRIFT_FADE_US = 60e6;
-    // Silence tells of idling only beyond so many times what others came back from in about this
-    // time.
+    // Silence is attributed to idling only beyond this multiple of the idle time that other
+    // connections recently survived, which is remembered for about PROVEN_FADE_US.
     static final double PROVEN_MARGIN = 2;
     static final double PROVEN_FADE_US = 10e6;
 
     private final long mostUs;
     private final Fading thrift = new Fading(THRIFT_FADE_US);
 
-    /** The longest idling after which a connection served lately. */
+    /** The longest idle time after which a connection recently still worked. */
     private final Fading proven = new Fading(PROVEN_FADE_US);
 
     Idling(long mostUs) {
@@ -26,12 +29,12 @@
         return mostUs * Math.exp(-thrift.get(now));
     }
 
-    /** A node takes no new connections: all its places may be held by idle ones. */
+    /** A node accepts no new connections: idle ones may fill its connection table. */
     void turnedAway(long now) {
         thrift.add(THRIFT_STEP, THRIFT_MOST, now);
     }
 
-    /** A connection served after idling so long; -1: it was new. */
+    /** A connection still worked after idling for this long; -1: it was new. */
     void served(long idledUs, double limitUs, long now) {
         if (idledUs > limitUs / 4) {
             thrift.add(-THRIFT_STEP, THRIFT_MOST, now);
@@ -40,9 +43,9 @@
     }
 
     /**
-     * Whether silence on a connection that idled so long may come of that. Where others came back from about
-     * as much it is a slow answer: on a busy proxy such would else close every connection between any two
-     * uses, and with none idle long enough to win trust back it would stay so.
+     * Whether silence on a connection may be due to its idle time. Where others worked after about as
+     * long, it is just a slow answer: otherwise slow answers would on a busy proxy close every connection
+     * between any two uses, and with none idle long enough to restore trust it would stay so.
      */
     boolean silent(long idledUs, long now) {
         if (!suspect(idledUs, now)) {
@@ -52,7 +55,7 @@
         return true;
     }
 
-    /** Whether a connection idled beyond what others came back from lately. */
+    /** Whether a connection idled longer than others that recently still worked. */
     boolean suspect(long idledUs, long now) {
         return idledUs > PROVEN_MARGIN * proven.get(now);
     }
--- a/src/main/java/holdproxy/policy/LongMap.java
+++ b/src/main/java/holdproxy/policy/LongMap.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** Open-addressing map from non-negative longs: no boxing, and no order that could leak into decisions. */
+/**
+ * Open-addressing hash map with non-negative long keys: no boxing, and no iteration order that could
+ * affect decisions.
+ */
 final class LongMap<T> {
     private static final long FREE = -1;
 
@@ -56,7 +59,7 @@
         keys[i] = FREE;
         values[i] = null;
         size--;
-        // entries behind the gap move up, so that every one stays reachable from its own slot
+        // re-insert the entries behind the gap, so that each stays reachable from its own slot
         for (int j = i + 1 & mask; keys[j] != FREE; j = j + 1 & mask) {
             long key2 = keys[j];
             Object value2 = values[j];
--- a/src/main/java/holdproxy/policy/Open.java
+++ b/src/main/java/holdproxy/policy/Open.java
@@ -1,6 +1,6 @@
 package holdproxy.policy;
 
-/** A request not yet concluded, or with attempts still out. */
+/** A request that is not yet answered, or has attempts outstanding. */
 final class Open {
     static final int ATTEMPTS_MOST = 8;
 
@@ -19,16 +19,17 @@
     boolean blamed;
     int attempts;
 
-    /** How the attempt that ended last did so. */
+    /** Outcome of the attempt that ended last. */
     Router.Outcome last;
 
-    /** Bits by attempt: still out, and not proven never to have run. */
+    /** Bit mask of the attempts still outstanding. */
     int out;
 
+    /** Bit mask of the attempts that are not proven never to have run. */
     int mayHaveRun;
     final Target[] node = new Target[ATTEMPTS_MOST];
 
-    /** How long the connection had idled when the attempt was sent; -1: a new one. */
+    /** How long the connection had been idle when the attempt was sent; -1: it was new. */
     final long[] idledUs = new long[ATTEMPTS_MOST];
 
     final long[] sentAt = new long[ATTEMPTS_MOST];
@@ -45,7 +46,7 @@
         write = q.write;
     }
 
-    /** The part of its aim that an attempt took beyond the request's own stated work. */
+    /** Time beyond the request's own stated work, as a fraction of its latency target. */
     double waited(long latencyUs) {
         return Math.max(0, latencyUs - costUs) / type.aimUs;
     }
@@ -81,7 +82,7 @@
         return false;
     }
 
-    /** No repeated effect: whether another attempt may go to this node now. */
+    /** Whether another attempt may go to this node now without the risk of repeating a side effect. */
     boolean mayGoTo(Target t, Router.Settings set, long now) {
         if (type.effect == Router.Effect.SAFE || mayHaveRun == 0) {
             return true;
@@ -90,7 +91,7 @@
             return false;
         }
         int first = Integer.numberOfTrailingZeros(mayHaveRun);
-        // what is sent now may wait for a connection, and must still arrive within the window
+        // an attempt sent now may wait for a connection, and must still arrive within the window
         if (now - sentAt[first] >= type.repeatWindowUs - 2 * set.tickUs - set.dialTimeoutUs) {
             return false;
         }
@@ -102,7 +103,7 @@
         };
     }
 
-    /** No repeated effect: a refusal promises that trying again is harmless. */
+    /** Whether the request may be refused: a refusal promises that trying again is harmless. */
     boolean mayRefuse() {
         return type.effect == Router.Effect.SAFE
                 || mayHaveRun == 0
--- a/src/main/java/holdproxy/policy/Placement.java
+++ b/src/main/java/holdproxy/policy/Placement.java
@@ -3,42 +3,45 @@
 import holdproxy.policy.Tally.Count;
 import java.util.Arrays;
 
-/** Which node a request goes to: hashed candidates past those that fail or warm up, the less busy taken. */
+/**
+ * Selects the node for a request: the less busy of two hashed candidates, without those that fail or warm
+ * up.
+ */
 final class Placement {
     // Candidates ranked for a key: two, and spares for those that fail, warm up or were tried.
     static final int CHOICES = 2;
     static final int RANKED = 12;
     // A tie goes to the second candidate if the first reports this much more of its cores busy.
     static final double BUSY_TIE = 0.2;
-    // Without notes on hits the answers of reads tell how busy a node is, each by this much.
+    // Without hit or miss notes, load is estimated from the latency of reads, each with this
+    // weight.
     static final double BUSY_LEARN = 0.3;
-    // A time-out or late answer says less of a node than a broken connection, an error or a full
-    // queue.
+    // Weight of a time-out or late answer, which says less about a node than a broken connection,
+    // an error or a full queue.
     static final double SOFT = 0.5;
     static final double NODE_PI = 0.1;
     static final double NODE_PI_MOST = 0.8;
     static final double NODE_EVIDENCE_S = 3;
     static final double NODE_PD_SHARE = 0.2;
-    // A quiet proxy comes by a node rarely: what it learnt there has to last for about this many
-    // visits.
+    // A proxy with little traffic visits a node rarely: what it learnt there has to last for about
+    // this many visits.
     static final double NODE_FADE_VISITS = 2;
     static final double NODE_FADE_MOST_US = 60e6;
-    // What most nodes fail alike is no reason to pass one over: this part of the usual chance is
-    // let off.
+    // Failures that most nodes have alike are no reason to pass one over: this part of the usual
+    // probability is deducted.
     static final double USUAL_PART = 0.7;
     static final double USUAL_LEARN = 1.0 / 64;
-    // For people who count: passed over more often than not, a node is avoided.
+    // For monitoring: passed over with more than this probability, a node counts as avoided.
     static final double AVOIDED_FROM = 0.5;
-    // A key is hot when seen before this lately and when it alone would fill this share of a node's
-    // part.
+    // A key is hot if it was seen recently and if it alone would fill this share of a node's part
+    // of the traffic.
     static final double HOT_SEEN = 0.3;
     static final double HOT_SHARE = 0.5;
     static final double HEAT_US = 20e6;
     static final int HEAT_BUCKETS = 256;
     // Part of a cold node's capacity that admitted keys may fill at first: each miss costs it extra
-    // work. The
-    // load says how many keys fill it; no less than this is believed, as a proxy just started knows
-    // no rates.
+    // work. The load tells how many keys fill it; it is taken to be at least LOAD_LEAST, as a proxy
+    // just started knows no rates.
     static final double LOAD_LEAST = 0.6;
     static final double COLD_PART = 0.75;
 
@@ -52,7 +55,7 @@
     private final double[] topScore = new double[RANKED];
     private Router.Settings set;
 
-    /** The median chance of the nodes that were sent to. */
+    /** The median probability of being passed over among the nodes that attempts were sent to. */
     private double usualNode;
 
     Placement(Fleet fleet, Demand demand, Random random, Tally tally) {
@@ -67,7 +70,7 @@
         set = settings;
     }
 
-    /** A request for this key was let in. */
+    /** Counts an admitted request for this key. */
     void wanted(long key, long now) {
         if (key != 0) {
             heat.add(key, 1, Double.MAX_VALUE, now);
@@ -75,12 +78,18 @@
         }
     }
 
-    /** Listed nodes that are avoided: left out by operators, down, or passed over more often than not. */
+    /**
+     * The number of listed nodes that are avoided: left out by operators, down, or passed over more often
+     * than not.
+     */
     int avoided(long now) {
         return fleet.count(t -> t.avoided(USUAL_PART * usualNode, AVOIDED_FROM, now));
     }
 
-    /** Two hashed candidates and the one with fewer of our own requests in flight; ties keep to the first. */
+    /**
+     * Of two hashed candidates, the one with fewer of this proxy's requests in flight; ties go to the
+     * first.
+     */
     Target choose(Open r, long now) {
         long key = r.key != 0 ? r.key : random.next();
         int copies = r.key != 0 ? hotCopies(r.key, now) : 1;
@@ -105,8 +114,8 @@
     }
 
     /**
-     * Weighted rendezvous hashing: the nodes with the lowest of about exp(1)/weight, best first. The array is
-     * reused by the next call and ends with null where fewer are ready.
+     * Weighted rendezvous hashing: the nodes with the lowest of about exp(1)/weight, best first. The
+     * array is reused by the next call and ends with null if fewer are ready.
      */
     private Target[] rank(long key) {
         Arrays.fill(top, null);
@@ -138,24 +147,31 @@
         return so;
     }
 
-    /** Fewer of our own in flight; with few a proxy most are ties, which reported load decides. */
+    /**
+     * Fewer of this proxy's requests in flight; with few per proxy most are ties, which reported load
+     * decides.
+     */
     private static boolean lessBusy(Target t, Target best, long now) {
         int more = t.inFlight - best.inFlight;
         return more < 0 || more == 0 && best.busy.get(now) > t.busy.get(now) + BUSY_TIE;
     }
 
-    /** Hot keys: only a key that alone would overfill its nodes is spread, over as many pairs as it needs. */
+    /**
+     * Over how many pairs of nodes to spread a key: more than one only if the key alone would overload
+     * its nodes.
+     */
     private int hotCopies(long key, long now) {
         double all = heatCount.get(now);
-        double before =
-                heat.min(key, now) - 1 - all / HEAT_BUCKETS; // less this one and chance collisions
+        // without this request and the expected hash collisions
+        double before = heat.min(key, now) - 1 - all / HEAT_BUCKETS;
         double copies = before < HOT_SEEN ? 1 : 1 + before / all * fleet.readyCount / HOT_SHARE;
         return (int) Math.min(fleet.readyCount, copies);
     }
 
     /**
-     * Cold nodes: every proxy admits the same growing set of keys, so that the sum stays within what a node
-     * warming up can do. Hot keys and further attempts stay away: they would come on top of that budget.
+     * Warm-up of cold nodes: every proxy admits the same growing set of keys, so that their sum stays
+     * within what the node can handle. Hot keys and retries are not sent there: they would come on top of
+     * that budget.
      */
     private boolean admits(Target t, Open r, long key, long now) {
         long since = t.coldSince();
@@ -175,8 +191,9 @@
     }
 
     /**
-     * A failing node is passed over with its chance, and still gets trials. The hash draws the lot, so that
-     * proxies move the same keys first and these are kept in one other place.
+     * A failing node is passed over with its probability, and still gets trial requests. The decision is
+     * a hash of key and node, so that all proxies move the same keys first and each of these is cached in
+     * one other place.
      */
     private boolean passedOver(Target t, long key, long now) {
         double chance = t.chance.get(now) - USUAL_PART * usualNode;
@@ -185,14 +202,17 @@
                 chance > 0 && Random.unit(Random.mix(key - 31 * Random.mix(t.id))) < chance);
     }
 
-    /** Learns what is usual from the chance of a node that was sent to; returns how far that is beyond it. */
+    /**
+     * Moves the usual probability towards that of a node that was sent to; returns how far it was below
+     * that.
+     */
     double learnUsual(double chance) {
         double beyond = chance - usualNode;
         usualNode += Math.signum(beyond) * USUAL_LEARN;
         return beyond;
     }
 
-    /** How busy a node is, by its report or, where there is none, by how long it took. */
+    /** Updates how busy a node is, from its report or, without one, from the latency. */
     void busy(
             Open r,
             Target t,
@@ -204,18 +224,17 @@
         if (report.busy >= 0) {
             t.busy.set(report.busy, now);
         } else if (note == Router.CacheNote.HIT && o == Router.Outcome.OK) {
-            t.busy.set(r.waited(latency), now); // no report: how long a hit took tells
+            t.busy.set(r.waited(latency), now); // no report: estimated from the latency of hits
         } else if (note == Router.CacheNote.NONE
                 && !r.write
                 && (o == Router.Outcome.OK || o == Router.Outcome.TIMEOUT)) {
-            // nor which were hits: of several the mean, so that one fetch does not look like a
-            // queue
+            // no report and no notes: averaged, so that a single fetch does not look like a queue
             double before = t.busy.get(now);
             t.busy.set(before + (Math.min(1, r.waited(latency)) - before) * BUSY_LEARN, now);
         }
     }
 
-    /** A node has failed, or served: its own bucket. */
+    /** Counts a failure or success in the node's own bucket. */
     void evidence(Target t, boolean failure, double weight, long now) {
         double rate = demand.rate(now) / Math.max(1, fleet.readyCount);
         step(t.chance, failure, rate, weight, now);
@@ -225,7 +244,7 @@
                         Math.min(NODE_FADE_MOST_US, NODE_FADE_VISITS / rate * 1e6)));
     }
 
-    /** BLUE for a single bucket; quiet proxies take larger steps. */
+    /** BLUE for a single bucket; proxies with little traffic take larger steps. */
     static void step(Fading chance, boolean failure, double rate, double weight, long now) {
         double step =
                 Math.max(NODE_PI, Math.min(NODE_PI_MOST, 1 / (rate * NODE_EVIDENCE_S + 1e-9)));
--- a/src/main/java/holdproxy/policy/Random.java
+++ b/src/main/java/holdproxy/policy/Random.java
@@ -1,6 +1,6 @@
 package holdproxy.policy;
 
-/** SplitMix64: the instance's own randomness, from its seed alone; and its mixing as a hash. */
+/** SplitMix64 generator, seeded per instance; its mixing function also serves as a hash. */
 final class Random {
     private long state;
 
@@ -13,7 +13,7 @@
         return mix(state);
     }
 
-    /** From 0 up to 1. */
+    /** Uniform in [0, 1). */
     double unit() {
         return unit(next());
     }
@@ -24,7 +24,7 @@
         return h ^ h >>> 31;
     }
 
-    /** A hash as a number from 0 up to 1. */
+    /** Maps a hash to [0, 1). */
     static double unit(long hash) {
         return (hash >>> 11) * 0x1p-53;
     }
--- a/src/main/java/holdproxy/policy/Router.java
+++ b/src/main/java/holdproxy/policy/Router.java
@@ -3,26 +3,27 @@
 /**
  * The routing decisions of one proxy in front of a fleet of cache nodes: events in, {@link Actions} out.
  *
- * <p>Units: every time and duration is in microseconds; event times are readings of one monotonic clock of
- * the caller's choosing and never go back. Ordering: events are delivered one at a time, in order of
- * arrival; actions take effect in the order in which they are called. Threading: none; one router belongs to
- * one thread at a time. Event objects are only read during the call and may be reused by the caller.
+ * <p>Units: all times and durations are in microseconds; event times are readings of one monotonic clock
+ * of the caller's choosing and never decrease. Ordering: events are delivered one at a time, in order of
+ * arrival; actions take effect in the order of the calls. Threading: none; a router is used by one thread
+ * at a time. Event objects are only read during the call and may be reused by the caller.
  *
- * <p>What the caller owes: exactly one {@link #onOutcome} for each {@link Actions#send}; a {@link #onTimer}
- * at or after each requested time, never from within the call that asked for it; an {@link #onNodes} for each
- * subscribe or fetch; {@link #onAborted} when the client leaves. The first successful outcome of a request is
- * the client's answer, delivered by the caller, who then says so with {@code concluded}.
+ * <p>Obligations of the caller: exactly one {@link #onOutcome} for each {@link Actions#send}; an {@link
+ * #onTimer} at or after each requested time, never from within the call that requested it; an {@link
+ * #onNodes} for each subscribe or fetch; {@link #onAborted} when the client disconnects. The first
+ * successful outcome of a request is the client's answer; the caller delivers it and then reports it with
+ * {@code concluded}.
  */
 public interface Router {
 
-    /** What running a request twice would do. */
+    /** The effect of running a request twice. */
     enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** The nodes that discard repeats of a keyed request. */
+    /** The nodes among which repeats of a keyed request are discarded. */
     enum Group {
         ALL,
         ZONE,
@@ -35,7 +36,10 @@
         GONE
     }
 
-    /** SILENT: a watch that served says nothing any more, and is closed; a call for a list has FAILED. */
+    /**
+     * What a node list event contains. FAILED: a call for a list has failed; SILENT: an established watch
+     * has stopped sending and is closed.
+     */
     enum ListKind {
         DELTA,
         FULL,
@@ -63,7 +67,10 @@
         }
     }
 
-    /** What an outcome tells of the cache: nothing, a hit, a miss, or a miss with a fetch out already. */
+    /**
+     * What an outcome says about the cache: nothing, a hit, a miss, or a miss with a fetch already in
+     * progress.
+     */
     enum CacheNote {
         NONE,
         HIT,
@@ -71,7 +78,10 @@
         MISS_FETCHING
     }
 
-    /** What a node's weight is: nothing, its registered size, about its size, or its size less its load. */
+    /**
+     * What a node's weight stands for: nothing, its registered size, its approximate size, or its size
+     * less its load.
+     */
     enum Weights {
         NONE,
         NOMINAL,
@@ -79,34 +89,34 @@
         LIVE
     }
 
-    /** Where load reports come: nowhere, with every answer, or with the results of probes alone. */
+    /** The source of load reports: none, every answer, or the results of probes only. */
     enum ReportSource {
         NONE,
         ANSWERS,
         PROBES
     }
 
-    /** A node's report on its load, late and noisy; NaN where a value is not reported. */
+    /** A node's report on its load, delayed and noisy; NaN where a value is not reported. */
     final class Report {
         public double inFlight = Double.NaN;
         public double queue = Double.NaN;
 
-        /** Share of its cores busy. */
+        /** Share of its cores that are busy. */
         public double busy = Double.NaN;
 
-        /** Service time lately, in microseconds. */
+        /** Recent service time, in microseconds. */
         public double latencyUs = Double.NaN;
 
         public double servedPerS = Double.NaN;
         public double errorsPerS = Double.NaN;
 
-        /** Share of hits lately, from 0 to 1. */
+        /** Recent hit ratio, from 0 to 1. */
         public double hitShare = Double.NaN;
 
-        /** Fetches from the origin that are out. */
+        /** Fetches from the origin in progress. */
         public double fetchesOut = Double.NaN;
 
-        /** Nothing reported. */
+        /** Marks all values as not reported. */
         public void clear() {
             inFlight = queue = busy = latencyUs = Double.NaN;
             servedPerS = errorsPerS = hitShare = fetchesOut = Double.NaN;
@@ -118,18 +128,21 @@
         public Effect effect = Effect.UNSAFE;
         public Group group = Group.ALL;
 
-        /** Full worth is earned by an answer within this time of the request's arrival. */
+        /** Latency target: an answer within this time of the request's arrival earns its full worth. */
         public long aimUs;
 
-        /** The aim of a request grows by this multiple of its own work, up to the deadline. */
+        /** The latency target of a request grows by this multiple of its own work, up to the deadline. */
         public double aimStretch;
 
         public long deadlineUs;
 
-        /** Keyed classes: how long repeats are discarded, from the sending of the first that may have run. */
+        /**
+         * Keyed classes: how long repeats are discarded, from the sending of the first attempt that may
+         * have run.
+         */
         public long repeatWindowUs;
 
-        /** Share of the worth that an answer after the aim still earns. */
+        /** Share of the worth that an answer after the latency target still earns. */
         public double lateWorth;
 
         public double worth = 1;
@@ -139,13 +152,13 @@
     final class Tenant {
         public String name = "";
 
-        /** Requests a second over all proxies that count as within its share; 0 where none is stated. */
+        /** Requests per second over all proxies that count as within its share; 0 if not stated. */
         public double quotaPerS;
 
         public double share;
     }
 
-    /** A router checks them when it is made, and when others replace them. */
+    /** The settings of a router, which are checked when it is created and when they are replaced. */
     final class Settings {
         public int index;
         public int routers = 1;
@@ -153,13 +166,16 @@
         public RequestClass[] classes = new RequestClass[0];
         public Tenant[] tenants = new Tenant[0];
 
-        /** True: a miss is reported and the router sends to the origin; false: nodes fetch for themselves. */
+        /**
+         * Cache-aside mode. True: a miss is reported and the router sends to the origin; false: nodes
+         * fetch for themselves.
+         */
         public boolean aside;
 
-        /** Aside: the node kind that marks the origin; -1 where there is none. */
+        /** Cache-aside mode: the node kind that marks the origin; -1 if there is none. */
         public int originKind = -1;
 
-        /** True: the node list comes only when subscribed to or fetched. */
+        /** True: the node list comes only after a subscribe or fetch. */
         public boolean askForNodes;
 
         public boolean mayCancel;
@@ -171,13 +187,13 @@
         public int maxOpen = Integer.MAX_VALUE;
         public long tickUs;
 
-        /** The proxy closes a connection after this long without use. */
+        /** The proxy closes a connection that has been idle for this long. */
         public long idleCloseUs = 5_000_000;
 
         /** An attempt whose connection is not open after this long fails as CONNECT_FAILED; 0: not stated. */
         public long dialTimeoutUs;
 
-        /** Attempts that one connection carries at the same time. */
+        /** Concurrent attempts per connection. */
         public int streamsPerConnection = 1;
 
         public Weights weights = Weights.NOMINAL;
@@ -189,63 +205,72 @@
         /** Whether {@link Actions#tell} may be used. */
         public boolean mayTell;
 
-        /** True: worth counts for each unit of work; false: for each request. */
+        /** True: worth is counted per unit of work; false: per request. */
         public boolean countedByWork;
 
         /** Worth of a request beyond its tenant's quota, as a share of its class's worth. */
         public double overShareWorth = 1;
 
-        /** Sent this multiple of its capacity for {@link #originFallUs}, the origin stops; 0: never. */
+        /** If sent this multiple of its capacity for {@link #originFallUs}, the origin stops; 0: never. */
         public double originFallMultiple;
 
         public long originFallUs;
 
-        /** A final answer counts until this long after the request is due. */
+        /** A final answer still counts until this long after the request is due. */
         public long answerGraceUs;
 
-        /** CPU microseconds a request with its outcomes, and a second, may take; 0: not limited. */
+        /** CPU time in microseconds allowed per request with its outcomes, and per second; 0: not limited. */
         public double cpuUsPerRequest;
 
         public double cpuUsPerS;
 
-        /** Share of the goal lost if all attempts crossed zones; the next likewise, each at its unit. */
+        /**
+         * Share of the overall score lost if all attempts crossed zones; the following prices likewise,
+         * each at the unit stated.
+         */
         public double crossZonePrice;
 
-        /** All work of nodes wasted. */
+        /** Unit: all work of nodes wasted. */
         public double wastePrice;
 
-        /** All worth unserved after its aim. */
+        /** Unit: all worth not served within the latency target. */
         public double latePrice;
 
-        /** 100 list lines a request. */
+        /** Unit: 100 node list lines per request. */
         public double listPrice;
 
-        /** 100 open connections a node. */
+        /** Unit: 100 open connections per node. */
         public double connectionPrice;
 
-        /** One probe a request. */
+        /** Unit: one probe per request. */
         public double probePrice;
 
-        /** One message of 256 bytes a request. */
+        /** Unit: one message of 256 bytes per request. */
         public double tellPrice;
 
-        /** One fetch from the origin a request. */
+        /** Unit: one fetch from the origin per request. */
         public double originPrice;
 
-        /** Weights of the goal's parts: the whole run, its worst 10 s, the worst class, the worst tenant. */
+        /** Weights of the score's parts: the whole run, its worst 10 s, the worst class, the worst tenant. */
         public double wholeWeight = 1;
 
         public double worstWindowWeight;
         public double worstClassWeight;
         public double worstTenantWeight;
 
-        /** Weight of answers while few miss their aim; 0 where the goal has no such part. */
+        /**
+         * Weight of the score's part for answers while few requests miss their latency target; 0 if there
+         * is none.
+         */
         public double slowEndWeight;
 
-        /** The share of requests that may miss its aim unpunished; those refused within it do not count. */
+        /**
+         * The share of requests that may miss the latency target without penalty; requests refused within
+         * it do not count.
+         */
         public double missAllowed = 1;
 
-        /** Share of the goal that a new connection for each request would cost; 0: no price. */
+        /** Share of the score that a new connection for each request would cost; 0: no price. */
         public double handshakePrice;
 
         public long askWithinUs = 10_000_000;
@@ -255,7 +280,10 @@
         public double tipMultiple;
         public long fallUs;
 
-        /** Throws {@link IllegalArgumentException} naming the setting no router could work with. */
+        /**
+         * Throws {@link IllegalArgumentException} naming the first setting that no router could work
+         * with.
+         */
         public void check() {
             reject(classes.length == 0, "classes is empty: at least one request class is needed");
             for (RequestClass c : classes) {
@@ -284,47 +312,50 @@
         public int zone;
         public int kind;
 
-        /** Size compared with other nodes. */
+        /** Size relative to other nodes. */
         public double weight = 1;
 
         public NodeState state = NodeState.READY;
 
-        /** Time of the latest start; {@link Long#MIN_VALUE} for long ago. */
+        /** Time of the latest start; {@link Long#MIN_VALUE}: long ago. */
         public long startedUs = Long.MIN_VALUE;
     }
 
     final class Request {
-        /** Unique for the life of the router, at least 0 and below 2^52. */
+        /** Unique during the lifetime of the router, at least 0 and below 2^52. */
         public long id;
 
         public int requestClass;
         public int tenant;
 
-        /** 0: no key. */
+        /** 0 if the request has no key. */
         public long key;
 
-        /** When the client gives this try up; its final answer is due by then. */
+        /** When the client gives this request up; its final answer is due by then. */
         public long dueUs;
 
-        /** Expected work in microseconds on a standard core; 0 where unknown. */
+        /** Expected work in microseconds on a standard core; 0 if unknown. */
         public double costUs;
 
-        /** Size of the value in bytes; 0 where unknown. */
+        /** Size of the value in bytes; 0 if unknown. */
         public double sizeBytes;
 
         public boolean repeat;
         public boolean write;
     }
 
-    /** What a router asks of its proxy. */
+    /** The actions that a router requests from its proxy. */
     interface Actions {
-        /** Starts the request's next attempt; attempts count from 0. {@code timeoutUs} 0: until it is due. */
+        /**
+         * Starts the next attempt of a request; attempts are numbered from 0. {@code timeoutUs} 0: until
+         * the request is due.
+         */
         void send(long request, int node, long timeoutUs);
 
-        /** Final answer: refused, and a further try is harmless. {@code retryAfterUs} 0: no advice. */
+        /** Final answer: refused, and trying again is harmless. {@code retryAfterUs} 0: no advice. */
         void refuse(long request, long retryAfterUs);
 
-        /** Final answer: failed, with no promise about its effect. */
+        /** Final answer: failed, which promises nothing about side effects. */
         void fail(long request);
 
         void cancel(long request, int attempt);
@@ -336,10 +367,10 @@
         /** Closes the proxy's idle connections to a node; the next attempt there opens a new one. */
         void closeIdle(int node);
 
-        /** Asks for changes of the node list from now on; answered by one {@link Router#onNodes}. */
+        /** Subscribes to changes of the node list; answered by one {@link Router#onNodes}. */
         void subscribe();
 
-        /** Asks for the whole node list once; answered by one {@link Router#onNodes}. */
+        /** Requests the full node list once; answered by one {@link Router#onNodes}. */
         void fetchNodes();
 
         /** Sends up to 256 bytes to another router of the tier by its index, or to all with {@link #ALL}. */
@@ -350,24 +381,28 @@
         void log(String line);
     }
 
-    /** First event: the list as last known, possibly out of date. */
+    /** A node list or change. The first event is the list as last known, possibly out of date. */
     void onNodes(long nowUs, ListKind kind, Node[] nodes, int count, Actions out);
 
     /**
-     * Operators leave a node out, or use it again: whatever the lists say, it is sent nothing in between. The
-     * node may be unknown yet. Used again it counts as started at {@code atUs}, when the call came.
+     * Operators leave a node out or put it back into use; in between nothing is sent to it, whatever the
+     * lists say. The node may not be known yet. Once back in use it counts as started at {@code atUs},
+     * the time of the command.
      */
     void onLeftOut(long nowUs, int node, boolean out, long atUs);
 
     /**
-     * Other settings from here on; requests that are open keep their class and their number of attempts. The
-     * mode, the origin's kind and whether to ask for nodes stay; a tenant keeps its index.
+     * Replaces the settings; open requests keep their class and their number of attempts. The mode, the
+     * origin's kind and whether to ask for nodes do not change; a tenant keeps its index.
      */
     void onSettings(long nowUs, Settings settings);
 
     void onRequest(long nowUs, Request request, Actions out);
 
-    /** {@code concluded}: the client has its answer already, from this outcome or before it. */
+    /**
+     * An attempt has ended. {@code concluded}: the client already has its answer, from this outcome or an
+     * earlier one.
+     */
     void onOutcome(
             long nowUs,
             long request,
@@ -379,15 +414,15 @@
             Report report,
             Actions out);
 
-    /** The answer of a streamed request has begun; its attempt belongs to the client from here. */
+    /** The answer of a streamed request has begun; its attempt belongs to the client from now on. */
     void onStreaming(long nowUs, long request, int attempt, Actions out);
 
-    /** The client has gone; nothing more is owed. */
+    /** The client has disconnected; no answer is owed any more. */
     void onAborted(long nowUs, long request, Actions out);
 
     void onTimer(long nowUs, long label, Actions out);
 
-    /** Result of a {@link Actions#probe}. */
+    /** The result of a {@link Actions#probe}. */
     void onProbe(long nowUs, int node, Outcome outcome, long latencyUs, Report report, Actions out);
 
     /** A message that another router of the tier sent with {@link Actions#tell}; it may be late or lost. */
--- a/src/main/java/holdproxy/policy/Tally.java
+++ b/src/main/java/holdproxy/policy/Tally.java
@@ -1,11 +1,11 @@
 package holdproxy.policy;
 
 /**
- * What a module did and why, counted since its start. It decides nothing: whoever carries the module reads it
- * for people who count over a whole fleet.
+ * Counters of what a routing module did and why, since its start. They affect no decision: the process
+ * logs them for monitoring a whole fleet.
  */
 public final class Tally {
-    /** What is counted; the names are those of the log. */
+    /** The counters; their names appear in the log. */
     public enum Count {
         REQUESTS,
         REPEATS,
@@ -33,7 +33,7 @@
         LISTS,
         LISTS_FAILED;
 
-        /** As the log has it. */
+        /** The name as written to the log. */
         public final String label = name().toLowerCase(java.util.Locale.ROOT);
     }
 
@@ -44,7 +44,10 @@
         counts[what.ordinal()]++;
     }
 
-    /** All that is not 0 as {@code name=count}, each less what {@code since} had; which then has the same. */
+    /**
+     * The non-zero increases since {@code since} as {@code name=count}; sets {@code since} to the present
+     * counts.
+     */
     public String sinceThen(Tally since) {
         StringBuilder text = new StringBuilder();
         for (Count c : ALL) {
--- a/src/main/java/holdproxy/policy/Target.java
+++ b/src/main/java/holdproxy/policy/Target.java
@@ -1,11 +1,14 @@
 package holdproxy.policy;
 
-/** A node or the origin, as this proxy knows it. */
+/** The state that this proxy holds about a node or the origin. */
 final class Target {
-    /** A chance of being passed over fades by 1/e in this time, in quiet proxies later. */
+    /**
+     * The probability of being passed over decays to 1/e in this time, slower in proxies with little
+     * traffic.
+     */
     static final double FADE_US = 5e6;
 
-    /** After a failed dial the next trial waits so long, twice as long after each further one. */
+    /** Delay of the next trial after a failed dial; doubles with each further one. */
     static final long DOWN_FIRST_US = 500_000;
 
     static final long DOWN_MOST_US = 4_000_000;
@@ -19,40 +22,40 @@
     Router.NodeState state;
     long startedUs = Long.MIN_VALUE;
 
-    /** Operators have left it out. */
+    /** Left out by operators. */
     boolean leftOut;
 
-    /** When operators used it again after having left it out; it may have been started anew meanwhile. */
+    /** When operators put it back into use; it may have been restarted meanwhile. */
     private long backAt = Long.MIN_VALUE;
 
-    /** Dials that failed running, and when the next one may be tried. */
+    /** Consecutive failed dials; no trial is made before {@link #downUntil}. */
     private int failedDials;
 
     private long downUntil = Long.MIN_VALUE;
 
-    /** Our own attempts out. */
+    /** Outstanding attempts of this proxy. */
     int inFlight;
 
-    /** Its one BLUE bucket: the chance of being passed over. */
+    /** A single BLUE bucket: the probability of being passed over. */
     final Fading chance = new Fading(FADE_US);
 
-    /** Share of its cores busy, as last reported. */
+    /** Share of its cores that are busy, as last reported or estimated. */
     final Fading busy = new Fading(BUSY_FADE_US);
 
-    /** When one of our attempts last came back, leaving its connection idle; MIN_VALUE: none is open. */
+    /** When an attempt last ended and left its connection idle; MIN_VALUE: no idle connection. */
     long idleSince = Long.MIN_VALUE;
 
     Target(int id) {
         this.id = id;
     }
 
-    /** It took no connection: nothing is sent there for a while, longer each time. */
+    /** A dial failed: nothing is sent there for a while, longer each time. */
     void dialFailed(long now) {
         downUntil = now + Math.min(DOWN_MOST_US, DOWN_FIRST_US << Math.min(failedDials, 10));
         failedDials++;
     }
 
-    /** Operators use it again: nothing that was learnt before holds. */
+    /** Operators put it back into use: discards what was learnt before. */
     void back(long at) {
         backAt = at;
         up();
@@ -61,27 +64,30 @@
         idleSince = Long.MIN_VALUE;
     }
 
-    /** Since when it warms up; MIN_VALUE: long ago. */
+    /** The start of its warm-up; MIN_VALUE: long ago. */
     long coldSince() {
         return Math.max(startedUs, backAt);
     }
 
-    /** It answered, or its process is a new one. */
+    /** The node answered, or its process is new. */
     void up() {
         failedDials = 0;
     }
 
-    /** Whether nothing goes there: its dials fail, and no trial is due or one is out already. */
+    /** Whether dials fail and either no trial is due yet or one is in progress. */
     boolean down(long now) {
         return failedDials > 0 && (now < downUntil || inFlight > 0);
     }
 
-    /** Whether the list and the operators let anything new go there. */
+    /** Whether the node list and the operators allow new attempts. */
     boolean takesNew() {
         return state == Router.NodeState.READY && !leftOut;
     }
 
-    /** For people: listed, but left out, down, or passed over by more than {@code most} beyond the usual. */
+    /**
+     * For monitoring: listed, but left out, down, or passed over with a probability of more than {@code
+     * most} beyond the usual.
+     */
     boolean avoided(double usual, double most, long now) {
         return state != Router.NodeState.GONE
                 && (leftOut || down(now) || chance.get(now) - usual > most);
--- a/src/main/java/holdproxy/policy/package-info.java
+++ b/src/main/java/holdproxy/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Routing decisions: which cache node, whether to retry, what to refuse. No I/O and no clock. */
+/** Routing policy: node selection, retries and admission. It does no I/O and reads no clock. */
 package holdproxy.policy;
--- a/src/main/java/holdproxy/sim/FrameReader.java
+++ b/src/main/java/holdproxy/sim/FrameReader.java
@@ -5,7 +5,7 @@
 import java.lang.invoke.VarHandle;
 import java.nio.ByteOrder;
 
-/** Big-endian fields of one frame, bounded by the end of the current record. */
+/** Reads the big-endian fields of one frame, up to the end of the current record. */
 final class FrameReader {
     private static final VarHandle SHORT = view(short[].class);
     private static final VarHandle INT = view(int[].class);
@@ -20,7 +20,10 @@
         return MethodHandles.byteArrayViewVarHandle(type, ByteOrder.BIG_ENDIAN);
     }
 
-    /** From here on reads bytes {@code from} to {@code to}; {@code what} names them in messages. */
+    /**
+     * Continues at bytes {@code from} to {@code to} of {@code source}; {@code what} names them in
+     * messages.
+     */
     void range(byte[] source, int from, int to, String what) {
         bytes = source;
         at = from;
@@ -39,7 +42,7 @@
     private int advance(int n) {
         if (n < 0 || n > end - at) {
             throw new BadInput(
-                    where + " is too short: " + n + " bytes wanted, " + (end - at) + " left");
+                    where + " is too short: " + n + " bytes needed, " + (end - at) + " left");
         }
         int from = at;
         at += n;
@@ -58,11 +61,11 @@
         return (int) INT.get(bytes, advance(4));
     }
 
-    /** An unsigned number that must fit an int: a count, a length or an index. */
+    /** An unsigned number that must fit into an int: a count, a length or an index. */
     int u31() {
         int v = i32();
         if (v < 0) {
-            throw new BadInput(where + " has an impossible number " + (v & 0xffffffffL));
+            throw new BadInput(where + " has an out-of-range number " + (v & 0xffffffffL));
         }
         return v;
     }
@@ -79,11 +82,11 @@
         return Float.intBitsToFloat(i32());
     }
 
-    /** A clock time or duration: milliseconds on the wire, microseconds here. */
+    /** A time or duration: milliseconds on the wire, microseconds here. */
     long micros() {
         double ms = f64();
         if (!(Math.abs(ms) < 1e12)) {
-            throw new BadInput(where + " has an impossible time " + ms);
+            throw new BadInput(where + " has an out-of-range time " + ms);
         }
         return Math.round(ms * 1000);
     }
--- a/src/main/java/holdproxy/sim/FrameWriter.java
+++ b/src/main/java/holdproxy/sim/FrameWriter.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Builds one reply: the module's actions as records, for the instance last set. */
+/** Builds one reply frame: the router's actions as records for the instance last set. */
 final class FrameWriter implements Router.Actions {
     static final int SEND = 80;
     static final int SHED = 81;
@@ -32,7 +32,7 @@
         instance = number;
     }
 
-    /** Writes the reply in one piece and starts the next. */
+    /** Writes the reply in a single call and starts the next one. */
     void flush(int batch, OutputStream out) throws IOException {
         int size = at;
         at = 0;
--- a/src/main/java/holdproxy/sim/SimHost.java
+++ b/src/main/java/holdproxy/sim/SimHost.java
@@ -11,7 +11,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The batch loop: decodes events, hands each to its instance's router, and answers with their actions. */
+/**
+ * Reads batches of events, passes each event to its instance's router, and replies with the routers'
+ * actions.
+ */
 public final class SimHost {
     private static final int OUTCOME = 16;
     private static final int CHECKED = 17;
@@ -33,7 +36,7 @@
         Router.NodeState.GONE, Router.NodeState.READY, Router.NodeState.DRAINING
     };
 
-    /** By their numbers there, which know no watch. */
+    /** Indexed by the protocol's mode number; the protocol has no watch, so SILENT does not occur. */
     private static final Router.ListKind[] KINDS = {
         Router.ListKind.DELTA, Router.ListKind.FULL, Router.ListKind.CACHED, Router.ListKind.FAILED
     };
@@ -48,19 +51,19 @@
     private Router.Node[] nodes = new Router.Node[0];
     private byte[] frame = new byte[1 << 16];
 
-    /** A hosted router with the part of its settings that decoding needs; the router is null once stopped. */
+    /** A hosted router and the settings needed for decoding; {@code router} is null once stopped. */
     private static final class Instance {
         Router router;
         String[] reportFields;
     }
 
-    /** Reads frames from one stream and answers on the other. */
+    /** Reads frames from {@code in} and replies on {@code out}. */
     public SimHost(InputStream in, OutputStream out) {
         this.in = in;
         this.out = out;
     }
 
-    /** Runs until the clean end of input. */
+    /** Runs until the input ends at a frame boundary. */
     public void run() throws IOException {
         byte[] head = new byte[HEADER];
         for (long batches = 0; ; batches++) {
@@ -76,12 +79,12 @@
             int records = reader.u31();
             int body = length - (HEADER - 8);
             if (body < 0 || body > LONGEST_FRAME) {
-                throw new BadInput(name + " has an impossible length " + length);
+                throw new BadInput(name + " has an invalid length " + length);
             }
             if ((long) records * RECORD_HEAD > body) {
                 throw new BadInput(
                         name
-                                + " has an impossible count: "
+                                + " has an invalid count: "
                                 + records
                                 + " records in "
                                 + body
@@ -93,7 +96,10 @@
         }
     }
 
-    /** Fills the frame; it grows with what has arrived, so that a false length costs no memory. */
+    /**
+     * Reads the frame body. The buffer grows with the bytes received, so that a false length allocates no
+     * memory.
+     */
     private void read(String name, int body) throws IOException {
         int read = 0;
         while (read < body) {
@@ -119,7 +125,7 @@
                 throw new BadInput(
                         name + ", record " + i + " (code " + code + ") runs past the batch");
             }
-            reader.range(frame, at + RECORD_HEAD, end, "it");
+            reader.range(frame, at + RECORD_HEAD, end, "record");
             try {
                 event(code, now);
             } catch (BadInput e) {
@@ -135,7 +141,7 @@
 
     private void event(int code, long now) {
         if (code < OUTCOME || code > HELLO) {
-            return; // an unknown record: skipped
+            return; // unknown records are skipped
         }
         int number = reader.i32();
         Instance instance = instances.get(number);
@@ -214,7 +220,7 @@
                 byte[] data = reader.bytes(reader.u16());
                 guard(() -> router.onTold(now, from, data, reply));
             }
-            default -> {} // between the known codes, and unknown
+            default -> {} // unassigned codes are ignored
         }
     }
 
@@ -273,14 +279,14 @@
     }
 
     private void nodes(long now, Router router) {
-        reader.i32(); // version: changes come in order and without gaps
+        reader.i32(); // version, unused: changes come in order and without gaps
         int mode = reader.u8();
         if (mode >= KINDS.length) {
             throw new BadInput("node list of unknown mode " + mode);
         }
         int count = reader.u31();
         if ((long) count * ENTRY_BYTES > reader.left()) {
-            throw new BadInput("node list has an impossible count " + count);
+            throw new BadInput("node list has an invalid count " + count);
         }
         while (nodes.length < count) {
             int old = nodes.length;
@@ -321,7 +327,7 @@
             case 499 -> Router.Outcome.CANCELLED;
             case 410 -> Router.Outcome.NOT_SENT;
             case 404 -> Router.Outcome.MISS;
-            default -> Router.Outcome.ERROR; // unknown: it may have run
+            default -> Router.Outcome.ERROR; // unknown status: the request may have run
         };
     }
 
--- a/src/main/java/holdproxy/sim/package-info.java
+++ b/src/main/java/holdproxy/sim/package-info.java
@@ -1,2 +1,2 @@
-/** The routing decisions behind the frame protocol of an external simulator. */
+/** Runs the routing policy behind the frame protocol of an external simulator. */
 package holdproxy.sim;
--- a/src/test/java/holdproxy/policy/BalanceTest.java
+++ b/src/test/java/holdproxy/policy/BalanceTest.java
@@ -10,21 +10,21 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The tenants' balance as a whole, in a closed loop: what the module refuses, sends and learns at a steady rate
- * of requests and a given way of failing. The properties are those of docs/MECHANISM.md.
+ * Admission control in a closed loop: what the policy refuses, sends and learns at a steady request rate
+ * when attempts fail in a given way. The expected properties are those of docs/MECHANISM.md.
  */
 class BalanceTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
     private static final int NODES = 8;
 
-    /** How an attempt at a node ends: a time-out at the aim, or an answer after so long. */
+    /** How an attempt at a node ends: a time-out, or an answer after some time. */
     interface World {
-        /** Microseconds until the answer; negative: none comes; 0: turned away at once. */
+        /** Microseconds until the answer; negative: no answer; 0: rejected at once as overloaded. */
         long answerUs(int node, long now, Random random);
     }
 
-    /** Requests at even intervals, each attempt ending as the world says. */
+    /** Sends requests at even intervals; the world determines how each attempt ends. */
     private static final class Loop {
         private record Due(
                 long at, long order, long id, int attempt, Router.Outcome outcome, long latency) {}
@@ -52,7 +52,10 @@
             random = new Random(seed + 1);
         }
 
-        /** Runs for a while; returns the share of requests refused before any attempt in its last part. */
+        /**
+         * Runs for {@code us}; returns the share of requests refused before any attempt during the last
+         * {@code lastUs}.
+         */
         double run(long us, long lastUs, World world) {
             long end = now + us;
             int asked = 0;
@@ -115,7 +118,7 @@
         }
     }
 
-    /** Nodes turn this share away, all of them alike, and the others wait in queues. */
+    /** All nodes reject this share of attempts, and answer the others late because of queueing. */
     private static World overloaded(double share) {
         return (node, now, random) ->
                 random.unit() < share ? 0 : (long) ((0.2 + 0.7 * random.unit()) * 300 * MS);
@@ -138,7 +141,7 @@
     void theSameShareOfFailuresSettlesAtTheSameChanceWhateverTheRate() {
         StringBuilder table =
                 new StringBuilder(
-                        "share of failures: refused at 1, 10, 100, 1000 requests a second\n");
+                        "share of failures: refused at 1, 10, 100, 1000 requests per second\n");
         for (double share : new double[] {0.02, 0.05, 0.1, 0.2, 0.4}) {
             double[] refused = new double[4];
             for (int i = 0; i < refused.length; i++) {
@@ -155,7 +158,7 @@
                             refused[3]));
             assertEquals(refused[2], refused[1], 0.2, table.toString());
             assertEquals(refused[2], refused[3], 0.2, table.toString());
-            // a tenant tried once in some seconds: each of its steps is at its bound
+            // with one trial in several seconds each step is at its limit
             assertTrue(
                     refused[0] > 0.4 * refused[2] && refused[0] < refused[2] + 0.1,
                     table.toString());
@@ -172,10 +175,13 @@
             loop.run(20 * S, S, quick());
             refused += loop.run(4 * S, 2 * S, overloaded(0.3)) / 5;
         }
-        assertTrue(refused > 0.2, "a third turned away on all nodes: " + refused);
+        assertTrue(refused > 0.2, "all nodes reject 30% of attempts, share refused: " + refused);
     }
 
-    /** Day 4 of the site's score: seven of eight nodes answer three of four, the rest never, with cores idle. */
+    /**
+     * Seven of eight nodes answer three of four attempts and leave the rest unanswered, with cores idle:
+     * silence without queueing must not be taken for overload.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {10, 100, 1000})
     void silenceWhileOthersAnswerQuicklyDoesNotShutTheDoor(double perSecond) {
@@ -185,10 +191,10 @@
                                 ? -1
                                 : (long) ((0.05 + 0.2 * random.unit()) * 300 * MS);
         double refused = settled(perSecond, lossy);
-        assertTrue(refused < 0.05, "nodes with time to spare: " + refused);
+        assertTrue(refused < 0.05, "share refused although nodes are not busy: " + refused);
     }
 
-    /** One node of eight is dead to us, or ten times slower, while the others serve. */
+    /** One node of eight is unreachable, ten times slower or full, while the others serve. */
     @ParameterizedTest
     @ValueSource(doubles = {10, 100, 1000})
     void whatOneNodeFailsDoesNotShutTheDoor(double perSecond) {
@@ -201,7 +207,7 @@
         assertTrue(settled(perSecond, full) < 0.05, "full: " + settled(perSecond, full));
     }
 
-    /** The load must not be piled on the one node that has not failed yet: its queue would be the next. */
+    /** The load must not move to the one node that has not failed yet, as its queue would overflow next. */
     @Test
     void whatAllNodesButOneFailAlikeDoesNotPileTheLoadOnThatOne() {
         Loop loop = new Loop(100, 5);
@@ -209,18 +215,21 @@
         loop.run(20 * S, S, lossy);
         long there = loop.out.sent.stream().filter(s -> s.node() == 1).count();
         double share = (double) there / loop.out.sent.size() * NODES;
-        assertTrue(share < 2, "times its part: " + share);
+        assertTrue(share < 2, "multiple of an even share sent to that node: " + share);
     }
 
-    /** Slower proxies hear of it later: a tenant refused four times in five is tried twice a second at 10. */
+    /**
+     * Proxies with less traffic notice later: at 10 requests/s a tenant refused four times in five gets
+     * only two trials a second.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {100, 1000})
     void refusalsEndWithinTwoSecondsOfTheirCause(double perSecond) {
         Loop loop = new Loop(perSecond, 3);
         double before = loop.run(20 * S, 5 * S, overloaded(0.4));
-        assertTrue(before > 0.5, "refused while all nodes are full: " + before);
+        assertTrue(before > 0.5, "share refused while all nodes are overloaded: " + before);
         loop.run(2 * S, S, quick());
         double after = loop.run(5 * S, 5 * S, quick());
-        assertTrue(after < 0.02, "still refused from 2 s on: " + after);
+        assertTrue(after < 0.02, "share refused from 2 s after the overload: " + after);
     }
 }
--- a/src/test/java/holdproxy/policy/EmbeddingExampleTest.java
+++ b/src/test/java/holdproxy/policy/EmbeddingExampleTest.java
@@ -8,10 +8,10 @@
 import java.util.Queue;
 import org.junit.jupiter.api.Test;
 
-/** How a proxy drives the module: through {@link Router} alone. */
+/** How a proxy drives the routing policy, using {@link Router} alone. */
 class EmbeddingExampleTest {
 
-    /** A proxy with one cache that always answers; a real one would start the attempt on a connection. */
+    /** A proxy whose nodes always answer; a real one would send the attempt on a connection. */
     private static final class TinyProxy implements Router.Actions {
         private final Router router;
         private final Queue<Long> attempts = new ArrayDeque<>();
@@ -31,8 +31,8 @@
             while (!attempts.isEmpty()) {
                 long id = attempts.remove();
                 nowUs += 2_000;
-                answers.add(id + " served"); // the first success is the client's answer: deliver
-                // it, then say so
+                // the first success is the client's answer: deliver it, then report the outcome
+                answers.add(id + " served");
                 router.onOutcome(
                         nowUs,
                         id,
@@ -63,7 +63,7 @@
 
         @Override
         public void cancel(long request, int attempt) {
-            // stop waiting for it, then report Outcome.CANCELLED
+            // stop waiting for the answer, then report Outcome.CANCELLED
         }
 
         @Override
@@ -78,22 +78,22 @@
 
         @Override
         public void closeIdle(int node) {
-            // close pooled connections to the node that carry nothing
+            // close the idle pooled connections to the node
         }
 
         @Override
         public void subscribe() {
-            // ask discovery for changes; every answer goes to router.onNodes
+            // subscribe to changes at discovery; every answer goes to router.onNodes
         }
 
         @Override
         public void fetchNodes() {
-            // ask discovery for the whole list; the answer goes to router.onNodes
+            // request the full list from discovery; the answer goes to router.onNodes
         }
 
         @Override
         public void tell(int router, byte[] data) {
-            // send to another proxy of the tier, whose router gets onTold
+            // send to another proxy of the tier, whose router receives onTold
         }
 
         @Override
--- a/src/test/java/holdproxy/policy/Fixture.java
+++ b/src/test/java/holdproxy/policy/Fixture.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Settings, requests and nodes for the tests, and an {@link Router.Actions} that writes down what it is asked. */
+/** Settings, requests and nodes for the tests, and {@link Router.Actions} that are recorded. */
 final class Fixture implements Router.Actions {
     static final long MS = 1000;
     static final long S = 1_000_000;
@@ -71,7 +71,7 @@
         return p;
     }
 
-    /** Reports how the request's attempt ended, as the caller does; an OK concludes. */
+    /** Reports the outcome of an attempt as a proxy does; OK concludes the request. */
     void outcome(Choice p, long now, long id, int attempt, Router.Outcome o) {
         p.onOutcome(
                 now,
@@ -89,7 +89,7 @@
         return sent.get(sent.size() - 1).node();
     }
 
-    /** Fires the timers asked for so far. */
+    /** Fires the timers requested so far. */
     void fire(Choice p, long now) {
         List<long[]> due = new ArrayList<>(timers);
         timers.clear();
--- a/src/test/java/holdproxy/policy/FleetTest.java
+++ b/src/test/java/holdproxy/policy/FleetTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The node list over a long life. */
+/** The node list under many changes, and removal of nodes that are gone. */
 class FleetTest {
 
     private static Router.Node node(int id, Router.NodeState state) {
--- a/src/test/java/holdproxy/policy/HostileEventsTest.java
+++ b/src/test/java/holdproxy/policy/HostileEventsTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Legal but hostile sequences, seeded: reordered and late outcomes, nodes that drain, leave and return, lists that
- * fail, clients that leave, restarts, all effect classes. {@link Proxy} plays the caller and asserts the rules that a router
- * can keep alone.
+ * Seeded random sequences of legal but difficult events: reordered and late outcomes, nodes that drain,
+ * leave and return, failing lists, clients that disconnect, restarts, all effect classes. {@link Proxy}
+ * acts as the caller and asserts the rules that a router alone can keep.
  */
 class HostileEventsTest {
     private static final long MS = Fixture.MS;
@@ -98,7 +98,7 @@
             }
         }
 
-        /** The process is killed: what it held is void, and the next life knows only its last list. */
+        /** The process is killed: its state is lost, and the new process knows only the last list. */
         private void restart(long seed) {
             lives.values().forEach(life -> life.concluded = true);
             out.clear();
@@ -137,7 +137,10 @@
             }
         }
 
-        /** Ends what is due in an order of chance, then fires timers; outcomes of concluded requests come too. */
+        /**
+         * Ends due attempts in random order, then fires timers; outcomes of concluded requests are
+         * delivered too.
+         */
         private void settle(long until) {
             for (int guard = 0; guard < 10_000; guard++) {
                 List<Attempt> due = out.stream().filter(a -> a.endsAt <= until).toList();
@@ -178,7 +181,7 @@
                     new Router.Report(),
                     this);
             if (timedOut && life.out == 0) {
-                assertTrue(life.concluded, "no answer at the due time of request " + a.request);
+                assertTrue(life.concluded, "no answer by the due time of request " + a.request);
             }
         }
 
@@ -186,29 +189,29 @@
         public void send(long request, int node, long timeoutUs) {
             Life life = lives.get(request);
             sends++;
-            assertTrue(request >= firstOfLife, "nothing of a former life is acted on");
-            assertTrue(!life.concluded, "nothing is sent after the end");
-            assertTrue(now < life.request.dueUs, "nothing is sent when the client has given up");
-            assertEquals(Router.NodeState.READY, nodes.get(node).state, "drains are kept");
-            assertTrue(life.attempts.size() < settings.maxAttempts, "attempts are limited");
+            assertTrue(request >= firstOfLife, "no action for requests from before a restart");
+            assertTrue(!life.concluded, "nothing is sent after the final answer");
+            assertTrue(now < life.request.dueUs, "nothing is sent after the due time");
+            assertEquals(Router.NodeState.READY, nodes.get(node).state, "nothing is sent to nodes that drain or are gone");
+            assertTrue(life.attempts.size() < settings.maxAttempts, "at most maxAttempts attempts");
             assertTrue(life.out == 0 || settings.secondCopies, "second copies only where allowed");
             if (settings.aside && nodes.get(node).kind != 5) {
-                assertTrue(!life.request.write, "aside writes go to the origin");
+                assertTrue(!life.request.write, "cache-aside writes go to the origin");
             }
             if (!life.mayHaveRun.isEmpty() && life.type.effect != Router.Effect.SAFE) {
                 assertEquals(
                         Router.Effect.KEYED,
                         life.type.effect,
-                        "an unsafe request that may have run");
+                        "an unsafe request that may have run is not resent");
                 Attempt first = life.mayHaveRun.get(0);
-                assertTrue(now - first.sentAt < life.type.repeatWindowUs, "within the window");
+                assertTrue(now - first.sentAt < life.type.repeatWindowUs, "a resend within the repeat window");
                 Router.Node ran = nodes.get(first.node);
                 Router.Node next = nodes.get(node);
                 assertTrue(
                         life.type.group == Router.Group.ALL
                                 || life.type.group == Router.Group.ZONE && ran.zone == next.zone
                                 || life.type.group == Router.Group.CELL && ran.cell == next.cell,
-                        "within the group");
+                        "a resend within the group");
             }
             long limit =
                     timeoutUs > 0
@@ -224,10 +227,10 @@
 
         private void conclude(long request) {
             Life life = lives.get(request);
-            assertTrue(!life.concluded, "one final answer only");
+            assertTrue(!life.concluded, "only one final answer");
             assertTrue(
                     now <= life.request.dueUs + 70 * MS,
-                    "in time, but for this caller's own steps");
+                    "answered in time, apart from the test's own time steps");
             life.concluded = true;
             answered++;
         }
@@ -240,7 +243,7 @@
                             || life.type.effect == Router.Effect.SAFE
                             || life.type.effect == Router.Effect.KEYED
                                     && life.type.group == Router.Group.ALL,
-                    "a refusal promises that a further try is harmless");
+                    "a refusal promises that trying again is harmless");
             assertTrue(retryAfterUs <= settings.maxRetryAfterUs);
             conclude(request);
         }
@@ -254,7 +257,7 @@
         public void cancel(long request, int attempt) {
             assertTrue(
                     attempt < lives.get(request).attempts.size(),
-                    "only attempts made can be cancelled");
+                    "only attempts that were made can be cancelled");
         }
 
         @Override
@@ -265,7 +268,7 @@
 
         @Override
         public void probe(int node) {
-            throw new AssertionError("this build sends no probes");
+            throw new AssertionError("the policy sends no probes");
         }
 
         @Override
@@ -280,12 +283,12 @@
 
         @Override
         public void fetchNodes() {
-            throw new AssertionError("this build fetches no list");
+            throw new AssertionError("the policy fetches no list");
         }
 
         @Override
         public void tell(int router, byte[] data) {
-            throw new AssertionError("this build sends no messages");
+            throw new AssertionError("the policy sends no messages");
         }
 
         @Override
@@ -294,7 +297,7 @@
         }
     }
 
-    /** The test's own dice, apart from the module's. */
+    /** Random numbers for the test, separate from those of the policy. */
     private static final class SplitMix {
         private long state;
 
@@ -330,6 +333,6 @@
         }
         assertTrue(
                 answered > 1000 && sends > 3000,
-                "the run must have met the rules: " + answered + ", " + sends);
+                "too few answers or attempts for the rules to be exercised: " + answered + ", " + sends);
     }
 }
--- a/src/test/java/holdproxy/policy/LeftOutTest.java
+++ b/src/test/java/holdproxy/policy/LeftOutTest.java
@@ -8,7 +8,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Nodes that operators have left out: nothing goes there until the call back, and then as to a cold node. */
+/**
+ * Nodes that operators have left out get no attempts until they are put back, and then warm up like cold
+ * nodes.
+ */
 class LeftOutTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
@@ -17,7 +20,10 @@
     private final Fixture f = new Fixture();
     private long nextId = 1;
 
-    /** Sends requests for so many keys, each answered at once; returns the nodes that served them. */
+    /**
+     * Sends a request for each of {@code keys} keys, each answered at once; returns the nodes that served
+     * them.
+     */
     private Set<Integer> served(Choice p, long now, int keys) {
         Set<Integer> nodes = new HashSet<>();
         for (int key = 1; key <= keys; key++) {
@@ -41,22 +47,22 @@
         Choice p = leftOut();
         assertFalse(served(p, S, 200).contains(OUT));
         p.onNodes(2 * S, Router.ListKind.FULL, Fixture.nodes(NODES), NODES, f);
-        assertFalse(served(p, 2 * S, 200).contains(OUT), "a whole list");
+        assertFalse(served(p, 2 * S, 200).contains(OUT), "after a full list");
         Router.Node gone = Fixture.node(OUT);
         gone.state = Router.NodeState.GONE;
         p.onNodes(3 * S, Router.ListKind.DELTA, new Router.Node[] {gone}, 1, f);
         Router.Node again = Fixture.node(OUT);
         again.startedUs = 3 * S;
         p.onNodes(4 * S, Router.ListKind.DELTA, new Router.Node[] {again}, 1, f);
-        assertFalse(served(p, 4 * S, 200).contains(OUT), "gone and back as a new process");
-        assertFalse(served(p, 60 * S, 200).contains(OUT), "however long it takes");
+        assertFalse(served(p, 4 * S, 200).contains(OUT), "after it was gone and came back as a new process");
+        assertFalse(served(p, 60 * S, 200).contains(OUT), "a minute later");
         assertEquals(1, p.avoided(60 * S));
     }
 
     @Test
     void neitherRetriesNorSecondCopiesGoThere() {
         Choice p = leftOut();
-        served(p, S, 100); // pays for second copies
+        served(p, S, 100); // fills the budget for second copies
         for (int key = 1; key <= 100; key++) {
             long id = nextId++;
             f.sent.clear();
@@ -101,7 +107,7 @@
         int cold = count(p, 5 * S);
         int half = count(p, 5 * S + s.coldUs / 2);
         int warm = count(p, 5 * S + s.coldUs);
-        assertTrue(cold > 0, "within the first requests");
+        assertTrue(cold > 0, "some requests reach it at once");
         assertTrue(cold < 0.6 * warm, cold + " of " + warm);
         assertTrue(half > cold && half < warm, cold + ", " + half + " of " + warm);
     }
--- a/src/test/java/holdproxy/policy/MechanismTest.java
+++ b/src/test/java/holdproxy/policy/MechanismTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** FAIR's parts, each alone, and the departures from it that the comments in Choice name. */
+/** FAIR's parts one by one, and the departures from it that the comments in Choice describe. */
 class MechanismTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
@@ -24,7 +24,7 @@
         for (int tenant = 2; tenant < 1000; tenant++) {
             touched += blue.min(tenant, 0) > 0 ? 1 : 0;
         }
-        assertTrue(touched <= 5, "sharing one level's bucket must not be enough: " + touched);
+        assertTrue(touched <= 5, "tenants that share one level's bucket must stay apart; affected: " + touched);
     }
 
     @Test
@@ -47,9 +47,9 @@
         int before = out.refused.size();
         int refused = offer(p, 1000, 50, 0, 2 * S);
         assertTrue(refused > 25, "a tenant whose requests all time out is refused: " + refused);
-        assertTrue(out.advice.get(before) > 0, "a refusal says when to return");
+        assertTrue(out.advice.get(before) > 0, "a refusal carries a retry-after time");
         int later = offer(p, 2000, 50, 0, 90 * S);
-        assertTrue(later < 5, "the chance fades once failures end: " + later);
+        assertTrue(later < 5, "the probability decays once failures end; refused: " + later);
     }
 
     @Test
@@ -67,11 +67,11 @@
     void rotationKeepsWhatTheShadowHasLearnt() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         Choice p = out.choice(s, 1, Fixture.nodes(8));
-        for (int second = 0; second < 130; second++) { // two rotations: by 60 s, and 60 s later
+        for (int second = 0; second < 130; second++) { // two rotations: within 60 s, and 60 s later
             failMany(p, 50, second * S);
             if (second >= 10) {
                 int refused = offer(p, 1_000_000_000 + second * 100, 20, 0, (second + 1) * S - MS);
-                assertTrue(refused > 5, "no free pass at " + second + " s: " + refused + " of 20");
+                assertTrue(refused > 5, "still refused at " + second + " s: " + refused + " of 20");
             }
         }
     }
@@ -108,7 +108,7 @@
         }
         assertTrue(
                 refusals[0] > 3 * (refusals[1] + 1),
-                refusals[0] + " beyond, " + refusals[1] + " within");
+                refusals[0] + " refused beyond the quota, " + refusals[1] + " within");
     }
 
     @Test
@@ -120,11 +120,11 @@
             met.add(out.lastNode());
             out.outcome(p, i * 100 * S + MS, i, 0, Router.Outcome.OK);
         }
-        assertEquals(1, met.size(), "nothing in flight: affinity");
+        assertEquals(1, met.size(), "nothing in flight: always the first candidate");
         p.onRequest(400 * S, Fixture.request(10, 42, 500 * S), out);
         int first = out.lastNode();
         p.onRequest(430 * S, Fixture.request(11, 42, 500 * S), out);
-        assertNotEquals(first, out.lastNode(), "one in flight there: the second candidate");
+        assertNotEquals(first, out.lastNode(), "one request in flight at the first: the second candidate");
     }
 
     @Test
@@ -176,7 +176,7 @@
                 out.outcome(p, now, i, 1, Router.Outcome.OK);
             }
         }
-        assertTrue(toFirst < 40 && toFirst > 2, "passed over mostly, tried at times: " + toFirst);
+        assertTrue(toFirst < 40 && toFirst > 2, "mostly passed over, sometimes tried: " + toFirst);
     }
 
     @Test
@@ -198,13 +198,16 @@
         s.tenants = new Router.Tenant[0];
         Choice p = out.choice(s, 1);
         p.onRequest(0, Fixture.request(1, 0, S), out);
-        assertEquals(1, out.refused.size(), "nowhere to send: refused at once");
+        assertEquals(1, out.refused.size(), "no node to send to: refused at once");
         p.onNodes(0, Router.ListKind.DELTA, Fixture.nodes(3), 3, out);
         p.onRequest(0, Fixture.request(2, 0, S), out);
         assertEquals(1, out.sent.size());
     }
 
-    /** A change counts 6 s after discovery had it, also for a new process: the list it starts with may be old. */
+    /**
+     * A change must take effect within 6 s of discovery having it, also in a new process, whose initial
+     * list may be stale.
+     */
     @Test
     void asksForTheListAtOnceAndBacksOffAfterFailuresWithFullJitter() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
@@ -219,7 +222,7 @@
             each.onNodes(S, Router.ListKind.FAILED, new Router.Node[0], 0, f);
             moments.add(f.timers.get(0)[0] / (100 * MS));
         }
-        assertTrue(moments.size() >= 15, "spread over tenths of 2 s: " + moments);
+        assertTrue(moments.size() >= 15, "delays spread over 2 s, in tenths of a second: " + moments);
         Choice p = out.choice(s, 3, Fixture.nodes(2));
         for (int i = 1; i <= 10; i++) {
             out.fire(p, 8 * i * S);
@@ -229,10 +232,10 @@
         }
         out.fire(p, 100 * S);
         p.onNodes(101 * S, Router.ListKind.FULL, Fixture.nodes(2), 2, out);
-        assertTrue(out.timers.isEmpty(), "subscribed: nothing more to ask");
+        assertTrue(out.timers.isEmpty(), "subscribed: no further call");
     }
 
-    /** The fewer call, the sooner each calls again; each further failure doubles the bound. */
+    /** The fewer routers, the sooner each calls again; each further failure doubles the bound. */
     @Test
     void theBoundOfTheBackoffGoesByTheNumberOfRoutersAndDoubles() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
@@ -254,18 +257,21 @@
         }
     }
 
-    /** Incidents i82db3d, icf0b68, i15b002: choked nodes heal only when most load is taken off; 22 without. */
+    /** Congested nodes recover only when most load is taken off them. */
     @Test
     void failuresRunningWithoutASuccessBringRefusalsWithinAFewRequestsEvenBelowQuota() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
-        s.tenants[0].quotaPerS = 1000; // far above what comes: blame is small until failures run
+        s.tenants[0].quotaPerS = 1000; // far above the demand: blame is small until failures are consecutive
         Choice p = out.choice(s, 1, Fixture.nodes(8));
         failMany(p, 150, 0);
         int refused = offer(p, 1000, 50, 0, 3 * S);
         assertTrue(refused > 25, "most load is taken off: " + refused + " of 50");
     }
 
-    /** The slow attempt of a copied request ends cancelled: its node would never be blamed. */
+    /**
+     * The slow attempt of a request with a second copy ends cancelled, so that its node would never be
+     * blamed.
+     */
     @Test
     void anAttemptStillOutWhenItsCopyIsDueCountsAgainstItsNode() {
         Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(4));
@@ -287,10 +293,13 @@
         }
         assertTrue(
                 there < 25,
-                "slow each time, so mostly passed over: " + there + " of 200, 50 its due");
+                "slow each time, so mostly passed over: " + there + " of 200, an even share is 50");
     }
 
-    /** A slow origin: the tenants' buckets must not refuse the hits on top of what the origin's bucket refuses. */
+    /**
+     * With a slow origin, the tenants' buckets must not refuse hits on top of what the origin's bucket
+     * refuses.
+     */
     @Test
     void failedFetchesAreBlamedOnTheOriginMoreThanOnTheTenant() {
         int[] refused = new int[2];
@@ -322,10 +331,10 @@
         }
         assertTrue(
                 2 * refused[1] < refused[0],
-                refused[1] + " hits refused for the origin, " + refused[0]);
+                refused[1] + " hits refused if failures are marked as fetches, otherwise " + refused[0]);
     }
 
-    /** milano-turni big-2: connections dropped unseen while idle; what was sent on one got no answer. */
+    /** Connections were dropped unnoticed while idle; what was sent on one got no answer. */
     @Test
     void aConnectionThatIdledAsLongAsOneThatFellSilentIsNotTrusted() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
@@ -351,10 +360,13 @@
         }
         assertTrue(
                 silent > 0 && silent < 12,
-                "learnt after a few silences, and tried again: " + silent);
+                "learnt after a few silent connections, and tried again: " + silent);
     }
 
-    /** On a busy proxy none idles for long, so that nothing could win back what slow answers took. */
+    /**
+     * On a busy proxy no connection idles for long, so that nothing could restore the trust that slow
+     * answers cost.
+     */
     @Test
     void slowAnswersOnConnectionsThatIdledShortlyCloseNone() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
@@ -371,10 +383,10 @@
         }
         assertTrue(
                 out.all.stream().noneMatch(a -> a.startsWith("close")),
-                "closed though it was never silent");
+                "no connection closed, as none was silent");
     }
 
-    /** bole-campus big-1: nodes' connection tables held by idle connections, half of all attempts turned away. */
+    /** Idle connections filled the nodes' connection tables, and half of all attempts were turned away. */
     @Test
     void whereNodesTakeNoMoreConnectionsNoneIsHeldIdle() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
@@ -389,14 +401,14 @@
             if (i < 10) {
                 assertTrue(
                         out.all.stream().noneMatch(a -> a.startsWith("close")),
-                        "none closed without need");
+                        "no connection closed before nodes refuse any");
             } else if (o == Router.Outcome.OK) {
                 assertTrue(out.all.get(out.all.size() - 1).startsWith("close"), "closed after use");
             }
         }
     }
 
-    /** zone+vast: 26 of 60 nodes down, after which every proxy closed each connection to the others after use. */
+    /** With 26 of 60 nodes down, every proxy closed each connection to the other nodes after use. */
     @Test
     void whereHandshakesHaveAPriceNodesThatAreDownCloseNoConnectionToOthers() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
@@ -418,13 +430,16 @@
                 out.outcome(p, now + 2 * MS, i, 1, Router.Outcome.OK);
             }
         }
-        assertTrue(down > 10, "the dead nodes were met: " + down);
+        assertTrue(down > 10, "attempts at dead nodes: " + down);
         assertTrue(
                 out.all.stream().noneMatch(a -> a.startsWith("close")),
-                "closed though its node is sound");
+                "no connection to a working node closed");
     }
 
-    /** zone+vast: 14 proxies dialled 26 dead nodes 700 times a second, until the list told of them 3 s later. */
+    /**
+     * 14 proxies dialled 26 dead nodes 700 times a second, until the node list reported them gone 3 s
+     * later.
+     */
     @Test
     void aNodeThatTakesNoConnectionIsLeftOutButForTrialsAndComesBack() {
         Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
@@ -451,13 +466,16 @@
                 }
             }
         }
-        // trials after 0.5 s, 1 s, 2 s and every 4 s make six a node in 10 s, where 200 requests
-        // came
+        // trials after 0.5 s, 1 s, 2 s and every 4 s make six per node in 10 s, during which 200
+        // requests came
         assertTrue(dead >= 5 && dead <= 6 * 5, "attempts at five dead nodes in 10 s: " + dead);
         assertTrue(first > 0 && first < 200 + 5 * 20, "back in use within 5 s: request " + first);
     }
 
-    /** zone+vast: 600 to 900 requests a second refused because the next try after a failed dial had to be paid. */
+    /**
+     * 600 to 900 requests a second were refused because the retry after a failed dial was charged to the
+     * budget.
+     */
     @Test
     void theNextTryAfterAFailedDialIsFree() {
         Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(20));
@@ -470,10 +488,13 @@
         long again = out.sent.stream().skip(60).map(Fixture.Sent::request).distinct().count();
         assertTrue(
                 again >= 12 && again == 60 - out.refused.size(),
-                "sent on after a failed dial: " + again);
+                "sent again after a failed dial: " + again);
     }
 
-    /** join+vast: 36 of 60 nodes cold at a quarter of the fleet's load; nine of ten keys were held from them. */
+    /**
+     * With 36 of 60 nodes cold at a quarter of the fleet's load, nine of ten keys were held back from
+     * them.
+     */
     @Test
     void coldNodesAdmitTheMoreKeysTheLessIsAskedFor() {
         double full = coldShare(1);
@@ -484,15 +505,15 @@
                 1 / Placement.LOAD_LEAST,
                 little / full,
                 0.3,
-                "a rate that is not known yet is not believed");
+                "low rates of a new process are not trusted");
     }
 
-    /** The share of requests that a cold node among eight gets while this share of all quotas is asked for. */
+    /** The share of requests sent to one cold node of eight while demand is this share of all quotas. */
     private static double coldShare(double load) {
         Fixture f = new Fixture();
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.secondCopies = false;
-        s.coldUs = 1_000_000 * S; // it stays as cold as it is
+        s.coldUs = 1_000_000 * S; // it stays cold
         s.tenants[0].quotaPerS = 100 * s.routers / load;
         Router.Node[] nodes = Fixture.nodes(8);
         nodes[0].startedUs = 0;
@@ -505,7 +526,10 @@
         return f.sent.stream().skip(4000).filter(a -> a.node() == 1).count() / 8000.0;
     }
 
-    /** join+vast: nodes slowed nine times were met by each of 14 proxies once a second, and kept half their keys. */
+    /**
+     * Each of 14 proxies visited nodes slowed nine times only once a second, and these kept half their
+     * keys.
+     */
     @Test
     void withoutNotesOnHitsASlowNodeLosesTheTies() {
         Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
@@ -515,7 +539,8 @@
             p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
             boolean toSlow = out.lastNode() == 1;
             slow += toSlow ? 1 : 0;
-            // within its aim of 300 ms all the same: no failure that a chance would tell of
+            // still within the latency target of 300 ms, so no failure that would raise the
+            // probability
             p.onOutcome(
                     now,
                     i,
@@ -527,10 +552,13 @@
                     new Router.Report(),
                     out);
         }
-        assertTrue(slow > 0 && slow < 2000 / 8 / 3, "of an even 250 the slow one got " + slow);
+        assertTrue(slow > 0 && slow < 2000 / 8 / 3, "requests to the slow node, an even share is 250: " + slow);
     }
 
-    /** zone+vast: a quarter fails while the register refills lost caches; 40% of all tries were refused for it. */
+    /**
+     * A quarter of requests fails while lost caches are refilled; 40% of all requests were refused
+     * because of that.
+     */
     @Test
     void failuresInARowProveNoWantOfCapacityWhereLittleIsAskedFor() {
         double little = refusedWhereAQuarterFails(0.25);
@@ -538,7 +566,7 @@
         assertTrue(full > 0.3, "refused at full demand: " + full);
         assertTrue(
                 little < full / 2,
-                "refused at a quarter of it: " + little + ", at full demand " + full);
+                "refused at a quarter of full demand: " + little + ", at full demand: " + full);
     }
 
     private static double refusedWhereAQuarterFails(double demand) {
@@ -559,7 +587,7 @@
         return 1 - f.sent.size() / 1500.0;
     }
 
-    /** zone+vast: with 36 of 60 nodes down six ranked candidates were all down for one key in twenty. */
+    /** With 36 of 60 nodes down, six ranked candidates were all down for one key in twenty. */
     @Test
     void aKeyMostOfWhoseCandidatesAreDownIsStillSent() {
         Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(60));
@@ -586,7 +614,10 @@
         assertTrue(served >= 980, "of 1000 requests " + served + " were sent to a node that is up");
     }
 
-    /** What fails at nodes that fail more than others must not get a tenant within its quota refused elsewhere. */
+    /**
+     * Failures at nodes that fail more than others must not get a tenant within its quota refused
+     * elsewhere.
+     */
     @Test
     void aTenantWithinItsQuotaIsSparedTheBlameForNodesThatFailMoreThanOthers() {
         int[] refused = new int[2];
@@ -609,7 +640,7 @@
         }
         assertTrue(
                 refused[0] < refused[1] / 2,
-                refused[0] + " refused for two bad nodes, " + refused[1]);
+                refused[0] + " refused with two bad nodes, with failures on all nodes: " + refused[1]);
     }
 
     @Test
@@ -632,7 +663,7 @@
         offer(p, 1000, 200, 0, 2 * S);
         long lines =
                 out.all.stream()
-                        .filter(a -> a.startsWith("log refusing requests: origin chance"))
+                        .filter(a -> a.startsWith("log refusing requests: origin refusal probability"))
                         .count();
         assertEquals(1, lines, "one line in 20 s however many refusals");
     }
@@ -665,7 +696,7 @@
         }
     }
 
-    /** Offers requests at one moment and counts those refused before any attempt. */
+    /** Sends requests at the same time and returns how many are refused before any attempt. */
     private int offer(Choice p, int firstId, int count, int tenant, long now) {
         int before = out.refused.size();
         for (int i = firstId; i < firstId + count; i++) {
--- a/src/test/java/holdproxy/policy/RulesTest.java
+++ b/src/test/java/holdproxy/policy/RulesTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The four rules, for each effect class. */
+/** The rules for resending, refusing, due times and node states, for each effect class. */
 class RulesTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
@@ -16,7 +16,7 @@
         return out.choice(Fixture.settings(effect), 1, Fixture.nodes(6));
     }
 
-    /** Successes that pay for second copies, all before time 0. */
+    /** Fills the budget for second copies with successful requests, all at time 0. */
     private Choice earning(Choice p) {
         for (long id = 1000; id < 1100; id++) {
             p.onRequest(0, Fixture.request(id, id, 600 * MS), out);
@@ -69,7 +69,7 @@
         assertEquals(2, out.sent.size());
         out.outcome(p, 2 * MS, 1, 1, Router.Outcome.CONNECT_FAILED);
         assertEquals(
-                1, out.refused.size() + out.sent.size() - 2, "never ran: resent again or refused");
+                1, out.refused.size() + out.sent.size() - 2, "it never ran: resent again or refused");
     }
 
     @Test
@@ -82,7 +82,7 @@
         Choice q = late.choice(Fixture.settings(Router.Effect.KEYED), 1, Fixture.nodes(6));
         q.onRequest(0, Fixture.request(1, 42, 10 * S), late);
         late.outcome(q, 2 * S - 5 * MS, 1, 0, Router.Outcome.ERROR);
-        assertEquals(1, late.sent.size(), "its window of 2 s is as good as over");
+        assertEquals(1, late.sent.size(), "no resend at the end of the 2 s repeat window");
     }
 
     @Test
@@ -136,7 +136,7 @@
     void theDueTimeRulesNotTheClassDeadline() {
         Choice p = earning(with(Router.Effect.SAFE));
         p.onRequest(0, Fixture.request(1, 42, 100 * MS), out);
-        assertEquals(0, out.sent.get(0).timeoutUs(), "until the client gives up");
+        assertEquals(0, out.sent.get(0).timeoutUs(), "time-out: until the request is due");
         out.fire(p, 100 * MS);
         assertEquals(1, out.sent.size(), "no second copy at or after the due time");
     }
@@ -216,7 +216,7 @@
         }
         p.onNodes(0, Router.ListKind.FULL, new Router.Node[] {Fixture.node(6)}, 1, out);
         p.onRequest(S, Fixture.request(900, 9, 2 * S), out);
-        assertEquals(6, out.lastNode(), "absent from a whole list: gone");
+        assertEquals(6, out.lastNode(), "nodes absent from a full list are gone");
     }
 
     @Test
@@ -236,14 +236,14 @@
                     if (seed == 1) {
                         first = there;
                     } else {
-                        assertEquals(first, there, "routers agree without talking");
+                        assertEquals(first, there, "all routers agree without communication");
                     }
                 }
             }
         }
         assertTrue(
                 part[0] < 30 && part[0] > 0 && part[1] > part[0] && part[2] > part[1],
-                part[0] + ", " + part[1] + ", " + part[2] + " of 400 keys, 100 due when warm");
+                part[0] + ", " + part[1] + ", " + part[2] + " of 400 keys, 100 expected when warm");
     }
 
     private Choice aside(Router.Effect effect) {
@@ -259,7 +259,7 @@
     void asideMissesGoOnToTheOriginAndWritesStraightThere() {
         Choice p = aside(Router.Effect.SAFE);
         request(p);
-        assertTrue(out.lastNode() < 7, "the origin is no cache");
+        assertTrue(out.lastNode() < 7, "reads go to a cache node first");
         p.onOutcome(
                 MS,
                 1,
@@ -277,7 +277,7 @@
         assertEquals(7, out.lastNode());
     }
 
-    /** milano-turni big-1: writes alone kept a slow origin swamped, and nothing it did was in time. */
+    /** Writes alone kept a slow origin overloaded, and nothing it did was in time. */
     @Test
     void writesToAnOriginThatFailsAreRefusedTooButLaterThanReads() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE, Router.Effect.KEYED);
@@ -330,7 +330,10 @@
                 refused[0] + " reads, " + refused[1] + " writes");
     }
 
-    /** Found by reading: after an attempt that may have run, a miss elsewhere must not take the group's bounds off. */
+    /**
+     * After an attempt that may have run, a miss at another node must not lift the restriction to the
+     * group.
+     */
     @Test
     void aKeyedReadThatMayHaveRunMissesOnIntoItsGroupOnly() {
         Router.Settings s = Fixture.settings(Router.Effect.KEYED);
@@ -343,7 +346,7 @@
         Choice p = out.choice(s, 1, nodes);
         request(p);
         out.outcome(p, MS, 1, 0, Router.Outcome.ERROR);
-        assertEquals(2, out.sent.size(), "tried again within its zone");
+        assertEquals(2, out.sent.size(), "resent within its zone");
         p.onOutcome(
                 2 * MS,
                 1,
@@ -354,7 +357,7 @@
                 Router.CacheNote.MISS,
                 new Router.Report(),
                 out);
-        assertEquals(2, out.sent.size(), "the origin stands in another zone");
+        assertEquals(2, out.sent.size(), "not sent to the origin in another zone");
         assertEquals(1, out.failed.size());
     }
 
@@ -367,7 +370,7 @@
             q.tenant = i;
             p.onRequest(i * MS, q, out);
             if (out.sent.isEmpty() || out.sent.get(out.sent.size() - 1).request() != i) {
-                continue; // refused for its tenant
+                continue; // refused by admission control
             }
             p.onOutcome(
                     i * MS,
@@ -384,6 +387,6 @@
                 out.outcome(p, i * MS, i, 1, Router.Outcome.OVERLOADED);
             }
         }
-        assertTrue(reached < 20, "the origin's bucket stops most misses: " + reached);
+        assertTrue(reached < 20, "the origin's bucket refuses most misses; sent to the origin: " + reached);
     }
 }
--- a/src/test/java/holdproxy/sim/WireTest.java
+++ b/src/test/java/holdproxy/sim/WireTest.java
@@ -15,7 +15,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-/** The codec and the batch loop, with the byte examples of the wire's page. */
+/** The codec and the batch loop, with the byte examples of the protocol's documentation. */
 class WireTest {
     private static final String SETTINGS =
             "grades.count=1\ngrades.0.effect=pure\ngrades.0.targetMs=300.0\n"
@@ -76,8 +76,8 @@
                 assertThrows(
                         BadInput.class,
                         () -> new SimHost(new ByteArrayInputStream(input), out).run());
-        assertEquals(12 * repliesBefore, out.size(), "nothing half-written");
-        assertTrue(!e.getMessage().contains("\n"), "one line");
+        assertEquals(12 * repliesBefore, out.size(), "no partial reply");
+        assertTrue(!e.getMessage().contains("\n"), "the message is a single line");
         return e.getMessage();
     }
 
@@ -170,7 +170,7 @@
                                 hello(3, SETTINGS),
                                 hex(NODES),
                                 hex(REQUEST)));
-        assertEquals(1, ByteBuffer.wrap(reply).getInt(4), "only the new life's attempt");
+        assertEquals(1, ByteBuffer.wrap(reply).getInt(4), "only the attempt of the restarted instance");
         byte[] stopped = run(batch(1, hello(3, SETTINGS), hex(NODES), exit, hex(REQUEST)));
         assertEquals(0, ByteBuffer.wrap(stopped).getInt(4), "a stopped instance does not act");
     }
@@ -241,7 +241,7 @@
                                         hello(3, SETTINGS),
                                         hex("15 0000000d 00000003 00000001 01 00ffffff")),
                                 0)
-                        .contains("impossible count"));
+                        .contains("invalid count"));
         assertTrue(rejected(batch(1, hello(3, "tickMs=soon")), 0).contains("tickMs"));
         assertTrue(rejected(batch(1, hello(3, "grades.count=0")), 0).contains("class"));
         String phase =
@@ -260,7 +260,10 @@
                         .contains("batch 1"));
     }
 
-    /** A message from a peer and a probe's result with a report: passed on, answered by nothing, extra bytes skipped. */
+    /**
+     * A message from a peer and a probe result with a report are accepted without a reply; extra bytes
+     * are skipped.
+     */
     @Test
     void messagesAndProbeResultsAreTaken() throws IOException {
         byte[] memo = hex("16 0000000e 00000003 00000002 0004 68692037");
@@ -305,7 +308,7 @@
         SimHost.readReport(r, new String[] {"busy"}, report);
         assertTrue(
                 Double.isNaN(report.busy) && Double.isNaN(report.queue),
-                "nothing is left of the last one");
+                "values of the previous report are cleared");
     }
 
     @Test
