--- a/src/main/java/holdproxy/policy/Choice.java
+++ b/src/main/java/holdproxy/policy/Choice.java
@@ -77,7 +77,7 @@
         door.begin(nowUs);
         onSettings(nowUs, settings);
         if (settings.askForNodes) {
-            // the list from before the start may be stale, and a change counts for a new process too
+            // the list from before the start may be stale, and changes count for a new process too
             out.timer(0, TIMER_ASK);
         }
     }
--- a/src/main/java/holdproxy/policy/Open.java
+++ b/src/main/java/holdproxy/policy/Open.java
@@ -27,6 +27,7 @@
 
     /** Bit mask of the attempts that are not proven never to have run. */
     int mayHaveRun;
+
     final Target[] node = new Target[ATTEMPTS_MOST];
 
     /** How long the connection had been idle when the attempt was sent; -1: it was new. */
--- a/src/test/java/holdproxy/policy/HostileEventsTest.java
+++ b/src/test/java/holdproxy/policy/HostileEventsTest.java
@@ -192,7 +192,10 @@
             assertTrue(request >= firstOfLife, "no action for requests from before a restart");
             assertTrue(!life.concluded, "nothing is sent after the final answer");
             assertTrue(now < life.request.dueUs, "nothing is sent after the due time");
-            assertEquals(Router.NodeState.READY, nodes.get(node).state, "nothing is sent to nodes that drain or are gone");
+            assertEquals(
+                    Router.NodeState.READY,
+                    nodes.get(node).state,
+                    "nothing is sent to nodes that drain or are gone");
             assertTrue(life.attempts.size() < settings.maxAttempts, "at most maxAttempts attempts");
             assertTrue(life.out == 0 || settings.secondCopies, "second copies only where allowed");
             if (settings.aside && nodes.get(node).kind != 5) {
@@ -204,7 +207,9 @@
                         life.type.effect,
                         "an unsafe request that may have run is not resent");
                 Attempt first = life.mayHaveRun.get(0);
-                assertTrue(now - first.sentAt < life.type.repeatWindowUs, "a resend within the repeat window");
+                assertTrue(
+                        now - first.sentAt < life.type.repeatWindowUs,
+                        "a resend within the repeat window");
                 Router.Node ran = nodes.get(first.node);
                 Router.Node next = nodes.get(node);
                 assertTrue(
@@ -333,6 +338,9 @@
         }
         assertTrue(
                 answered > 1000 && sends > 3000,
-                "too few answers or attempts for the rules to be exercised: " + answered + ", " + sends);
+                "too few answers or attempts for the rules to be exercised: "
+                        + answered
+                        + ", "
+                        + sends);
     }
 }
--- a/src/test/java/holdproxy/policy/LeftOutTest.java
+++ b/src/test/java/holdproxy/policy/LeftOutTest.java
@@ -54,7 +54,9 @@
         Router.Node again = Fixture.node(OUT);
         again.startedUs = 3 * S;
         p.onNodes(4 * S, Router.ListKind.DELTA, new Router.Node[] {again}, 1, f);
-        assertFalse(served(p, 4 * S, 200).contains(OUT), "after it was gone and came back as a new process");
+        assertFalse(
+                served(p, 4 * S, 200).contains(OUT),
+                "after it was gone and came back as a new process");
         assertFalse(served(p, 60 * S, 200).contains(OUT), "a minute later");
         assertEquals(1, p.avoided(60 * S));
     }
--- a/src/test/java/holdproxy/policy/MechanismTest.java
+++ b/src/test/java/holdproxy/policy/MechanismTest.java
@@ -24,7 +24,9 @@
         for (int tenant = 2; tenant < 1000; tenant++) {
             touched += blue.min(tenant, 0) > 0 ? 1 : 0;
         }
-        assertTrue(touched <= 5, "tenants that share one level's bucket must stay apart; affected: " + touched);
+        assertTrue(
+                touched <= 5,
+                "tenants that share one level's bucket must stay apart; affected: " + touched);
     }
 
     @Test
@@ -124,7 +126,8 @@
         p.onRequest(400 * S, Fixture.request(10, 42, 500 * S), out);
         int first = out.lastNode();
         p.onRequest(430 * S, Fixture.request(11, 42, 500 * S), out);
-        assertNotEquals(first, out.lastNode(), "one request in flight at the first: the second candidate");
+        assertNotEquals(
+                first, out.lastNode(), "one request in flight at the first: the second candidate");
     }
 
     @Test
@@ -222,7 +225,8 @@
             each.onNodes(S, Router.ListKind.FAILED, new Router.Node[0], 0, f);
             moments.add(f.timers.get(0)[0] / (100 * MS));
         }
-        assertTrue(moments.size() >= 15, "delays spread over 2 s, in tenths of a second: " + moments);
+        assertTrue(
+                moments.size() >= 15, "delays spread over 2 s, in tenths of a second: " + moments);
         Choice p = out.choice(s, 3, Fixture.nodes(2));
         for (int i = 1; i <= 10; i++) {
             out.fire(p, 8 * i * S);
@@ -261,7 +265,8 @@
     @Test
     void failuresRunningWithoutASuccessBringRefusalsWithinAFewRequestsEvenBelowQuota() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
-        s.tenants[0].quotaPerS = 1000; // far above the demand: blame is small until failures are consecutive
+        // far above the demand: blame is small until failures are consecutive
+        s.tenants[0].quotaPerS = 1000;
         Choice p = out.choice(s, 1, Fixture.nodes(8));
         failMany(p, 150, 0);
         int refused = offer(p, 1000, 50, 0, 3 * S);
@@ -331,7 +336,9 @@
         }
         assertTrue(
                 2 * refused[1] < refused[0],
-                refused[1] + " hits refused if failures are marked as fetches, otherwise " + refused[0]);
+                refused[1]
+                        + " hits refused if failures are marked as fetches, otherwise "
+                        + refused[0]);
     }
 
     /** Connections were dropped unnoticed while idle; what was sent on one got no answer. */
@@ -552,7 +559,9 @@
                     new Router.Report(),
                     out);
         }
-        assertTrue(slow > 0 && slow < 2000 / 8 / 3, "requests to the slow node, an even share is 250: " + slow);
+        assertTrue(
+                slow > 0 && slow < 2000 / 8 / 3,
+                "requests to the slow node, an even share is 250: " + slow);
     }
 
     /**
@@ -640,7 +649,9 @@
         }
         assertTrue(
                 refused[0] < refused[1] / 2,
-                refused[0] + " refused with two bad nodes, with failures on all nodes: " + refused[1]);
+                refused[0]
+                        + " refused with two bad nodes, with failures on all nodes: "
+                        + refused[1]);
     }
 
     @Test
@@ -663,7 +674,11 @@
         offer(p, 1000, 200, 0, 2 * S);
         long lines =
                 out.all.stream()
-                        .filter(a -> a.startsWith("log refusing requests: origin refusal probability"))
+                        .filter(
+                                a ->
+                                        a.startsWith(
+                                                "log refusing requests: origin refusal"
+                                                        + " probability"))
                         .count();
         assertEquals(1, lines, "one line in 20 s however many refusals");
     }
--- a/src/test/java/holdproxy/policy/RulesTest.java
+++ b/src/test/java/holdproxy/policy/RulesTest.java
@@ -69,7 +69,9 @@
         assertEquals(2, out.sent.size());
         out.outcome(p, 2 * MS, 1, 1, Router.Outcome.CONNECT_FAILED);
         assertEquals(
-                1, out.refused.size() + out.sent.size() - 2, "it never ran: resent again or refused");
+                1,
+                out.refused.size() + out.sent.size() - 2,
+                "it never ran: resent again or refused");
     }
 
     @Test
@@ -387,6 +389,8 @@
                 out.outcome(p, i * MS, i, 1, Router.Outcome.OVERLOADED);
             }
         }
-        assertTrue(reached < 20, "the origin's bucket refuses most misses; sent to the origin: " + reached);
+        assertTrue(
+                reached < 20,
+                "the origin's bucket refuses most misses; sent to the origin: " + reached);
     }
 }
--- a/src/test/java/holdproxy/sim/WireTest.java
+++ b/src/test/java/holdproxy/sim/WireTest.java
@@ -170,7 +170,8 @@
                                 hello(3, SETTINGS),
                                 hex(NODES),
                                 hex(REQUEST)));
-        assertEquals(1, ByteBuffer.wrap(reply).getInt(4), "only the attempt of the restarted instance");
+        assertEquals(
+                1, ByteBuffer.wrap(reply).getInt(4), "only the attempt of the restarted instance");
         byte[] stopped = run(batch(1, hello(3, SETTINGS), hex(NODES), exit, hex(REQUEST)));
         assertEquals(0, ByteBuffer.wrap(stopped).getInt(4), "a stopped instance does not act");
     }
