--- a/src/main/java/holdproxy/policy/Blue.java
+++ b/src/main/java/holdproxy/policy/Blue.java
@@ -8,23 +8,23 @@
  */
 final class Blue {
     /** Upper limit of every probability: some trial requests always get through. */
-    static final double CHANCE_MOST = 0.98;
+    static final double PROBABILITY_MAX = 0.98;
 
     private final int levels;
     private final int buckets;
-    private double fadeUs;
-    private final float[] value;
-    private final long[] updated;
+    private double decayUs;
+    private final float[] values;
+    private final long[] updatedAt;
     private long seed;
 
     /** {@code buckets} must be a power of two. */
-    Blue(int levels, int buckets, double fadeUs, long seed) {
+    Blue(int levels, int buckets, double decayUs, long seed) {
         this.levels = levels;
         this.buckets = buckets;
-        this.fadeUs = fadeUs;
+        this.decayUs = decayUs;
         this.seed = seed;
-        value = new float[levels * buckets];
-        updated = new long[levels * buckets];
+        values = new float[levels * buckets];
+        updatedAt = new long[levels * buckets];
     }
 
     /** Kirsch-Mitzenmacher: one hash gives the buckets of all levels. */
@@ -34,34 +34,34 @@
     }
 
     double min(long id, long now) {
-        long hash = Random.mix(id ^ seed);
+        long hash = SplitMix64.mix(id ^ seed);
         double least = Double.MAX_VALUE;
         for (int level = 0; level < levels && least > 0; level++) {
             int b = bucket(hash, level);
-            least = Math.min(least, Fading.faded(value[b], updated[b], now, fadeUs));
+            least = Math.min(least, DecayingValue.decayed(values[b], updatedAt[b], now, decayUs));
         }
         return least;
     }
 
-    /** Adds a positive or negative step to the bucket of each level, clamped to 0 to {@code most}. */
-    void add(long id, double step, double most, long now) {
-        long hash = Random.mix(id ^ seed);
+    /** Adds a positive or negative step to the bucket of each level, clamped to 0 to {@code limit}. */
+    void add(long id, double step, double limit, long now) {
+        long hash = SplitMix64.mix(id ^ seed);
         for (int level = 0; level < levels; level++) {
             int b = bucket(hash, level);
-            double v = Fading.faded(value[b], updated[b], now, fadeUs) + step;
-            value[b] = (float) Math.max(0, Math.min(most, v));
-            updated[b] = now;
+            double v = DecayingValue.decayed(values[b], updatedAt[b], now, decayUs) + step;
+            values[b] = (float) Math.max(0, Math.min(limit, v));
+            updatedAt[b] = now;
         }
     }
 
     /** Sets the decay time: values fall to 1/e in this time, counted from each bucket's last update. */
-    void fadeIn(double us) {
-        fadeUs = us;
+    void setDecayUs(double us) {
+        decayUs = us;
     }
 
     /** Clears all values and changes the hash seed. */
-    void restart(long newSeed) {
-        Arrays.fill(value, 0);
+    void reset(long newSeed) {
+        Arrays.fill(values, 0);
         seed = newSeed;
     }
 }
--- a/src/main/java/holdproxy/policy/Choice.java
+++ b/src/main/java/holdproxy/policy/Choice.java
@@ -52,12 +52,12 @@
     public final Tally tally = new Tally();
 
     private Settings set;
-    private final Random random;
-    private final Demand demand;
+    private final SplitMix64 random;
+    private final RequestRates demand;
     private final Door door;
-    private final Fleet fleet;
+    private final NodeTable fleet;
     private final Placement placement;
-    private final Fading originChance = new Fading(Target.FADE_US);
+    private final DecayingValue originChance = new DecayingValue(Target.DECAY_US);
     private final LongMap<Open> open = new LongMap<>();
     private Idling idling;
     private double leastWorth;
@@ -69,12 +69,12 @@
     private int askFailures;
 
     public Choice(Settings settings, long seed, long nowUs, Actions out) {
-        random = new Random(seed);
-        demand = new Demand(nowUs);
+        random = new SplitMix64(seed);
+        demand = new RequestRates(nowUs);
         door = new Door(demand, random);
-        fleet = new Fleet(settings);
+        fleet = new NodeTable(settings);
         placement = new Placement(fleet, demand, random, tally);
-        door.begin(nowUs);
+        door.scheduleRotation(nowUs);
         onSettings(nowUs, settings);
         if (settings.askForNodes) {
             // the list from before the start may be stale, and changes count for a new process too
@@ -92,7 +92,7 @@
         leastWorth =
                 Math.max(
                         1e-6, Arrays.stream(set.classes).mapToDouble(c -> c.worth).min().orElse(1));
-        demand.settings(settings);
+        demand.applySettings(settings);
         placement.settings(settings);
     }
 
@@ -125,19 +125,20 @@
             askFailures++;
             double within =
                     set.drainGraceUs > 0 ? PUSHED_RETRY_PART * set.drainGraceUs : PUSHED_RETRY_US;
-            return Math.min(PUSHED_RETRY_US, within) * (0.5 + random.unit());
+            return Math.min(PUSHED_RETRY_US, within) * (0.5 + random.nextUnit());
         }
         if (kind == ListKind.SILENT) {
-            return random.unit() * Math.min(SILENT_SPREAD_US, SILENT_US_PER_ROUTER * set.routers);
+            return random.nextUnit()
+                    * Math.min(SILENT_SPREAD_US, SILENT_US_PER_ROUTER * set.routers);
         }
         double retry = ASK_RETRY_US_PER_ROUTER * set.routers * (1L << Math.min(askFailures++, 5));
         double most = Math.min(ASK_RETRY_MOST_US, ASK_RETRY_PART * set.askWithinUs);
-        return random.unit() * Math.min(retry, most);
+        return random.nextUnit() * Math.min(retry, most);
     }
 
     @Override
     public void onLeftOut(long now, int node, boolean out, long at) {
-        fleet.leaveOut(node, out, at);
+        fleet.setLeftOut(node, out, at);
     }
 
     /**
@@ -152,18 +153,18 @@
 
     @Override
     public void onRequest(long now, Request q, Actions out) {
-        door.rotate(now);
-        int tenant = demand.tenant(q.tenant);
+        door.rotateIfDue(now);
+        int tenant = demand.tenantIndex(q.tenant);
         tally.add(q.repeat ? Count.REPEATS : Count.REQUESTS);
-        demand.asked(tenant, q.repeat, now);
-        double chance = door.chance(tenant, now);
-        if (chance > 0 && random.unit() < chance) {
+        demand.countArrival(tenant, q.repeat, now);
+        double chance = door.refusalProbability(tenant, now);
+        if (chance > 0 && random.nextUnit() < chance) {
             tally.add(Count.REFUSED_BY_CHANCE);
             report(now, "refusing requests", out);
             out.refuse(q.id, retryAfter(chance));
             return;
         }
-        demand.admitted(tenant, now);
+        demand.countAdmission(tenant, now);
         int type = Math.max(0, Math.min(q.requestClass, set.classes.length - 1));
         Open r = new Open(q, set.classes[type], tenant, set.maxAttempts, now);
         open.put(r.id, r);
@@ -181,7 +182,7 @@
                             + ": origin refusal probability "
                             + Math.round(100 * originChance.get(now)) / 100.0
                             + ", "
-                            + door.seen()
+                            + door.statusText()
                             + ", consecutive failed discovery calls "
                             + askFailures);
         }
@@ -269,18 +270,19 @@
         }
         if (o == Outcome.CONNECT_FAILED) {
             if (set.handshakePrice == 0) {
-                idling.turnedAway(now);
+                idling.connectionRefused(now);
             }
         } else if (o == Outcome.RESET) {
             t.idleSince = Long.MIN_VALUE;
         } else {
             if (o == Outcome.OK) {
-                idling.served(r.idledUs[attempt], limit, now);
+                idling.servedAfterIdling(r.idledUs[attempt], limit, now);
             }
             t.idleSince = now;
             boolean freely = set.handshakePrice == 0 || limit < set.idleCloseUs / 2.0;
             // silence says nothing about those that idled no longer than others that still worked
-            boolean suspect = o == Outcome.TIMEOUT && idling.suspect(r.idledUs[attempt], now);
+            boolean suspect =
+                    o == Outcome.TIMEOUT && idling.idledBeyondSurvived(r.idledUs[attempt], now);
             if (suspect || freely && fleet.readyCount / demand.rate(now) * 1e6 > limit) {
                 closeIdle(t, out);
             }
@@ -296,7 +298,8 @@
     private void sendToOrigin(Open r, long now, Actions out) {
         double chance = originChance.get(now);
         // the higher a class's worth, the later it is refused: its worth is the exponent
-        boolean refused = chance > 0 && random.unit() < Math.pow(chance, r.type.worth / leastWorth);
+        boolean refused =
+                chance > 0 && random.nextUnit() < Math.pow(chance, r.type.worth / leastWorth);
         Target t = refused ? null : origin();
         // an earlier attempt of a read that missed may have run, which limits the nodes allowed now
         t = t == null || r.mayGoTo(t, set, now) ? t : null;
@@ -335,7 +338,7 @@
             return;
         }
         if (r.mayRefuse()) {
-            out.refuse(r.id, retryAfter(door.chance(r.tenant, now)));
+            out.refuse(r.id, retryAfter(door.refusalProbability(r.tenant, now)));
         } else {
             tally.add(Count.FAILED);
             out.fail(r.id);
@@ -375,12 +378,12 @@
         Target t = r.node[attempt];
         r.ended(attempt, o);
         if (o == Outcome.CONNECT_FAILED) {
-            t.dialFailed(now);
+            t.recordFailedDial(now);
         } else if (o == Outcome.OK
                 || o == Outcome.MISS
                 || o == Outcome.ERROR
                 || o == Outcome.OVERLOADED) {
-            t.up();
+            t.markUp();
         }
         released(r, attempt, o, now, out);
         placement.busy(r, t, o, note, report, latency, now);
@@ -422,7 +425,7 @@
         boolean late = good && r.sentAt[attempt] + latency - r.arrived > r.type.aimUs;
         boolean fetched = !set.aside && !r.write && note != CacheNote.HIT && note != CacheNote.NONE;
         // before this outcome is counted, which is a single failure
-        double ofNode = t.chance.get(now);
+        double ofNode = t.passOver.get(now);
         if (fromOrigin || fetched) {
             boolean failed = !good || fetched && latency > r.type.aimUs;
             originFailed(failed, ORIGIN_WEIGHT, now);
@@ -433,7 +436,7 @@
             placement.evidence(t, !good || lateHit, weight, now);
         }
         if (o == Outcome.OK || o == Outcome.OVERLOADED) {
-            door.answered(o == Outcome.OK, latency, r.type.aimUs, now);
+            door.recordAnswer(o == Outcome.OK, latency, r.type.aimUs, now);
         }
         if (o == Outcome.OK && !r.write) {
             devUs += (Math.abs(latency - meanUs) - devUs) / 8;
@@ -455,7 +458,7 @@
             double beyond = placement.learnUsual(ofNode);
             double known = fromOrigin || fetched ? originChance.get(now) : over ? 0 : beyond;
             boolean told = o == Outcome.OVERLOADED || o == Outcome.ERROR;
-            door.outcome(r, failed, o == Outcome.OK, fromOrigin, known, told, now);
+            door.recordOutcome(r, failed, o == Outcome.OK, fromOrigin, known, told, now);
         }
     }
 
@@ -506,13 +509,13 @@
             // elsewhere would never be blamed
             int first = Integer.numberOfTrailingZeros(r.out);
             Target slow = r.node[first];
-            if (idling.silent(r.idledUs[first], now)) {
+            if (idling.silentAfterIdling(r.idledUs[first], now)) {
                 closeIdle(slow, out);
             }
             double waited = r.waited(now - r.arrived);
             placement.evidence(
                     slow, true, Placement.SOFT * Math.min(1, waited / COPY_SOONEST), now);
-            slow.busy.set(Math.max(slow.busy.get(now), waited), now);
+            slow.busyShare.set(Math.max(slow.busyShare.get(now), waited), now);
             retry(r, now, out);
         }
     }
@@ -523,7 +526,7 @@
     }
 
     @Override
-    public void onTold(long now, int router, byte[] data, Actions out) {
+    public void onMessage(long now, int router, byte[] data, Actions out) {
         // messages are not used: all rules and the normal path work without them
     }
 }
--- a/src/main/java/holdproxy/policy/Fading.java
+++ b/src/main/java/holdproxy/policy/DecayingValue.java
@@ -3,30 +3,30 @@
 import java.util.Arrays;
 
 /** A value that decays exponentially since its last update: a rate, a report or a single BLUE bucket. */
-final class Fading {
-    private double fadeUs;
+final class DecayingValue {
+    private double decayUs;
     private double value;
     private long updated;
 
-    Fading(double fadeUs) {
-        this.fadeUs = fadeUs;
+    DecayingValue(double decayUs) {
+        this.decayUs = decayUs;
     }
 
-    static Fading[] array(int n, double fadeUs) {
-        return grown(new Fading[0], n, fadeUs);
+    static DecayingValue[] array(int n, double decayUs) {
+        return extended(new DecayingValue[0], n, decayUs);
     }
 
     /** Extends an array to at least {@code n} elements; the given ones come first. */
-    static Fading[] grown(Fading[] before, int n, double fadeUs) {
-        Fading[] all = Arrays.copyOf(before, Math.max(before.length, n));
+    static DecayingValue[] extended(DecayingValue[] before, int n, double fadeUs) {
+        DecayingValue[] all = Arrays.copyOf(before, Math.max(before.length, n));
         for (int i = before.length; i < all.length; i++) {
-            all[i] = new Fading(fadeUs);
+            all[i] = new DecayingValue(fadeUs);
         }
         return all;
     }
 
     double get(long now) {
-        return faded(value, updated, now, fadeUs);
+        return decayed(value, updated, now, decayUs);
     }
 
     /** Adds a positive or negative step, clamped to 0 to {@code most}; returns the new value. */
@@ -41,8 +41,8 @@
     }
 
     /** Sets the decay time: the value falls to 1/e in this time, counted from its last update. */
-    void fadeIn(double us) {
-        fadeUs = us;
+    void setDecayUs(double us) {
+        decayUs = us;
     }
 
     void set(double newValue, long now) {
@@ -50,7 +50,7 @@
         updated = now;
     }
 
-    static double faded(double value, long since, long now, double fadeUs) {
+    static double decayed(double value, long since, long now, double fadeUs) {
         return value == 0 ? 0 : value * Math.exp((since - now) / fadeUs);
     }
 }
--- a/src/main/java/holdproxy/policy/Fleet.java
+++ b/src/main/java/holdproxy/policy/NodeTable.java
@@ -10,42 +10,42 @@
  * arrays of those that accept requests. {@link Target#takesNew} decides which do; this class only keeps
  * the lists.
  */
-final class Fleet {
+final class NodeTable {
     private final LongMap<Target> byId = new LongMap<>();
-    private final boolean aside;
+    private final boolean cacheAside;
     private final int originKind;
 
     /** Nodes that operators have left out, whether listed or not. */
     private final Set<Integer> leftOut = new HashSet<>();
 
-    private Target[] known = new Target[16];
-    private int knownCount;
-    Target[] ready = new Target[0];
-    long[] salt = new long[0];
-    double[] inverseWeight = new double[0];
+    private Target[] knownNodes = new Target[16];
+    private int nodeCount;
+    Target[] readyNodes = new Target[0];
+    long[] readySalts = new long[0];
+    double[] readyInverseWeights = new double[0];
     int readyCount;
     Target[] origins = new Target[0];
 
-    Fleet(Router.Settings settings) {
-        aside = settings.aside;
+    NodeTable(Router.Settings settings) {
+        cacheAside = settings.aside;
         originKind = settings.originKind;
     }
 
     boolean isOrigin(Target t) {
-        return aside && t.kind == originKind;
+        return cacheAside && t.kind == originKind;
     }
 
     void apply(Router.ListKind kind, Router.Node[] nodes, int count) {
         if (kind != Router.ListKind.DELTA) {
-            for (int i = 0; i < knownCount; i++) {
-                known[i].state = Router.NodeState.GONE; // unless the full list has it, below
+            for (int i = 0; i < nodeCount; i++) {
+                knownNodes[i].state = Router.NodeState.GONE; // unless the full list has it, below
             }
         }
         for (int i = 0; i < count; i++) {
             update(nodes[i]);
         }
-        forget();
-        arrange();
+        removeGone();
+        rebuildArrays();
     }
 
     private void update(Router.Node n) {
@@ -55,14 +55,14 @@
             t = new Target(n.id);
             t.leftOut = leftOut.contains(n.id);
             byId.put(id, t);
-            if (knownCount == known.length) {
-                known = Arrays.copyOf(known, 2 * knownCount);
+            if (nodeCount == knownNodes.length) {
+                knownNodes = Arrays.copyOf(knownNodes, 2 * nodeCount);
             }
-            known[knownCount++] = t;
+            knownNodes[nodeCount++] = t;
         }
         if (n.startedUs != t.startedUs) {
-            t.up();
-            t.chance.set(0, 0); // a new process: the old one's failures no longer count
+            t.markUp();
+            t.passOver.set(0, 0); // a new process: the old one's failures no longer count
         }
         t.cell = n.cell;
         t.zone = n.zone;
@@ -73,70 +73,70 @@
     }
 
     /** Applies an operator's command, which holds whatever the lists say until it is revoked. */
-    void leaveOut(int id, boolean out, long at) {
+    void setLeftOut(int id, boolean out, long at) {
         Target t = byId.get(id & 0xffffffffL);
         if (out) {
             leftOut.add(id);
         } else {
             leftOut.remove(id);
             if (t != null) {
-                t.back(at);
+                t.putBack(at);
             }
         }
         if (t != null) {
             t.leftOut = out;
         }
-        arrange();
+        rebuildArrays();
     }
 
     /** The number of known nodes that match. */
-    int count(Predicate<Target> so) {
+    int countMatching(Predicate<Target> condition) {
         int count = 0;
-        for (int i = 0; i < knownCount; i++) {
-            count += so.test(known[i]) ? 1 : 0;
+        for (int i = 0; i < nodeCount; i++) {
+            count += condition.test(knownNodes[i]) ? 1 : 0;
         }
         return count;
     }
 
-    int known() {
-        return knownCount;
+    int nodeCount() {
+        return nodeCount;
     }
 
     /** Removes nodes that are gone with nothing in flight: memory stays bounded over months of churn. */
-    private void forget() {
+    private void removeGone() {
         int kept = 0;
-        for (int i = 0; i < knownCount; i++) {
-            Target t = known[i];
+        for (int i = 0; i < nodeCount; i++) {
+            Target t = knownNodes[i];
             if (t.state == Router.NodeState.GONE && t.inFlight == 0) {
                 byId.remove(t.id & 0xffffffffL);
             } else {
-                known[kept++] = t;
+                knownNodes[kept++] = t;
             }
         }
-        Arrays.fill(known, kept, knownCount, null);
-        knownCount = kept;
+        Arrays.fill(knownNodes, kept, nodeCount, null);
+        nodeCount = kept;
     }
 
-    private void arrange() {
-        ready = new Target[knownCount];
-        salt = new long[knownCount];
-        inverseWeight = new double[knownCount];
+    private void rebuildArrays() {
+        readyNodes = new Target[nodeCount];
+        readySalts = new long[nodeCount];
+        readyInverseWeights = new double[nodeCount];
         readyCount = 0;
-        Target[] found = new Target[knownCount];
+        Target[] foundOrigins = new Target[nodeCount];
         int originCount = 0;
-        for (int i = 0; i < knownCount; i++) {
-            Target t = known[i];
-            if (!t.takesNew()) {
+        for (int i = 0; i < nodeCount; i++) {
+            Target t = knownNodes[i];
+            if (!t.acceptsNew()) {
                 continue;
             }
             if (isOrigin(t)) {
-                found[originCount++] = t;
+                foundOrigins[originCount++] = t;
                 continue;
             }
-            ready[readyCount] = t;
-            salt[readyCount] = Random.mix(t.id);
-            inverseWeight[readyCount++] = 1 / t.weight;
+            readyNodes[readyCount] = t;
+            readySalts[readyCount] = SplitMix64.mix(t.id);
+            readyInverseWeights[readyCount++] = 1 / t.weight;
         }
-        origins = Arrays.copyOf(found, originCount);
+        origins = Arrays.copyOf(foundOrigins, originCount);
     }
 }
--- a/src/main/java/holdproxy/policy/Placement.java
+++ b/src/main/java/holdproxy/policy/Placement.java
@@ -45,12 +45,12 @@
     static final double LOAD_LEAST = 0.6;
     static final double COLD_PART = 0.75;
 
-    private final Fleet fleet;
-    private final Demand demand;
-    private final Random random;
+    private final NodeTable fleet;
+    private final RequestRates demand;
+    private final SplitMix64 random;
     private final Tally tally;
     private final Blue heat;
-    private final Fading heatCount = new Fading(HEAT_US);
+    private final DecayingValue heatCount = new DecayingValue(HEAT_US);
     private final Target[] top = new Target[RANKED];
     private final double[] topScore = new double[RANKED];
     private Router.Settings set;
@@ -58,12 +58,12 @@
     /** The median probability of being passed over among the nodes that attempts were sent to. */
     private double usualNode;
 
-    Placement(Fleet fleet, Demand demand, Random random, Tally tally) {
+    Placement(NodeTable fleet, RequestRates demand, SplitMix64 random, Tally tally) {
         this.fleet = fleet;
         this.demand = demand;
         this.random = random;
         this.tally = tally;
-        heat = new Blue(Door.LEVELS, HEAT_BUCKETS, HEAT_US, random.next());
+        heat = new Blue(Door.LEVELS, HEAT_BUCKETS, HEAT_US, random.nextLong());
     }
 
     void settings(Router.Settings settings) {
@@ -83,7 +83,7 @@
      * than not.
      */
     int avoided(long now) {
-        return fleet.count(t -> t.avoided(USUAL_PART * usualNode, AVOIDED_FROM, now));
+        return fleet.countMatching(t -> t.isAvoided(USUAL_PART * usualNode, AVOIDED_FROM, now));
     }
 
     /**
@@ -91,18 +91,18 @@
      * first.
      */
     Target choose(Open r, long now) {
-        long key = r.key != 0 ? r.key : random.next();
+        long key = r.key != 0 ? r.key : random.nextLong();
         int copies = r.key != 0 ? hotCopies(r.key, now) : 1;
         r.hot = copies > 1;
         if (copies > 1) {
-            key ^= (long) (random.unit() * copies) << 48;
+            key ^= (long) (random.nextUnit() * copies) << 48;
         }
         Target[] ranked = rank(key);
         Target best = null;
         int seen = 0;
         for (int i = 0; i < ranked.length && ranked[i] != null && seen < CHOICES; i++) {
             Target t = ranked[i];
-            if (!counted(Count.DOWN, t.down(now))
+            if (!counted(Count.DOWN, t.isDown(now))
                     && !r.tried(t)
                     && r.mayGoTo(t, set, now)
                     && admits(t, r, key, now)
@@ -123,8 +123,8 @@
         int most = Math.min(RANKED, fleet.readyCount);
         double worst = Double.MAX_VALUE;
         for (int i = 0; i < fleet.readyCount; i++) {
-            double x = Random.unit(Random.mix(key ^ fleet.salt[i]));
-            double score = x * (1 + 0.5 * x) * fleet.inverseWeight[i];
+            double x = SplitMix64.toUnit(SplitMix64.mix(key ^ fleet.readySalts[i]));
+            double score = x * (1 + 0.5 * x) * fleet.readyInverseWeights[i];
             if (topCount == most && score >= worst) {
                 continue;
             }
@@ -133,7 +133,7 @@
                 top[j] = top[j - 1];
                 topScore[j] = topScore[j - 1];
             }
-            top[j] = fleet.ready[i];
+            top[j] = fleet.readyNodes[i];
             topScore[j] = score;
             worst = topScore[topCount - 1];
         }
@@ -153,7 +153,7 @@
      */
     private static boolean lessBusy(Target t, Target best, long now) {
         int more = t.inFlight - best.inFlight;
-        return more < 0 || more == 0 && best.busy.get(now) > t.busy.get(now) + BUSY_TIE;
+        return more < 0 || more == 0 && best.busyShare.get(now) > t.busyShare.get(now) + BUSY_TIE;
     }
 
     /**
@@ -174,7 +174,7 @@
      * that budget.
      */
     private boolean admits(Target t, Open r, long key, long now) {
-        long since = t.coldSince();
+        long since = t.warmUpStart();
         if (since == Long.MIN_VALUE || now - since >= set.coldUs) {
             return true;
         } else if (r.hot || r.attempts > 0) {
@@ -183,9 +183,10 @@
         double warm = Math.max(0, (double) (now - since) / set.coldUs);
         double capacity = set.coldFrom + (1 - set.coldFrom) * warm;
         double part = COLD_PART + (1 - COLD_PART) * warm;
-        double load = Math.max(LOAD_LEAST, Math.min(1, demand.overQuotas(now)));
+        double load = Math.max(LOAD_LEAST, Math.min(1, demand.demandOverQuotas(now)));
         boolean admitted =
-                Random.unit(Random.mix(key + 31 * Random.mix(t.id))) < capacity * part / load;
+                SplitMix64.toUnit(SplitMix64.mix(key + 31 * SplitMix64.mix(t.id)))
+                        < capacity * part / load;
         tally.add(admitted ? Count.SENT_COLD : Count.HELD_FROM_COLD);
         return admitted;
     }
@@ -196,10 +197,12 @@
      * one other place.
      */
     private boolean passedOver(Target t, long key, long now) {
-        double chance = t.chance.get(now) - USUAL_PART * usualNode;
+        double chance = t.passOver.get(now) - USUAL_PART * usualNode;
         return counted(
                 Count.PASSED_OVER,
-                chance > 0 && Random.unit(Random.mix(key - 31 * Random.mix(t.id))) < chance);
+                chance > 0
+                        && SplitMix64.toUnit(SplitMix64.mix(key - 31 * SplitMix64.mix(t.id)))
+                                < chance);
     }
 
     /**
@@ -222,32 +225,33 @@
             long latency,
             long now) {
         if (report.busy >= 0) {
-            t.busy.set(report.busy, now);
+            t.busyShare.set(report.busy, now);
         } else if (note == Router.CacheNote.HIT && o == Router.Outcome.OK) {
-            t.busy.set(r.waited(latency), now); // no report: estimated from the latency of hits
+            t.busyShare.set(
+                    r.waited(latency), now); // no report: estimated from the latency of hits
         } else if (note == Router.CacheNote.NONE
                 && !r.write
                 && (o == Router.Outcome.OK || o == Router.Outcome.TIMEOUT)) {
             // no report and no notes: averaged, so that a single fetch does not look like a queue
-            double before = t.busy.get(now);
-            t.busy.set(before + (Math.min(1, r.waited(latency)) - before) * BUSY_LEARN, now);
+            double before = t.busyShare.get(now);
+            t.busyShare.set(before + (Math.min(1, r.waited(latency)) - before) * BUSY_LEARN, now);
         }
     }
 
     /** Counts a failure or success in the node's own bucket. */
     void evidence(Target t, boolean failure, double weight, long now) {
         double rate = demand.rate(now) / Math.max(1, fleet.readyCount);
-        step(t.chance, failure, rate, weight, now);
-        t.chance.fadeIn(
+        step(t.passOver, failure, rate, weight, now);
+        t.passOver.setDecayUs(
                 Math.max(
-                        Target.FADE_US,
+                        Target.DECAY_US,
                         Math.min(NODE_FADE_MOST_US, NODE_FADE_VISITS / rate * 1e6)));
     }
 
     /** BLUE for a single bucket; proxies with little traffic take larger steps. */
-    static void step(Fading chance, boolean failure, double rate, double weight, long now) {
+    static void step(DecayingValue chance, boolean failure, double rate, double weight, long now) {
         double step =
                 Math.max(NODE_PI, Math.min(NODE_PI_MOST, 1 / (rate * NODE_EVIDENCE_S + 1e-9)));
-        chance.add(failure ? step * weight : -step * NODE_PD_SHARE, Blue.CHANCE_MOST, now);
+        chance.add(failure ? step * weight : -step * NODE_PD_SHARE, Blue.PROBABILITY_MAX, now);
     }
 }
--- a/src/main/java/holdproxy/policy/Router.java
+++ b/src/main/java/holdproxy/policy/Router.java
@@ -426,5 +426,5 @@
     void onProbe(long nowUs, int node, Outcome outcome, long latencyUs, Report report, Actions out);
 
     /** A message that another router of the tier sent with {@link Actions#tell}; it may be late or lost. */
-    void onTold(long nowUs, int router, byte[] data, Actions out);
+    void onMessage(long nowUs, int router, byte[] data, Actions out);
 }
--- a/src/main/java/holdproxy/policy/Random.java
+++ b/src/main/java/holdproxy/policy/SplitMix64.java
@@ -1,21 +1,21 @@
 package holdproxy.policy;
 
 /** SplitMix64 generator, seeded per instance; its mixing function also serves as a hash. */
-final class Random {
+final class SplitMix64 {
     private long state;
 
-    Random(long seed) {
+    SplitMix64(long seed) {
         state = seed;
     }
 
-    long next() {
+    long nextLong() {
         state += 0x9e3779b97f4a7c15L;
         return mix(state);
     }
 
     /** Uniform in [0, 1). */
-    double unit() {
-        return unit(next());
+    double nextUnit() {
+        return toUnit(nextLong());
     }
 
     static long mix(long h) {
@@ -25,7 +25,7 @@
     }
 
     /** Maps a hash to [0, 1). */
-    static double unit(long hash) {
+    static double toUnit(long hash) {
         return (hash >>> 11) * 0x1p-53;
     }
 }
--- a/src/main/java/holdproxy/policy/Target.java
+++ b/src/main/java/holdproxy/policy/Target.java
@@ -6,13 +6,13 @@
      * The probability of being passed over decays to 1/e in this time, slower in proxies with little
      * traffic.
      */
-    static final double FADE_US = 5e6;
+    static final double DECAY_US = 5e6;
 
     /** Delay of the next trial after a failed dial; doubles with each further one. */
-    static final long DOWN_FIRST_US = 500_000;
+    static final long DIAL_RETRY_MIN_US = 500_000;
 
-    static final long DOWN_MOST_US = 4_000_000;
-    static final double BUSY_FADE_US = 10e6;
+    static final long DIAL_RETRY_MAX_US = 4_000_000;
+    static final double BUSY_DECAY_US = 10e6;
 
     final int id;
     int cell;
@@ -26,7 +26,7 @@
     boolean leftOut;
 
     /** When operators put it back into use; it may have been restarted meanwhile. */
-    private long backAt = Long.MIN_VALUE;
+    private long putBackAt = Long.MIN_VALUE;
 
     /** Consecutive failed dials; no trial is made before {@link #downUntil}. */
     private int failedDials;
@@ -37,10 +37,10 @@
     int inFlight;
 
     /** A single BLUE bucket: the probability of being passed over. */
-    final Fading chance = new Fading(FADE_US);
+    final DecayingValue passOver = new DecayingValue(DECAY_US);
 
     /** Share of its cores that are busy, as last reported or estimated. */
-    final Fading busy = new Fading(BUSY_FADE_US);
+    final DecayingValue busyShare = new DecayingValue(BUSY_DECAY_US);
 
     /** When an attempt last ended and left its connection idle; MIN_VALUE: no idle connection. */
     long idleSince = Long.MIN_VALUE;
@@ -50,37 +50,38 @@
     }
 
     /** A dial failed: nothing is sent there for a while, longer each time. */
-    void dialFailed(long now) {
-        downUntil = now + Math.min(DOWN_MOST_US, DOWN_FIRST_US << Math.min(failedDials, 10));
+    void recordFailedDial(long now) {
+        downUntil =
+                now + Math.min(DIAL_RETRY_MAX_US, DIAL_RETRY_MIN_US << Math.min(failedDials, 10));
         failedDials++;
     }
 
     /** Operators put it back into use: discards what was learnt before. */
-    void back(long at) {
-        backAt = at;
-        up();
-        chance.set(0, at);
-        busy.set(0, at);
+    void putBack(long at) {
+        putBackAt = at;
+        markUp();
+        passOver.set(0, at);
+        busyShare.set(0, at);
         idleSince = Long.MIN_VALUE;
     }
 
     /** The start of its warm-up; MIN_VALUE: long ago. */
-    long coldSince() {
-        return Math.max(startedUs, backAt);
+    long warmUpStart() {
+        return Math.max(startedUs, putBackAt);
     }
 
     /** The node answered, or its process is new. */
-    void up() {
+    void markUp() {
         failedDials = 0;
     }
 
     /** Whether dials fail and either no trial is due yet or one is in progress. */
-    boolean down(long now) {
+    boolean isDown(long now) {
         return failedDials > 0 && (now < downUntil || inFlight > 0);
     }
 
     /** Whether the node list and the operators allow new attempts. */
-    boolean takesNew() {
+    boolean acceptsNew() {
         return state == Router.NodeState.READY && !leftOut;
     }
 
@@ -88,8 +89,8 @@
      * For monitoring: listed, but left out, down, or passed over with a probability of more than {@code
      * most} beyond the usual.
      */
-    boolean avoided(double usual, double most, long now) {
+    boolean isAvoided(double usualProbability, double threshold, long now) {
         return state != Router.NodeState.GONE
-                && (leftOut || down(now) || chance.get(now) - usual > most);
+                && (leftOut || isDown(now) || passOver.get(now) - usualProbability > threshold);
     }
 }
--- a/src/main/java/holdproxy/sim/FrameReader.java
+++ b/src/main/java/holdproxy/sim/FrameReader.java
@@ -12,9 +12,9 @@
     private static final VarHandle LONG = view(long[].class);
 
     private byte[] bytes;
-    private int at;
+    private int position;
     private int end;
-    private String where = "frame";
+    private String context = "frame";
 
     private static VarHandle view(Class<?> type) {
         return MethodHandles.byteArrayViewVarHandle(type, ByteOrder.BIG_ENDIAN);
@@ -26,26 +26,31 @@
      */
     void range(byte[] source, int from, int to, String what) {
         bytes = source;
-        at = from;
+        position = from;
         end = to;
-        where = what;
+        context = what;
     }
 
     int position() {
-        return at;
+        return position;
     }
 
-    int left() {
-        return end - at;
+    int remaining() {
+        return end - position;
     }
 
     private int advance(int n) {
-        if (n < 0 || n > end - at) {
+        if (n < 0 || n > end - position) {
             throw new BadInput(
-                    where + " is too short: " + n + " bytes needed, " + (end - at) + " left");
+                    context
+                            + " is too short: "
+                            + n
+                            + " bytes needed, "
+                            + (end - position)
+                            + " left");
         }
-        int from = at;
-        at += n;
+        int from = position;
+        position += n;
         return from;
     }
 
@@ -65,7 +70,7 @@
     int u31() {
         int v = i32();
         if (v < 0) {
-            throw new BadInput(where + " has an out-of-range number " + (v & 0xffffffffL));
+            throw new BadInput(context + " has an out-of-range number " + (v & 0xffffffffL));
         }
         return v;
     }
@@ -86,7 +91,7 @@
     long micros() {
         double ms = f64();
         if (!(Math.abs(ms) < 1e12)) {
-            throw new BadInput(where + " has an out-of-range time " + ms);
+            throw new BadInput(context + " has an out-of-range time " + ms);
         }
         return Math.round(ms * 1000);
     }
--- a/src/main/java/holdproxy/sim/FrameWriter.java
+++ b/src/main/java/holdproxy/sim/FrameWriter.java
@@ -20,11 +20,11 @@
     static final int JOURNAL_LINE = 88;
     static final int BUG = 89;
     static final int SUBSCRIBE = 90;
-    static final int HEADER = 12;
-    private static final int LONGEST_TEXT = 2000;
+    static final int HEADER_BYTES = 12;
+    private static final int MAX_TEXT_BYTES = 2000;
 
     private byte[] bytes = new byte[1 << 16];
-    private int at = HEADER;
+    private int position = HEADER_BYTES;
     private int records;
     private int instance;
 
@@ -34,20 +34,20 @@
 
     /** Writes the reply in a single call and starts the next one. */
     void flush(int batch, OutputStream out) throws IOException {
-        int size = at;
-        at = 0;
+        int size = position;
+        position = 0;
         put(batch, 4);
         put(records, 4);
-        put(size - HEADER, 4);
+        put(size - HEADER_BYTES, 4);
         out.write(bytes, 0, size);
         out.flush();
-        at = HEADER;
+        position = HEADER_BYTES;
         records = 0;
     }
 
     private void put(long value, int width) {
         for (int shift = 8 * (width - 1); shift >= 0; shift -= 8) {
-            bytes[at++] = (byte) (value >>> shift);
+            bytes[position++] = (byte) (value >>> shift);
         }
     }
 
@@ -55,28 +55,28 @@
         put(Double.doubleToRawLongBits(us / 1000.0), 8);
     }
 
-    private void record(int code, int fieldBytes) {
-        if (at + fieldBytes + 16 > bytes.length) {
+    private void startRecord(int code, int fieldBytes) {
+        if (position + fieldBytes + 16 > bytes.length) {
             bytes = Arrays.copyOf(bytes, 2 * bytes.length + fieldBytes);
         }
-        bytes[at++] = (byte) code;
+        bytes[position++] = (byte) code;
         put(4 + fieldBytes, 4);
         put(instance, 4);
         records++;
     }
 
-    private void text(int code, String text) {
-        byte[] b = text.getBytes(StandardCharsets.UTF_8);
-        int n = Math.min(b.length, LONGEST_TEXT);
-        record(code, 2 + n);
+    private void writeText(int code, String writeText) {
+        byte[] b = writeText.getBytes(StandardCharsets.UTF_8);
+        int n = Math.min(b.length, MAX_TEXT_BYTES);
+        startRecord(code, 2 + n);
         put(n, 2);
-        System.arraycopy(b, 0, bytes, at, n);
-        at += n;
+        System.arraycopy(b, 0, bytes, position, n);
+        position += n;
     }
 
     @Override
     public void send(long request, int node, long timeoutUs) {
-        record(SEND, 20);
+        startRecord(SEND, 20);
         put(request, 8);
         put(node, 4);
         putMillis(timeoutUs);
@@ -84,69 +84,69 @@
 
     @Override
     public void refuse(long request, long retryAfterUs) {
-        record(SHED, 16);
+        startRecord(SHED, 16);
         put(request, 8);
         putMillis(retryAfterUs);
     }
 
     @Override
     public void fail(long request) {
-        record(FINISH_ERROR, 8);
+        startRecord(FINISH_ERROR, 8);
         put(request, 8);
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        record(RETRACT, 9);
+        startRecord(RETRACT, 9);
         put(request, 8);
         put(attempt, 1);
     }
 
     @Override
     public void timer(long delayUs, long label) {
-        record(WAKE_ME, 16);
+        startRecord(WAKE_ME, 16);
         putMillis(delayUs);
         put(label, 8);
     }
 
     @Override
     public void probe(int node) {
-        record(INSPECT, 4);
+        startRecord(INSPECT, 4);
         put(node, 4);
     }
 
     @Override
     public void closeIdle(int node) {
-        record(LET_GO, 4);
+        startRecord(LET_GO, 4);
         put(node, 4);
     }
 
     @Override
     public void subscribe() {
-        record(SUBSCRIBE, 1);
+        startRecord(SUBSCRIBE, 1);
         put(1, 1);
     }
 
     @Override
     public void fetchNodes() {
-        record(RELOAD, 0);
+        startRecord(RELOAD, 0);
     }
 
     @Override
     public void tell(int router, byte[] data) {
-        record(MEMO_TO, 4 + data.length);
+        startRecord(MEMO_TO, 4 + data.length);
         put(router, 2);
         put(data.length, 2);
-        System.arraycopy(data, 0, bytes, at, data.length);
-        at += data.length;
+        System.arraycopy(data, 0, bytes, position, data.length);
+        position += data.length;
     }
 
     @Override
     public void log(String line) {
-        text(JOURNAL_LINE, line);
+        writeText(JOURNAL_LINE, line);
     }
 
-    void bug(String cause) {
-        text(BUG, cause);
+    void writeBug(String cause) {
+        writeText(BUG, cause);
     }
 }
--- a/src/main/java/holdproxy/sim/SimHost.java
+++ b/src/main/java/holdproxy/sim/SimHost.java
@@ -26,10 +26,10 @@
     private static final int ABORTED = 23;
     private static final int FLOWING = 24;
     private static final int HELLO = 25;
-    private static final int HEADER = 20;
+    private static final int HEADER_BYTES = 20;
     private static final int ENTRY_BYTES = 22;
-    private static final int RECORD_HEAD = 5;
-    private static final int LONGEST_FRAME = 1 << 30;
+    private static final int RECORD_HEAD_BYTES = 5;
+    private static final int MAX_FRAME_BYTES = 1 << 30;
 
     private static final Router.CacheNote[] NOTES = Router.CacheNote.values();
     private static final Router.NodeState[] STATES = {
@@ -65,23 +65,23 @@
 
     /** Runs until the input ends at a frame boundary. */
     public void run() throws IOException {
-        byte[] head = new byte[HEADER];
+        byte[] head = new byte[HEADER_BYTES];
         for (long batches = 0; ; batches++) {
-            int got = in.readNBytes(head, 0, HEADER);
-            if (got == 0) {
+            int received = in.readNBytes(head, 0, HEADER_BYTES);
+            if (received == 0) {
                 return;
             }
             String name = "batch " + batches;
-            reader.range(head, 0, got, name + " header");
+            reader.range(head, 0, received, name + " header");
             int number = reader.i32();
             int length = reader.u31();
             long now = reader.micros();
             int records = reader.u31();
-            int body = length - (HEADER - 8);
-            if (body < 0 || body > LONGEST_FRAME) {
+            int body = length - (HEADER_BYTES - 8);
+            if (body < 0 || body > MAX_FRAME_BYTES) {
                 throw new BadInput(name + " has an invalid length " + length);
             }
-            if ((long) records * RECORD_HEAD > body) {
+            if ((long) records * RECORD_HEAD_BYTES > body) {
                 throw new BadInput(
                         name
                                 + " has an invalid count: "
@@ -90,8 +90,8 @@
                                 + body
                                 + " bytes");
             }
-            read(name, body);
-            batch(name, body, records, now);
+            readBody(name, body);
+            readBatch(name, body, records, now);
             reply.flush(number, out);
         }
     }
@@ -100,34 +100,34 @@
      * Reads the frame body. The buffer grows with the bytes received, so that a false length allocates no
      * memory.
      */
-    private void read(String name, int body) throws IOException {
+    private void readBody(String name, int body) throws IOException {
         int read = 0;
         while (read < body) {
             if (read == frame.length) {
                 frame = Arrays.copyOf(frame, (int) Math.min(body, 2L * read));
             }
             int wanted = Math.min(body, frame.length) - read;
-            int got = in.readNBytes(frame, read, wanted);
-            read += got;
-            if (got < wanted) {
+            int received = in.readNBytes(frame, read, wanted);
+            read += received;
+            if (received < wanted) {
                 throw new BadInput(name + " is truncated: " + read + " of " + body + " bytes");
             }
         }
     }
 
-    private void batch(String name, int body, int records, long now) {
+    private void readBatch(String name, int body, int records, long now) {
         int at = 0;
         for (int i = 0; i < records; i++) {
             reader.range(frame, at, body, name);
             int code = reader.u8();
-            int end = reader.u31() + at + RECORD_HEAD;
+            int end = reader.u31() + at + RECORD_HEAD_BYTES;
             if (end < at || end > body) {
                 throw new BadInput(
                         name + ", record " + i + " (code " + code + ") runs past the batch");
             }
-            reader.range(frame, at + RECORD_HEAD, end, "record");
+            reader.range(frame, at + RECORD_HEAD_BYTES, end, "record");
             try {
-                event(code, now);
+                handleEvent(code, now);
             } catch (BadInput e) {
                 throw new BadInput(
                         name + ", record " + i + " (code " + code + "): " + e.getMessage());
@@ -139,7 +139,7 @@
         }
     }
 
-    private void event(int code, long now) {
+    private void handleEvent(int code, long now) {
         if (code < OUTCOME || code > HELLO) {
             return; // unknown records are skipped
         }
@@ -147,7 +147,7 @@
         Instance instance = instances.get(number);
         reply.instance(number);
         if (code == HELLO) {
-            start(number, now);
+            startInstance(number, now);
             return;
         }
         if (instance == null) {
@@ -161,7 +161,7 @@
         }
     }
 
-    private void start(int number, long now) {
+    private void startInstance(int number, long now) {
         long seed = reader.i64();
         Router.Settings settings;
         SettingsText text = new SettingsText(reader.text(reader.u31()));
@@ -179,20 +179,20 @@
     private void dispatch(int code, long now, Instance instance) {
         Router router = instance.router;
         switch (code) {
-            case OUTCOME -> outcome(now, instance);
+            case OUTCOME -> handleOutcome(now, instance);
             case CHECKED -> {
                 int node = reader.i32();
-                Router.Outcome result = result(reader.u16());
+                Router.Outcome result = toOutcome(reader.u16());
                 long latency = reader.micros();
-                Router.Report report = report(instance);
-                guard(() -> router.onProbe(now, node, result, latency, report, reply));
+                Router.Report report = readReport(instance);
+                runReportingBugs(() -> router.onProbe(now, node, result, latency, report, reply));
             }
             case REQ -> {
                 readRequest(reader, request);
                 try {
                     router.onRequest(now, request, reply);
                 } catch (RuntimeException e) {
-                    bug(e);
+                    reportBug(e);
                 }
             }
             case WAKE -> {
@@ -200,39 +200,39 @@
                 try {
                     router.onTimer(now, label, reply);
                 } catch (RuntimeException e) {
-                    bug(e);
+                    reportBug(e);
                 }
             }
-            case BACKENDS_CHANGED -> nodes(now, router);
+            case BACKENDS_CHANGED -> handleNodes(now, router);
             case ABORTED -> {
                 long id = reader.i64();
-                guard(() -> router.onAborted(now, id, reply));
+                runReportingBugs(() -> router.onAborted(now, id, reply));
             }
             case FLOWING -> {
                 long id = reader.i64();
                 reader.f64();
                 reader.i32();
                 int attempt = reader.u8();
-                guard(() -> router.onStreaming(now, id, attempt, reply));
+                runReportingBugs(() -> router.onStreaming(now, id, attempt, reply));
             }
             case MEMO -> {
                 int from = reader.i32();
                 byte[] data = reader.bytes(reader.u16());
-                guard(() -> router.onTold(now, from, data, reply));
+                runReportingBugs(() -> router.onMessage(now, from, data, reply));
             }
             default -> {} // unassigned codes are ignored
         }
     }
 
-    private void outcome(long now, Instance instance) {
+    private void handleOutcome(long now, Instance instance) {
         long id = reader.i64();
         int attempt = reader.u8();
         reader.i32();
-        Router.Outcome result = result(reader.u16());
+        Router.Outcome result = toOutcome(reader.u16());
         long latency = reader.micros();
         boolean concluded = reader.u8() != 0;
         int note = reader.i32();
-        Router.Report report = report(instance);
+        Router.Report report = readReport(instance);
         try {
             instance.router.onOutcome(
                     now,
@@ -245,11 +245,11 @@
                     report,
                     reply);
         } catch (RuntimeException e) {
-            bug(e);
+            reportBug(e);
         }
     }
 
-    private Router.Report report(Instance instance) {
+    private Router.Report readReport(Instance instance) {
         readReport(reader, instance.reportFields, report);
         return report;
     }
@@ -278,14 +278,14 @@
         request.write = (flags & 4) != 0;
     }
 
-    private void nodes(long now, Router router) {
+    private void handleNodes(long now, Router router) {
         reader.i32(); // version, unused: changes come in order and without gaps
         int mode = reader.u8();
         if (mode >= KINDS.length) {
             throw new BadInput("node list of unknown mode " + mode);
         }
         int count = reader.u31();
-        if ((long) count * ENTRY_BYTES > reader.left()) {
+        if ((long) count * ENTRY_BYTES > reader.remaining()) {
             throw new BadInput("node list has an invalid count " + count);
         }
         while (nodes.length < count) {
@@ -298,7 +298,7 @@
         for (int i = 0; i < count; i++) {
             readNode(nodes[i]);
         }
-        guard(() -> router.onNodes(now, KINDS[mode], nodes, count, reply));
+        runReportingBugs(() -> router.onNodes(now, KINDS[mode], nodes, count, reply));
     }
 
     private void readNode(Router.Node node) {
@@ -316,7 +316,7 @@
         node.startedUs = started == 0 ? Long.MIN_VALUE : started;
     }
 
-    private static Router.Outcome result(int status) {
+    private static Router.Outcome toOutcome(int status) {
         return switch (status) {
             case 200 -> Router.Outcome.OK;
             case 500 -> Router.Outcome.ERROR;
@@ -331,16 +331,16 @@
         };
     }
 
-    private void guard(Runnable event) {
+    private void runReportingBugs(Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
-            bug(e);
+            reportBug(e);
         }
     }
 
-    private void bug(RuntimeException e) {
+    private void reportBug(RuntimeException e) {
         StackTraceElement[] trace = e.getStackTrace();
-        reply.bug(e + (trace.length > 0 ? " at " + trace[0] : ""));
+        reply.writeBug(e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 }
--- a/src/test/java/holdproxy/policy/BalanceTest.java
+++ b/src/test/java/holdproxy/policy/AdmissionClosedLoopTest.java
@@ -13,25 +13,25 @@
  * Admission control in a closed loop: what the policy refuses, sends and learns at a steady request rate
  * when attempts fail in a given way. The expected properties are those of docs/MECHANISM.md.
  */
-class BalanceTest {
+class AdmissionClosedLoopTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
     private static final int NODES = 8;
 
     /** How an attempt at a node ends: a time-out, or an answer after some time. */
-    interface World {
+    interface NodeBehaviour {
         /** Microseconds until the answer; negative: no answer; 0: rejected at once as overloaded. */
-        long answerUs(int node, long now, Random random);
+        long answerUs(int node, long now, SplitMix64 random);
     }
 
     /** Sends requests at even intervals; the world determines how each attempt ends. */
-    private static final class Loop {
+    private static final class ClosedLoop {
         private record Due(
                 long at, long order, long id, int attempt, Router.Outcome outcome, long latency) {}
 
         private final Fixture out = new Fixture();
-        private final Choice module;
-        private final Random random;
+        private final Choice router;
+        private final SplitMix64 random;
         private final PriorityQueue<Due> due =
                 new PriorityQueue<>(
                         (a, b) ->
@@ -42,46 +42,46 @@
         private final double perSecond;
         private long next;
         private long now;
-        private int seen;
+        private int scheduled;
 
-        Loop(double perSecond, long seed) {
+        ClosedLoop(double perSecond, long seed) {
             this.perSecond = perSecond;
             Router.Settings s = Fixture.settings(Router.Effect.SAFE);
             s.classes[0].lateWorth = 0;
-            module = out.choice(s, seed, Fixture.nodes(NODES));
-            random = new Random(seed + 1);
+            router = out.choice(s, seed, Fixture.nodes(NODES));
+            random = new SplitMix64(seed + 1);
         }
 
         /**
          * Runs for {@code us}; returns the share of requests refused before any attempt during the last
          * {@code lastUs}.
          */
-        double run(long us, long lastUs, World world) {
+        double run(long us, long lastUs, NodeBehaviour behaviour) {
             long end = now + us;
-            int asked = 0;
+            int offered = 0;
             int refused = 0;
             for (long at = now; at < end; at = now + (long) (1e6 / perSecond)) {
-                deliver(at, world);
+                deliver(at, behaviour);
                 now = at;
                 long id = next++;
                 int sent = out.sent.size();
-                module.onRequest(
-                        now, Fixture.request(id, 1 + random.next() % 500, now + 600 * MS), out);
+                router.onRequest(
+                        now, Fixture.request(id, 1 + random.nextLong() % 500, now + 600 * MS), out);
                 if (end - now <= lastUs) {
-                    asked++;
+                    offered++;
                     refused += out.sent.size() == sent ? 1 : 0;
                 }
-                follow(world);
+                scheduleOutcomes(behaviour);
             }
-            return (double) refused / asked;
+            return (double) refused / offered;
         }
 
-        private void deliver(long until, World world) {
+        private void deliver(long until, NodeBehaviour behaviour) {
             while (!due.isEmpty() && due.peek().at <= until) {
                 Due d = due.poll();
                 now = d.at;
                 boolean ok = d.outcome == Router.Outcome.OK;
-                module.onOutcome(
+                router.onOutcome(
                         now,
                         d.id,
                         d.attempt,
@@ -91,14 +91,14 @@
                         Router.CacheNote.NONE,
                         new Router.Report(),
                         out);
-                follow(world);
+                scheduleOutcomes(behaviour);
             }
         }
 
-        private void follow(World world) {
-            for (; seen < out.sent.size(); seen++) {
-                Fixture.Sent s = out.sent.get(seen);
-                long answer = world.answerUs(s.node(), now, random);
+        private void scheduleOutcomes(NodeBehaviour behaviour) {
+            for (; scheduled < out.sent.size(); scheduled++) {
+                Fixture.Sent s = out.sent.get(scheduled);
+                long answer = behaviour.answerUs(s.node(), now, random);
                 Router.Outcome o =
                         answer < 0
                                 ? Router.Outcome.TIMEOUT
@@ -107,45 +107,45 @@
                 due.add(
                         new Due(
                                 now + after,
-                                seen,
+                                scheduled,
                                 s.request(),
                                 attemptsOf[(int) s.request()]++,
                                 o,
                                 after));
             }
             out.timers.clear();
-            out.all.clear();
+            out.actions.clear();
         }
     }
 
     /** All nodes reject this share of attempts, and answer the others late because of queueing. */
-    private static World overloaded(double share) {
+    private static NodeBehaviour overloaded(double share) {
         return (node, now, random) ->
-                random.unit() < share ? 0 : (long) ((0.2 + 0.7 * random.unit()) * 300 * MS);
+                random.nextUnit() < share ? 0 : (long) ((0.2 + 0.7 * random.nextUnit()) * 300 * MS);
     }
 
-    private static World quick() {
-        return (node, now, random) -> (long) ((0.05 + 0.2 * random.unit()) * 300 * MS);
+    private static NodeBehaviour quick() {
+        return (node, now, random) -> (long) ((0.05 + 0.2 * random.nextUnit()) * 300 * MS);
     }
 
-    private static double settled(double perSecond, World world) {
+    private static double steadyStateRefusals(double perSecond, NodeBehaviour behaviour) {
         double sum = 0;
         long last = (long) Math.max(10 * S, 100 / perSecond * S);
         for (int seed = 1; seed <= 5; seed++) {
-            sum += new Loop(perSecond, seed * 7919).run(last + 20 * S, last, world);
+            sum += new ClosedLoop(perSecond, seed * 7919).run(last + 20 * S, last, behaviour);
         }
         return sum / 5;
     }
 
     @Test
-    void theSameShareOfFailuresSettlesAtTheSameChanceWhateverTheRate() {
+    void steadyStateRefusalsDependOnTheFailureShareAndNotOnTheRequestRate() {
         StringBuilder table =
                 new StringBuilder(
                         "share of failures: refused at 1, 10, 100, 1000 requests per second\n");
         for (double share : new double[] {0.02, 0.05, 0.1, 0.2, 0.4}) {
             double[] refused = new double[4];
             for (int i = 0; i < refused.length; i++) {
-                refused[i] = settled(Math.pow(10, i), overloaded(share));
+                refused[i] = steadyStateRefusals(Math.pow(10, i), overloaded(share));
             }
             table.append(
                     String.format(
@@ -171,7 +171,7 @@
     void overloadOfAllNodesRefusesWithinSeconds(double perSecond) {
         double refused = 0;
         for (int seed = 1; seed <= 5; seed++) {
-            Loop loop = new Loop(perSecond, seed * 7919);
+            ClosedLoop loop = new ClosedLoop(perSecond, seed * 7919);
             loop.run(20 * S, S, quick());
             refused += loop.run(4 * S, 2 * S, overloaded(0.3)) / 5;
         }
@@ -184,34 +184,43 @@
      */
     @ParameterizedTest
     @ValueSource(doubles = {10, 100, 1000})
-    void silenceWhileOthersAnswerQuicklyDoesNotShutTheDoor(double perSecond) {
-        World lossy =
+    void silenceWithoutQueueingCausesNoRefusals(double perSecond) {
+        NodeBehaviour lossy =
                 (node, now, random) ->
-                        node != 1 && random.unit() < 0.25
+                        node != 1 && random.nextUnit() < 0.25
                                 ? -1
-                                : (long) ((0.05 + 0.2 * random.unit()) * 300 * MS);
-        double refused = settled(perSecond, lossy);
+                                : (long) ((0.05 + 0.2 * random.nextUnit()) * 300 * MS);
+        double refused = steadyStateRefusals(perSecond, lossy);
         assertTrue(refused < 0.05, "share refused although nodes are not busy: " + refused);
     }
 
     /** One node of eight is unreachable, ten times slower or full, while the others serve. */
     @ParameterizedTest
     @ValueSource(doubles = {10, 100, 1000})
-    void whatOneNodeFailsDoesNotShutTheDoor(double perSecond) {
-        World dead = (node, now, random) -> node == 3 ? -1 : quick().answerUs(node, now, random);
-        World slow =
+    void failuresOfOneNodeCauseNoRefusals(double perSecond) {
+        NodeBehaviour dead =
+                (node, now, random) -> node == 3 ? -1 : quick().answerUs(node, now, random);
+        NodeBehaviour slow =
                 (node, now, random) -> (node == 3 ? 10 : 1) * quick().answerUs(node, now, random);
-        World full = (node, now, random) -> node == 3 ? 0 : quick().answerUs(node, now, random);
-        assertTrue(settled(perSecond, dead) < 0.03, "dead: " + settled(perSecond, dead));
-        assertTrue(settled(perSecond, slow) < 0.03, "slow: " + settled(perSecond, slow));
-        assertTrue(settled(perSecond, full) < 0.05, "full: " + settled(perSecond, full));
+        NodeBehaviour full =
+                (node, now, random) -> node == 3 ? 0 : quick().answerUs(node, now, random);
+        assertTrue(
+                steadyStateRefusals(perSecond, dead) < 0.03,
+                "dead: " + steadyStateRefusals(perSecond, dead));
+        assertTrue(
+                steadyStateRefusals(perSecond, slow) < 0.03,
+                "slow: " + steadyStateRefusals(perSecond, slow));
+        assertTrue(
+                steadyStateRefusals(perSecond, full) < 0.05,
+                "full: " + steadyStateRefusals(perSecond, full));
     }
 
     /** The load must not move to the one node that has not failed yet, as its queue would overflow next. */
     @Test
-    void whatAllNodesButOneFailAlikeDoesNotPileTheLoadOnThatOne() {
-        Loop loop = new Loop(100, 5);
-        World lossy = (node, now, random) -> node != 1 && random.unit() < 0.25 ? -1 : 20 * MS;
+    void failuresOfAllNodesButOneDoNotMoveTheLoadToThatOne() {
+        ClosedLoop loop = new ClosedLoop(100, 5);
+        NodeBehaviour lossy =
+                (node, now, random) -> node != 1 && random.nextUnit() < 0.25 ? -1 : 20 * MS;
         loop.run(20 * S, S, lossy);
         long there = loop.out.sent.stream().filter(s -> s.node() == 1).count();
         double share = (double) there / loop.out.sent.size() * NODES;
@@ -225,7 +234,7 @@
     @ParameterizedTest
     @ValueSource(doubles = {100, 1000})
     void refusalsEndWithinTwoSecondsOfTheirCause(double perSecond) {
-        Loop loop = new Loop(perSecond, 3);
+        ClosedLoop loop = new ClosedLoop(perSecond, 3);
         double before = loop.run(20 * S, 5 * S, overloaded(0.4));
         assertTrue(before > 0.5, "share refused while all nodes are overloaded: " + before);
         loop.run(2 * S, S, quick());
--- a/src/test/java/holdproxy/policy/EmbeddingExampleTest.java
+++ b/src/test/java/holdproxy/policy/EmbeddingExampleTest.java
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aProxyServesThroughTheRouter() {
+    void aProxyServesRequestsUsingTheRouter() {
         Router.Settings settings = new Router.Settings();
         Router.RequestClass lookup = new Router.RequestClass();
         lookup.effect = Router.Effect.SAFE;
--- a/src/test/java/holdproxy/policy/Fixture.java
+++ b/src/test/java/holdproxy/policy/Fixture.java
@@ -12,11 +12,11 @@
 
     final List<Sent> sent = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
-    final List<Long> advice = new ArrayList<>();
+    final List<Long> retryAfter = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
-    final List<String> all = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
     int subscribes;
 
     static Router.Settings settings(Router.Effect... effects) {
@@ -66,14 +66,14 @@
     }
 
     Choice choice(Router.Settings s, long seed, Router.Node... nodes) {
-        Choice p = new Choice(s, seed, 0, this);
-        p.onNodes(0, Router.ListKind.CACHED, nodes, nodes.length, this);
-        return p;
+        Choice router = new Choice(s, seed, 0, this);
+        router.onNodes(0, Router.ListKind.CACHED, nodes, nodes.length, this);
+        return router;
     }
 
     /** Reports the outcome of an attempt as a proxy does; OK concludes the request. */
-    void outcome(Choice p, long now, long id, int attempt, Router.Outcome o) {
-        p.onOutcome(
+    void outcome(Choice router, long now, long id, int attempt, Router.Outcome o) {
+        router.onOutcome(
                 now,
                 id,
                 attempt,
@@ -90,73 +90,73 @@
     }
 
     /** Fires the timers requested so far. */
-    void fire(Choice p, long now) {
+    void fireTimers(Choice router, long now) {
         List<long[]> due = new ArrayList<>(timers);
         timers.clear();
         for (long[] t : due) {
-            p.onTimer(now, t[1], this);
+            router.onTimer(now, t[1], this);
         }
     }
 
     @Override
     public void send(long request, int node, long timeoutUs) {
         sent.add(new Sent(request, node, timeoutUs));
-        all.add("send " + request + " " + node + " " + timeoutUs);
+        actions.add("send " + request + " " + node + " " + timeoutUs);
     }
 
     @Override
     public void refuse(long request, long retryAfterUs) {
         refused.add(request);
-        advice.add(retryAfterUs);
-        all.add("refuse " + request + " " + retryAfterUs);
+        retryAfter.add(retryAfterUs);
+        actions.add("refuse " + request + " " + retryAfterUs);
     }
 
     @Override
     public void fail(long request) {
         failed.add(request);
-        all.add("fail " + request);
+        actions.add("fail " + request);
     }
 
     @Override
     public void cancel(long request, int attempt) {
         cancelled.add(request + "/" + attempt);
-        all.add("cancel " + request + " " + attempt);
+        actions.add("cancel " + request + " " + attempt);
     }
 
     @Override
     public void timer(long delayUs, long label) {
         timers.add(new long[] {delayUs, label});
-        all.add("timer " + delayUs + " " + label);
+        actions.add("timer " + delayUs + " " + label);
     }
 
     @Override
     public void probe(int node) {
-        all.add("probe " + node);
+        actions.add("probe " + node);
     }
 
     @Override
     public void closeIdle(int node) {
-        all.add("close " + node);
+        actions.add("close " + node);
     }
 
     @Override
     public void subscribe() {
         subscribes++;
-        all.add("subscribe");
+        actions.add("subscribe");
     }
 
     @Override
     public void fetchNodes() {
-        all.add("fetch");
+        actions.add("fetch");
     }
 
     @Override
     public void tell(int router, byte[] data) {
-        all.add("tell " + router);
+        actions.add("tell " + router);
     }
 
     @Override
     public void log(String line) {
-        all.add("log " + line);
+        actions.add("log " + line);
     }
 }
--- a/src/test/java/holdproxy/policy/RulesTest.java
+++ b/src/test/java/holdproxy/policy/RequestRulesTest.java
@@ -7,36 +7,36 @@
 import org.junit.jupiter.api.Test;
 
 /** The rules for resending, refusing, due times and node states, for each effect class. */
-class RulesTest {
+class RequestRulesTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
     private final Fixture out = new Fixture();
 
-    private Choice with(Router.Effect effect) {
+    private Choice policy(Router.Effect effect) {
         return out.choice(Fixture.settings(effect), 1, Fixture.nodes(6));
     }
 
     /** Fills the budget for second copies with successful requests, all at time 0. */
-    private Choice earning(Choice p) {
+    private Choice withFullBudget(Choice router) {
         for (long id = 1000; id < 1100; id++) {
-            p.onRequest(0, Fixture.request(id, id, 600 * MS), out);
-            out.outcome(p, 0, id, 0, Router.Outcome.OK);
+            router.onRequest(0, Fixture.request(id, id, 600 * MS), out);
+            out.outcome(router, 0, id, 0, Router.Outcome.OK);
         }
         out.sent.clear();
         out.timers.clear();
-        return p;
+        return router;
     }
 
-    private void request(Choice p) {
-        p.onRequest(0, Fixture.request(1, 42, 600 * MS), out);
+    private void request(Choice router) {
+        router.onRequest(0, Fixture.request(1, 42, 600 * MS), out);
         assertEquals(1, out.sent.size());
     }
 
     @Test
     void safeIsResentAfterAnError() {
-        Choice p = with(Router.Effect.SAFE);
-        request(p);
-        out.outcome(p, MS, 1, 0, Router.Outcome.ERROR);
+        Choice router = policy(Router.Effect.SAFE);
+        request(router);
+        out.outcome(router, MS, 1, 0, Router.Outcome.ERROR);
         assertEquals(2, out.sent.size());
         assertNotEquals(out.sent.get(0).node(), out.sent.get(1).node());
     }
@@ -51,10 +51,10 @@
                     Router.Outcome.CANCELLED
                 }) {
             Fixture f = new Fixture();
-            Choice p = f.choice(Fixture.settings(Router.Effect.UNSAFE), 1, Fixture.nodes(6));
-            p.onRequest(0, Fixture.request(1, 42, 600 * MS), f);
-            f.fire(p, 150 * MS);
-            f.outcome(p, 200 * MS, 1, 0, o);
+            Choice router = f.choice(Fixture.settings(Router.Effect.UNSAFE), 1, Fixture.nodes(6));
+            router.onRequest(0, Fixture.request(1, 42, 600 * MS), f);
+            f.fireTimers(router, 150 * MS);
+            f.outcome(router, 200 * MS, 1, 0, o);
             assertEquals(1, f.sent.size(), o + " is not resent");
             assertEquals(1, f.failed.size(), o + " is failed");
             assertEquals(0, f.refused.size(), o + " is not refused");
@@ -63,11 +63,11 @@
 
     @Test
     void unsafeIsResentWhereItNeverRan() {
-        Choice p = with(Router.Effect.UNSAFE);
-        request(p);
-        out.outcome(p, MS, 1, 0, Router.Outcome.OVERLOADED);
+        Choice router = policy(Router.Effect.UNSAFE);
+        request(router);
+        out.outcome(router, MS, 1, 0, Router.Outcome.OVERLOADED);
         assertEquals(2, out.sent.size());
-        out.outcome(p, 2 * MS, 1, 1, Router.Outcome.CONNECT_FAILED);
+        out.outcome(router, 2 * MS, 1, 1, Router.Outcome.CONNECT_FAILED);
         assertEquals(
                 1,
                 out.refused.size() + out.sent.size() - 2,
@@ -76,14 +76,14 @@
 
     @Test
     void keyedIsResentWithinItsWindowOnly() {
-        Choice p = with(Router.Effect.KEYED);
-        p.onRequest(0, Fixture.request(1, 42, 10 * S), out);
-        out.outcome(p, 500 * MS, 1, 0, Router.Outcome.ERROR);
+        Choice router = policy(Router.Effect.KEYED);
+        router.onRequest(0, Fixture.request(1, 42, 10 * S), out);
+        out.outcome(router, 500 * MS, 1, 0, Router.Outcome.ERROR);
         assertEquals(2, out.sent.size());
         Fixture late = new Fixture();
-        Choice q = late.choice(Fixture.settings(Router.Effect.KEYED), 1, Fixture.nodes(6));
-        q.onRequest(0, Fixture.request(1, 42, 10 * S), late);
-        late.outcome(q, 2 * S - 5 * MS, 1, 0, Router.Outcome.ERROR);
+        Choice lateRouter = late.choice(Fixture.settings(Router.Effect.KEYED), 1, Fixture.nodes(6));
+        lateRouter.onRequest(0, Fixture.request(1, 42, 10 * S), late);
+        late.outcome(lateRouter, 2 * S - 5 * MS, 1, 0, Router.Outcome.ERROR);
         assertEquals(1, late.sent.size(), "no resend at the end of the 2 s repeat window");
     }
 
@@ -93,9 +93,9 @@
             Router.Settings s = Fixture.settings(Router.Effect.KEYED);
             s.dialTimeoutUs = slow ? 250 * MS : 0;
             Fixture f = new Fixture();
-            Choice p = f.choice(s, 1, Fixture.nodes(6));
-            p.onRequest(0, Fixture.request(1, 42, 10 * S), f);
-            f.outcome(p, 2 * S - 200 * MS, 1, 0, Router.Outcome.ERROR);
+            Choice router = f.choice(s, 1, Fixture.nodes(6));
+            router.onRequest(0, Fixture.request(1, 42, 10 * S), f);
+            f.outcome(router, 2 * S - 200 * MS, 1, 0, Router.Outcome.ERROR);
             assertEquals(slow ? 1 : 2, f.sent.size());
         }
     }
@@ -110,12 +110,12 @@
         }
         for (int key = 1; key < 40; key++) {
             Fixture f = new Fixture();
-            Choice p = f.choice(s, key, nodes);
-            p.onRequest(0, Fixture.request(1, key, 600 * MS), f);
-            f.outcome(p, MS, 1, 0, Router.Outcome.RESET);
+            Choice router = f.choice(s, key, nodes);
+            router.onRequest(0, Fixture.request(1, key, 600 * MS), f);
+            f.outcome(router, MS, 1, 0, Router.Outcome.RESET);
             if (f.sent.size() > 1) {
                 assertEquals(f.sent.get(0).node() % 3, f.sent.get(1).node() % 3);
-                f.outcome(p, 2 * MS, 1, 1, Router.Outcome.RESET);
+                f.outcome(router, 2 * MS, 1, 1, Router.Outcome.RESET);
             }
             assertEquals(0, f.refused.size());
             assertEquals(1, f.failed.size());
@@ -126,20 +126,20 @@
     void everyRequestIsAnsweredAfterItsLastTimeOut() {
         for (Router.Effect effect : Router.Effect.values()) {
             Fixture f = new Fixture();
-            Choice p = f.choice(Fixture.settings(effect), 1, Fixture.nodes(6));
-            p.onRequest(0, Fixture.request(1, 42, 600 * MS), f);
-            f.outcome(p, 600 * MS, 1, 0, Router.Outcome.TIMEOUT);
+            Choice router = f.choice(Fixture.settings(effect), 1, Fixture.nodes(6));
+            router.onRequest(0, Fixture.request(1, 42, 600 * MS), f);
+            f.outcome(router, 600 * MS, 1, 0, Router.Outcome.TIMEOUT);
             assertEquals(1, f.refused.size() + f.failed.size(), effect + " gets one final answer");
             assertEquals(1, f.sent.size(), effect + " is not sent at its due time");
         }
     }
 
     @Test
-    void theDueTimeRulesNotTheClassDeadline() {
-        Choice p = earning(with(Router.Effect.SAFE));
-        p.onRequest(0, Fixture.request(1, 42, 100 * MS), out);
+    void theDueTimeLimitsARequestNotTheClassDeadline() {
+        Choice router = withFullBudget(policy(Router.Effect.SAFE));
+        router.onRequest(0, Fixture.request(1, 42, 100 * MS), out);
         assertEquals(0, out.sent.get(0).timeoutUs(), "time-out: until the request is due");
-        out.fire(p, 100 * MS);
+        out.fireTimers(router, 100 * MS);
         assertEquals(1, out.sent.size(), "no second copy at or after the due time");
     }
 
@@ -147,31 +147,31 @@
     void whereLateAnswersEarnNothingTheAttemptEndsBeforeTheAim() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.classes[0].lateWorth = 0;
-        Choice p = out.choice(s, 1, Fixture.nodes(6));
-        p.onRequest(0, Fixture.request(1, 42, 600 * MS), out);
+        Choice router = out.choice(s, 1, Fixture.nodes(6));
+        router.onRequest(0, Fixture.request(1, 42, 600 * MS), out);
         assertEquals(290 * MS, out.sent.get(0).timeoutUs());
     }
 
     @Test
-    void nothingIsSentAfterTheEnd() {
-        Choice p = earning(with(Router.Effect.SAFE));
-        request(p);
-        p.onAborted(MS, 1, out);
+    void nothingIsSentAfterTheClientDisconnects() {
+        Choice router = withFullBudget(policy(Router.Effect.SAFE));
+        request(router);
+        router.onAborted(MS, 1, out);
         assertEquals("1/0", out.cancelled.get(0));
-        out.fire(p, 100 * MS);
-        out.outcome(p, 200 * MS, 1, 0, Router.Outcome.CANCELLED);
-        out.outcome(p, 200 * MS, 1, 0, Router.Outcome.ERROR);
+        out.fireTimers(router, 100 * MS);
+        out.outcome(router, 200 * MS, 1, 0, Router.Outcome.CANCELLED);
+        out.outcome(router, 200 * MS, 1, 0, Router.Outcome.ERROR);
         assertEquals(1, out.sent.size());
         assertEquals(0, out.refused.size() + out.failed.size());
     }
 
     @Test
     void theFirstAnswerCancelsTheSecondCopy() {
-        Choice p = earning(with(Router.Effect.SAFE));
-        request(p);
-        out.fire(p, 150 * MS);
+        Choice router = withFullBudget(policy(Router.Effect.SAFE));
+        request(router);
+        out.fireTimers(router, 150 * MS);
         assertEquals(2, out.sent.size());
-        out.outcome(p, 160 * MS, 1, 1, Router.Outcome.OK);
+        out.outcome(router, 160 * MS, 1, 1, Router.Outcome.OK);
         assertEquals("1/0", out.cancelled.get(0));
     }
 
@@ -179,20 +179,20 @@
     void noSecondCopyWhereNoneIsAllowed() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.secondCopies = false;
-        Choice p = earning(out.choice(s, 1, Fixture.nodes(6)));
-        request(p);
-        out.fire(p, 150 * MS);
+        Choice router = withFullBudget(out.choice(s, 1, Fixture.nodes(6)));
+        request(router);
+        out.fireTimers(router, 150 * MS);
         assertEquals(1, out.sent.size());
     }
 
     @Test
-    void aStreamBelongsToTheClientOnceItHasBegun() {
-        Choice p = earning(with(Router.Effect.SAFE));
-        request(p);
-        p.onStreaming(MS, 1, 0, out);
-        out.fire(p, 150 * MS);
+    void nothingIsSentAfterAStreamHasBegun() {
+        Choice router = withFullBudget(policy(Router.Effect.SAFE));
+        request(router);
+        router.onStreaming(MS, 1, 0, out);
+        out.fireTimers(router, 150 * MS);
         assertEquals(1, out.sent.size());
-        p.onOutcome(
+        router.onOutcome(
                 900 * MS,
                 1,
                 0,
@@ -207,22 +207,22 @@
 
     @Test
     void drainingAndGoneNodesGetNothingNew() {
-        Choice p = with(Router.Effect.SAFE);
+        Choice router = policy(Router.Effect.SAFE);
         Router.Node[] changes = {Fixture.node(1), Fixture.node(2)};
         changes[0].state = Router.NodeState.DRAINING;
         changes[1].state = Router.NodeState.GONE;
-        p.onNodes(0, Router.ListKind.DELTA, changes, 2, out);
+        router.onNodes(0, Router.ListKind.DELTA, changes, 2, out);
         for (int i = 0; i < 200; i++) {
-            p.onRequest(i, Fixture.request(i, 1 + i, S), out);
+            router.onRequest(i, Fixture.request(i, 1 + i, S), out);
             assertTrue(out.lastNode() > 2);
         }
-        p.onNodes(0, Router.ListKind.FULL, new Router.Node[] {Fixture.node(6)}, 1, out);
-        p.onRequest(S, Fixture.request(900, 9, 2 * S), out);
+        router.onNodes(0, Router.ListKind.FULL, new Router.Node[] {Fixture.node(6)}, 1, out);
+        router.onRequest(S, Fixture.request(900, 9, 2 * S), out);
         assertEquals(6, out.lastNode(), "nodes absent from a full list are gone");
     }
 
     @Test
-    void aColdNodeGetsAGrowingPartThatAllRoutersAgreeOn() {
+    void aColdNodeGetsAGrowingShareOfKeysThatAllRoutersAgreeOn() {
         Router.Node[] nodes = Fixture.nodes(4);
         nodes[0].startedUs = 0;
         int[] part = new int[3];
@@ -231,8 +231,8 @@
             for (int step = 0; step < 3; step++) {
                 for (long seed = 1; seed < 3; seed++) {
                     Fixture f = new Fixture();
-                    Choice p = f.choice(Fixture.settings(Router.Effect.SAFE), seed, nodes);
-                    p.onRequest(step * 5 * S, Fixture.request(1, key, 20 * S), f);
+                    Choice router = f.choice(Fixture.settings(Router.Effect.SAFE), seed, nodes);
+                    router.onRequest(step * 5 * S, Fixture.request(1, key, 20 * S), f);
                     boolean there = f.lastNode() == 1;
                     part[step] += there && seed == 1 ? 1 : 0;
                     if (seed == 1) {
@@ -258,11 +258,11 @@
     }
 
     @Test
-    void asideMissesGoOnToTheOriginAndWritesStraightThere() {
-        Choice p = aside(Router.Effect.SAFE);
-        request(p);
+    void inAsideModeMissesGoOnToTheOriginAndWritesGoThereDirectly() {
+        Choice router = aside(Router.Effect.SAFE);
+        request(router);
         assertTrue(out.lastNode() < 7, "reads go to a cache node first");
-        p.onOutcome(
+        router.onOutcome(
                 MS,
                 1,
                 0,
@@ -275,13 +275,13 @@
         assertEquals(7, out.lastNode());
         Router.Request w = Fixture.request(2, 42, S);
         w.write = true;
-        p.onRequest(MS, w, out);
+        router.onRequest(MS, w, out);
         assertEquals(7, out.lastNode());
     }
 
     /** Writes alone kept a slow origin overloaded, and nothing it did was in time. */
     @Test
-    void writesToAnOriginThatFailsAreRefusedTooButLaterThanReads() {
+    void writesToAFailingOriginAreRefusedButLaterThanReads() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE, Router.Effect.KEYED);
         s.aside = true;
         s.originKind = 9;
@@ -293,14 +293,14 @@
         int[] refused = new int[2];
         for (int seed = 1; seed <= 40; seed++) {
             Fixture f = new Fixture();
-            Choice p = f.choice(s, seed, nodes);
+            Choice router = f.choice(s, seed, nodes);
             for (int i = 0; i < 3; i++) {
                 Router.Request w = Fixture.request(i, 1 + i, S);
                 w.requestClass = 1;
                 w.write = true;
                 w.tenant = i;
-                p.onRequest(i * MS, w, f);
-                f.outcome(p, i * MS, i, 0, Router.Outcome.TIMEOUT);
+                router.onRequest(i * MS, w, f);
+                f.outcome(router, i * MS, i, 0, Router.Outcome.TIMEOUT);
             }
             for (int kind = 0; kind < 2; kind++) {
                 for (int i = 0; i < 10; i++) {
@@ -310,9 +310,9 @@
                     q.write = kind == 1;
                     q.tenant = id;
                     int before = f.refused.size();
-                    p.onRequest(2 * S, q, f);
+                    router.onRequest(2 * S, q, f);
                     if (kind == 0 && f.refused.size() == before) {
-                        p.onOutcome(
+                        router.onOutcome(
                                 2 * S,
                                 id,
                                 0,
@@ -337,7 +337,7 @@
      * group.
      */
     @Test
-    void aKeyedReadThatMayHaveRunMissesOnIntoItsGroupOnly() {
+    void aMissedKeyedReadThatMayHaveRunStaysInItsGroup() {
         Router.Settings s = Fixture.settings(Router.Effect.KEYED);
         s.aside = true;
         s.originKind = 9;
@@ -345,11 +345,11 @@
         Router.Node[] nodes = Fixture.nodes(7);
         nodes[6].kind = 9;
         nodes[6].zone = 1;
-        Choice p = out.choice(s, 1, nodes);
-        request(p);
-        out.outcome(p, MS, 1, 0, Router.Outcome.ERROR);
+        Choice router = out.choice(s, 1, nodes);
+        request(router);
+        out.outcome(router, MS, 1, 0, Router.Outcome.ERROR);
         assertEquals(2, out.sent.size(), "resent within its zone");
-        p.onOutcome(
+        router.onOutcome(
                 2 * MS,
                 1,
                 1,
@@ -364,17 +364,17 @@
     }
 
     @Test
-    void anOriginThatFailsIsSparedByRefusingMisses() {
-        Choice p = aside(Router.Effect.SAFE);
+    void missesAreRefusedWhileTheOriginFails() {
+        Choice router = aside(Router.Effect.SAFE);
         int reached = 0;
         for (int i = 0; i < 60; i++) {
             Router.Request q = Fixture.request(i, 100 + i, S);
             q.tenant = i;
-            p.onRequest(i * MS, q, out);
+            router.onRequest(i * MS, q, out);
             if (out.sent.isEmpty() || out.sent.get(out.sent.size() - 1).request() != i) {
                 continue; // refused by admission control
             }
-            p.onOutcome(
+            router.onOutcome(
                     i * MS,
                     i,
                     0,
@@ -386,7 +386,7 @@
                     out);
             if (out.lastNode() == 7 && out.sent.get(out.sent.size() - 1).request() == i) {
                 reached++;
-                out.outcome(p, i * MS, i, 1, Router.Outcome.OVERLOADED);
+                out.outcome(router, i * MS, i, 1, Router.Outcome.OVERLOADED);
             }
         }
         assertTrue(
--- a/src/test/java/holdproxy/policy/MechanismTest.java
+++ b/src/test/java/holdproxy/policy/RoutingPolicyTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** FAIR's parts one by one, and the departures from it that the comments in Choice describe. */
-class MechanismTest {
+class RoutingPolicyTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
     private final Fixture out = new Fixture();
@@ -38,41 +38,42 @@
         blue.add(1, -5, 0.95, 0);
         assertEquals(0, blue.min(1, 0));
         blue.add(1, 0.5, 1, 0);
-        blue.restart(8);
+        blue.reset(8);
         assertEquals(0, blue.min(1, 0));
     }
 
     @Test
-    void timeOutsOfATenantLeadToRefusalsWithAdviceAndFadeAway() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
-        failMany(p, 60, 0);
+    void timeOutsOfATenantLeadToRefusalsWithRetryAfterThatDecay() {
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        failMany(router, 60, 0);
         int before = out.refused.size();
-        int refused = offer(p, 1000, 50, 0, 2 * S);
+        int refused = offer(router, 1000, 50, 0, 2 * S);
         assertTrue(refused > 25, "a tenant whose requests all time out is refused: " + refused);
-        assertTrue(out.advice.get(before) > 0, "a refusal carries a retry-after time");
-        int later = offer(p, 2000, 50, 0, 90 * S);
+        assertTrue(out.retryAfter.get(before) > 0, "a refusal carries a retry-after time");
+        int later = offer(router, 2000, 50, 0, 90 * S);
         assertTrue(later < 5, "the probability decays once failures end; refused: " + later);
     }
 
     @Test
-    void anotherTenantIsNotRefusedForIt() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
-        failMany(p, 60, 0);
+    void failuresOfOneTenantDoNotRefuseAnother() {
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        failMany(router, 60, 0);
         Router.Request q = Fixture.request(5000, 77, 3 * S);
         q.tenant = 1;
         int before = out.refused.size();
-        p.onRequest(2 * S, q, out);
+        router.onRequest(2 * S, q, out);
         assertEquals(before, out.refused.size());
     }
 
     @Test
-    void rotationKeepsWhatTheShadowHasLearnt() {
+    void rotationKeepsLearntProbabilities() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
-        Choice p = out.choice(s, 1, Fixture.nodes(8));
+        Choice router = out.choice(s, 1, Fixture.nodes(8));
         for (int second = 0; second < 130; second++) { // two rotations: within 60 s, and 60 s later
-            failMany(p, 50, second * S);
+            failMany(router, 50, second * S);
             if (second >= 10) {
-                int refused = offer(p, 1_000_000_000 + second * 100, 20, 0, (second + 1) * S - MS);
+                int refused =
+                        offer(router, 1_000_000_000 + second * 100, 20, 0, (second + 1) * S - MS);
                 assertTrue(refused > 5, "still refused at " + second + " s: " + refused + " of 20");
             }
         }
@@ -83,7 +84,7 @@
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.tenants[0].quotaPerS = 4;
         s.tenants[1].quotaPerS = 400;
-        Choice p = out.choice(s, 1, Fixture.nodes(8));
+        Choice router = out.choice(s, 1, Fixture.nodes(8));
         int[] refusals = new int[2];
         for (int i = 0; i < 600; i++) {
             Router.Request q = Fixture.request(i, 1000 + i, 0);
@@ -92,9 +93,9 @@
             q.dueUs = now + 600 * MS;
             int refusedBefore = out.refused.size();
             int sentBefore = out.sent.size();
-            p.onRequest(now, q, out);
+            router.onRequest(now, q, out);
             if (out.sent.size() > sentBefore) {
-                p.onOutcome(
+                router.onOutcome(
                         now,
                         i,
                         0,
@@ -114,46 +115,46 @@
     }
 
     @Test
-    void aKeyStaysAtItsFirstCacheAndTheLessBusyOfTwoIsTaken() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
-        Set<Integer> met = new HashSet<>();
+    void aKeyStaysAtItsFirstNodeUnlessTheSecondIsLessBusy() {
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        Set<Integer> nodesUsed = new HashSet<>();
         for (int i = 0; i < 3; i++) {
-            p.onRequest(i * 100 * S, Fixture.request(i, 42, (i + 1) * 100 * S), out);
-            met.add(out.lastNode());
-            out.outcome(p, i * 100 * S + MS, i, 0, Router.Outcome.OK);
+            router.onRequest(i * 100 * S, Fixture.request(i, 42, (i + 1) * 100 * S), out);
+            nodesUsed.add(out.lastNode());
+            out.outcome(router, i * 100 * S + MS, i, 0, Router.Outcome.OK);
         }
-        assertEquals(1, met.size(), "nothing in flight: always the first candidate");
-        p.onRequest(400 * S, Fixture.request(10, 42, 500 * S), out);
+        assertEquals(1, nodesUsed.size(), "nothing in flight: always the first candidate");
+        router.onRequest(400 * S, Fixture.request(10, 42, 500 * S), out);
         int first = out.lastNode();
-        p.onRequest(430 * S, Fixture.request(11, 42, 500 * S), out);
+        router.onRequest(430 * S, Fixture.request(11, 42, 500 * S), out);
         assertNotEquals(
                 first, out.lastNode(), "one request in flight at the first: the second candidate");
     }
 
     @Test
     void tiesInFlightGoToTheCandidateThatReportsLessLoad() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
-        p.onRequest(0, Fixture.request(1, 42, S), out);
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        router.onRequest(0, Fixture.request(1, 42, S), out);
         int first = out.lastNode();
         Router.Report report = new Router.Report();
         report.busy = 0.9;
-        p.onOutcome(MS, 1, 0, Router.Outcome.OK, MS, true, Router.CacheNote.HIT, report, out);
-        p.onRequest(2 * MS, Fixture.request(2, 42, S), out);
+        router.onOutcome(MS, 1, 0, Router.Outcome.OK, MS, true, Router.CacheNote.HIT, report, out);
+        router.onRequest(2 * MS, Fixture.request(2, 42, S), out);
         assertNotEquals(first, out.lastNode());
     }
 
     @Test
-    void aHotKeyIsWidenedBeyondTwoCachesAndOthersAreNot() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(20));
+    void aHotKeyIsSpreadOverMoreThanTwoNodesAndOthersAreNot() {
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(20));
         Set<Integer> hot = new HashSet<>();
         Set<Integer> cold = new HashSet<>();
         for (int i = 0; i < 400; i++) {
             long now = i * 10 * MS;
             boolean isHot = i % 4 == 0;
             long key = isHot ? 42 : i % 40 == 1 ? 43 : 100_000 + i;
-            p.onRequest(now, Fixture.request(i, key, now + S), out);
+            router.onRequest(now, Fixture.request(i, key, now + S), out);
             (key == 42 ? hot : key == 43 ? cold : new HashSet<Integer>()).add(out.lastNode());
-            out.outcome(p, now, i, 0, Router.Outcome.OK);
+            out.outcome(router, now, i, 0, Router.Outcome.OK);
         }
         assertTrue(
                 hot.size() > 4,
@@ -163,20 +164,24 @@
 
     @Test
     void aFailingNodeIsPassedOverAndStillTried() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
-        p.onRequest(0, Fixture.request(1, 42, S), out);
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        router.onRequest(0, Fixture.request(1, 42, S), out);
         int first = out.lastNode();
-        out.outcome(p, 0, 1, 0, Router.Outcome.OK);
+        out.outcome(router, 0, 1, 0, Router.Outcome.OK);
         int toFirst = 0;
         for (int i = 2; i < 80; i++) {
             long now = i * 200 * MS;
-            p.onRequest(now, Fixture.request(i, 42, now + S), out);
+            router.onRequest(now, Fixture.request(i, 42, now + S), out);
             int at = out.lastNode();
             toFirst += at == first ? 1 : 0;
             out.outcome(
-                    p, now, i, 0, at == first ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
+                    router,
+                    now,
+                    i,
+                    0,
+                    at == first ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
             if (at == first) {
-                out.outcome(p, now, i, 1, Router.Outcome.OK);
+                out.outcome(router, now, i, 1, Router.Outcome.OK);
             }
         }
         assertTrue(toFirst < 40 && toFirst > 2, "mostly passed over, sometimes tried: " + toFirst);
@@ -184,11 +189,11 @@
 
     @Test
     void furtherAttemptsAreLimitedByABudgetThatOnlySuccessesFill() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         for (int i = 0; i < 100; i++) {
-            p.onRequest(i * MS, Fixture.request(i, 1 + i, i * MS + S), out);
+            router.onRequest(i * MS, Fixture.request(i, 1 + i, i * MS + S), out);
             for (int a = 0; out.sent.get(out.sent.size() - 1).request() == i && a < 4; a++) {
-                out.outcome(p, i * MS, i, a, Router.Outcome.ERROR);
+                out.outcome(router, i * MS, i, a, Router.Outcome.ERROR);
             }
         }
         long requests = out.sent.stream().mapToLong(Fixture.Sent::request).distinct().count();
@@ -196,14 +201,14 @@
     }
 
     @Test
-    void withoutKeyOrTenantAndWithAnEmptyListItStillAnswers() {
+    void requestsWithoutKeyOrTenantOrNodesAreAnswered() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.tenants = new Router.Tenant[0];
-        Choice p = out.choice(s, 1);
-        p.onRequest(0, Fixture.request(1, 0, S), out);
+        Choice router = out.choice(s, 1);
+        router.onRequest(0, Fixture.request(1, 0, S), out);
         assertEquals(1, out.refused.size(), "no node to send to: refused at once");
-        p.onNodes(0, Router.ListKind.DELTA, Fixture.nodes(3), 3, out);
-        p.onRequest(0, Fixture.request(2, 0, S), out);
+        router.onNodes(0, Router.ListKind.DELTA, Fixture.nodes(3), 3, out);
+        router.onRequest(0, Fixture.request(2, 0, S), out);
         assertEquals(1, out.sent.size());
     }
 
@@ -221,21 +226,21 @@
             Fixture f = new Fixture();
             Choice each = f.choice(s, seed * 7919, Fixture.nodes(2));
             assertEquals(0, f.timers.get(0)[0], "the first call is made at once");
-            f.fire(each, 0);
+            f.fireTimers(each, 0);
             each.onNodes(S, Router.ListKind.FAILED, new Router.Node[0], 0, f);
             moments.add(f.timers.get(0)[0] / (100 * MS));
         }
         assertTrue(
                 moments.size() >= 15, "delays spread over 2 s, in tenths of a second: " + moments);
-        Choice p = out.choice(s, 3, Fixture.nodes(2));
+        Choice router = out.choice(s, 3, Fixture.nodes(2));
         for (int i = 1; i <= 10; i++) {
-            out.fire(p, 8 * i * S);
+            out.fireTimers(router, 8 * i * S);
             assertEquals(i, out.subscribes);
-            p.onNodes(8 * i * S + S, Router.ListKind.FAILED, new Router.Node[0], 0, out);
+            router.onNodes(8 * i * S + S, Router.ListKind.FAILED, new Router.Node[0], 0, out);
             assertTrue(out.timers.get(0)[0] <= 2 * S, "leaves time for two more calls of 1 s");
         }
-        out.fire(p, 100 * S);
-        p.onNodes(101 * S, Router.ListKind.FULL, Fixture.nodes(2), 2, out);
+        out.fireTimers(router, 100 * S);
+        router.onNodes(101 * S, Router.ListKind.FULL, Fixture.nodes(2), 2, out);
         assertTrue(out.timers.isEmpty(), "subscribed: no further call");
     }
 
@@ -248,10 +253,10 @@
         long[] longest = new long[6];
         for (int seed = 0; seed < 200; seed++) {
             Fixture f = new Fixture();
-            Choice p = f.choice(s, seed * 7919, Fixture.nodes(2));
+            Choice router = f.choice(s, seed * 7919, Fixture.nodes(2));
             for (int i = 0; i < longest.length; i++) {
-                f.fire(p, 10 * i * S);
-                p.onNodes(10 * i * S + S, Router.ListKind.FAILED, new Router.Node[0], 0, f);
+                f.fireTimers(router, 10 * i * S);
+                router.onNodes(10 * i * S + S, Router.ListKind.FAILED, new Router.Node[0], 0, f);
                 longest[i] = Math.max(longest[i], f.timers.get(0)[0]);
             }
         }
@@ -263,13 +268,13 @@
 
     /** Congested nodes recover only when most load is taken off them. */
     @Test
-    void failuresRunningWithoutASuccessBringRefusalsWithinAFewRequestsEvenBelowQuota() {
+    void consecutiveFailuresCauseRefusalsWithinAFewRequestsEvenBelowQuota() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         // far above the demand: blame is small until failures are consecutive
         s.tenants[0].quotaPerS = 1000;
-        Choice p = out.choice(s, 1, Fixture.nodes(8));
-        failMany(p, 150, 0);
-        int refused = offer(p, 1000, 50, 0, 3 * S);
+        Choice router = out.choice(s, 1, Fixture.nodes(8));
+        failMany(router, 150, 0);
+        int refused = offer(router, 1000, 50, 0, 3 * S);
         assertTrue(refused > 25, "most load is taken off: " + refused + " of 50");
     }
 
@@ -279,21 +284,21 @@
      */
     @Test
     void anAttemptStillOutWhenItsCopyIsDueCountsAgainstItsNode() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(4));
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(4));
         int there = 0;
         for (int i = 0; i < 300; i++) {
             long now = i * 400 * MS;
             out.timers.clear();
-            p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
+            router.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
             boolean slow = out.lastNode() == 1;
             there += slow && i >= 100 ? 1 : 0;
             if (slow) {
-                out.fire(p, now + 150 * MS);
+                out.fireTimers(router, now + 150 * MS);
             }
             boolean copied = slow && out.lastNode() != 1;
-            out.outcome(p, now + 160 * MS, i, copied ? 1 : 0, Router.Outcome.OK);
+            out.outcome(router, now + 160 * MS, i, copied ? 1 : 0, Router.Outcome.OK);
             if (copied) {
-                out.outcome(p, now + 161 * MS, i, 0, Router.Outcome.CANCELLED);
+                out.outcome(router, now + 161 * MS, i, 0, Router.Outcome.CANCELLED);
             }
         }
         assertTrue(
@@ -310,14 +315,14 @@
         int[] refused = new int[2];
         for (int fetch = 0; fetch < 2; fetch++) {
             Fixture f = new Fixture();
-            Choice p = f.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+            Choice router = f.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
             for (int i = 0; i < 200; i++) {
                 long now = i * 20 * MS;
                 boolean hit = i % 2 == 0;
                 int sentBefore = f.sent.size();
-                p.onRequest(now, Fixture.request(i, hit ? 42 : 1000 + i, now + S), f);
+                router.onRequest(now, Fixture.request(i, hit ? 42 : 1000 + i, now + S), f);
                 if (f.sent.size() > sentBefore) {
-                    p.onOutcome(
+                    router.onOutcome(
                             now,
                             i,
                             0,
@@ -343,27 +348,32 @@
 
     /** Connections were dropped unnoticed while idle; what was sent on one got no answer. */
     @Test
-    void aConnectionThatIdledAsLongAsOneThatFellSilentIsNotTrusted() {
+    void connectionsIdleAsLongAsOneThatFellSilentAreClosed() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.idleCloseUs = 60 * S;
-        Choice p = out.choice(s, 1, Fixture.nodes(1));
-        p.onRequest(0, Fixture.request(1, 1, S), out);
-        out.outcome(p, MS, 1, 0, Router.Outcome.OK);
+        Choice router = out.choice(s, 1, Fixture.nodes(1));
+        router.onRequest(0, Fixture.request(1, 1, S), out);
+        out.outcome(router, MS, 1, 0, Router.Outcome.OK);
         int silent = 0;
         for (int i = 2; i < 40; i++) {
             long now = i * 3 * S;
             out.timers.clear();
-            p.onRequest(now, Fixture.request(i, 1, now + S), out);
+            router.onRequest(now, Fixture.request(i, 1, now + S), out);
             if (out.sent.get(out.sent.size() - 1).request() != i) {
                 continue; // refused: nothing was sent on the connection
             }
-            boolean dead = !out.all.contains("close 1");
-            out.all.clear();
+            boolean dead = !out.actions.contains("close 1");
+            out.actions.clear();
             if (dead) {
                 silent++;
-                out.fire(p, now + 180 * MS);
+                out.fireTimers(router, now + 180 * MS);
             }
-            out.outcome(p, now + 200 * MS, i, 0, dead ? Router.Outcome.TIMEOUT : Router.Outcome.OK);
+            out.outcome(
+                    router,
+                    now + 200 * MS,
+                    i,
+                    0,
+                    dead ? Router.Outcome.TIMEOUT : Router.Outcome.OK);
         }
         assertTrue(
                 silent > 0 && silent < 12,
@@ -378,68 +388,74 @@
     void slowAnswersOnConnectionsThatIdledShortlyCloseNone() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.idleCloseUs = 60 * S;
-        Choice p = out.choice(s, 1, Fixture.nodes(1));
+        Choice router = out.choice(s, 1, Fixture.nodes(1));
         for (int i = 0; i < 400; i++) {
             long now = i * 300 * MS;
             out.timers.clear();
-            p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
+            router.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
             if (i % 5 == 4) {
-                out.fire(p, now + 180 * MS);
+                out.fireTimers(router, now + 180 * MS);
             }
-            out.outcome(p, now + 200 * MS, i, 0, Router.Outcome.OK);
+            out.outcome(router, now + 200 * MS, i, 0, Router.Outcome.OK);
         }
         assertTrue(
-                out.all.stream().noneMatch(a -> a.startsWith("close")),
+                out.actions.stream().noneMatch(a -> a.startsWith("close")),
                 "no connection closed, as none was silent");
     }
 
     /** Idle connections filled the nodes' connection tables, and half of all attempts were turned away. */
     @Test
-    void whereNodesTakeNoMoreConnectionsNoneIsHeldIdle() {
+    void idleConnectionsAreClosedWhereNodesRefuseNewOnes() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.idleCloseUs = 60 * S;
-        Choice p = out.choice(s, 1, Fixture.nodes(8));
+        Choice router = out.choice(s, 1, Fixture.nodes(8));
         for (int i = 0; i < 40; i++) {
             long now = i * 500 * MS;
-            p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
+            router.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
             Router.Outcome o =
                     i >= 10 && i < 20 ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK;
-            out.outcome(p, now + MS, i, 0, o);
+            out.outcome(router, now + MS, i, 0, o);
             if (i < 10) {
                 assertTrue(
-                        out.all.stream().noneMatch(a -> a.startsWith("close")),
+                        out.actions.stream().noneMatch(a -> a.startsWith("close")),
                         "no connection closed before nodes refuse any");
             } else if (o == Router.Outcome.OK) {
-                assertTrue(out.all.get(out.all.size() - 1).startsWith("close"), "closed after use");
+                assertTrue(
+                        out.actions.get(out.actions.size() - 1).startsWith("close"),
+                        "closed after use");
             }
         }
     }
 
     /** With 26 of 60 nodes down, every proxy closed each connection to the other nodes after use. */
     @Test
-    void whereHandshakesHaveAPriceNodesThatAreDownCloseNoConnectionToOthers() {
+    void whereHandshakesHaveAPriceNodesThatAreDownDoNotCloseConnectionsToOthers() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.idleCloseUs = 30 * S;
         s.handshakePrice = 0.08;
-        Choice p = out.choice(s, 1, Fixture.nodes(8));
+        Choice router = out.choice(s, 1, Fixture.nodes(8));
         int down = 0;
         for (int i = 0; i < 400; i++) {
             long now = i * 50 * MS;
-            p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
+            router.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
             if (out.sent.isEmpty() || out.sent.get(out.sent.size() - 1).request() != i) {
                 continue;
             }
             boolean dead = out.lastNode() <= 3;
             down += dead ? 1 : 0;
             out.outcome(
-                    p, now + MS, i, 0, dead ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
+                    router,
+                    now + MS,
+                    i,
+                    0,
+                    dead ? Router.Outcome.CONNECT_FAILED : Router.Outcome.OK);
             if (dead && out.sent.get(out.sent.size() - 1).request() == i) {
-                out.outcome(p, now + 2 * MS, i, 1, Router.Outcome.OK);
+                out.outcome(router, now + 2 * MS, i, 1, Router.Outcome.OK);
             }
         }
         assertTrue(down > 10, "attempts at dead nodes: " + down);
         assertTrue(
-                out.all.stream().noneMatch(a -> a.startsWith("close")),
+                out.actions.stream().noneMatch(a -> a.startsWith("close")),
                 "no connection to a working node closed");
     }
 
@@ -448,14 +464,14 @@
      * later.
      */
     @Test
-    void aNodeThatTakesNoConnectionIsLeftOutButForTrialsAndComesBack() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+    void aNodeThatRefusesConnectionsGetsOnlyTrialsUntilItRecovers() {
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         int dead = 0;
         int first = -1;
         for (int i = 0; i < 400; i++) {
             long now = i * 50 * MS;
             boolean down = now < 10 * S;
-            p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
+            router.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
             for (int attempt = 0;
                     attempt < 3 && out.sent.get(out.sent.size() - 1).request() == i;
                     attempt++) {
@@ -463,7 +479,7 @@
                 dead += refuses ? 1 : 0;
                 first = !down && first < 0 && out.lastNode() == 1 ? i : first;
                 out.outcome(
-                        p,
+                        router,
                         now,
                         i,
                         attempt,
@@ -484,13 +500,13 @@
      * budget.
      */
     @Test
-    void theNextTryAfterAFailedDialIsFree() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(20));
+    void theRetryAfterAFailedDialCostsNoBudget() {
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(20));
         for (int i = 0; i < 60; i++) {
-            p.onRequest(0, Fixture.request(i, 1 + i, S), out);
+            router.onRequest(0, Fixture.request(i, 1 + i, S), out);
         }
         for (int i = 0; i < 60; i++) {
-            out.outcome(p, MS, i, 0, Router.Outcome.CONNECT_FAILED);
+            out.outcome(router, MS, i, 0, Router.Outcome.CONNECT_FAILED);
         }
         long again = out.sent.stream().skip(60).map(Fixture.Sent::request).distinct().count();
         assertTrue(
@@ -503,10 +519,10 @@
      * them.
      */
     @Test
-    void coldNodesAdmitTheMoreKeysTheLessIsAskedFor() {
-        double full = coldShare(1);
-        double less = coldShare(0.7);
-        double little = coldShare(0.01);
+    void coldNodesAdmitMoreKeysAtLowerDemand() {
+        double full = coldNodeShare(1);
+        double less = coldNodeShare(0.7);
+        double little = coldNodeShare(0.01);
         assertEquals(1 / 0.7, less / full, 0.2);
         assertEquals(
                 1 / Placement.LOAD_LEAST,
@@ -516,7 +532,7 @@
     }
 
     /** The share of requests sent to one cold node of eight while demand is this share of all quotas. */
-    private static double coldShare(double load) {
+    private static double coldNodeShare(double load) {
         Fixture f = new Fixture();
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.secondCopies = false;
@@ -524,11 +540,11 @@
         s.tenants[0].quotaPerS = 100 * s.routers / load;
         Router.Node[] nodes = Fixture.nodes(8);
         nodes[0].startedUs = 0;
-        Choice p = f.choice(s, 1, nodes);
+        Choice router = f.choice(s, 1, nodes);
         for (int i = 0; i < 12_000; i++) {
             long now = i * 10 * MS;
-            p.onRequest(now, Fixture.request(i, 1 + i, now + S), f);
-            f.outcome(p, now, i, 0, Router.Outcome.OK);
+            router.onRequest(now, Fixture.request(i, 1 + i, now + S), f);
+            f.outcome(router, now, i, 0, Router.Outcome.OK);
         }
         return f.sent.stream().skip(4000).filter(a -> a.node() == 1).count() / 8000.0;
     }
@@ -538,17 +554,17 @@
      * keys.
      */
     @Test
-    void withoutNotesOnHitsASlowNodeLosesTheTies() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+    void withoutHitNotesASlowNodeLosesTies() {
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         int slow = 0;
         for (int i = 0; i < 2000; i++) {
             long now = i * 100 * MS;
-            p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
+            router.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
             boolean toSlow = out.lastNode() == 1;
             slow += toSlow ? 1 : 0;
             // still within the latency target of 300 ms, so no failure that would raise the
             // probability
-            p.onOutcome(
+            router.onOutcome(
                     now,
                     i,
                     0,
@@ -569,7 +585,7 @@
      * because of that.
      */
     @Test
-    void failuresInARowProveNoWantOfCapacityWhereLittleIsAskedFor() {
+    void consecutiveFailuresAtLowDemandAreNotTakenForOverload() {
         double little = refusedWhereAQuarterFails(0.25);
         double full = refusedWhereAQuarterFails(1);
         assertTrue(full > 0.3, "refused at full demand: " + full);
@@ -584,14 +600,14 @@
         s.secondCopies = false;
         s.maxAttempts = 1;
         s.tenants[0].quotaPerS = 50 * s.routers / demand;
-        Choice p = f.choice(s, 1, Fixture.nodes(12));
+        Choice router = f.choice(s, 1, Fixture.nodes(12));
         java.util.Random random = new java.util.Random(1);
         for (int i = 0; i < 1500; i++) {
             long now = i * 20 * MS;
-            p.onRequest(now, Fixture.request(i, 1 + i, now + S), f);
+            router.onRequest(now, Fixture.request(i, 1 + i, now + S), f);
             Router.Outcome o =
                     random.nextInt(4) == 0 ? Router.Outcome.OVERLOADED : Router.Outcome.OK;
-            f.outcome(p, now, i, 0, o);
+            f.outcome(router, now, i, 0, o);
         }
         return 1 - f.sent.size() / 1500.0;
     }
@@ -599,18 +615,18 @@
     /** With 36 of 60 nodes down, six ranked candidates were all down for one key in twenty. */
     @Test
     void aKeyMostOfWhoseCandidatesAreDownIsStillSent() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(60));
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(60));
         int served = 0;
         for (int i = 0; i < 1200; i++) {
             long now = i * MS;
-            p.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
+            router.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
             for (int attempt = 0;
                     attempt < 3 && out.sent.get(out.sent.size() - 1).request() == i;
                     attempt++) {
                 boolean down = out.lastNode() <= 36;
                 served += down || i < 200 ? 0 : 1;
                 out.outcome(
-                        p,
+                        router,
                         now,
                         i,
                         attempt,
@@ -628,22 +644,28 @@
      * elsewhere.
      */
     @Test
-    void aTenantWithinItsQuotaIsSparedTheBlameForNodesThatFailMoreThanOthers() {
+    void aTenantWithinItsQuotaIsNotBlamedForNodesThatFailMoreThanOthers() {
         int[] refused = new int[2];
         for (int seed = 1; seed <= 20; seed++) {
             for (int spread = 0; spread < 2; spread++) {
                 Fixture f = new Fixture();
-                Choice p = f.choice(Fixture.settings(Router.Effect.SAFE), seed, Fixture.nodes(8));
+                Choice router =
+                        f.choice(Fixture.settings(Router.Effect.SAFE), seed, Fixture.nodes(8));
                 for (int i = 0; i < 300; i++) {
                     long now = i * 100 * MS;
                     int before = f.sent.size();
-                    p.onRequest(now, Fixture.request(i, 1 + i, now + S), f);
+                    router.onRequest(now, Fixture.request(i, 1 + i, now + S), f);
                     if (f.sent.size() == before) {
                         refused[spread]++;
                         continue;
                     }
                     boolean fails = spread == 1 ? i % 4 == 0 : f.lastNode() <= 2;
-                    f.outcome(p, now, i, 0, fails ? Router.Outcome.OVERLOADED : Router.Outcome.OK);
+                    f.outcome(
+                            router,
+                            now,
+                            i,
+                            0,
+                            fails ? Router.Outcome.OVERLOADED : Router.Outcome.OK);
                 }
             }
         }
@@ -655,25 +677,25 @@
     }
 
     @Test
-    void aClassOrTenantOutOfRangeIsAnsweredAllTheSame() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(3));
+    void aClassOrTenantOutOfRangeIsAnswered() {
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(3));
         int[] odd = {-1, 7, Integer.MIN_VALUE, Integer.MAX_VALUE};
         for (int i = 0; i < odd.length; i++) {
             Router.Request q = Fixture.request(i, 1 + i, S);
             q.requestClass = odd[i];
             q.tenant = odd[i];
-            p.onRequest(0, q, out);
+            router.onRequest(0, q, out);
         }
         assertEquals(odd.length, out.sent.size());
     }
 
     @Test
     void logLinesAreFew() {
-        Choice p = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
-        failMany(p, 60, 0);
-        offer(p, 1000, 200, 0, 2 * S);
+        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        failMany(router, 60, 0);
+        offer(router, 1000, 200, 0, 2 * S);
         long lines =
-                out.all.stream()
+                out.actions.stream()
                         .filter(
                                 a ->
                                         a.startsWith(
@@ -691,33 +713,34 @@
 
     private static java.util.List<String> run(long seed) {
         Fixture f = new Fixture();
-        Choice p = f.choice(Fixture.settings(Router.Effect.SAFE), seed, Fixture.nodes(9));
+        Choice router = f.choice(Fixture.settings(Router.Effect.SAFE), seed, Fixture.nodes(9));
         for (int i = 0; i < 300; i++) {
-            p.onRequest(i * MS, Fixture.request(i, i % 17 == 0 ? 0 : 1 + i % 23, i * MS + S), f);
+            router.onRequest(
+                    i * MS, Fixture.request(i, i % 17 == 0 ? 0 : 1 + i % 23, i * MS + S), f);
             if (f.lastNode() % 3 == 0) {
-                f.outcome(p, i * MS, i, 0, Router.Outcome.TIMEOUT);
+                f.outcome(router, i * MS, i, 0, Router.Outcome.TIMEOUT);
             }
         }
-        return f.all;
+        return f.actions;
     }
 
-    private void failMany(Choice p, int count, long from) {
+    private void failMany(Choice router, int count, long from) {
         for (int i = 0; i < count; i++) {
             long now = from + i * 20 * MS;
             long id = from + 100_000 + i;
-            p.onRequest(now, Fixture.request(id, 1 + i, now + 600 * MS), out);
-            out.outcome(p, now, id, 0, Router.Outcome.TIMEOUT);
-            out.outcome(p, now, id, 1, Router.Outcome.TIMEOUT);
+            router.onRequest(now, Fixture.request(id, 1 + i, now + 600 * MS), out);
+            out.outcome(router, now, id, 0, Router.Outcome.TIMEOUT);
+            out.outcome(router, now, id, 1, Router.Outcome.TIMEOUT);
         }
     }
 
     /** Sends requests at the same time and returns how many are refused before any attempt. */
-    private int offer(Choice p, int firstId, int count, int tenant, long now) {
+    private int offer(Choice router, int firstId, int count, int tenant, long now) {
         int before = out.refused.size();
         for (int i = firstId; i < firstId + count; i++) {
             Router.Request q = Fixture.request(i, 1_000_000 + i, now + 600 * MS);
             q.tenant = tenant;
-            p.onRequest(now, q, out);
+            router.onRequest(now, q, out);
         }
         return out.refused.size() - before;
     }
--- a/src/test/java/holdproxy/sim/WireTest.java
+++ b/src/test/java/holdproxy/sim/FrameProtocolTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The codec and the batch loop, with the byte examples of the protocol's documentation. */
-class WireTest {
+class FrameProtocolTest {
     private static final String SETTINGS =
             "grades.count=1\ngrades.0.effect=pure\ngrades.0.targetMs=300.0\n"
                     + "grades.0.deadlineMs=600.0\ncaps.maxAttempts=3\nunheardOf=1\n";
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void actionsAreWrittenAsOnTheWiresPage() throws IOException {
+    void actionsAreWrittenAsDocumented() throws IOException {
         FrameWriter w = new FrameWriter();
         w.instance(3);
         w.send(0x0008e32b5d3a91c4L, 0x03124a07, 80_000);
@@ -124,7 +124,7 @@
         w.subscribe();
         w.fetchNodes();
         w.tell(Router.Actions.ALL, new byte[] {0x68, 0x69, 0x20, 0x37});
-        w.bug("x");
+        w.writeBug("x");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         w.flush(1, out);
         assertArrayEquals(
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void aRequestIsSentToAListedNodeAndItsAnswerEndsIt() throws IOException {
+    void aRequestIsSentToAListedNode() throws IOException {
         byte[] reply = run(batch(7, hello(3, SETTINGS), hex(NODES), hex(REQUEST)));
         ByteBuffer b = ByteBuffer.wrap(reply);
         assertEquals(7, b.getInt());
@@ -216,7 +216,7 @@
         assertEquals(1.5f, r.f32());
         assertEquals(12_000, r.micros());
         assertEquals("hi", r.text(2));
-        assertEquals(0, r.left());
+        assertEquals(0, r.remaining());
         assertThrows(BadInput.class, r::u8);
     }
 
@@ -333,7 +333,7 @@
     }
 
     @Test
-    void aFailureInsideTheModuleIsReportedAsABug() throws IOException {
+    void anExceptionInTheRouterIsReportedAsABug() throws IOException {
         byte[] unlisted = hex(REQUEST.replace("0008e32b5d3a91c4", "ffffffffffffffff"));
         byte[] reply = run(batch(1, hello(3, SETTINGS), hex(NODES), unlisted));
         assertEquals(1, ByteBuffer.wrap(reply).getInt(4));
