--- a/deploy/ArchiveStandIn.java
+++ b/deploy/ArchiveStandIn.java
@@ -8,9 +8,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Discovery and one cache node on one loopback port, for the proxy that {@code deploy/archive} starts once: what a
- * proxy does with them must have been done there for its classes to be in the archive. Prints its port; ends when
- * its standard input does.
+ * A stub of discovery and one cache node on one loopback port, for the training run of the proxy that {@code
+ * deploy/archive} starts: only classes that the proxy loads in that run are in the archive. Prints its port; exits at
+ * the end of its standard input.
  */
 public final class ArchiveStandIn {
     private ArchiveStandIn() {
@@ -24,7 +24,7 @@
         System.out.println(server.getLocalPort());
         System.out.flush();
         while (System.in.read() >= 0) {
-            // until whoever started this ends
+            // run until the parent process exits
         }
     }
 
@@ -57,11 +57,11 @@
                 }
             }
         } catch (IOException e) {
-            // the proxy has hung up
+            // the proxy closed the connection
         }
     }
 
-    /** The whole list, one change of it, and a sign of life, as a watch gives them. */
+    /** Sends what a watch delivers: the full list, one change and a heartbeat. */
     private static void watch(OutputStream out, int port) throws IOException {
         write(out, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(out, list(1, true, port));
--- a/src/main/java/holdproxy/Main.java
+++ b/src/main/java/holdproxy/Main.java
@@ -15,9 +15,10 @@
 import java.util.List;
 
 /**
- * Command line: {@code serve} runs the real proxy, {@code simhost} the module on the simulator's wire,
- * {@code lab} towns in virtual time, {@code rig} real processes under faults, {@code daemon} the proxy with
- * the parts by which a fleet cooperates, {@code scale} measurements of how each part grows.
+ * Command line: {@code serve} runs the proxy, {@code simhost} the decision module on the simulator's
+ * protocol, {@code lab} simulations in virtual time, {@code rig} real processes under injected faults, {@code
+ * daemon} the proxy with the parts by which a fleet cooperates, {@code scale} measurements of how each part
+ * scales.
  */
 public final class Main {
     private static final List<String> WITH_ARGUMENTS = List.of("daemon", "lab", "rig", "scale");
--- a/src/main/java/holdproxy/command/Commands.java
+++ b/src/main/java/holdproxy/command/Commands.java
@@ -3,11 +3,11 @@
 import holdproxy.input.BadInput;
 import picocli.CommandLine;
 
-/** What the program's command lines share. */
+/** Helpers shared by the program's commands. */
 public final class Commands {
     private Commands() {}
 
-    /** Runs a command line; returns its exit code, 2 where the command or a file of it was wrong. */
+    /** Runs a command line; returns its exit code, 2 if the command line or an input file was wrong. */
     public static int run(Object command, String[] args) {
         return new CommandLine(command)
                 .setExecutionExceptionHandler(
--- a/src/main/java/holdproxy/command/Plot.java
+++ b/src/main/java/holdproxy/command/Plot.java
@@ -8,7 +8,7 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** A plot of lines over one axis, written as a picture. */
+/** A line chart, written as an image. */
 public final class Plot {
     private static final int WIDTH = 1000;
     private static final int HEIGHT = 560;
@@ -18,7 +18,7 @@
     private final String yName;
     private final XYSeriesCollection lines = new XYSeriesCollection();
 
-    /** An empty picture; the names of the axes say their units. */
+    /** Creates an empty chart; the axis names include the units. */
     public Plot(String title, String xName, String yName) {
         this.title = title;
         this.xName = xName;
@@ -35,7 +35,7 @@
         lines.addSeries(line);
     }
 
-    /** As PNG. */
+    /** Writes the chart as PNG. */
     public void write(Path file) {
         try {
             ChartUtils.saveChartAsPNG(
--- a/src/main/java/holdproxy/command/package-info.java
+++ b/src/main/java/holdproxy/command/package-info.java
@@ -1,2 +1,2 @@
-/** What the command lines share: exit codes and error messages. */
+/** Shared by the commands: exit codes, error messages and plots. */
 package holdproxy.command;
--- a/src/main/java/holdproxy/console/Console.java
+++ b/src/main/java/holdproxy/console/Console.java
@@ -22,21 +22,21 @@
 import java.util.function.Consumer;
 
 /**
- * Where operators call: one line to a connection, an answer that begins with {@code OK} or {@code ERR}, or
- * the figures and {@code END}. Runs on an event loop of its own, so that it answers however late the proxy's
- * runs.
+ * The operators' console. A connection carries one command line; the answer begins with {@code OK} or {@code
+ * ERR}, or is the figures followed by {@code END}. Runs on its own event loop, so that it answers even while
+ * the proxy's loop is delayed.
  */
 public final class Console {
-    /** Descriptors it may hold: callers, one that is turned away, its listener, its selector's. */
+    /** Maximum number of descriptors: callers, one being rejected, the listener, the selector's. */
     public static final int DESCRIPTORS = 24;
 
     static final int MOST_CALLERS = 16;
     static final int LONGEST_LINE = 256;
 
-    /** For its call a caller has so long. */
+    /** Time within which a caller must send its command. */
     static final int CALL_MS = 5_000;
 
-    /** And so long to take the answer and end the connection. */
+    /** Time the caller has after the answer to read it and close the connection. */
     private static final int LINGER_MS = 1_000;
 
     private static final int BIND_AGAIN_MS = 200;
@@ -46,13 +46,13 @@
     private final Operations operations;
     private final Consumer<String> log;
 
-    /** Those that have not finished their call, longest first. */
+    /** Connections whose command is incomplete, oldest first. */
     private final Set<Channel> waiting = new LinkedHashSet<>();
 
     private int callers;
     private boolean toldOfFailure;
 
-    /** {@code log} takes its lines, on the loop's thread. */
+    /** {@code log} receives log lines, on the loop's thread. */
     public Console(EventLoop loop, Operations operations, Consumer<String> log) {
         this.loop = loop;
         this.operations = operations;
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Listens, trying again for as long as it takes: a proxy serves on without its console, and the process
-     * before this one may hold the address a moment longer. The channel, once it listens.
+     * Listens on the address, retrying until that succeeds: the proxy works without its console, and the
+     * previous process may hold the address a moment longer. {@code listening} then receives the channel.
      */
     public void listen(InetSocketAddress address, Consumer<Channel> listening) {
         ChannelFuture bound =
@@ -94,7 +94,7 @@
                                 log.accept(
                                         "the console cannot listen on "
                                                 + address
-                                                + ", trying on: "
+                                                + ", retrying: "
                                                 + f.cause().getMessage());
                             }
                             loop.schedule(
@@ -104,7 +104,7 @@
                         });
     }
 
-    /** One connection. */
+    /** Handles one connection. */
     final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
         private boolean called;
 
@@ -113,7 +113,7 @@
             callers++;
             if (callers > MOST_CALLERS) {
                 if (waiting.isEmpty()) {
-                    ctx.close(); // all have called and are being answered
+                    ctx.close(); // every other caller is being answered
                     return;
                 }
                 waiting.iterator().next().close();
@@ -186,7 +186,10 @@
             waiting.remove(ctx.channel());
         }
 
-        /** The answer and the end of the sending; a close with bytes unread would reset it under way. */
+        /**
+         * Sends the answer and shuts down the output. An immediate close with unread input would reset the
+         * connection and could lose the answer.
+         */
         private void answer(ChannelHandlerContext ctx, String text) {
             begun(ctx);
             ctx.writeAndFlush(Unpooled.copiedBuffer(text + "\r\n", StandardCharsets.ISO_8859_1))
@@ -210,7 +213,7 @@
             if (cause instanceof io.netty.handler.codec.TooLongFrameException && !called) {
                 answer(ctx, "ERR the line is longer than " + LONGEST_LINE + " bytes");
             } else if (!called) {
-                ctx.close(); // a broken connection ends alone
+                ctx.close(); // a connection error affects only this caller
             }
         }
     }
--- a/src/main/java/holdproxy/console/Figures.java
+++ b/src/main/java/holdproxy/console/Figures.java
@@ -6,11 +6,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * What operators read. One thread writes, any may read: a figure is what was counted up to that moment,
- * however late the writer runs. All counts start at 0 with the process; only {@code active} falls.
+ * The figures that operators read. One thread writes, any thread may read without waiting for the writer. All
+ * counters start at 0 with the process; among the counts of requests only {@code active} falls.
  */
 public final class Figures {
-    /** How the requests of one class ended. Each request that was taken is counted once, in one of them. */
+    /** Outcomes of the requests of one class. Each accepted request is counted once, in one of them. */
     public static final class Outcomes {
         public final Count ok = new Count();
         public final Count shed = new Count();
@@ -25,47 +25,45 @@
 
         /** Adds to the figure. */
         public void add(long change) {
-            value.lazySet(value.getPlain() + change); // one writer: nothing to compare with
+            value.lazySet(value.getPlain() + change); // a single writer needs no compare-and-set
         }
 
-        /** Replaces the figure. */
+        /** Sets the figure. */
         public void set(long now) {
             value.lazySet(now);
         }
 
-        /** The present figure. */
+        /** Returns the current figure. */
         public long get() {
             return value.get();
         }
     }
 
-    /** Attempts whose last byte has gone to a cache node. */
+    /** Attempts whose last byte was sent to a cache node. */
     public final Count tries = new Count();
 
-    /** Requests taken and not ended. */
+    /** Requests accepted and not yet ended. */
     public final Count active = new Count();
 
     /** Cache nodes in the list. */
     public final Count poolSize = new Count();
 
-    /** Files taken and turned down at SIGHUP. */
+    /** Configuration files applied on reload. */
     public final Count configApplied = new Count();
 
+    /** Configuration files rejected on reload. */
     public final Count configRejected = new Count();
 
-    /** Listed cache nodes that are avoided now. */
+    /** Listed cache nodes that are currently avoided. */
     public final Count poolEjected = new Count();
 
-    /**
-     * Where settings are published to a fleet: the version in force, and since when it is not known to be the
-     * newest.
-     */
+    /** The published version in force and its age; null if no settings are published to this process. */
     private volatile Published published;
 
-    /** A version of the published state; {@code ageS}: -1 where it was never known to be the newest. */
+    /** {@code ageS}: time since the version was last known to be the newest, -1 if it never was. */
     private record Published(long epoch, long number, long ageS) {}
 
-    /** By class; a class that the settings have dropped keeps its counts. */
+    /** By class; a class that is no longer in the settings keeps its counts. */
     private final Map<String, Outcomes> outcomes = new ConcurrentSkipListMap<>();
 
     /** The outcomes of one class of requests. */
@@ -73,12 +71,12 @@
         return outcomes.computeIfAbsent(requestClass, name -> new Outcomes());
     }
 
-    /** From now on the figures name this version of the published settings, which is in force. */
+    /** Sets the version of the published settings that is in force, and its age in seconds. */
     public void published(long epoch, long number, long ageS) {
         published = new Published(epoch, number, ageS);
     }
 
-    /** A line {@code name=value} for each figure. */
+    /** Formats the figures, one {@code name=value} line each. */
     public String text() {
         StringBuilder text = new StringBuilder(512);
         outcomes.forEach(
--- a/src/main/java/holdproxy/console/Operations.java
+++ b/src/main/java/holdproxy/console/Operations.java
@@ -2,17 +2,17 @@
 
 import java.util.function.Consumer;
 
-/** What operators' calls ask of a proxy. Called on the console's thread, which must not be held up. */
+/** The proxy's side of console commands. Called on the console's thread; must not block. */
 public interface Operations {
-    /** Whether this process takes clients now. */
+    /** Whether this process currently accepts clients. */
     boolean takesClients();
 
     /** The figures that {@code vars} reports. */
     Figures figures();
 
     /**
-     * Leaves a cache node out, or uses it again. {@code answer} gets null once it holds, else why not; on any
-     * thread, once.
+     * Takes a cache node out of use, or uses it again. {@code answer} is called once, on any thread, with
+     * null when the change is effective or with the reason why it failed.
      */
     void leaveOut(String node, boolean out, Consumer<String> answer);
 }
--- a/src/main/java/holdproxy/console/package-info.java
+++ b/src/main/java/holdproxy/console/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' console: line commands on an address of its own. */
+/** The operators' console: line commands on a separate address. */
 package holdproxy.console;
--- a/src/main/java/holdproxy/daemon/AdminApi.java
+++ b/src/main/java/holdproxy/daemon/AdminApi.java
@@ -9,58 +9,57 @@
 import java.util.Map;
 
 /**
- * What operators' commands and control machines say to each other: JSON over HTTP. {@code POST /v1/changes}
- * with a {@link PublishRequest} gives a {@link Published} or a {@link Failure}, {@code GET /v1/versions} a
- * {@link Versions}.
+ * The admin API of a control machine: JSON over HTTP. {@code POST /v1/changes} with a {@link PublishRequest}
+ * returns a {@link Published} or a {@link Failure}; {@code GET /v1/versions} returns a {@link Versions}.
  */
 final class AdminApi {
     static final String CHANGES_PATH = "/v1/changes";
     static final String VERSIONS_PATH = "/v1/versions";
 
-    /** Bytes of the longest request. */
+    /** Maximum size of a request body in bytes. */
     static final int LONGEST_REQUEST = 128 << 10;
 
     private AdminApi() {}
 
     /**
-     * Appends a change to the log.
+     * A request to append a change to the log.
      *
-     * @param id the same for each attempt at one change, which is then appended once
-     * @param put values by key, as texts
-     * @param remove keys that are removed
+     * @param id identifies the change; a retry with the same id is appended only once
+     * @param put the values to set, by key
+     * @param remove the keys to remove
      */
     record PublishRequest(String id, Map<String, String> put, List<String> remove) {}
 
     /**
-     * A change is in the log.
+     * The change was appended to the log.
      *
-     * @param epoch of the log
-     * @param number of the change in it
+     * @param epoch the log's epoch
+     * @param number the number of the change in that epoch
      */
     record Published(long epoch, long number) {}
 
     /**
-     * A change is not in the log, as far as is known.
+     * The change was not appended, or the outcome is unknown.
      *
-     * @param error in one line
-     * @param retry whether the same request may succeed later, or at another control machine
+     * @param error a one-line description
+     * @param retry whether the same request may succeed later or on another control machine
      */
     record Failure(String error, boolean retry) {}
 
     /**
-     * How far a control machine and what is below it are.
+     * The versions that a control machine and the proxies below it have.
      *
-     * @param name of the control machine
-     * @param epoch of its log, 0 where it has none yet
-     * @param number of the last change
-     * @param publisher holder of the publisher's lease, empty where there is none
-     * @param ageMs for how long it has not known that this is the newest there is, -1 where it never knew
-     * @param subscribers that it serves
-     * @param catchingUp of them, those that are behind
-     * @param proxies below it, itself included
-     * @param inForce how many of them have which version in force, newest first
-     * @param rejecting how many of them reject the state that they received last
-     * @param rejections the first of them by name
+     * @param name the control machine's name
+     * @param epoch the epoch of its log, 0 if there is none yet
+     * @param number the number of the last change
+     * @param publisher the holder of the publisher lease, empty if there is none
+     * @param ageMs time since this version was last known to be the newest, -1 if it never was
+     * @param subscribers the number of subscribers it serves
+     * @param catchingUp how many of these are behind
+     * @param proxies the number of proxies below it, including itself
+     * @param inForce the number of proxies by version in force, newest first
+     * @param rejecting how many proxies rejected the last state they received
+     * @param rejections the first of these, sorted by name
      */
     record Versions(
             String name,
@@ -75,27 +74,27 @@
             long rejecting,
             List<RejectionView> rejections) {}
 
-    /** So many proxies have this version in force. */
+    /** The number of proxies that have a version in force. */
     record VersionCount(long epoch, long number, long proxies) {}
 
-    /** A proxy does not put a version into force, and why. */
+    /** A proxy that rejected a version, with the reason. */
     record RejectionView(String name, long epoch, long number, String reason) {}
 
     static byte[] bytes(Object value) {
         try {
             return JSON.std.asString(value).getBytes(StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new UncheckedIOException("a value cannot be written", e);
+            throw new UncheckedIOException("cannot serialize a value to JSON", e);
         }
     }
 
-    /** Reads one of the records; a {@link BadInput} where it is none. */
+    /** Parses one of the records; throws {@link BadInput} if the JSON does not match it. */
     static <T> T read(Class<T> type, byte[] json) {
         try {
             return JSON.std.beanFrom(type, json);
         } catch (IOException e) {
             throw new BadInput(
-                    "this is no "
+                    "not a valid "
                             + type.getSimpleName()
                             + ": "
                             + e.getMessage().lines().findFirst().orElse(""));
--- a/src/main/java/holdproxy/daemon/AdminClient.java
+++ b/src/main/java/holdproxy/daemon/AdminClient.java
@@ -9,7 +9,7 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** Operators' calls to control machines, {@link AdminApi}. */
+/** HTTP client for the {@link AdminApi} of control machines. */
 final class AdminClient {
     private static final Duration CONNECT_WITHIN = Duration.ofSeconds(2);
     private static final Duration ANSWER_WITHIN = Duration.ofSeconds(10);
@@ -21,7 +21,7 @@
                     .connectTimeout(CONNECT_WITHIN)
                     .build();
 
-    /** Gives {@link AdminApi.Published} or {@link AdminApi.Failure}; the latter also where nobody answers. */
+    /** Returns {@link AdminApi.Published} or {@link AdminApi.Failure}, the latter also if the call fails. */
     Object publish(InetSocketAddress machine, AdminApi.PublishRequest request) {
         HttpRequest.Builder call =
                 call(machine, AdminApi.CHANGES_PATH)
@@ -37,7 +37,7 @@
         }
     }
 
-    /** What a control machine says of itself; an {@link IOException} where it does not answer. */
+    /** Requests a control machine's versions; throws {@link IOException} if it does not answer. */
     AdminApi.Versions versions(InetSocketAddress machine) throws IOException {
         HttpResponse<byte[]> answer = send(call(machine, AdminApi.VERSIONS_PATH).GET());
         try {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** In one line what is wrong with a call. */
+    /** Describes a failed call in one line. */
     static String problem(InetSocketAddress machine, Exception failure) {
         String why =
                 failure.getMessage() == null
--- a/src/main/java/holdproxy/daemon/AdminServer.java
+++ b/src/main/java/holdproxy/daemon/AdminServer.java
@@ -27,14 +27,12 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
 
-/**
- * Where a control machine takes operators' calls: {@link AdminApi} on HTTP, one request for each connection.
- */
+/** HTTP server for the {@link AdminApi} of a control machine; one request per connection. */
 final class AdminServer implements AutoCloseable {
     private static final int MOST_CONNECTIONS = 32;
     private static final int IDLE_SECONDS = 30;
 
-    /** What calls ask for; on the event loop. */
+    /** Handles the requests; called on the event loop. */
     interface Operations {
         /** Completes with {@link AdminApi.Published} or {@link AdminApi.Failure}. */
         CompletableFuture<Object> publish(AdminApi.PublishRequest request);
@@ -91,12 +89,12 @@
                 .addLast(new Call());
     }
 
-    /** One request. */
+    /** Handles the one request of a connection. */
     private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (request.decoderResult().isFailure()) {
-                answer(ctx, HttpResponseStatus.BAD_REQUEST, failure("this is no HTTP request"));
+                answer(ctx, HttpResponseStatus.BAD_REQUEST, failure("malformed HTTP request"));
             } else if (request.uri().equals(AdminApi.VERSIONS_PATH)
                     && request.method().equals(HttpMethod.GET)) {
                 answer(ctx, HttpResponseStatus.OK, operations.versions());
@@ -108,7 +106,7 @@
                         ctx,
                         HttpResponseStatus.NOT_FOUND,
                         failure(
-                                "there are GET "
+                                "unknown path or method; supported are GET "
                                         + AdminApi.VERSIONS_PATH
                                         + " and POST "
                                         + AdminApi.CHANGES_PATH));
@@ -160,7 +158,7 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            ctx.close(); // idle
+            ctx.close(); // the only user event is the idle time-out
         }
 
         @Override
--- a/src/main/java/holdproxy/daemon/ConsensusPart.java
+++ b/src/main/java/holdproxy/daemon/ConsensusPart.java
@@ -26,21 +26,21 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * The consensus group and the leases in this process, on an event loop of their own: writes to the disk delay
- * neither requests nor membership.
+ * This process's member of the consensus group and its leases. They run on their own event loop so that disk
+ * writes delay neither requests nor membership.
  */
 final class ConsensusPart {
-    /** As the file has been called from its beginning: disks that stand go on being read. */
+    /** The file's original name, kept so that existing disks stay readable. */
     private static final String DISK = "council";
 
-    /** Who plans for zones; nobody acts under it yet. */
+    /** Role of the planner for zones. Its lease is held, but nothing uses it yet. */
     private static final String PLANNER = "planner";
 
     private static final int PLANNER_LEASE_MS = 3_000;
     private static final byte OF_GROUP = 0;
     private static final byte FREE = 1;
 
-    /** Both are well under the time that an end after SIGTERM has. */
+    // Both are well under the time allowed for the shutdown after SIGTERM.
     private static final long HAND_OVER_MS = 1_500;
 
     private static final long END_MS = 500;
@@ -65,7 +65,7 @@
         leases = new LeaseClient(name, generation, group, table, host, new Random());
     }
 
-    /** Takes up this process's vote, if it has one, and asks for the leases that the file names. */
+    /** Starts this process's member, a voter if configured as one, and requests the configured leases. */
     static ConsensusPart start(DaemonFile file, long generation, MembershipService membership) {
         ConsensusPart part = new ConsensusPart(file, generation, membership);
         membership.receive(
@@ -93,16 +93,16 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("the consensus group cannot begin", e.getCause());
+            throw new IllegalStateException("cannot start the consensus group", e.getCause());
         }
     }
 
-    /** On which all of it runs; what is called on its parts is called there. */
+    /** The event loop that this part runs on; its components may be called only there. */
     EventLoop loop() {
         return loop;
     }
 
-    /** What is agreed, as far as this process keeps it: all of it in a voter, nothing in others. */
+    /** The replicated state: complete in a voter, empty in other processes. */
     ReplicatedState state() {
         return state;
     }
@@ -111,19 +111,19 @@
         return leases;
     }
 
-    /** As {@link RaftGroup#propose}. */
+    /** See {@link RaftGroup#propose}. */
     CompletableFuture<Object> propose(Object operation, long withinUs) {
         return group.propose(operation, withinUs);
     }
 
-    /** As {@link RaftGroup#leaderSilentUs}. */
+    /** See {@link RaftGroup#leaderSilentUs}. */
     long leaderSilentUs() {
         return group.leaderSilentUs();
     }
 
     /**
-     * From now on this process asks for a lease whenever it is free; {@code listener} hears of it. On any
-     * thread.
+     * Requests the lease on a role whenever it is free, from now on; {@code listener} is told when it is
+     * granted or ends. May be called on any thread.
      */
     void want(String role, int leaseMs, LeaseListener listener) {
         loop.execute(
@@ -145,11 +145,11 @@
                 leases.notifiedFree(StandardCharsets.UTF_8.decode(told).toString(), token);
             }
         } catch (BadInput e) {
-            EventLog.line("a frame for the consensus group cannot be read: " + e.getMessage());
+            EventLog.line("cannot decode a consensus frame: " + e.getMessage());
         }
     }
 
-    /** Leadership, then what this process holds, goes to others, in time for them not to wait for it. */
+    /** Hands over leadership, then the held leases, so that others need not wait for them to expire. */
     void end() {
         CompletableFuture<Void> handed = new CompletableFuture<>();
         loop.execute(
@@ -161,10 +161,10 @@
                                                         .whenComplete(
                                                                 (done, failed) ->
                                                                         handed.complete(null))));
-        await(handed, HAND_OVER_MS, "the leases are not handed over in time");
+        await(handed, HAND_OVER_MS, "timed out while handing over leases");
         CompletableFuture<Void> over = new CompletableFuture<>();
         loop.execute(() -> group.end().whenComplete((done, failed) -> over.complete(null)));
-        await(over, END_MS, "the consensus group's part does not end in time");
+        await(over, END_MS, "timed out while stopping the consensus group member");
     }
 
     private static void await(CompletableFuture<Void> what, long ms, String late) {
@@ -177,7 +177,7 @@
         }
     }
 
-    /** What both are offered, and hear. */
+    /** Provides time, scheduling and transport to the group and the lease client, and logs their events. */
     private final class HostAdapter implements RaftGroup.Host, LeaseClient.Host {
         @Override
         public long nowUs() {
@@ -208,7 +208,7 @@
 
         @Override
         public void failed(RuntimeException failure) {
-            EventLog.line("a task of the consensus group has failed: " + failure);
+            EventLog.line("a task of the consensus group failed: " + failure);
         }
 
         @Override
@@ -252,14 +252,14 @@
         }
     }
 
-    /** For the command that founds a consensus group. */
+    /** Initializes the disk of a first voter, for {@code holdproxy daemon found}; returns the voters. */
     static List<String> found(DaemonFile file) {
         try (FileDisk disk = new FileDisk(disk(file))) {
             Files.createDirectories(file.folder());
             RaftGroup.found(disk, file.name(), file.voters());
             return file.voters();
         } catch (IOException e) {
-            throw new BadInput("the consensus disk " + disk(file) + " cannot be written: " + e);
+            throw new BadInput("cannot write the consensus disk " + disk(file) + ": " + e);
         }
     }
 }
--- a/src/main/java/holdproxy/daemon/ControlMachine.java
+++ b/src/main/java/holdproxy/daemon/ControlMachine.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A member of the consensus group that serves relays from the agreed log of changes, and, while it holds the
- * publisher's lease, appends to it what operators publish. On the consensus part's event loop.
+ * A member of the consensus group that serves relays from the replicated change log. While it holds the
+ * publisher lease it appends the changes that operators publish. Runs on the consensus part's event loop.
  */
 final class ControlMachine implements DistributionPart, AdminServer.Operations {
     private static final long PROPOSE_WITHIN_US = 5_000_000;
@@ -81,10 +81,10 @@
                         bound ->
                                 EventLog.line(
                                         bound.isSuccess()
-                                                ? "operators' calls are taken on "
+                                                ? "the admin API listens on "
                                                         + DistributionTransport.text(
                                                                 settings.admin())
-                                                : "cannot take operators' calls on "
+                                                : "the admin API cannot listen on "
                                                         + DistributionTransport.text(
                                                                 settings.admin())
                                                         + ": "
@@ -98,7 +98,7 @@
         advanceSoon();
     }
 
-    /** Not at once: the log may have many more entries to apply, at a start all of them. */
+    /** Deferred, because the log may still have many entries to apply; at a start, all of them. */
     private void advanceSoon() {
         if (!advancing) {
             advancing = true;
@@ -126,7 +126,7 @@
                 });
     }
 
-    // ---- operators' calls ----
+    // ---- admin API ----
 
     @Override
     public CompletableFuture<Object> publish(AdminApi.PublishRequest request) {
@@ -138,7 +138,7 @@
         if (underWay >= MOST_UNDER_WAY) {
             act.close();
             return CompletableFuture.completedFuture(
-                    new AdminApi.Failure(underWay + " changes are under way already", true));
+                    new AdminApi.Failure(underWay + " changes are already in progress", true));
         }
         underWay++;
         return consensus
@@ -225,7 +225,7 @@
                 rejections);
     }
 
-    /** What this member's own copy of the agreed log has. */
+    /** Serves the relay from this member's own copy of the change log. */
     private final class LocalLog implements Relay.Source {
         @Override
         public Replica replica() {
@@ -240,7 +240,7 @@
         }
     }
 
-    /** Whoever becomes the publisher sees to it that the log has an epoch. */
+    /** Tracks the publisher lease; a new publisher makes sure that the log has an epoch. */
     private final class Publishing implements LeaseListener {
         private boolean holds;
 
@@ -255,7 +255,10 @@
             holds = false;
         }
 
-        /** A log that has an epoch keeps it; one that was lost with all its disks takes a higher one. */
+        /**
+         * Proposes the wall clock's seconds as the log's epoch. A log that already has an epoch keeps it; a
+         * log that was lost with all its disks gets a higher one.
+         */
         private void found() {
             if (!holds) {
                 return;
--- a/src/main/java/holdproxy/daemon/ControlOptions.java
+++ b/src/main/java/holdproxy/daemon/ControlOptions.java
@@ -9,18 +9,18 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** Where a command finds the control machines, and what they say together. */
+/** Options that name the control machines, and the requests that are sent to all of them. */
 final class ControlOptions {
     @Option(
             names = "--config",
             paramLabel = "FILE.toml",
-            description = "a daemon's file, for [distribution] admins")
+            description = "a daemon's configuration file, read for [distribution] admins")
     private Path config;
 
     @Option(
             names = "--control",
             paramLabel = "HOST:PORT",
-            description = "where a control machine takes operators' calls; may be repeated")
+            description = "admin address of a control machine; may be repeated")
     private List<String> machines = new ArrayList<>();
 
     private final AdminClient client = new AdminClient();
@@ -29,7 +29,7 @@
         return client;
     }
 
-    /** All that are named, in their order. */
+    /** All addresses given, in order. */
     List<InetSocketAddress> addresses() {
         List<InetSocketAddress> addresses = new ArrayList<>();
         machines.forEach(each -> addresses.add(Config.address(each, "--control")));
@@ -50,7 +50,7 @@
         return addresses;
     }
 
-    /** What those say that answer; {@code unreachable} takes a line for each other one. */
+    /** Queries all machines; {@code unreachable} gets a line for each one that does not answer. */
     FleetVersions versions(
             List<InetSocketAddress> addresses, java.util.function.Consumer<String> unreachable) {
         List<AdminApi.Versions> answers = new ArrayList<>();
--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The life cycle of a daemon: starts its proxy and the parts around it, and ends them in their order. */
+/** The life cycle of a daemon: starts the proxy and the parts around it and stops them in order. */
 final class Daemon {
-    /** What {@link Service} keeps is below the daemon's folder, where it looks for it by this variable. */
+    /** Variable that tells {@link Service} where to keep its files; set to the daemon's folder. */
     private static final String KEPT_BELOW = "TMPDIR";
 
     private static final long NS_PER_US = 1_000;
@@ -28,7 +28,7 @@
     private ConsensusPart consensus;
     private DistributionPart distribution;
 
-    /** Published settings that are in force; replaced as a whole. */
+    /** The published settings in force; replaced as a whole. */
     private Map<String, byte[]> published = Map.of();
 
     private Daemon(Path file, DaemonFile inUse) {
@@ -36,13 +36,13 @@
         this.inUse = inUse;
     }
 
-    /** Returns once it takes clients; a {@link BadInput} says why it cannot start. */
+    /** Starts the daemon; returns once it accepts clients. Throws {@link BadInput} if it cannot start. */
     static void start(Path file, Map<String, String> env) {
         DaemonFile read = DaemonFile.read(file, new SecureRandom().nextLong() >>> 1);
         try {
             Files.createDirectories(read.folder());
         } catch (IOException e) {
-            throw new BadInput("the folder " + read.folder() + " cannot be made: " + e);
+            throw new BadInput("cannot create the folder " + read.folder() + ": " + e);
         }
         new Daemon(file, read).run(env);
     }
@@ -93,7 +93,7 @@
         EventLog.event("started", "name", inUse.name());
     }
 
-    /** The file as it is now, with what is published over it. One call at a time, as the service sees to. */
+    /** Reads the file again and applies the published settings over it. The service serializes the calls. */
     private Config readAgain() {
         DaemonFile now = DaemonFile.again(file, inUse);
         Config config = published.isEmpty() ? now.proxy() : now.with(published);
@@ -111,10 +111,10 @@
                         }));
     }
 
-    /** SIGTERM: what was taken is answered, then this process is over. */
+    /** On SIGTERM: answers the accepted requests, then exits. */
     private void end(Service service) {
         EventLog.event("ending", "name", inUse.name());
-        // while requests are answered: what this process holds, others have at once
+        // Hand over in parallel with the drain, so that others take over leases at once.
         Thread handing = new Thread(this::handOver, "hand-over");
         handing.start();
         service.drain();
@@ -139,7 +139,7 @@
         }
     }
 
-    /** What becomes known of others, as events. */
+    /** Logs membership changes as events. */
     private static final class MembershipEvents implements MembershipService.Listener {
         @Override
         public void changed(Change change) {
--- a/src/main/java/holdproxy/daemon/DaemonCommand.java
+++ b/src/main/java/holdproxy/daemon/DaemonCommand.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code holdproxy daemon}: the proxy of an installation of our own. Exit codes: 0 ended as it was told, or
- * the file is sound; 2 the command or the file is wrong.
+ * {@code holdproxy daemon}: the proxy as a member of a self-managed fleet. Exit codes: 0 stopped on request,
+ * or the file is valid; 2 the command line or the file is wrong.
  */
 @Command(
         name = "daemon",
@@ -26,12 +26,15 @@
             VersionsCommand.class
         })
 public final class DaemonCommand implements Callable<Integer> {
-    /** Not an exit code: the process has started and goes on. */
+    /** Not an exit code: the daemon has started and keeps running. */
     public static final int RUNS = -1;
 
     @Spec private CommandSpec spec;
 
-    @Option(names = "--config", paramLabel = "FILE.toml", description = "what operators say of it")
+    @Option(
+            names = "--config",
+            paramLabel = "FILE.toml",
+            description = "the daemon's configuration file")
     private Path config;
 
     private DaemonCommand() {}
@@ -51,11 +54,11 @@
         return RUNS;
     }
 
-    /** {@code holdproxy daemon found FILE}: once in the lifetime of a fleet, for each of the first voters. */
+    /** {@code holdproxy daemon found FILE}: run once per fleet on each of the first voters. */
     @Command(
             name = "found",
             description =
-                    "Writes what one of the first voters of a new consensus group begins with.",
+                    "Writes the initial disk of one of the first voters of a new consensus group.",
             mixinStandardHelpOptions = true)
     static final class Found implements Callable<Integer> {
         @Parameters(paramLabel = "FILE.toml")
@@ -73,10 +76,11 @@
         }
     }
 
-    /** {@code holdproxy daemon check FILE}: reads the file as a start would, and starts nothing. */
+    /** {@code holdproxy daemon check FILE}: validates the file without starting anything. */
     @Command(
             name = "check",
-            description = "Reads a file as a start would; code 2 names what is wrong.",
+            description =
+                    "Validates a configuration file; exit code 2 and the error if it is wrong.",
             mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE.toml")
--- a/src/main/java/holdproxy/daemon/DaemonFile.java
+++ b/src/main/java/holdproxy/daemon/DaemonFile.java
@@ -17,20 +17,20 @@
 import java.util.Set;
 
 /**
- * What operators say of a daemon, in TOML. Whatever is missing, unknown or out of its bounds is a
- * {@link BadInput} with the file and the line.
+ * A daemon's configuration file, in TOML. A missing, unknown or out-of-range value is a {@link BadInput} with
+ * the file and the line.
  *
- * @param name of the process in its fleet
- * @param folder where it keeps what has to outlive it
- * @param listen where clients come
- * @param console where operators call; null: nowhere
- * @param proxy its configuration as a proxy, checked
- * @param membership how it meets the others of its fleet; null: it is alone
- * @param voters names of the voters; empty: there is none
- * @param distribution how it takes part in the distribution of published changes; null: it does not
- * @param discovery where it has the list of cache nodes
- * @param document what {@code proxy} was made of, in the platform's form
- * @param drills leases without a purpose but to be held, for operators and the rig to try the fleet with
+ * @param name the process's name in its fleet
+ * @param folder the directory for its persistent state
+ * @param listen the address for clients
+ * @param console the address of the operators' console, or null
+ * @param proxy the checked configuration of the proxy
+ * @param membership this process's place in the membership protocol, or null
+ * @param voters the names of the consensus group's voters; empty without a consensus group
+ * @param distribution its part in the distribution of published changes, or null
+ * @param discovery the address that serves the list of cache nodes
+ * @param document the JSON document that {@code proxy} was read from, in the platform's form
+ * @param drills test leases, with which operators and the rig exercise the fleet
  */
 record DaemonFile(
         String name,
@@ -51,23 +51,23 @@
     private static final int MOST_LEASE_MS = 60_000;
 
     /**
-     * A lease without a purpose: its holder sends its token to a guarded resource.
+     * A test lease: its holder regularly sends the fencing token to a guarded resource.
      *
-     * @param role its name
-     * @param leaseMs length of its lease, in milliseconds
-     * @param everyMs an act each so often, in milliseconds
-     * @param resource where acts go
+     * @param role the name of the role
+     * @param leaseMs the lease's duration in milliseconds
+     * @param everyMs the interval between two messages to the resource, in milliseconds
+     * @param resource the resource's address
      */
     record Drill(String role, int leaseMs, int everyMs, InetSocketAddress resource) {}
 
-    /** The file as it is now; {@code seed}: of all chance. */
+    /** Reads the file for a start; {@code seed} seeds all random choices. */
     static DaemonFile read(Path file, long seed) {
         return read(file, seed, null);
     }
 
     /**
-     * The file for a process that runs already, as {@code inUse} says: what only a start can take, its name
-     * and addresses, has to be as it was.
+     * Reads the file again for a running process with the configuration {@code inUse}. Values that only a
+     * start can apply, such as the name and addresses, must be unchanged.
      */
     static DaemonFile again(Path file, DaemonFile inUse) {
         return read(file, 0, inUse);
@@ -168,12 +168,12 @@
     }
 
     /**
-     * The proxy's configuration with published settings over those of this file, checked; a {@link BadInput}
-     * names the key that is at fault.
+     * Returns the proxy's configuration with the published settings applied over those of this file, checked.
+     * A {@link BadInput} names the invalid key.
      */
     Config with(Map<String, byte[]> published) {
         Map<String, Object> all = new HashMap<>(document);
-        @SuppressWarnings("unchecked") // so it was read
+        @SuppressWarnings("unchecked") // read() puts a Map there
         Map<String, Object> own = (Map<String, Object>) document.get("settings");
         all.put("settings", PublishedSettings.over(own, published));
         try {
@@ -223,7 +223,7 @@
         }
     }
 
-    /** Checks a name of a process or a role. */
+    /** Checks the name of a process or a role. */
     static String name(String text) {
         if (!text.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
             throw new BadInput(
--- a/src/main/java/holdproxy/daemon/DistributionPart.java
+++ b/src/main/java/holdproxy/daemon/DistributionPart.java
@@ -1,8 +1,8 @@
 package holdproxy.daemon;
 
-/** What a process has to do with the distribution of published changes, by its role. */
+/** A process's part in the distribution of published changes, which depends on its role. */
 interface DistributionPart {
-    /** Starts what the file asks for; {@code consensus}: null where there is none. */
+    /** Starts the part for the configured role; {@code consensus} is null without a consensus group. */
     static DistributionPart start(
             String name,
             DistributionSettings settings,
@@ -14,6 +14,6 @@
                 : SubscribedProcess.start(name, settings, own, freshness, consensus);
     }
 
-    /** The process ends: whom it serves goes elsewhere. */
+    /** Stops on shutdown; its subscribers switch to other sources. */
     void end();
 }
--- a/src/main/java/holdproxy/daemon/DistributionSettings.java
+++ b/src/main/java/holdproxy/daemon/DistributionSettings.java
@@ -9,17 +9,17 @@
 import java.util.Locale;
 
 /**
- * The part of a daemon's file on the distribution of published changes, {@code [distribution]}. Whatever is
- * missing, unknown or out of its bounds is a {@link BadInput} with the file and the line.
+ * The {@code [distribution]} section of a daemon's file: the distribution of published changes. A missing,
+ * unknown or out-of-range value is a {@link BadInput} with the file and the line.
  *
- * @param role what this process does for others
- * @param site whose relay serves it; of a control machine where it stands
- * @param listen where relays or proxies subscribe; null in a proxy
- * @param upstream where this process subscribes, in no order; empty in a control machine
- * @param fallback where it subscribes while none of these serves it
- * @param admin where a control machine takes operators' calls; null in others
- * @param admins where operators' commands find the control machines
- * @param leaseMs length of the lease on the role of publisher or relay, in milliseconds
+ * @param role this process's role
+ * @param site the site of the relay that serves it; for a control machine, its own site
+ * @param listen the address that relays or proxies subscribe to; null in a proxy
+ * @param upstream the addresses this process subscribes to, in no order; empty in a control machine
+ * @param fallback the addresses it subscribes to while none of these serves it
+ * @param admin the address of a control machine's admin API; null in other roles
+ * @param admins the admin addresses of the control machines, for operators' commands
+ * @param leaseMs the duration of the publisher or relay lease in milliseconds
  */
 record DistributionSettings(
         Role role,
@@ -37,13 +37,13 @@
     private static final int MOST_UPSTREAM = 64;
     private static final int MOST_ADMINS = 16;
 
-    /** What a process does for others in the distribution of changes. */
+    /** A process's role in the distribution of changes. */
     enum Role {
-        /** A member of the consensus group: keeps the log of changes and serves relays from it. */
+        /** A member of the consensus group; keeps the change log and serves relays from it. */
         CONTROL,
-        /** Serves the proxies of its site from what it receives itself. */
+        /** Subscribes to changes and serves them to the proxies of its site. */
         RELAY,
-        /** Receives changes, and serves nobody. */
+        /** Subscribes to changes and serves no others. */
         PROXY;
 
         private static final List<String> WORDS = List.of("control", "relay", "proxy");
@@ -52,7 +52,7 @@
             return this != PROXY;
         }
 
-        /** As in the file. */
+        /** The name used in the file. */
         String word() {
             return name().toLowerCase(Locale.ROOT);
         }
@@ -64,7 +64,7 @@
         admins = List.copyOf(admins);
     }
 
-    /** Reads {@code [distribution]} of the process called {@code name}. */
+    /** Reads the {@code [distribution]} section of the process {@code name}. */
     static DistributionSettings read(String name, List<String> voters, TomlPart section) {
         Role role = Role.valueOf(section.word("role", Role.WORDS).toUpperCase(Locale.ROOT));
         String site = section.read("site", DaemonFile::name);
--- a/src/main/java/holdproxy/daemon/DistributionTransport.java
+++ b/src/main/java/holdproxy/daemon/DistributionTransport.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the parts of a daemon that distribute changes have in common. */
+/** Transport helpers shared by the parts of a daemon that distribute changes. */
 final class DistributionTransport {
     private static final int COUNT_SECONDS = 10;
     private static final int NS_PER_US = 1_000;
@@ -29,7 +29,7 @@
                 EventLog::line);
     }
 
-    /** Logs what has been carried, now and then, as long as the loop runs. */
+    /** Logs the transport counters periodically while the loop runs. */
     static void logCounters(TransportContext context) {
         context.loop()
                 .scheduleAtFixedRate(
@@ -57,7 +57,7 @@
                         java.util.concurrent.TimeUnit.SECONDS);
     }
 
-    /** Where a process subscribes, best first; different processes begin at different ones. */
+    /** The relays to subscribe to, best first; rendezvous hashing spreads processes over them. */
     static List<RelayCandidate> candidates(String name, DistributionSettings settings) {
         List<RelayCandidate> candidates = new ArrayList<>();
         settings.upstream().forEach(each -> candidates.add(candidate(each, settings.site())));
@@ -70,7 +70,7 @@
         return new RelayCandidate(text, text, site);
     }
 
-    /** An address as files have it. */
+    /** Formats an address as configuration files have it. */
     static String text(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort();
--- a/src/main/java/holdproxy/daemon/EventLog.java
+++ b/src/main/java/holdproxy/daemon/EventLog.java
@@ -5,18 +5,18 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * What this process says it does: one JSON line for each event, with its own monotonic clock, by which a
- * history of several processes can be put together.
+ * Structured log: one JSON line per event. Each line has the reading of the process's monotonic clock, by
+ * which the logs of several processes can be merged into one history.
  */
 final class EventLog {
-    /** The key of the monotonic clock's reading, in microseconds from no particular moment. */
+    /** Key of the monotonic clock's reading, in microseconds from an arbitrary origin. */
     static final String CLOCK = "mono_us";
 
     private static final Logger LOG = LoggerFactory.getLogger("holdproxy");
 
     private EventLog() {}
 
-    /** An event with keys and values in turn. */
+    /** Logs an event; keys and values alternate. */
     static void event(String name, Object... keysAndValues) {
         LoggingEventBuilder event = LOG.atInfo().addKeyValue(CLOCK, System.nanoTime() / 1000);
         for (int i = 0; i + 1 < keysAndValues.length; i += 2) {
@@ -25,7 +25,7 @@
         event.log(name);
     }
 
-    /** A line that the proxy itself logs. */
+    /** Logs a plain text line, such as those of the proxy. */
     static void line(String text) {
         LOG.info(text);
     }
--- a/src/main/java/holdproxy/daemon/FleetVersions.java
+++ b/src/main/java/holdproxy/daemon/FleetVersions.java
@@ -4,21 +4,21 @@
 import java.util.TreeSet;
 
 /**
- * How far a fleet is, by what its control machines say together.
+ * The versions in force across a fleet, merged from the answers of its control machines.
  *
- * @param machines those that answered
+ * @param machines the answers received
  */
 record FleetVersions(List<AdminApi.Versions> machines) {
     FleetVersions {
         machines = List.copyOf(machines);
     }
 
-    /** Proxies that are connected, by way of relays or at once. */
+    /** The number of connected proxies, directly or through relays. */
     long proxies() {
         return machines.stream().mapToLong(AdminApi.Versions::proxies).sum();
     }
 
-    /** Proxies that reject this version or a later one; those that reject an earlier one may take it yet. */
+    /** Proxies that reject this version or a later one; those rejecting an earlier one may still take it. */
     long rejectingAt(AdminApi.Published version) {
         long count = 0;
         for (AdminApi.Versions machine : machines) {
@@ -27,7 +27,8 @@
                 named += reaches(each.epoch(), each.number(), version) ? 1 : 0;
             }
             boolean allNamed = named == machine.rejections().size();
-            // of those that are not named nothing else is known
+            // Which version the unnamed proxies reject is unknown, so they count only if all are
+            // named.
             count += allNamed ? machine.rejecting() : named;
         }
         return count;
@@ -37,7 +38,7 @@
         return epoch > version.epoch() || epoch == version.epoch() && number >= version.number();
     }
 
-    /** Proxies that have this version or a later one in force. */
+    /** The number of proxies that have this version or a later one in force. */
     long inForceAt(AdminApi.Published version) {
         long count = 0;
         for (AdminApi.Versions machine : machines) {
@@ -49,7 +50,10 @@
         return count;
     }
 
-    /** Whether each connected proxy has this version in force or has rejected what it received last. */
+    /**
+     * Whether at least {@code expected} proxies are connected and each has this version or a later one in
+     * force or has rejected it.
+     */
     boolean isSettledAt(AdminApi.Published version, long expected) {
         return !machines.isEmpty()
                 && proxies() >= expected
@@ -80,14 +84,14 @@
                 + (unnamed > 0 ? " and " + unnamed + " more" : "");
     }
 
-    /** One machine's line. */
+    /** Formats one control machine's answer as a line. */
     static String line(AdminApi.Versions machine) {
         StringBuilder line =
                 new StringBuilder(machine.name() + ": " + machine.epoch() + "/" + machine.number());
         if (machine.publisher().equals(machine.name())) {
             line.append(", publisher");
         }
-        line.append(", known to be the newest ")
+        line.append(", last known to be the newest: ")
                 .append(machine.ageMs() < 0 ? "never" : machine.ageMs() + " ms ago")
                 .append(", ")
                 .append(machine.subscribers())
--- a/src/main/java/holdproxy/daemon/FreshnessReporter.java
+++ b/src/main/java/holdproxy/daemon/FreshnessReporter.java
@@ -5,12 +5,12 @@
 import holdproxy.fanout.Relay;
 import java.util.function.LongSupplier;
 
-/** Tells operators which published state is in force and since when it is not known to be the newest. */
+/** Reports the published state in force and for how long it has not been known to be the newest. */
 final class FreshnessReporter {
-    /** How often {@link #look} is to be called. */
+    /** Interval at which {@link #look} is to be called. */
     static final int LOOK_MS = 1_000;
 
-    /** A state that is not known to be the newest for so long is an event. */
+    /** A state that has not been known to be the newest for this long is reported as stale. */
     static final long STALE_US = 30_000_000;
 
     private static final long US_PER_S = 1_000_000;
@@ -21,14 +21,14 @@
     private final long startUs;
     private boolean stale;
 
-    /** {@code nowUs}: the present moment in microseconds, which never goes back. */
+    /** {@code nowUs}: a monotonic clock in microseconds. */
     FreshnessReporter(Figures figures, LongSupplier nowUs) {
         this.figures = figures;
         this.nowUs = nowUs;
         startUs = nowUs.getAsLong();
     }
 
-    /** {@code ageUs}: as {@link Relay.Source#ageUs} has it. */
+    /** Updates the figures and logs a change of freshness; {@code ageUs}: see {@link Relay.Source#ageUs}. */
     void look(Position inForce, long ageUs) {
         boolean known = ageUs != Relay.Source.UNKNOWN_AGE_US;
         long silentUs = known ? ageUs : nowUs.getAsLong() - startUs;
--- a/src/main/java/holdproxy/daemon/GenerationFile.java
+++ b/src/main/java/holdproxy/daemon/GenerationFile.java
@@ -10,13 +10,13 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A process's generation, kept so that it grows though the wall clock may not. */
+/** Persists a process's generation, so that it grows even if the wall clock goes back. */
 final class GenerationFile {
     private static final String NAME = "life";
 
     private GenerationFile() {}
 
-    /** The generation that begins now: the wall clock's milliseconds, or one more than the last. */
+    /** Returns and stores a new generation: {@code wallMs}, but at least one more than the last. */
     static long next(Path folder, long wallMs) {
         Path file = folder.resolve(NAME);
         long last = 0;
@@ -26,11 +26,11 @@
             }
         } catch (IOException | NumberFormatException e) {
             throw new BadInput(
-                    "the last generation cannot be read from "
+                    "cannot read the last generation from "
                             + file
                             + ": "
                             + e
-                            + "; without the file a start takes the wall clock");
+                            + "; if the file is removed, the next start uses the wall clock");
         }
         long next = Math.max(wallMs, last + 1);
         Path fresh = folder.resolve(NAME + ".new");
@@ -47,7 +47,7 @@
             out.force(true);
             Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            throw new BadInput("this generation cannot be kept in " + file + ": " + e);
+            throw new BadInput("cannot write the generation to " + file + ": " + e);
         }
         return next;
     }
--- a/src/main/java/holdproxy/daemon/LeaseExercise.java
+++ b/src/main/java/holdproxy/daemon/LeaseExercise.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The acts under a drill's lease: a line with the lease and the token to the guarded resource, which compares
- * the token with those it has seen.
+ * Uses the lease of a drill: sends lines with the role and the fencing token to the guarded resource, which
+ * compares the token with those it has seen.
  */
 final class LeaseExercise {
     private static final int CONNECT_MS = 1_000;
--- a/src/main/java/holdproxy/daemon/LeaseListener.java
+++ b/src/main/java/holdproxy/daemon/LeaseListener.java
@@ -1,6 +1,6 @@
 package holdproxy.daemon;
 
-/** Hears whether this process holds a lease, on the consensus part's event loop. */
+/** Called on the consensus part's event loop when this process is granted or loses a lease. */
 interface LeaseListener {
     void granted(long token);
 
--- a/src/main/java/holdproxy/daemon/PublishCommand.java
+++ b/src/main/java/holdproxy/daemon/PublishCommand.java
@@ -22,10 +22,10 @@
 @Command(
         name = "publish",
         description = {
-            "Publishes settings to the fleet and waits for what comes of it.",
+            "Publishes settings to the fleet and waits until proxies apply or reject them.",
             "Exit codes: 0 in force at all connected proxies; 1 rejected by some; 2 the command or"
-                + " the file is wrong, or the log refuses the change; 3 not settled within --wait;"
-                + " 4 no control machine took it."
+                + " the file is wrong, or the log refused the change; 3 not settled within --wait;"
+                + " 4 no control machine accepted it."
         },
         mixinStandardHelpOptions = true)
 final class PublishCommand implements Callable<Integer> {
@@ -44,19 +44,19 @@
             names = "--wait",
             paramLabel = "SECONDS",
             defaultValue = "60",
-            description = "how long to wait, for a control machine and then for proxies")
+            description = "maximum wait for a control machine, and again for the proxies")
     private int waitSeconds;
 
     @Option(
             names = "--expect",
             paramLabel = "PROXIES",
             defaultValue = "1",
-            description = "wait until so many proxies are connected")
+            description = "minimum number of connected proxies to wait for")
     private long expected;
 
     @Parameters(
             paramLabel = "CHANGE.toml",
-            description = "[settings] to publish, and remove = [\"section\"]")
+            description = "file with [settings] to publish and remove = [\"section\"]")
     private Path file;
 
     @Override
@@ -88,7 +88,7 @@
         return new AdminApi.PublishRequest(UUID.randomUUID().toString(), puts, removed);
     }
 
-    /** One machine after another until one takes it, or says that none will. */
+    /** Tries the machines in turn until one accepts the change or refuses it for good. */
     private Object publish(List<InetSocketAddress> machines, AdminApi.PublishRequest request)
             throws InterruptedException {
         long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(waitSeconds);
--- a/src/main/java/holdproxy/daemon/PublishedConfiguration.java
+++ b/src/main/java/holdproxy/daemon/PublishedConfiguration.java
@@ -13,13 +13,13 @@
 import java.util.TreeMap;
 
 /**
- * Puts published settings into force at this process's proxy, all of a state or nothing of it. On one event
- * loop.
+ * Applies published settings to this process's proxy, each state as a whole or not at all. Confined to one
+ * event loop.
  */
 final class PublishedConfiguration implements Subscriber.Consumer {
-    /** The proxy that settings are for. */
+    /** The proxy that the settings are applied to. */
     interface Target {
-        /** Takes its own file's settings with these in place of theirs, or says in one line why not. */
+        /** Applies these settings over those of its own file; on failure returns a one-line reason. */
         Optional<String> take(Map<String, byte[]> published);
     }
 
@@ -34,12 +34,12 @@
         this.target = target;
     }
 
-    /** What this process has in force, for those who count. */
+    /** The version this process has in force, for the coverage counts. */
     CoverageReport report() {
         return CoverageReport.ofProxy(inForce, rejection);
     }
 
-    /** Position of the last state that was taken. */
+    /** Position of the last state applied. */
     Position inForce() {
         return inForce;
     }
@@ -82,8 +82,8 @@
         try {
             return target.take(published);
         } catch (RuntimeException e) {
-            // one state that nobody foresaw must not end the link over which the next one comes
-            return Optional.of("it cannot be read: " + e);
+            // An unexpected failure must not close the link, which also delivers the next state.
+            return Optional.of("cannot be applied: " + e);
         }
     }
 }
--- a/src/main/java/holdproxy/daemon/PublishedSettings.java
+++ b/src/main/java/holdproxy/daemon/PublishedSettings.java
@@ -14,14 +14,14 @@
 
 /**
  * Settings that operators publish to a whole fleet. Each top-level section of {@code [settings]} is one key
- * of the distributed state, its value a JSON text; a published section takes the place of the same one in a
- * process's own file.
+ * of the distributed state, with a JSON text as its value. Published values override those in a process's own
+ * file.
  */
 final class PublishedSettings {
-    /** What the keys of published settings begin with; other keys are of other users. */
+    /** Key prefix of published settings; other keys of the state have other users. */
     static final String PREFIX = "settings/";
 
-    /** Bytes of a file that is published. */
+    /** Maximum size in bytes of a file to publish. */
     private static final int LONGEST_FILE = 64 << 10;
 
     private PublishedSettings() {}
@@ -30,9 +30,7 @@
         return key.startsWith(PREFIX);
     }
 
-    /**
-     * The settings {@code own} with all that is published in place of theirs: tables key by key, lists whole.
-     */
+    /** Applies published settings over {@code own}: tables are merged key by key, lists are replaced. */
     static Map<String, Object> over(Map<String, Object> own, Map<String, byte[]> published) {
         Map<String, Object> all = new HashMap<>(own);
         published.forEach(
@@ -56,7 +54,7 @@
         return both;
     }
 
-    /** What is wrong, with the published key where the value at fault is one's. */
+    /** The failure's message, prefixed with the published key if the invalid value came from one. */
     static String nameKey(Map<String, byte[]> published, BadInput failure) {
         String path = failure.path() == null ? "" : failure.path();
         String key = PREFIX + path.split("\\.", 2)[0];
@@ -72,14 +70,14 @@
                 return read;
             }
         } catch (IOException e) {
-            // said below
+            // reported below
         }
         throw new BadInput(key + " is no JSON value");
     }
 
     /**
-     * What a file asks to publish: each section below {@code [settings]}, and null for each one that {@code
-     * remove} names, for which processes go by their own files again.
+     * Reads the change to publish from a file: the value of each section below {@code [settings]}, and null
+     * for each section listed in {@code remove}, for which processes use their own files again.
      */
     static Map<String, byte[]> read(Path file) {
         String text;
@@ -115,7 +113,7 @@
         try {
             return JSON.std.asString(value).getBytes(StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new UncheckedIOException("a value cannot be written", e);
+            throw new UncheckedIOException("cannot serialize a value to JSON", e);
         }
     }
 }
--- a/src/main/java/holdproxy/daemon/RelayRole.java
+++ b/src/main/java/holdproxy/daemon/RelayRole.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Serves subscribers while this process has the role to, and listens only then: others find a closed port and
- * try the next candidate. On the context's event loop.
+ * Serves subscribers while this process has the relay role. It listens only then, so that subscribers find a
+ * closed port otherwise and try the next candidate. Runs on the context's event loop.
  */
 final class RelayRole {
     private static final int BIND_AGAIN_MS = 500;
@@ -18,7 +18,7 @@
     private final Relay.Source source;
     private final InetSocketAddress address;
 
-    /** Null while it does not serve. */
+    /** Null while this process does not serve. */
     private RelayServer server;
 
     RelayRole(TransportContext context, Relay.Source source, InetSocketAddress address) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Its subscribers are sent elsewhere. */
+    /** Stops serving; subscribers switch to other candidates. */
     void end() {
         if (server != null) {
             server.close();
@@ -42,14 +42,14 @@
         }
     }
 
-    /** The source has changed. */
+    /** To be called when the source has changed. */
     void advanced() {
         if (server != null) {
             server.advanced();
         }
     }
 
-    /** What the proxies that it serves have in force. */
+    /** The versions in force at the proxies it serves. */
     CoverageReport report() {
         return server == null ? CoverageReport.EMPTY : server.relay().report();
     }
@@ -58,7 +58,7 @@
         return server == null ? 0 : server.relay().status(nowUs).subscribers();
     }
 
-    /** Of the subscribers, those that are behind. */
+    /** The number of subscribers that are behind. */
     int catchingUp(long nowUs) {
         return server == null ? 0 : server.relay().status(nowUs).catchingUp();
     }
@@ -79,7 +79,7 @@
                             EventLog.line(
                                     "cannot listen for subscribers on "
                                             + DistributionTransport.text(address)
-                                            + ", trying on: "
+                                            + ", retrying: "
                                             + bound.cause().getMessage());
                             context.loop()
                                     .schedule(
--- a/src/main/java/holdproxy/daemon/ReplicatedState.java
+++ b/src/main/java/holdproxy/daemon/ReplicatedState.java
@@ -9,21 +9,21 @@
 import java.util.List;
 
 /**
- * What the consensus group of a fleet agrees on: who holds which lease, and the log of published changes.
- * Publications carry the fencing token of the lease {@link #PUBLISHER}; one under an earlier token than that
- * lease was last granted with is refused, alike by every member.
+ * The state machine of a fleet's consensus group: the lease table and the log of published changes. A
+ * publication carries the fencing token of the {@link #PUBLISHER} lease; every member refuses a publication
+ * whose token is older than the last one granted.
  *
- * <p>Operations on the log are marked, those on leases are not: logs and snapshots of before have no log of
- * changes and are read as they were.
+ * <p>Operations on the change log are marked, those on leases are not, so that Raft logs and snapshots
+ * written before there was a change log can still be read.
  */
 final class ReplicatedState implements StateMachine {
-    /** Whose holder alone appends to the log of changes. */
+    /** Role whose holder alone appends to the change log. */
     static final String PUBLISHER = "publisher";
 
-    /** Marks operations on the log of changes, and its parts of a snapshot. */
+    /** Marks operations on the change log and its parts of a snapshot. */
     private static final String CHANGES = "changes";
 
-    /** With one value more, under a quarter of a frame between members. */
+    /** Even with one more value a part stays below a quarter of a frame between members. */
     private static final int SNAPSHOT_PART_BYTES = 128 << 10;
 
     private final LeaseTable leases;
@@ -35,7 +35,7 @@
         this.changes = changes;
     }
 
-    /** {@code changed} is run after each change of the log. */
+    /** Sets a callback that runs after each operation on the change log and after a restore. */
     void onChange(Runnable changed) {
         listener = changed;
     }
@@ -48,13 +48,13 @@
         return changes;
     }
 
-    /** The operation that appends a publication; its answer is for {@link ChangeLogOperations#result}. */
+    /** The operation that appends a publication; {@link ChangeLogOperations#result} decodes its answer. */
     static List<Object> append(Publication publication) {
         return List.of(CHANGES, ChangeLogOperations.append(publication));
     }
 
     /**
-     * The operation that gives an empty log its epoch; its answer is for {@link ChangeLogOperations#result}.
+     * The operation that gives an empty log its epoch; {@link ChangeLogOperations#result} decodes its answer.
      */
     static List<Object> found(long epoch) {
         return List.of(CHANGES, ChangeLogOperations.found(epoch));
--- a/src/main/java/holdproxy/daemon/SubscribedProcess.java
+++ b/src/main/java/holdproxy/daemon/SubscribedProcess.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A proxy or a site's relay: subscribes, puts what is published into force at its own proxy and, as a relay,
- * serves the site's proxies. On an event loop of its own.
+ * A proxy or a site's relay: subscribes to changes, applies them to its own proxy and, as a relay, serves the
+ * site's proxies. Runs on its own event loop.
  *
- * <p>Where there is a consensus group a relay serves while it holds the lease on its site's role, so that one
- * relay of a site serves at a time; the others stay subscribed and take over with what they hold.
+ * <p>With a consensus group, a relay serves while it holds the lease on its site's role, so that one relay
+ * per site serves at a time; the others stay subscribed and can take over with the state they have.
  */
 final class SubscribedProcess implements DistributionPart {
     private static final String RELAY_ROLE = "relay-";
@@ -50,7 +50,7 @@
         relay = serves ? new RelayRole(context, upstream.subscriber(), settings.listen()) : null;
     }
 
-    /** {@code consensus}: null where there is none, and a relay always serves. */
+    /** {@code consensus}: null without a consensus group; a relay then always serves. */
     static SubscribedProcess start(
             String name,
             DistributionSettings settings,
@@ -81,13 +81,13 @@
         freshness.look(own.inForce(), upstream.subscriber().ageUs(context.nowUs().getAsLong()));
     }
 
-    /** Its own proxy and those that it serves. */
+    /** Coverage of its own proxy and of those that it serves. */
     private CoverageReport report() {
         return CoverageReport.merge(
                 List.of(own.report(), relay.report()), context.settings().limits());
     }
 
-    /** Not at once: the subscriber that says so is at work, and may have more to say. */
+    /** Deferred, because the calling subscriber may still be applying further changes. */
     private void advanceSoon() {
         if (relay != null && !advancing) {
             advancing = true;
@@ -110,7 +110,7 @@
                 });
     }
 
-    /** The lease on the site's role, told on the consensus part's loop. */
+    /** Follows the lease on the site's role; called on the consensus part's event loop. */
     private final class Holding implements LeaseListener {
         @Override
         public void granted(long token) {
--- a/src/main/java/holdproxy/daemon/VersionsCommand.java
+++ b/src/main/java/holdproxy/daemon/VersionsCommand.java
@@ -4,11 +4,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** {@code holdproxy daemon versions}: what each control machine says of the log and the proxies below it. */
+/** {@code holdproxy daemon versions}: prints the log and proxy versions of each control machine. */
 @Command(
         name = "versions",
         description = {
-            "Says which versions of the published state are in force where.",
+            "Prints which versions of the published state are in force.",
             "Exit codes: 0 all control machines answered; 2 the command or the file is wrong; 4 one"
                     + " did not answer."
         },
--- a/src/main/java/holdproxy/daemon/package-info.java
+++ b/src/main/java/holdproxy/daemon/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The process for installations of our own, {@code holdproxy daemon}: its file, its log, its life cycle, and
- * the parts by which a fleet cooperates. They stand around the same proxy that {@code serve} runs; the proxy
- * knows nothing of them.
+ * {@code holdproxy daemon}, the process for self-managed fleets: its configuration file, log and life cycle,
+ * and the parts by which a fleet cooperates. It runs the same proxy as {@code serve}; the proxy does not
+ * depend on this package.
  */
 package holdproxy.daemon;
--- a/src/main/java/holdproxy/input/BadInput.java
+++ b/src/main/java/holdproxy/input/BadInput.java
@@ -1,23 +1,23 @@
 package holdproxy.input;
 
-/** Input that does not follow the wire; the message says what and where, on one line. */
+/** Thrown for invalid input; the one-line message says what is wrong and where. */
 public final class BadInput extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final String path;
 
-    /** {@code message}: what is wrong, and where. */
+    /** {@code message}: what is wrong and where. */
     public BadInput(String message) {
         this(message, null);
     }
 
-    /** {@code path}: of the value at fault, its keys joined by dots, for who knows where it stands. */
+    /** {@code path}: the invalid value's keys joined by dots, from which a caller can find its line. */
     public BadInput(String message, String path) {
         super(message);
         this.path = path;
     }
 
-    /** Of the value at fault; null where the message says all. */
+    /** The invalid value's path; null if the message already says where it is. */
     public String path() {
         return path;
     }
--- a/src/main/java/holdproxy/input/SettingsText.java
+++ b/src/main/java/holdproxy/input/SettingsText.java
@@ -9,19 +9,19 @@
 import java.util.TreeSet;
 
 /**
- * Reads the settings' path=value lines; unknown paths are ignored, but can be asked for; missing ones take a
- * safe default.
+ * Reads settings from path=value lines. Unknown paths are ignored but can be listed with {@link #unknown};
+ * missing ones get a safe default.
  */
 public final class SettingsText {
     private static final int MOST_ITEMS = 100_000;
 
-    /** Where no time for dials is stated: the one that connections and windows of repeats both go by. */
+    /** Default connect time-out; both connections and repeat windows depend on it. */
     private static final long DIAL_US = 1_000_000;
 
     private final Map<String, String> values = new HashMap<>();
     private final Set<String> asked = new HashSet<>();
 
-    /** Of JSON text. */
+    /** Parses the lines. */
     public SettingsText(String text) {
         for (String line : text.split("\n")) {
             int eq = line.indexOf('=');
@@ -33,12 +33,12 @@
         }
     }
 
-    /** The same paths and values, already apart. */
+    /** Takes the paths and values already split. */
     public SettingsText(Map<String, String> pairs) {
         values.putAll(pairs);
     }
 
-    /** The settings, checked. */
+    /** Returns the checked settings. */
     public Router.Settings settings() {
         Router.Settings s = new Router.Settings();
         s.index = integer("index", 0, 0);
@@ -118,12 +118,12 @@
         return s;
     }
 
-    /** The names of the values in the load reports, in their order there. */
+    /** The names of the values in the load reports, in report order. */
     public String[] reportFields() {
         return value("reporting.fields", "").split(",");
     }
 
-    /** The paths that nothing of this class has asked for yet, in order. */
+    /** The paths that have not been read so far, sorted. */
     public Set<String> unknown() {
         Set<String> unknown = new TreeSet<>(values.keySet());
         unknown.removeAll(asked);
@@ -135,7 +135,7 @@
         return values.getOrDefault(path, fallback);
     }
 
-    /** Puts one value of a load report where it belongs; its name is the wire's or the protocol's. */
+    /** Stores one value of a load report; accepts the simulator's and the memcache protocol's names. */
     public static void report(String field, double value, Router.Report report) {
         switch (field) {
             case "rif", "inflight" -> report.inFlight = value;
@@ -146,7 +146,7 @@
             case "fail_rate", "eps" -> report.errorsPerS = value;
             case "x0" -> report.hitShare = value;
             case "x1" -> report.fetchesOut = value;
-            default -> {} // a value not known here
+            default -> {} // unknown values are ignored
         }
     }
 
@@ -192,7 +192,7 @@
                 return v;
             }
         } catch (NumberFormatException e) {
-            // said below, with the setting's name
+            // reported below, with the setting's name
         }
         throw bad(path, "a number of at least " + least);
     }
--- a/src/main/java/holdproxy/input/Shape.java
+++ b/src/main/java/holdproxy/input/Shape.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Whether a file that is to replace another one has all that the other has, and of the same kind: what a file
- * needs stands in the one that serves already. Values are those of JSON.
+ * Checks that a new configuration file has every key of the file in use, with a value of the same type. The
+ * file in use thus serves as the schema. Values are JSON values.
  */
 public final class Shape {
     private Shape() {}
@@ -29,8 +29,7 @@
             map.forEach((key, value) -> check(before + key, value, other.get(key)));
         } else if (inUse instanceof List<?> list) {
             List<?> other = next instanceof List<?> l ? l : wrong(path, "a list");
-            // each entry is to have what all the entries that serve have; what only some have none
-            // needs
+            // Each entry needs the keys that all entries in use have; other keys are optional.
             Object needed = common(list);
             for (int i = 0; i < other.size(); i++) {
                 check(path + "." + i, needed, other.get(i));
@@ -44,7 +43,7 @@
         }
     }
 
-    /** What all entries have; null where there is none. */
+    /** The keys that all entries have, or the first entry if it is no object; null for an empty list. */
     private static Object common(List<?> entries) {
         if (entries.isEmpty() || !(entries.get(0) instanceof Map<?, ?> first)) {
             return entries.isEmpty() ? null : entries.get(0);
--- a/src/main/java/holdproxy/input/package-info.java
+++ b/src/main/java/holdproxy/input/package-info.java
@@ -1,2 +1,2 @@
-/** Settings as text, and the error that names what is wrong with an input and where. */
+/** Parsing and checking of settings, and the exception for invalid input. */
 package holdproxy.input;
--- a/src/main/java/holdproxy/package-info.java
+++ b/src/main/java/holdproxy/package-info.java
@@ -1,2 +1,2 @@
-/** The program: picks the command that the first argument names. */
+/** The program's entry point, which dispatches to the command that the first argument names. */
 package holdproxy;
--- a/src/main/java/holdproxy/toml/TomlPart.java
+++ b/src/main/java/holdproxy/toml/TomlPart.java
@@ -15,8 +15,9 @@
 import org.tomlj.TomlTable;
 
 /**
- * A table of a TOML file: gives out its values checked, and knows which of its keys were asked for. What is
- * missing, unknown, of another kind or out of its bounds is a {@link BadInput} with the file and the line.
+ * A table of a TOML file with checked access. It records which keys were read, so that {@link #done} can
+ * report unknown ones. A value that is missing, unknown, of the wrong type or out of range is a {@link
+ * BadInput} with the file and the line.
  */
 public final class TomlPart {
     private final String file;
@@ -32,7 +33,7 @@
         this.start = start;
     }
 
-    /** {@code file}: its name, for errors; {@code what} the table is. */
+    /** {@code file} names the file and {@code what} the table in error messages. */
     public static TomlPart parse(String file, String what, String text) {
         TomlParseResult parsed = Toml.parse(text);
         if (parsed.hasErrors()) {
@@ -46,18 +47,18 @@
         return new TomlPart(file, what, parsed, null);
     }
 
-    /** Where a key stands, or the table where it does not. */
+    /** The position of a key, or of the table if the key is absent. */
     public TomlPosition at(String key) {
         TomlPosition at = table.inputPositionOf(List.of(key));
         return at == null ? start : at;
     }
 
-    /** An error that names the file and the line. */
+    /** Returns an error with the file and the line. */
     public BadInput bad(TomlPosition at, String why) {
         return new BadInput(file + (at == null ? "" : " line " + at.line()) + ": " + why);
     }
 
-    /** The key that is stated of two that mean the same; the current one where neither is. */
+    /** Of a key's current and former name, the one that is present; the current one if neither is. */
     public String currentOrFormer(String current, String former) {
         if (!table.contains(List.of(former))) {
             return current;
@@ -74,7 +75,7 @@
         return table.get(List.of(key));
     }
 
-    /** A text, or the fallback where it is not stated. */
+    /** A string, or the fallback if the key is absent. */
     public String text(String key, String fallback) {
         Object value = value(key);
         if (value == null || value instanceof String) {
@@ -83,7 +84,7 @@
         throw bad(at(key), key + " is no text");
     }
 
-    /** A text that has to be stated, as {@code reader} reads it; what that says of it gets the line. */
+    /** A required string, converted by {@code reader}; its {@link BadInput} gets the file and the line. */
     public <T> T read(String key, Function<String, T> reader) {
         if (value(key) == null) {
             throw bad(start, key + " is missing from " + what);
@@ -95,7 +96,7 @@
         }
     }
 
-    /** A list of texts, each as {@code reader} can read it; empty where it is not stated. */
+    /** A list of strings, each checked by {@code reader}; empty if the key is absent. */
     public List<String> texts(String key, Function<String, ?> reader) {
         List<String> texts = new ArrayList<>();
         TomlArray array = array(key);
@@ -115,12 +116,12 @@
         return texts;
     }
 
-    /** The keys that are stated. */
+    /** The keys that are present. */
     public Set<String> keys() {
         return table.keySet();
     }
 
-    /** A table with all that is in it as maps, lists, texts, numbers, truths; empty where there is none. */
+    /** A table as plain maps, lists, strings, numbers and booleans; empty if the key is absent. */
     public Map<String, Object> map(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
@@ -149,7 +150,7 @@
         return value instanceof Number || value instanceof Boolean ? value : value.toString();
     }
 
-    /** Where the value of this path stands, keys and numbers of entries joined by dots, or what holds it. */
+    /** The position of a dotted path of keys and list indexes, or of the innermost existing parent. */
     public TomlPosition atPath(String path) {
         TomlPosition at = start;
         Object inside = table;
@@ -169,7 +170,7 @@
         return at;
     }
 
-    /** A number within bounds, or the fallback where it is not stated. */
+    /** A number within bounds, or the fallback if the key is absent. */
     public double number(String key, double fallback, double least, double most) {
         Object value = value(key);
         if (value == null) {
@@ -191,7 +192,7 @@
                         + value);
     }
 
-    /** A number within bounds, which has to be stated. */
+    /** A required number within bounds. */
     public double needed(String key, double least, double most) {
         if (value(key) == null) {
             throw bad(start, key + " is missing from " + what);
@@ -199,7 +200,7 @@
         return number(key, 0, least, most);
     }
 
-    /** A whole number within bounds, or the fallback where it is not stated. */
+    /** A whole number within bounds, or the fallback if the key is absent. */
     public int whole(String key, int fallback, int least, int most) {
         double value = number(key, fallback, least, most);
         if (value != Math.rint(value)) {
@@ -208,7 +209,7 @@
         return (int) value;
     }
 
-    /** A list; null where it is not stated. */
+    /** A list, or null if the key is absent. */
     public TomlArray array(String key) {
         Object value = value(key);
         if (value == null || value instanceof TomlArray) {
@@ -217,7 +218,7 @@
         throw bad(at(key), key + " in " + what + " is no list");
     }
 
-    /** A table, {@code [key]}; an empty one where there is none. */
+    /** A table, {@code [key]}; an empty one if the key is absent. */
     public TomlPart part(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
@@ -227,7 +228,7 @@
                 file, "[" + key + "]", value == null ? Toml.parse("") : (TomlTable) value, at(key));
     }
 
-    /** A list of tables, {@code [[key]]}; none where there is none. */
+    /** A list of tables, {@code [[key]]}; empty if the key is absent. */
     public List<TomlPart> parts(String key) {
         List<TomlPart> parts = new ArrayList<>();
         TomlArray array = array(key);
@@ -242,7 +243,7 @@
         return parts;
     }
 
-    /** True or false; false where it is not stated. */
+    /** A boolean; false if the key is absent. */
     public boolean flag(String key) {
         Object value = value(key);
         if (value == null || value instanceof Boolean) {
@@ -251,7 +252,7 @@
         throw bad(at(key), key + " in " + what + " is neither true nor false");
     }
 
-    /** One of these words, which has to be stated. */
+    /** A required string that is one of these words. */
     public String word(String key, List<String> words) {
         String word = text(key, "");
         if (!words.contains(word)) {
@@ -260,7 +261,7 @@
         return word;
     }
 
-    /** All that there is was asked for; what was not is unknown. */
+    /** Throws a {@link BadInput} for the first key that was never read, which is thus unknown. */
     public void done() {
         for (String key : table.keySet()) {
             if (!asked.contains(key)) {
--- a/src/main/java/holdproxy/toml/TomlText.java
+++ b/src/main/java/holdproxy/toml/TomlText.java
@@ -1,10 +1,10 @@
 package holdproxy.toml;
 
-/** What is written so that {@link TomlPart} reads it as it was. */
+/** Formats values as TOML that {@link TomlPart} reads back unchanged. */
 public final class TomlText {
     private TomlText() {}
 
-    /** A text on one line, in its quotes. */
+    /** Quotes and escapes a one-line string. */
     public static String quoted(String text) {
         return "\"" + text.replace("\\", "\\\\").replace("\"", "\\\"") + "\"";
     }
--- a/src/main/java/holdproxy/toml/package-info.java
+++ b/src/main/java/holdproxy/toml/package-info.java
@@ -1,2 +1,2 @@
-/** Reading and writing TOML: checked values, with file and line in every error. */
+/** Reading and writing TOML; reading checks values and reports errors with file and line. */
 package holdproxy.toml;
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -11,7 +11,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: the arrows go one way, towards the decisions. */
+/** Allowed dependencies between packages; they point towards the decision module, never back. */
 class ArchitectureTest {
     private static final JavaClasses MAIN =
             new ClassFileImporter()
--- a/src/test/java/holdproxy/Awaiting.java
+++ b/src/test/java/holdproxy/Awaiting.java
@@ -4,21 +4,21 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Waits for progress by its condition; the end is only for what never comes. */
+/** Waits for a condition; the time limit only ends waits for what never happens. */
 public final class Awaiting {
     private Awaiting() {}
 
-    /** What is waited for. */
+    /** The awaited condition. */
     public interface Condition {
-        /** Whether it has come about. */
+        /** Whether the condition holds now. */
         boolean holds() throws Exception;
     }
 
-    /** Waits until the condition holds; fails after so many seconds. */
+    /** Waits until the condition holds; fails after {@code endS} seconds. */
     public static void await(long endS, Condition condition) throws Exception {
         long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(endS);
         while (!condition.holds()) {
-            assertTrue(System.nanoTime() < endNs, "it never came to be");
+            assertTrue(System.nanoTime() < endNs, "the condition did not hold in time");
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/holdproxy/console/ConsoleTest.java
+++ b/src/test/java/holdproxy/console/ConsoleTest.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** What callers get, proper or not, on a clock that the test moves. */
+/** Answers to valid and invalid console commands, with simulated time. */
 class ConsoleTest {
     private final Figures figures = new Figures();
     private final List<String> asked = new ArrayList<>();
@@ -72,7 +72,7 @@
         EmbeddedChannel caller = caller();
         send(caller, line);
         String answer = said(caller);
-        assertFalse(caller.isActive(), "a connection ends with its answer");
+        assertFalse(caller.isActive(), "the connection closes after the answer");
         return answer;
     }
 
--- a/src/test/java/holdproxy/daemon/AdminTest.java
+++ b/src/test/java/holdproxy/daemon/AdminTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Operators' calls at a control machine, and what several machines' answers come to. */
+/** The admin API of a control machine, and the merging of several machines' answers. */
 class AdminTest {
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -67,7 +67,7 @@
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** Ten proxies, so many of them at 5/3 and the others at 5/2. */
+    /** A control machine with ten proxies, {@code atThree} of them at 5/3 and the others at 5/2. */
     private static Versions machine(long atThree, long rejecting, List<RejectionView> rejections) {
         return new Versions(
                 "control-1",
@@ -124,7 +124,7 @@
     void whatIsNoCallIsToldSo() throws Exception {
         assertTrue(raw("GET /v2 HTTP/1.1\r\n\r\n").contains(" 404 "));
         assertTrue(raw("DELETE /v1/versions HTTP/1.1\r\n\r\n").contains(" 404 "));
-        assertTrue(raw(post("[]")).contains("this is no PublishRequest"));
+        assertTrue(raw(post("[]")).contains("not a valid PublishRequest"));
         assertTrue(raw(post("{\"put\":3}")).contains(" 400 "));
         String tooLong = post("x".repeat(AdminApi.LONGEST_REQUEST + 1));
         assertTrue(raw(tooLong.substring(0, tooLong.indexOf("\r\n\r\n") + 4)).contains(" 413 "));
@@ -137,7 +137,7 @@
     void aChangeIsSettledWhereEachProxyHasItOrRejectsIt() {
         Published version = new Published(5, 3);
         FleetVersions none = new FleetVersions(List.of());
-        assertFalse(none.isSettledAt(version, 0), "nobody has answered");
+        assertFalse(none.isSettledAt(version, 0), "no machine has answered");
         FleetVersions some =
                 new FleetVersions(List.of(machine(9, 0, List.of()), machine(10, 0, List.of())));
         assertFalse(some.isSettledAt(version, 1));
@@ -151,7 +151,7 @@
         FleetVersions earlier = new FleetVersions(List.of(machine(8, 2, rejections(2, 2))));
         assertFalse(
                 earlier.isSettledAt(version, 1),
-                "they reject the one before, and may take this one");
+                "they reject the previous version and may still take this one");
         assertEquals("in force at 8 of 10", earlier.summary(version));
         FleetVersions many = new FleetVersions(List.of(machine(0, 10, rejections(3, 4))));
         assertTrue(many.isSettledAt(version, 1));
@@ -166,7 +166,7 @@
         long[] nowUs = {7};
         Figures figures = new Figures();
         FreshnessReporter reporter = new FreshnessReporter(figures, () -> nowUs[0]);
-        assertFalse(figures.text().contains("published"), "not where nothing is published");
+        assertFalse(figures.text().contains("published"), "no figure while nothing is published");
         reporter.look(Position.NONE, Relay.Source.UNKNOWN_AGE_US);
         assertTrue(figures.text().contains("svc.published_age_s=-1"), figures.text());
         reporter.look(new Position(5, 3), 2_600_000);
--- a/src/test/java/holdproxy/daemon/DaemonTest.java
+++ b/src/test/java/holdproxy/daemon/DaemonTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A daemon's file and its mistakes, its log, and that serve has nothing of it. */
+/** The daemon's configuration file and its errors, its log, and that serve loads none of its classes. */
 class DaemonTest {
     private static final long END_S = 120;
     private static final String SETTINGS =
@@ -169,13 +169,13 @@
                         .contains("registryMode is missing"));
     }
 
-    /** This program as a process; its output goes to {@code out.txt}. */
+    /** Starts this program as a process; its output goes to {@code out.txt}. */
     private Process start(List<String> flags, Map<String, String> env, String... words)
             throws IOException {
         return start(List.of(), flags, env, words);
     }
 
-    /** {@code parent}: the words before the program's own. */
+    /** {@code parent}: the command that runs the program, empty for none. */
     private Process start(
             List<String> parent, List<String> flags, Map<String, String> env, String... words)
             throws IOException {
@@ -207,7 +207,9 @@
     private void await(Process process, String text) throws Exception {
         long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(END_S);
         while (!out().contains(text)) {
-            assertTrue(process.isAlive() && System.nanoTime() < endNs, text + " never came");
+            assertTrue(
+                    process.isAlive() && System.nanoTime() < endNs,
+                    text + " is missing from the output");
             Thread.onSpinWait();
         }
     }
@@ -279,7 +281,7 @@
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Whatever a start of serve loads, by the JVM's own list. */
+    /** Checks the JVM's log of loaded classes. */
     @Test
     void serveLoadsNothingOfTheDaemons() throws Exception {
         Path config =
@@ -311,7 +313,8 @@
             serve.destroyForcibly();
         }
         String loaded = Files.readString(classes);
-        assertTrue(loaded.contains("holdproxy.net.Proxy "), "the list has what serve does load");
+        assertTrue(
+                loaded.contains("holdproxy.net.Proxy "), "the log lists classes that serve loads");
         Consumer<String> none =
                 name ->
                         assertEquals(
--- a/src/test/java/holdproxy/daemon/PublishedConfigurationTest.java
+++ b/src/test/java/holdproxy/daemon/PublishedConfigurationTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Published settings over those of a file: all of a state, or nothing of it. */
+/** Published settings over those of a file: a state is applied as a whole or not at all. */
 class PublishedConfigurationTest {
     private static final String FILE =
             """
@@ -53,7 +53,7 @@
         file = DaemonFile.read(Files.writeString(folder.resolve("d.toml"), FILE), 1);
     }
 
-    /** As a daemon's proxy does. */
+    /** Checks and takes settings as a daemon's proxy does. */
     private Optional<String> take(Map<String, byte[]> published) {
         try {
             file.with(published);
@@ -99,7 +99,7 @@
         assertRejected("settings/caps is no JSON value", 5, "settings/caps", "null");
         assertRejected("caps is not an object", 6, "settings/caps", "[1]");
         assertRejected("registryMode", 7, "settings/registryMode", "\"push\"");
-        assertRejected("it cannot be read", 8, "settings/caps", "{\"maxAttempts\":null}");
+        assertRejected("cannot be applied", 8, "settings/caps", "{\"maxAttempts\":null}");
         assertEquals(
                 Optional.empty(),
                 offer(9, "settings/caps", "{\"maxAttempts\":2}", "settings/tickMs", "4"));
@@ -116,7 +116,7 @@
                 offer(2, "settings/caps", "{\"maxAttempts\":2}", "nodes/a", "of another user"));
         assertEquals(1, taken.size());
         assertEquals(new Position(1, 2), configuration.inForce());
-        assertEquals(Optional.empty(), offer(3), "the file's own again");
+        assertEquals(Optional.empty(), offer(3), "back to the file's own settings");
         assertEquals(Map.of(), taken.get(1));
     }
 
--- a/src/test/java/holdproxy/daemon/ReplicatedStateTest.java
+++ b/src/test/java/holdproxy/daemon/ReplicatedStateTest.java
@@ -21,7 +21,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Leases and published changes in one agreed log. */
+/** The lease table and the change log in one replicated state. */
 class ReplicatedStateTest {
     private final ReplicatedState state = empty();
     private long index;
@@ -94,7 +94,7 @@
         assertTrue(other.leases().leases().isEmpty());
     }
 
-    /** Written before there was a log of changes: the one part of the lease table, without a mark. */
+    /** Snapshots from before the change log have one unmarked part, the lease table. */
     @Test
     void aSnapshotOfBeforeIsReadAndKeepsOldHoldersOut() {
         LeaseTable before = new LeaseTable();
