--- a/src/main/java/holdproxy/console/Console.java
+++ b/src/main/java/holdproxy/console/Console.java
@@ -30,16 +30,16 @@
     /** Maximum number of descriptors: callers, one being rejected, the listener, the selector's. */
     public static final int DESCRIPTORS = 24;
 
-    static final int MOST_CALLERS = 16;
-    static final int LONGEST_LINE = 256;
+    static final int MAX_CALLERS = 16;
+    static final int MAX_LINE_BYTES = 256;
 
     /** Time within which a caller must send its command. */
-    static final int CALL_MS = 5_000;
+    static final int COMMAND_TIMEOUT_MS = 5_000;
 
     /** Time the caller has after the answer to read it and close the connection. */
     private static final int LINGER_MS = 1_000;
 
-    private static final int BIND_AGAIN_MS = 200;
+    private static final int BIND_RETRY_MS = 200;
     private static final int BACKLOG = 64;
 
     private final EventLoop loop;
@@ -50,7 +50,7 @@
     private final Set<Channel> waiting = new LinkedHashSet<>();
 
     private int callers;
-    private boolean toldOfFailure;
+    private boolean bindFailureLogged;
 
     /** {@code log} receives log lines, on the loop's thread. */
     public Console(EventLoop loop, Operations operations, Consumer<String> log) {
@@ -77,8 +77,8 @@
                                         ch.pipeline()
                                                 .addLast(
                                                         new LineBasedFrameDecoder(
-                                                                LONGEST_LINE, true, true),
-                                                        new Caller());
+                                                                MAX_LINE_BYTES, true, true),
+                                                        new CommandHandler());
                                     }
                                 })
                         .bind(address);
@@ -89,8 +89,8 @@
                                 listening.accept(f.channel());
                                 return;
                             }
-                            if (!toldOfFailure) {
-                                toldOfFailure = true;
+                            if (!bindFailureLogged) {
+                                bindFailureLogged = true;
                                 log.accept(
                                         "the console cannot listen on "
                                                 + address
@@ -99,19 +99,19 @@
                             }
                             loop.schedule(
                                     () -> listen(address, listening),
-                                    BIND_AGAIN_MS,
+                                    BIND_RETRY_MS,
                                     TimeUnit.MILLISECONDS);
                         });
     }
 
     /** Handles one connection. */
-    final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
-        private boolean called;
+    final class CommandHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private boolean commandReceived;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             callers++;
-            if (callers > MOST_CALLERS) {
+            if (callers > MAX_CALLERS) {
                 if (waiting.isEmpty()) {
                     ctx.close(); // every other caller is being answered
                     return;
@@ -122,11 +122,11 @@
             ctx.executor()
                     .schedule(
                             () -> {
-                                if (!called) {
-                                    answer(ctx, "ERR no call within " + CALL_MS + " ms");
+                                if (!commandReceived) {
+                                    answer(ctx, "ERR no call within " + COMMAND_TIMEOUT_MS + " ms");
                                 }
                             },
-                            CALL_MS,
+                            COMMAND_TIMEOUT_MS,
                             TimeUnit.MILLISECONDS);
         }
 
@@ -138,12 +138,12 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            if (!called) {
-                call(ctx, line.toString(StandardCharsets.ISO_8859_1).strip());
+            if (!commandReceived) {
+                handle(ctx, line.toString(StandardCharsets.ISO_8859_1).strip());
             }
         }
 
-        private void call(ChannelHandlerContext ctx, String line) {
+        private void handle(ChannelHandlerContext ctx, String line) {
             String[] words = line.split(" +");
             boolean leaveOut = words[0].equals("set-down");
             if (!line.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
@@ -153,7 +153,7 @@
                     answer(ctx, "ERR " + words[0] + " takes the id of one cache node");
                     return;
                 }
-                begun(ctx);
+                markReceived(ctx);
                 operations.leaveOut(
                         words[1],
                         leaveOut,
@@ -181,8 +181,8 @@
             }
         }
 
-        private void begun(ChannelHandlerContext ctx) {
-            called = true;
+        private void markReceived(ChannelHandlerContext ctx) {
+            commandReceived = true;
             waiting.remove(ctx.channel());
         }
 
@@ -191,7 +191,7 @@
          * connection and could lose the answer.
          */
         private void answer(ChannelHandlerContext ctx, String text) {
-            begun(ctx);
+            markReceived(ctx);
             ctx.writeAndFlush(Unpooled.copiedBuffer(text + "\r\n", StandardCharsets.ISO_8859_1))
                     .addListener(
                             f -> {
@@ -210,9 +210,9 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (cause instanceof io.netty.handler.codec.TooLongFrameException && !called) {
-                answer(ctx, "ERR the line is longer than " + LONGEST_LINE + " bytes");
-            } else if (!called) {
+            if (cause instanceof io.netty.handler.codec.TooLongFrameException && !commandReceived) {
+                answer(ctx, "ERR the line is longer than " + MAX_LINE_BYTES + " bytes");
+            } else if (!commandReceived) {
                 ctx.close(); // a connection error affects only this caller
             }
         }
--- a/src/main/java/holdproxy/console/Figures.java
+++ b/src/main/java/holdproxy/console/Figures.java
@@ -58,7 +58,7 @@
     public final Count poolEjected = new Count();
 
     /** The published version in force and its age; null if no settings are published to this process. */
-    private volatile Published published;
+    private volatile Published publishedVersion;
 
     /** {@code ageS}: time since the version was last known to be the newest, -1 if it never was. */
     private record Published(long epoch, long number, long ageS) {}
@@ -73,7 +73,7 @@
 
     /** Sets the version of the published settings that is in force, and its age in seconds. */
     public void published(long epoch, long number, long ageS) {
-        published = new Published(epoch, number, ageS);
+        publishedVersion = new Published(epoch, number, ageS);
     }
 
     /** Formats the figures, one {@code name=value} line each. */
@@ -81,26 +81,26 @@
         StringBuilder text = new StringBuilder(512);
         outcomes.forEach(
                 (name, o) -> {
-                    line(text, "responses." + name + ".ok", o.ok::get);
-                    line(text, "responses." + name + ".shed", o.shed::get);
-                    line(text, "responses." + name + ".errors", o.errors::get);
+                    appendLine(text, "responses." + name + ".ok", o.ok::get);
+                    appendLine(text, "responses." + name + ".shed", o.shed::get);
+                    appendLine(text, "responses." + name + ".errors", o.errors::get);
                 });
-        line(text, "tries", tries::get);
-        line(text, "active", active::get);
-        line(text, "pool_size", poolSize::get);
-        line(text, "pool_ejected", poolEjected::get);
-        line(text, "config_applied", configApplied::get);
-        line(text, "config_rejected", configRejected::get);
-        Published now = published;
-        if (now != null) {
-            line(text, "published_epoch", now::epoch);
-            line(text, "published_number", now::number);
-            line(text, "published_age_s", now::ageS);
+        appendLine(text, "tries", tries::get);
+        appendLine(text, "active", active::get);
+        appendLine(text, "pool_size", poolSize::get);
+        appendLine(text, "pool_ejected", poolEjected::get);
+        appendLine(text, "config_applied", configApplied::get);
+        appendLine(text, "config_rejected", configRejected::get);
+        Published current = publishedVersion;
+        if (current != null) {
+            appendLine(text, "published_epoch", current::epoch);
+            appendLine(text, "published_number", current::number);
+            appendLine(text, "published_age_s", current::ageS);
         }
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, LongSupplier value) {
+    private static void appendLine(StringBuilder text, String name, LongSupplier value) {
         text.append("svc.").append(name).append('=').append(value.getAsLong()).append("\r\n");
     }
 }
--- a/src/main/java/holdproxy/daemon/AdminApi.java
+++ b/src/main/java/holdproxy/daemon/AdminApi.java
@@ -17,7 +17,7 @@
     static final String VERSIONS_PATH = "/v1/versions";
 
     /** Maximum size of a request body in bytes. */
-    static final int LONGEST_REQUEST = 128 << 10;
+    static final int MAX_REQUEST_BYTES = 128 << 10;
 
     private AdminApi() {}
 
@@ -80,7 +80,7 @@
     /** A proxy that rejected a version, with the reason. */
     record RejectionView(String name, long epoch, long number, String reason) {}
 
-    static byte[] bytes(Object value) {
+    static byte[] toJson(Object value) {
         try {
             return JSON.std.asString(value).getBytes(StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -89,7 +89,7 @@
     }
 
     /** Parses one of the records; throws {@link BadInput} if the JSON does not match it. */
-    static <T> T read(Class<T> type, byte[] json) {
+    static <T> T fromJson(Class<T> type, byte[] json) {
         try {
             return JSON.std.beanFrom(type, json);
         } catch (IOException e) {
--- a/src/main/java/holdproxy/daemon/AdminClient.java
+++ b/src/main/java/holdproxy/daemon/AdminClient.java
@@ -11,55 +11,55 @@
 
 /** HTTP client for the {@link AdminApi} of control machines. */
 final class AdminClient {
-    private static final Duration CONNECT_WITHIN = Duration.ofSeconds(2);
-    private static final Duration ANSWER_WITHIN = Duration.ofSeconds(10);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
     private static final int OK = 200;
 
     private final HttpClient http =
             HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
-                    .connectTimeout(CONNECT_WITHIN)
+                    .connectTimeout(CONNECT_TIMEOUT)
                     .build();
 
     /** Returns {@link AdminApi.Published} or {@link AdminApi.Failure}, the latter also if the call fails. */
     Object publish(InetSocketAddress machine, AdminApi.PublishRequest request) {
         HttpRequest.Builder call =
-                call(machine, AdminApi.CHANGES_PATH)
+                requestTo(machine, AdminApi.CHANGES_PATH)
                         .header("Content-Type", "application/json")
-                        .POST(HttpRequest.BodyPublishers.ofByteArray(AdminApi.bytes(request)));
+                        .POST(HttpRequest.BodyPublishers.ofByteArray(AdminApi.toJson(request)));
         try {
-            HttpResponse<byte[]> answer = send(call);
-            return answer.statusCode() == OK
-                    ? AdminApi.read(AdminApi.Published.class, answer.body())
-                    : AdminApi.read(AdminApi.Failure.class, answer.body());
+            HttpResponse<byte[]> response = send(call);
+            return response.statusCode() == OK
+                    ? AdminApi.fromJson(AdminApi.Published.class, response.body())
+                    : AdminApi.fromJson(AdminApi.Failure.class, response.body());
         } catch (IOException | BadInput e) {
-            return new AdminApi.Failure(problem(machine, e), true);
+            return new AdminApi.Failure(describeFailure(machine, e), true);
         }
     }
 
     /** Requests a control machine's versions; throws {@link IOException} if it does not answer. */
     AdminApi.Versions versions(InetSocketAddress machine) throws IOException {
-        HttpResponse<byte[]> answer = send(call(machine, AdminApi.VERSIONS_PATH).GET());
+        HttpResponse<byte[]> response = send(requestTo(machine, AdminApi.VERSIONS_PATH).GET());
         try {
-            return AdminApi.read(AdminApi.Versions.class, answer.body());
+            return AdminApi.fromJson(AdminApi.Versions.class, response.body());
         } catch (BadInput e) {
-            throw new IOException(problem(machine, e), e);
+            throw new IOException(describeFailure(machine, e), e);
         }
     }
 
     /** Describes a failed call in one line. */
-    static String problem(InetSocketAddress machine, Exception failure) {
-        String why =
+    static String describeFailure(InetSocketAddress machine, Exception failure) {
+        String reason =
                 failure.getMessage() == null
                         ? failure.getClass().getSimpleName()
                         : failure.getMessage();
-        return DistributionTransport.text(machine) + " does not answer: " + why;
+        return DistributionTransport.formatAddress(machine) + " does not answer: " + reason;
     }
 
-    private static HttpRequest.Builder call(InetSocketAddress machine, String path) {
+    private static HttpRequest.Builder requestTo(InetSocketAddress machine, String path) {
         return HttpRequest.newBuilder(
-                        URI.create("http://" + DistributionTransport.text(machine) + path))
-                .timeout(ANSWER_WITHIN);
+                        URI.create("http://" + DistributionTransport.formatAddress(machine) + path))
+                .timeout(REQUEST_TIMEOUT);
     }
 
     private HttpResponse<byte[]> send(HttpRequest.Builder call) throws IOException {
--- a/src/main/java/holdproxy/daemon/AdminServer.java
+++ b/src/main/java/holdproxy/daemon/AdminServer.java
@@ -29,8 +29,8 @@
 
 /** HTTP server for the {@link AdminApi} of a control machine; one request per connection. */
 final class AdminServer implements AutoCloseable {
-    private static final int MOST_CONNECTIONS = 32;
-    private static final int IDLE_SECONDS = 30;
+    private static final int MAX_CONNECTIONS = 32;
+    private static final int IDLE_TIMEOUT_S = 30;
 
     /** Handles the requests; called on the event loop. */
     interface Operations {
@@ -60,7 +60,7 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        accepted(channel);
+                                        onAccept(channel);
                                     }
                                 })
                         .bind(address);
@@ -75,34 +75,34 @@
         }
     }
 
-    private void accepted(SocketChannel channel) {
-        if (connections >= MOST_CONNECTIONS) {
+    private void onAccept(SocketChannel channel) {
+        if (connections >= MAX_CONNECTIONS) {
             channel.close();
             return;
         }
         connections++;
         channel.closeFuture().addListener(closed -> connections--);
         channel.pipeline()
-                .addLast(new IdleStateHandler(0, 0, IDLE_SECONDS))
+                .addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT_S))
                 .addLast(new HttpServerCodec())
-                .addLast(new HttpObjectAggregator(AdminApi.LONGEST_REQUEST))
-                .addLast(new Call());
+                .addLast(new HttpObjectAggregator(AdminApi.MAX_REQUEST_BYTES))
+                .addLast(new RequestHandler());
     }
 
     /** Handles the one request of a connection. */
-    private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (request.decoderResult().isFailure()) {
-                answer(ctx, HttpResponseStatus.BAD_REQUEST, failure("malformed HTTP request"));
+                respond(ctx, HttpResponseStatus.BAD_REQUEST, failure("malformed HTTP request"));
             } else if (request.uri().equals(AdminApi.VERSIONS_PATH)
                     && request.method().equals(HttpMethod.GET)) {
-                answer(ctx, HttpResponseStatus.OK, operations.versions());
+                respond(ctx, HttpResponseStatus.OK, operations.versions());
             } else if (request.uri().equals(AdminApi.CHANGES_PATH)
                     && request.method().equals(HttpMethod.POST)) {
                 publish(ctx, ByteBufUtil.getBytes(request.content()));
             } else {
-                answer(
+                respond(
                         ctx,
                         HttpResponseStatus.NOT_FOUND,
                         failure(
@@ -116,22 +116,22 @@
         private void publish(ChannelHandlerContext ctx, byte[] body) {
             AdminApi.PublishRequest request;
             try {
-                request = AdminApi.read(AdminApi.PublishRequest.class, body);
+                request = AdminApi.fromJson(AdminApi.PublishRequest.class, body);
             } catch (BadInput e) {
-                answer(ctx, HttpResponseStatus.BAD_REQUEST, failure(e.getMessage()));
+                respond(ctx, HttpResponseStatus.BAD_REQUEST, failure(e.getMessage()));
                 return;
             }
             operations
                     .publish(request)
                     .whenComplete(
                             (result, failed) -> {
-                                Object said = failed == null ? result : failure(failed.toString());
-                                answer(ctx, status(said), said);
+                                Object reply = failed == null ? result : failure(failed.toString());
+                                respond(ctx, status(reply), reply);
                             });
         }
 
-        private HttpResponseStatus status(Object said) {
-            if (said instanceof AdminApi.Failure failure) {
+        private HttpResponseStatus status(Object reply) {
+            if (reply instanceof AdminApi.Failure failure) {
                 return failure.retry()
                         ? HttpResponseStatus.SERVICE_UNAVAILABLE
                         : HttpResponseStatus.UNPROCESSABLE_ENTITY;
@@ -143,12 +143,12 @@
             return new AdminApi.Failure(error, false);
         }
 
-        private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, Object said) {
+        private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, Object reply) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
                             status,
-                            Unpooled.wrappedBuffer(AdminApi.bytes(said)));
+                            Unpooled.wrappedBuffer(AdminApi.toJson(reply)));
             response.headers()
                     .set(HttpHeaderNames.CONTENT_TYPE, "application/json")
                     .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
--- a/src/main/java/holdproxy/daemon/ConsensusPart.java
+++ b/src/main/java/holdproxy/daemon/ConsensusPart.java
@@ -31,19 +31,19 @@
  */
 final class ConsensusPart {
     /** The file's original name, kept so that existing disks stay readable. */
-    private static final String DISK = "council";
+    private static final String DISK_FILE = "council";
 
     /** Role of the planner for zones. Its lease is held, but nothing uses it yet. */
-    private static final String PLANNER = "planner";
+    private static final String PLANNER_ROLE = "planner";
 
     private static final int PLANNER_LEASE_MS = 3_000;
-    private static final byte OF_GROUP = 0;
-    private static final byte FREE = 1;
+    private static final byte RAFT_FRAME = 0;
+    private static final byte LEASE_FREE_FRAME = 1;
 
     // Both are well under the time allowed for the shutdown after SIGTERM.
-    private static final long HAND_OVER_MS = 1_500;
+    private static final long HAND_OVER_TIMEOUT_MS = 1_500;
 
-    private static final long END_MS = 500;
+    private static final long STOP_TIMEOUT_MS = 500;
 
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -69,12 +69,11 @@
     static ConsensusPart start(DaemonFile file, long generation, MembershipService membership) {
         ConsensusPart part = new ConsensusPart(file, generation, membership);
         membership.receive(
-                MembershipService.CONSENSUS,
-                frame -> part.loop.execute(() -> part.received(frame)));
-        part.run(
+                MembershipService.CONSENSUS, frame -> part.loop.execute(() -> part.onFrame(frame)));
+        part.runOnLoop(
                 () -> {
-                    part.group.begin(new FileDisk(disk(file)));
-                    part.leases.want(PLANNER, PLANNER_LEASE_MS);
+                    part.group.begin(new FileDisk(diskPath(file)));
+                    part.leases.want(PLANNER_ROLE, PLANNER_LEASE_MS);
                     for (DaemonFile.Drill drill : file.drills()) {
                         part.leases.want(drill.role(), drill.leaseMs());
                         new LeaseExercise(drill, part.leases, part.loop).begin();
@@ -83,11 +82,11 @@
         return part;
     }
 
-    static Path disk(DaemonFile file) {
-        return file.folder().resolve(DISK);
+    static Path diskPath(DaemonFile file) {
+        return file.folder().resolve(DISK_FILE);
     }
 
-    private void run(Runnable task) {
+    private void runOnLoop(Runnable task) {
         try {
             loop.submit(task).get();
         } catch (InterruptedException e) {
@@ -125,7 +124,7 @@
      * Requests the lease on a role whenever it is free, from now on; {@code listener} is told when it is
      * granted or ends. May be called on any thread.
      */
-    void want(String role, int leaseMs, LeaseListener listener) {
+    void requestLease(String role, int leaseMs, LeaseListener listener) {
         loop.execute(
                 () -> {
                     listeners.put(role, listener);
@@ -133,16 +132,16 @@
                 });
     }
 
-    private void received(byte[] frame) {
+    private void onFrame(byte[] frame) {
         try {
-            byte[] rest = new byte[Math.max(0, frame.length - 1)];
-            System.arraycopy(frame, Math.min(1, frame.length), rest, 0, rest.length);
-            if (frame.length > 0 && frame[0] == OF_GROUP) {
-                group.received(rest);
-            } else if (frame.length > 1 + Long.BYTES && frame[0] == FREE) {
-                ByteBuffer told = ByteBuffer.wrap(rest);
-                long token = told.getLong();
-                leases.notifiedFree(StandardCharsets.UTF_8.decode(told).toString(), token);
+            byte[] payload = new byte[Math.max(0, frame.length - 1)];
+            System.arraycopy(frame, Math.min(1, frame.length), payload, 0, payload.length);
+            if (frame.length > 0 && frame[0] == RAFT_FRAME) {
+                group.received(payload);
+            } else if (frame.length > 1 + Long.BYTES && frame[0] == LEASE_FREE_FRAME) {
+                ByteBuffer notice = ByteBuffer.wrap(payload);
+                long token = notice.getLong();
+                leases.notifiedFree(StandardCharsets.UTF_8.decode(notice).toString(), token);
             }
         } catch (BadInput e) {
             EventLog.line("cannot decode a consensus frame: " + e.getMessage());
@@ -150,8 +149,8 @@
     }
 
     /** Hands over leadership, then the held leases, so that others need not wait for them to expire. */
-    void end() {
-        CompletableFuture<Void> handed = new CompletableFuture<>();
+    void stop() {
+        CompletableFuture<Void> handedOver = new CompletableFuture<>();
         loop.execute(
                 () ->
                         group.stepDown()
@@ -160,20 +159,22 @@
                                                 leases.handOver()
                                                         .whenComplete(
                                                                 (done, failed) ->
-                                                                        handed.complete(null))));
-        await(handed, HAND_OVER_MS, "timed out while handing over leases");
-        CompletableFuture<Void> over = new CompletableFuture<>();
-        loop.execute(() -> group.end().whenComplete((done, failed) -> over.complete(null)));
-        await(over, END_MS, "timed out while stopping the consensus group member");
+                                                                        handedOver.complete(
+                                                                                null))));
+        await(handedOver, HAND_OVER_TIMEOUT_MS, "timed out while handing over leases");
+        CompletableFuture<Void> stopped = new CompletableFuture<>();
+        loop.execute(() -> group.end().whenComplete((done, failed) -> stopped.complete(null)));
+        await(stopped, STOP_TIMEOUT_MS, "timed out while stopping the consensus group member");
     }
 
-    private static void await(CompletableFuture<Void> what, long ms, String late) {
+    private static void await(
+            CompletableFuture<Void> future, long timeoutMs, String timeoutMessage) {
         try {
-            what.get(ms, TimeUnit.MILLISECONDS);
+            future.get(timeoutMs, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            EventLog.line(late);
+            EventLog.line(timeoutMessage);
         }
     }
 
@@ -198,7 +199,7 @@
             membership.send(
                     to,
                     MembershipService.CONSENSUS,
-                    ByteBuffer.allocate(1 + frame.length).put(OF_GROUP).put(frame).array());
+                    ByteBuffer.allocate(1 + frame.length).put(RAFT_FRAME).put(frame).array());
         }
 
         @Override
@@ -227,7 +228,7 @@
                     to,
                     MembershipService.CONSENSUS,
                     ByteBuffer.allocate(1 + Long.BYTES + text.length)
-                            .put(FREE)
+                            .put(LEASE_FREE_FRAME)
                             .putLong(token)
                             .put(text)
                             .array());
@@ -253,13 +254,13 @@
     }
 
     /** Initializes the disk of a first voter, for {@code holdproxy daemon found}; returns the voters. */
-    static List<String> found(DaemonFile file) {
-        try (FileDisk disk = new FileDisk(disk(file))) {
+    static List<String> initializeDisk(DaemonFile file) {
+        try (FileDisk disk = new FileDisk(diskPath(file))) {
             Files.createDirectories(file.folder());
             RaftGroup.found(disk, file.name(), file.voters());
             return file.voters();
         } catch (IOException e) {
-            throw new BadInput("cannot write the consensus disk " + disk(file) + ": " + e);
+            throw new BadInput("cannot write the consensus disk " + diskPath(file) + ": " + e);
         }
     }
 }
--- a/src/main/java/holdproxy/daemon/ControlMachine.java
+++ b/src/main/java/holdproxy/daemon/ControlMachine.java
@@ -26,15 +26,15 @@
  * publisher lease it appends the changes that operators publish. Runs on the consensus part's event loop.
  */
 final class ControlMachine implements DistributionPart, AdminServer.Operations {
-    private static final long PROPOSE_WITHIN_US = 5_000_000;
-    private static final int MOST_UNDER_WAY = 64;
-    private static final int FOUND_AGAIN_MS = 500;
+    private static final long PROPOSE_TIMEOUT_US = 5_000_000;
+    private static final int MAX_PENDING_CHANGES = 64;
+    private static final int FOUND_RETRY_MS = 500;
     private static final long MS_PER_S = 1_000;
     private static final long US_PER_MS = 1_000;
 
     private final String name;
     private final DistributionSettings settings;
-    private final PublishedConfiguration own;
+    private final PublishedConfiguration configuration;
     private final ConsensusPart consensus;
     private final ReplicatedState state;
     private final EventLoop loop;
@@ -42,8 +42,8 @@
     private final Relay.Source log = new LocalLog();
     private final RelayRole relay;
     private final AdminServer admin;
-    private boolean advancing;
-    private int underWay;
+    private boolean advanceScheduled;
+    private int pendingChanges;
 
     private ControlMachine(
             String name,
@@ -52,11 +52,11 @@
             ConsensusPart consensus) {
         this.name = name;
         this.settings = settings;
-        this.own = own;
+        this.configuration = own;
         this.consensus = consensus;
         state = consensus.state();
         loop = consensus.loop();
-        context = DistributionTransport.on(loop);
+        context = DistributionTransport.contextFor(loop);
         relay = new RelayRole(context, log, settings.listen());
         admin = new AdminServer(loop, this);
     }
@@ -69,12 +69,13 @@
             ConsensusPart consensus) {
         ControlMachine machine = new ControlMachine(name, settings, own, consensus);
         machine.loop.execute(() -> machine.begin(freshness));
-        consensus.want(ReplicatedState.PUBLISHER, settings.leaseMs(), machine.new Publishing());
+        consensus.requestLease(
+                ReplicatedState.PUBLISHER_ROLE, settings.leaseMs(), machine.new PublisherLease());
         return machine;
     }
 
     private void begin(FreshnessReporter freshness) {
-        state.onChange(this::advanceSoon);
+        state.onChange(this::scheduleAdvance);
         relay.begin();
         admin.listen(settings.admin())
                 .addListener(
@@ -82,43 +83,45 @@
                                 EventLog.line(
                                         bound.isSuccess()
                                                 ? "the admin API listens on "
-                                                        + DistributionTransport.text(
+                                                        + DistributionTransport.formatAddress(
                                                                 settings.admin())
                                                 : "the admin API cannot listen on "
-                                                        + DistributionTransport.text(
+                                                        + DistributionTransport.formatAddress(
                                                                 settings.admin())
                                                         + ": "
                                                         + bound.cause().getMessage()));
         loop.scheduleAtFixedRate(
-                () -> freshness.look(own.inForce(), log.ageUs(context.nowUs().getAsLong())),
-                FreshnessReporter.LOOK_MS,
-                FreshnessReporter.LOOK_MS,
+                () ->
+                        freshness.update(
+                                configuration.inForce(), log.ageUs(context.nowUs().getAsLong())),
+                FreshnessReporter.UPDATE_INTERVAL_MS,
+                FreshnessReporter.UPDATE_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
         DistributionTransport.logCounters(context);
-        advanceSoon();
+        scheduleAdvance();
     }
 
     /** Deferred, because the log may still have many entries to apply; at a start, all of them. */
-    private void advanceSoon() {
-        if (!advancing) {
-            advancing = true;
+    private void scheduleAdvance() {
+        if (!advanceScheduled) {
+            advanceScheduled = true;
             loop.execute(this::advance);
         }
     }
 
     private void advance() {
-        advancing = false;
+        advanceScheduled = false;
         relay.advanced();
         Replica replica = log.replica();
-        boolean isNew = replica.position().isAfter(own.inForce());
+        boolean isNew = replica.position().isAfter(configuration.inForce());
         if (isNew) {
-            own.offer(
+            configuration.offer(
                     context.nowUs().getAsLong(), replica.position(), replica.entries(), List.of());
         }
     }
 
     @Override
-    public void end() {
+    public void stop() {
         loop.execute(
                 () -> {
                     relay.end();
@@ -130,28 +133,29 @@
 
     @Override
     public CompletableFuture<Object> publish(AdminApi.PublishRequest request) {
-        LeaseClient.Act act = consensus.leases().begin(ReplicatedState.PUBLISHER);
+        LeaseClient.Act act = consensus.leases().begin(ReplicatedState.PUBLISHER_ROLE);
         if (act == null) {
             return CompletableFuture.completedFuture(
                     new AdminApi.Failure(name + " is not the publisher, " + publisher(), true));
         }
-        if (underWay >= MOST_UNDER_WAY) {
+        if (pendingChanges >= MAX_PENDING_CHANGES) {
             act.close();
             return CompletableFuture.completedFuture(
-                    new AdminApi.Failure(underWay + " changes are already in progress", true));
+                    new AdminApi.Failure(
+                            pendingChanges + " changes are already in progress", true));
         }
-        underWay++;
+        pendingChanges++;
         return consensus
                 .propose(
                         ReplicatedState.append(publication(act.token(), request)),
-                        PROPOSE_WITHIN_US)
+                        PROPOSE_TIMEOUT_US)
                 .handle(
                         (answer, failed) -> {
-                            underWay--;
+                            pendingChanges--;
                             act.close();
                             return failed != null
                                     ? new AdminApi.Failure(failed.getMessage(), true)
-                                    : said(ChangeLogOperations.result(answer));
+                                    : response(ChangeLogOperations.result(answer));
                         });
     }
 
@@ -165,7 +169,7 @@
         return new Publication(token, id, puts, new TreeSet<>(removed));
     }
 
-    private static Object said(AppendResult result) {
+    private static Object response(AppendResult result) {
         if (result instanceof Appended appended) {
             return new AdminApi.Published(
                     appended.position().epoch(), appended.position().number());
@@ -180,7 +184,7 @@
     }
 
     private String publisher() {
-        Lease lease = state.leases().lease(ReplicatedState.PUBLISHER);
+        Lease lease = state.leases().lease(ReplicatedState.PUBLISHER_ROLE);
         return lease == null ? "" : lease.holder();
     }
 
@@ -189,7 +193,8 @@
         long nowUs = context.nowUs().getAsLong();
         CoverageReport report =
                 CoverageReport.merge(
-                        List.of(own.report(), relay.report()), context.settings().limits());
+                        List.of(configuration.report(), relay.report()),
+                        context.settings().limits());
         List<AdminApi.VersionCount> inForce = new ArrayList<>();
         report.inForce()
                 .forEach(
@@ -241,37 +246,39 @@
     }
 
     /** Tracks the publisher lease; a new publisher makes sure that the log has an epoch. */
-    private final class Publishing implements LeaseListener {
-        private boolean holds;
+    private final class PublisherLease implements LeaseListener {
+        private boolean held;
 
         @Override
         public void granted(long token) {
-            holds = true;
-            found();
+            held = true;
+            proposeEpoch();
         }
 
         @Override
         public void ended() {
-            holds = false;
+            held = false;
         }
 
         /**
          * Proposes the wall clock's seconds as the log's epoch. A log that already has an epoch keeps it; a
          * log that was lost with all its disks gets a higher one.
          */
-        private void found() {
-            if (!holds) {
+        private void proposeEpoch() {
+            if (!held) {
                 return;
             }
             consensus
                     .propose(
                             ReplicatedState.found(System.currentTimeMillis() / MS_PER_S),
-                            PROPOSE_WITHIN_US)
+                            PROPOSE_TIMEOUT_US)
                     .whenComplete(
                             (answer, failed) -> {
                                 if (failed != null) {
                                     loop.schedule(
-                                            this::found, FOUND_AGAIN_MS, TimeUnit.MILLISECONDS);
+                                            this::proposeEpoch,
+                                            FOUND_RETRY_MS,
+                                            TimeUnit.MILLISECONDS);
                                 }
                             });
         }
--- a/src/main/java/holdproxy/daemon/ControlOptions.java
+++ b/src/main/java/holdproxy/daemon/ControlOptions.java
@@ -15,13 +15,13 @@
             names = "--config",
             paramLabel = "FILE.toml",
             description = "a daemon's configuration file, read for [distribution] admins")
-    private Path config;
+    private Path configFile;
 
     @Option(
             names = "--control",
             paramLabel = "HOST:PORT",
             description = "admin address of a control machine; may be repeated")
-    private List<String> machines = new ArrayList<>();
+    private List<String> machineAddresses = new ArrayList<>();
 
     private final AdminClient client = new AdminClient();
 
@@ -32,9 +32,9 @@
     /** All addresses given, in order. */
     List<InetSocketAddress> addresses() {
         List<InetSocketAddress> addresses = new ArrayList<>();
-        machines.forEach(each -> addresses.add(Config.address(each, "--control")));
-        if (config != null) {
-            DistributionSettings distribution = DaemonFile.read(config, 1).distribution();
+        machineAddresses.forEach(each -> addresses.add(Config.address(each, "--control")));
+        if (configFile != null) {
+            DistributionSettings distribution = DaemonFile.read(configFile, 1).distribution();
             if (distribution != null) {
                 addresses.addAll(distribution.admins());
                 if (distribution.admin() != null && !addresses.contains(distribution.admin())) {
@@ -58,7 +58,7 @@
             try {
                 answers.add(client.versions(each));
             } catch (IOException e) {
-                unreachable.accept(AdminClient.problem(each, e));
+                unreachable.accept(AdminClient.describeFailure(each, e));
             }
         }
         return new FleetVersions(answers);
--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -18,22 +18,22 @@
 /** The life cycle of a daemon: starts the proxy and the parts around it and stops them in order. */
 final class Daemon {
     /** Variable that tells {@link Service} where to keep its files; set to the daemon's folder. */
-    private static final String KEPT_BELOW = "TMPDIR";
+    private static final String KEPT_FILES_VARIABLE = "TMPDIR";
 
     private static final long NS_PER_US = 1_000;
 
-    private final Path file;
-    private DaemonFile inUse;
+    private final Path configFile;
+    private DaemonFile current;
     private MembershipService membership;
     private ConsensusPart consensus;
     private DistributionPart distribution;
 
     /** The published settings in force; replaced as a whole. */
-    private Map<String, byte[]> published = Map.of();
+    private Map<String, byte[]> publishedSettings = Map.of();
 
     private Daemon(Path file, DaemonFile inUse) {
-        this.file = file;
-        this.inUse = inUse;
+        this.configFile = file;
+        this.current = inUse;
     }
 
     /** Starts the daemon; returns once it accepts clients. Throws {@link BadInput} if it cannot start. */
@@ -48,91 +48,94 @@
     }
 
     private void run(Map<String, String> env) {
-        EventLog.event("starting", "name", inUse.name(), "pid", ProcessHandle.current().pid());
-        if (inUse.membership() != null) {
-            long generation = GenerationFile.next(inUse.folder(), System.currentTimeMillis());
+        EventLog.event("starting", "name", current.name(), "pid", ProcessHandle.current().pid());
+        if (current.membership() != null) {
+            long generation = GenerationFile.next(current.folder(), System.currentTimeMillis());
             membership =
                     MembershipService.start(
-                            inUse.membership(),
+                            current.membership(),
                             generation,
                             text -> Config.address(text, "an address"),
                             new MembershipEvents());
             EventLog.event(
                     "membership",
                     "name",
-                    inUse.name(),
+                    current.name(),
                     "generation",
                     generation,
                     "address",
-                    inUse.membership().address());
-            if (!inUse.voters().isEmpty()) {
-                consensus = ConsensusPart.start(inUse, generation, membership);
+                    current.membership().address());
+            if (!current.voters().isEmpty()) {
+                consensus = ConsensusPart.start(current, generation, membership);
             }
         }
-        Map<String, String> own = new HashMap<>(env);
-        own.put(KEPT_BELOW, inUse.folder().toString());
+        Map<String, String> serviceEnv = new HashMap<>(env);
+        serviceEnv.put(KEPT_FILES_VARIABLE, current.folder().toString());
         Service service =
                 Service.run(
-                        inUse.proxy(),
-                        new ConfigSource(file, config -> readAgain()),
-                        own,
+                        current.proxy(),
+                        new ConfigSource(configFile, config -> reload()),
+                        serviceEnv,
                         EventLog::line,
-                        this::end);
+                        this::stop);
         service.listening();
-        if (inUse.distribution() != null) {
+        if (current.distribution() != null) {
             distribution =
                     DistributionPart.start(
-                            inUse.name(),
-                            inUse.distribution(),
+                            current.name(),
+                            current.distribution(),
                             new PublishedConfiguration(
-                                    inUse.name(), settings -> take(service, settings)),
+                                    current.name(), settings -> apply(service, settings)),
                             new FreshnessReporter(
                                     service.figures(), () -> System.nanoTime() / NS_PER_US),
                             consensus);
         }
-        EventLog.event("started", "name", inUse.name());
+        EventLog.event("started", "name", current.name());
     }
 
     /** Reads the file again and applies the published settings over it. The service serializes the calls. */
-    private Config readAgain() {
-        DaemonFile now = DaemonFile.again(file, inUse);
-        Config config = published.isEmpty() ? now.proxy() : now.with(published);
-        inUse = now;
+    private Config reload() {
+        DaemonFile reread = DaemonFile.reread(configFile, current);
+        Config config =
+                publishedSettings.isEmpty()
+                        ? reread.proxy()
+                        : reread.withPublished(publishedSettings);
+        current = reread;
         return config;
     }
 
-    private Optional<String> take(Service service, Map<String, byte[]> settings) {
+    private Optional<String> apply(Service service, Map<String, byte[]> settings) {
         return Optional.ofNullable(
                 service.take(
                         () -> {
-                            Config config = inUse.with(settings);
-                            published = settings;
+                            Config config = current.withPublished(settings);
+                            publishedSettings = settings;
                             return config;
                         }));
     }
 
     /** On SIGTERM: answers the accepted requests, then exits. */
-    private void end(Service service) {
-        EventLog.event("ending", "name", inUse.name());
+    private void stop(Service service) {
+        EventLog.event("ending", "name", current.name());
         // Hand over in parallel with the drain, so that others take over leases at once.
-        Thread handing = new Thread(this::handOver, "hand-over");
-        handing.start();
+        Thread handOverThread = new Thread(this::handOver, "hand-over");
+        handOverThread.start();
         service.drain();
         try {
-            handing.join();
+            handOverThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        EventLog.event("ended", "name", inUse.name());
+        EventLog.event("ended", "name", current.name());
         Runtime.getRuntime().halt(0);
     }
 
     private void handOver() {
         if (distribution != null) {
-            distribution.end();
+            distribution.stop();
         }
         if (consensus != null) {
-            consensus.end();
+            consensus.stop();
         }
         if (membership != null) {
             membership.leave();
--- a/src/main/java/holdproxy/daemon/DaemonCommand.java
+++ b/src/main/java/holdproxy/daemon/DaemonCommand.java
@@ -71,7 +71,9 @@
                 throw new BadInput(file + ": [consensus] is missing");
             }
             System.out.println(
-                    read.name() + " is one of the first voters: " + ConsensusPart.found(read));
+                    read.name()
+                            + " is one of the first voters: "
+                            + ConsensusPart.initializeDisk(read));
             return 0;
         }
     }
--- a/src/main/java/holdproxy/daemon/DaemonFile.java
+++ b/src/main/java/holdproxy/daemon/DaemonFile.java
@@ -44,11 +44,11 @@
         InetSocketAddress discovery,
         Map<String, Object> document,
         List<Drill> drills) {
-    private static final int LEAST_SOCKETS = 128;
-    private static final int MOST_SOCKETS = 1 << 20;
-    private static final int SOCKETS = 1024;
-    private static final int LEAST_LEASE_MS = 200;
-    private static final int MOST_LEASE_MS = 60_000;
+    private static final int MIN_SOCKETS = 128;
+    private static final int MAX_SOCKETS = 1 << 20;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int MIN_LEASE_MS = 200;
+    private static final int MAX_LEASE_MS = 60_000;
 
     /**
      * A test lease: its holder regularly sends the fencing token to a guarded resource.
@@ -69,7 +69,7 @@
      * Reads the file again for a running process with the configuration {@code inUse}. Values that only a
      * start can apply, such as the name and addresses, must be unchanged.
      */
-    static DaemonFile again(Path file, DaemonFile inUse) {
+    static DaemonFile reread(Path file, DaemonFile inUse) {
         return read(file, 0, inUse);
     }
 
@@ -90,7 +90,7 @@
                         ? null
                         : top.read("console", t -> Config.address(t, "console"));
         Path folder = top.read("folder", DaemonFile::folder);
-        int sockets = top.whole("sockets", SOCKETS, LEAST_SOCKETS, MOST_SOCKETS);
+        int sockets = top.whole("sockets", DEFAULT_SOCKETS, MIN_SOCKETS, MAX_SOCKETS);
         Map<String, Object> settings = top.map("settings");
         String membershipKey = top.currentOrFormer("membership", "peers");
         String consensusKey = top.currentOrFormer("consensus", "council");
@@ -107,8 +107,8 @@
             drills.add(
                     new Drill(
                             each.read(each.currentOrFormer("role", "duty"), DaemonFile::name),
-                            each.whole("lease_ms", 3_000, LEAST_LEASE_MS, MOST_LEASE_MS),
-                            each.whole("every_ms", 50, 1, MOST_LEASE_MS),
+                            each.whole("lease_ms", 3_000, MIN_LEASE_MS, MAX_LEASE_MS),
+                            each.whole("every_ms", 50, 1, MAX_LEASE_MS),
                             each.read("resource", t -> Config.address(t, "resource"))));
             each.done();
         }
@@ -126,20 +126,21 @@
         json.put("settings", settings);
         try {
             if (inUse != null) {
-                same(top, "name", inUse.name, name);
-                same(top, "folder", inUse.folder, folder);
-                same(top, "listen", inUse.listen, listen);
-                same(top, "console", inUse.console, console);
-                same(top, membershipKey, inUse.membership, membership);
-                same(top, consensusKey, inUse.voters, voters);
-                same(top, DistributionSettings.SECTION, inUse.distribution, distribution);
-                same(top, "drill", inUse.drills, drills);
+                requireUnchanged(top, "name", inUse.name, name);
+                requireUnchanged(top, "folder", inUse.folder, folder);
+                requireUnchanged(top, "listen", inUse.listen, listen);
+                requireUnchanged(top, "console", inUse.console, console);
+                requireUnchanged(top, membershipKey, inUse.membership, membership);
+                requireUnchanged(top, consensusKey, inUse.voters, voters);
+                requireUnchanged(
+                        top, DistributionSettings.SECTION, inUse.distribution, distribution);
+                requireUnchanged(top, "drill", inUse.drills, drills);
             }
             Config proxy =
                     inUse == null
                             ? Config.of(name, listen, discovery, console, json)
                             : inUse.proxy.reload(discovery, json);
-            refuseUnknown(proxy);
+            rejectUnknown(proxy);
             return new DaemonFile(
                     name,
                     folder,
@@ -159,7 +160,7 @@
         }
     }
 
-    private static void refuseUnknown(Config proxy) {
+    private static void rejectUnknown(Config proxy) {
         Set<String> unknown = proxy.unknownSettings();
         if (!unknown.isEmpty()) {
             String first = unknown.iterator().next();
@@ -171,17 +172,17 @@
      * Returns the proxy's configuration with the published settings applied over those of this file, checked.
      * A {@link BadInput} names the invalid key.
      */
-    Config with(Map<String, byte[]> published) {
+    Config withPublished(Map<String, byte[]> published) {
         Map<String, Object> all = new HashMap<>(document);
         @SuppressWarnings("unchecked") // read() puts a Map there
         Map<String, Object> own = (Map<String, Object>) document.get("settings");
-        all.put("settings", PublishedSettings.over(own, published));
+        all.put("settings", PublishedSettings.overlay(own, published));
         try {
             Config config = proxy.reload(discovery, all);
-            refuseUnknown(config);
+            rejectUnknown(config);
             return config;
         } catch (BadInput e) {
-            throw new BadInput(PublishedSettings.nameKey(published, e), e.path());
+            throw new BadInput(PublishedSettings.messageWithKey(published, e), e.path());
         }
     }
 
@@ -207,19 +208,19 @@
                 part.text("address", listen.getAddress().getHostAddress() + ":" + listen.getPort());
         List<String> seeds = part.texts("seeds", t -> Config.address(t, "a seed"));
         Map<String, InetSocketAddress> routes = new HashMap<>();
-        TomlPart stated = part.part("routes");
-        for (String to : stated.keys()) {
-            routes.put(to, stated.read(to, t -> Config.address(t, "the route to " + to)));
+        TomlPart routesTable = part.part("routes");
+        for (String to : routesTable.keys()) {
+            routes.put(to, routesTable.read(to, t -> Config.address(t, "the route to " + to)));
         }
-        stated.done();
+        routesTable.done();
         part.done();
         return new MembershipService.Place(name, address, listen, seeds, routes);
     }
 
-    private static void same(TomlPart top, String key, Object was, Object now) {
-        if (!Objects.equals(was, now)) {
+    private static void requireUnchanged(TomlPart top, String key, Object before, Object now) {
+        if (!Objects.equals(before, now)) {
             throw top.bad(
-                    top.at(key), key + " cannot change while the process runs: it was " + was);
+                    top.at(key), key + " cannot change while the process runs: it was " + before);
         }
     }
 
--- a/src/main/java/holdproxy/daemon/DistributionPart.java
+++ b/src/main/java/holdproxy/daemon/DistributionPart.java
@@ -15,5 +15,5 @@
     }
 
     /** Stops on shutdown; its subscribers switch to other sources. */
-    void end();
+    void stop();
 }
--- a/src/main/java/holdproxy/daemon/DistributionSettings.java
+++ b/src/main/java/holdproxy/daemon/DistributionSettings.java
@@ -31,11 +31,11 @@
         List<InetSocketAddress> admins,
         int leaseMs) {
     static final String SECTION = "distribution";
-    private static final int LEAST_LEASE_MS = 200;
-    private static final int MOST_LEASE_MS = 60_000;
+    private static final int MIN_LEASE_MS = 200;
+    private static final int MAX_LEASE_MS = 60_000;
     private static final int DEFAULT_LEASE_MS = 3_000;
-    private static final int MOST_UPSTREAM = 64;
-    private static final int MOST_ADMINS = 16;
+    private static final int MAX_UPSTREAM = 64;
+    private static final int MAX_ADMINS = 16;
 
     /** A process's role in the distribution of changes. */
     enum Role {
@@ -46,14 +46,14 @@
         /** Subscribes to changes and serves no others. */
         PROXY;
 
-        private static final List<String> WORDS = List.of("control", "relay", "proxy");
+        private static final List<String> TOML_NAMES = List.of("control", "relay", "proxy");
 
         boolean serves() {
             return this != PROXY;
         }
 
         /** The name used in the file. */
-        String word() {
+        String tomlName() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
@@ -66,14 +66,14 @@
 
     /** Reads the {@code [distribution]} section of the process {@code name}. */
     static DistributionSettings read(String name, List<String> voters, TomlPart section) {
-        Role role = Role.valueOf(section.word("role", Role.WORDS).toUpperCase(Locale.ROOT));
+        Role role = Role.valueOf(section.word("role", Role.TOML_NAMES).toUpperCase(Locale.ROOT));
         String site = section.read("site", DaemonFile::name);
         InetSocketAddress listen = address(section, "listen", role.serves());
         InetSocketAddress admin = address(section, "admin", role == Role.CONTROL);
-        List<InetSocketAddress> upstream = addresses(section, "upstream", MOST_UPSTREAM);
-        List<InetSocketAddress> fallback = addresses(section, "fallback", MOST_UPSTREAM);
-        List<InetSocketAddress> admins = addresses(section, "admins", MOST_ADMINS);
-        int leaseMs = section.whole("lease_ms", DEFAULT_LEASE_MS, LEAST_LEASE_MS, MOST_LEASE_MS);
+        List<InetSocketAddress> upstream = addresses(section, "upstream", MAX_UPSTREAM);
+        List<InetSocketAddress> fallback = addresses(section, "fallback", MAX_UPSTREAM);
+        List<InetSocketAddress> admins = addresses(section, "admins", MAX_ADMINS);
+        int leaseMs = section.whole("lease_ms", DEFAULT_LEASE_MS, MIN_LEASE_MS, MAX_LEASE_MS);
         section.done();
         if (role == Role.CONTROL && !voters.contains(name)) {
             throw section.bad(
@@ -88,14 +88,14 @@
         if (role != Role.CONTROL && upstream.isEmpty()) {
             throw section.bad(
                     section.at("upstream"),
-                    "a " + role.word() + " needs at least one address in upstream");
+                    "a " + role.tomlName() + " needs at least one address in upstream");
         }
         return new DistributionSettings(
                 role, site, listen, upstream, fallback, admin, admins, leaseMs);
     }
 
-    private static InetSocketAddress address(TomlPart section, String key, boolean needed) {
-        if (needed) {
+    private static InetSocketAddress address(TomlPart section, String key, boolean required) {
+        if (required) {
             return section.read(key, text -> Config.address(text, key));
         }
         if (!section.text(key, "").isEmpty()) {
@@ -104,13 +104,13 @@
         return null;
     }
 
-    private static List<InetSocketAddress> addresses(TomlPart section, String key, int most) {
+    private static List<InetSocketAddress> addresses(TomlPart section, String key, int max) {
         List<InetSocketAddress> addresses = new ArrayList<>();
         section.texts(key, text -> addresses.add(Config.address(text, "an address in " + key)));
-        if (addresses.size() > most) {
+        if (addresses.size() > max) {
             throw section.bad(
                     section.at(key),
-                    key + " has more than " + most + " addresses: " + addresses.size());
+                    key + " has more than " + max + " addresses: " + addresses.size());
         }
         return addresses;
     }
--- a/src/main/java/holdproxy/daemon/DistributionTransport.java
+++ b/src/main/java/holdproxy/daemon/DistributionTransport.java
@@ -13,12 +13,12 @@
 
 /** Transport helpers shared by the parts of a daemon that distribute changes. */
 final class DistributionTransport {
-    private static final int COUNT_SECONDS = 10;
+    private static final int COUNTERS_INTERVAL_S = 10;
     private static final int NS_PER_US = 1_000;
 
     private DistributionTransport() {}
 
-    static TransportContext on(EventLoop loop) {
+    static TransportContext contextFor(EventLoop loop) {
         long startNs = System.nanoTime();
         return new TransportContext(
                 loop,
@@ -34,26 +34,26 @@
         context.loop()
                 .scheduleAtFixedRate(
                         () -> {
-                            TransportCounters.Snapshot counted = context.counters().snapshot();
+                            TransportCounters.Snapshot snapshot = context.counters().snapshot();
                             EventLog.event(
                                     "distribution",
                                     "bytes_in",
-                                    counted.bytesReceived(),
+                                    snapshot.bytesReceived(),
                                     "bytes_out",
-                                    counted.bytesSent(),
+                                    snapshot.bytesSent(),
                                     "messages_in",
-                                    counted.messagesReceived(),
+                                    snapshot.messagesReceived(),
                                     "messages_out",
-                                    counted.messagesSent(),
+                                    snapshot.messagesSent(),
                                     "dropped",
-                                    counted.messagesDropped(),
+                                    snapshot.messagesDropped(),
                                     "connections",
-                                    counted.connectionsOpen(),
+                                    snapshot.connectionsOpen(),
                                     "links_ended",
-                                    counted.linksDropped());
+                                    snapshot.linksDropped());
                         },
-                        COUNT_SECONDS,
-                        COUNT_SECONDS,
+                        COUNTERS_INTERVAL_S,
+                        COUNTERS_INTERVAL_S,
                         java.util.concurrent.TimeUnit.SECONDS);
     }
 
@@ -66,12 +66,12 @@
     }
 
     private static RelayCandidate candidate(InetSocketAddress address, String site) {
-        String text = text(address);
+        String text = formatAddress(address);
         return new RelayCandidate(text, text, site);
     }
 
     /** Formats an address as configuration files have it. */
-    static String text(InetSocketAddress address) {
+    static String formatAddress(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort();
     }
--- a/src/main/java/holdproxy/daemon/EventLog.java
+++ b/src/main/java/holdproxy/daemon/EventLog.java
@@ -10,7 +10,7 @@
  */
 final class EventLog {
     /** Key of the monotonic clock's reading, in microseconds from an arbitrary origin. */
-    static final String CLOCK = "mono_us";
+    static final String CLOCK_KEY = "mono_us";
 
     private static final Logger LOG = LoggerFactory.getLogger("holdproxy");
 
@@ -18,7 +18,7 @@
 
     /** Logs an event; keys and values alternate. */
     static void event(String name, Object... keysAndValues) {
-        LoggingEventBuilder event = LOG.atInfo().addKeyValue(CLOCK, System.nanoTime() / 1000);
+        LoggingEventBuilder event = LOG.atInfo().addKeyValue(CLOCK_KEY, System.nanoTime() / 1000);
         for (int i = 0; i + 1 < keysAndValues.length; i += 2) {
             event = event.addKeyValue((String) keysAndValues[i], keysAndValues[i + 1]);
         }
--- a/src/main/java/holdproxy/daemon/FleetVersions.java
+++ b/src/main/java/holdproxy/daemon/FleetVersions.java
@@ -22,19 +22,19 @@
     long rejectingAt(AdminApi.Published version) {
         long count = 0;
         for (AdminApi.Versions machine : machines) {
-            long named = 0;
+            long namedRejecting = 0;
             for (AdminApi.RejectionView each : machine.rejections()) {
-                named += reaches(each.epoch(), each.number(), version) ? 1 : 0;
+                namedRejecting += isAtLeast(each.epoch(), each.number(), version) ? 1 : 0;
             }
-            boolean allNamed = named == machine.rejections().size();
+            boolean allNamed = namedRejecting == machine.rejections().size();
             // Which version the unnamed proxies reject is unknown, so they count only if all are
             // named.
-            count += allNamed ? machine.rejecting() : named;
+            count += allNamed ? machine.rejecting() : namedRejecting;
         }
         return count;
     }
 
-    private static boolean reaches(long epoch, long number, AdminApi.Published version) {
+    private static boolean isAtLeast(long epoch, long number, AdminApi.Published version) {
         return epoch > version.epoch() || epoch == version.epoch() && number >= version.number();
     }
 
@@ -43,7 +43,7 @@
         long count = 0;
         for (AdminApi.Versions machine : machines) {
             for (AdminApi.VersionCount each : machine.inForce()) {
-                boolean reached = reaches(each.epoch(), each.number(), version);
+                boolean reached = isAtLeast(each.epoch(), each.number(), version);
                 count += reached ? each.proxies() : 0;
             }
         }
@@ -70,7 +70,7 @@
         TreeSet<String> reasons = new TreeSet<>();
         for (AdminApi.Versions machine : machines) {
             for (AdminApi.RejectionView each : machine.rejections()) {
-                if (reaches(each.epoch(), each.number(), version)) {
+                if (isAtLeast(each.epoch(), each.number(), version)) {
                     reasons.add(each.name() + " (" + each.reason() + ")");
                 }
             }
@@ -85,7 +85,7 @@
     }
 
     /** Formats one control machine's answer as a line. */
-    static String line(AdminApi.Versions machine) {
+    static String describe(AdminApi.Versions machine) {
         StringBuilder line =
                 new StringBuilder(machine.name() + ": " + machine.epoch() + "/" + machine.number());
         if (machine.publisher().equals(machine.name())) {
--- a/src/main/java/holdproxy/daemon/FreshnessReporter.java
+++ b/src/main/java/holdproxy/daemon/FreshnessReporter.java
@@ -7,11 +7,11 @@
 
 /** Reports the published state in force and for how long it has not been known to be the newest. */
 final class FreshnessReporter {
-    /** Interval at which {@link #look} is to be called. */
-    static final int LOOK_MS = 1_000;
+    /** Interval at which {@link #update} is to be called. */
+    static final int UPDATE_INTERVAL_MS = 1_000;
 
     /** A state that has not been known to be the newest for this long is reported as stale. */
-    static final long STALE_US = 30_000_000;
+    static final long STALE_AFTER_US = 30_000_000;
 
     private static final long US_PER_S = 1_000_000;
     private static final long US_PER_MS = 1_000;
@@ -29,11 +29,11 @@
     }
 
     /** Updates the figures and logs a change of freshness; {@code ageUs}: see {@link Relay.Source#ageUs}. */
-    void look(Position inForce, long ageUs) {
+    void update(Position inForce, long ageUs) {
         boolean known = ageUs != Relay.Source.UNKNOWN_AGE_US;
-        long silentUs = known ? ageUs : nowUs.getAsLong() - startUs;
+        long unconfirmedUs = known ? ageUs : nowUs.getAsLong() - startUs;
         figures.published(inForce.epoch(), inForce.number(), known ? ageUs / US_PER_S : -1);
-        boolean nowStale = silentUs >= STALE_US;
+        boolean nowStale = unconfirmedUs >= STALE_AFTER_US;
         if (nowStale != stale) {
             stale = nowStale;
             EventLog.event(
--- a/src/main/java/holdproxy/daemon/GenerationFile.java
+++ b/src/main/java/holdproxy/daemon/GenerationFile.java
@@ -12,13 +12,13 @@
 
 /** Persists a process's generation, so that it grows even if the wall clock goes back. */
 final class GenerationFile {
-    private static final String NAME = "life";
+    private static final String FILE_NAME = "life";
 
     private GenerationFile() {}
 
     /** Returns and stores a new generation: {@code wallMs}, but at least one more than the last. */
     static long next(Path folder, long wallMs) {
-        Path file = folder.resolve(NAME);
+        Path file = folder.resolve(FILE_NAME);
         long last = 0;
         try {
             if (Files.exists(file)) {
@@ -33,10 +33,10 @@
                             + "; if the file is removed, the next start uses the wall clock");
         }
         long next = Math.max(wallMs, last + 1);
-        Path fresh = folder.resolve(NAME + ".new");
+        Path newFile = folder.resolve(FILE_NAME + ".new");
         try (FileChannel out =
                 FileChannel.open(
-                        fresh,
+                        newFile,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -45,7 +45,7 @@
                 out.write(text);
             }
             out.force(true);
-            Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
             throw new BadInput("cannot write the generation to " + file + ": " + e);
         }
--- a/src/main/java/holdproxy/daemon/LeaseExercise.java
+++ b/src/main/java/holdproxy/daemon/LeaseExercise.java
@@ -19,12 +19,12 @@
  * compares the token with those it has seen.
  */
 final class LeaseExercise {
-    private static final int CONNECT_MS = 1_000;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     private final DaemonFile.Drill drill;
     private final LeaseClient leases;
     private final EventLoop loop;
-    private Channel resource;
+    private Channel channel;
     private boolean connecting;
 
     LeaseExercise(DaemonFile.Drill drill, LeaseClient leases, EventLoop loop) {
@@ -42,15 +42,15 @@
         if (leases.mayAct(drill.role()).isEmpty()) {
             return;
         }
-        if (resource == null || !resource.isActive()) {
+        if (channel == null || !channel.isActive()) {
             connect();
             return;
         }
-        if (!resource.isWritable()) {
+        if (!channel.isWritable()) {
             return;
         }
         LeaseClient.Act act = leases.begin(drill.role());
-        resource.writeAndFlush(
+        channel.writeAndFlush(
                         Unpooled.copiedBuffer(
                                 drill.role() + " " + act.token() + "\n", StandardCharsets.US_ASCII))
                 .addListener(f -> act.close());
@@ -64,17 +64,17 @@
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(new Ignoring())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+                .handler(new DiscardHandler())
                 .connect(drill.resource())
                 .addListener(
                         f -> {
                             connecting = false;
-                            resource = f.isSuccess() ? ((ChannelFuture) f).channel() : null;
+                            channel = f.isSuccess() ? ((ChannelFuture) f).channel() : null;
                         });
     }
 
-    private static final class Ignoring extends ChannelInboundHandlerAdapter {
+    private static final class DiscardHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ReferenceCountUtil.release(message);
--- a/src/main/java/holdproxy/daemon/PublishCommand.java
+++ b/src/main/java/holdproxy/daemon/PublishCommand.java
@@ -33,10 +33,10 @@
     static final int REJECTED = 1;
     static final int REFUSED = 2;
     static final int NOT_SETTLED = 3;
-    static final int NOT_TAKEN = 4;
+    static final int NOT_ACCEPTED = 4;
 
-    private static final long AGAIN_MS = 200;
-    private static final long LOOK_MS = 250;
+    private static final long RETRY_INTERVAL_MS = 200;
+    private static final long POLL_INTERVAL_MS = 250;
 
     @Mixin private ControlOptions control;
 
@@ -52,7 +52,7 @@
             paramLabel = "PROXIES",
             defaultValue = "1",
             description = "minimum number of connected proxies to wait for")
-    private long expected;
+    private long expectedProxies;
 
     @Parameters(
             paramLabel = "CHANGE.toml",
@@ -66,7 +66,7 @@
         Object result = publish(machines, request);
         if (result instanceof AdminApi.Failure failure) {
             System.err.println("holdproxy: not published: " + failure.error());
-            return failure.retry() ? NOT_TAKEN : REFUSED;
+            return failure.retry() ? NOT_ACCEPTED : REFUSED;
         }
         AdminApi.Published version = (AdminApi.Published) result;
         System.out.println("published as " + version.epoch() + "/" + version.number());
@@ -104,29 +104,29 @@
             if (System.nanoTime() >= endNs) {
                 return new AdminApi.Failure(String.join("; ", problems), true);
             }
-            Thread.sleep(AGAIN_MS);
+            Thread.sleep(RETRY_INTERVAL_MS);
         }
     }
 
     private int await(List<InetSocketAddress> machines, AdminApi.Published version)
             throws InterruptedException {
         long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(waitSeconds);
-        String said = "";
+        String printed = "";
         while (true) {
             FleetVersions fleet = control.versions(machines, problem -> {});
-            boolean settled = fleet.isSettledAt(version, expected);
-            boolean over = settled || System.nanoTime() >= endNs;
+            boolean settled = fleet.isSettledAt(version, expectedProxies);
+            boolean done = settled || System.nanoTime() >= endNs;
             String summary = fleet.summary(version);
-            if (over || !summary.equals(said)) {
+            if (done || !summary.equals(printed)) {
                 System.out.println(summary);
-                said = summary;
+                printed = summary;
             }
-            if (over) {
+            if (done) {
                 return !settled
                         ? NOT_SETTLED
                         : fleet.rejectingAt(version) > 0 ? REJECTED : IN_FORCE;
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 }
--- a/src/main/java/holdproxy/daemon/PublishedConfiguration.java
+++ b/src/main/java/holdproxy/daemon/PublishedConfiguration.java
@@ -20,7 +20,7 @@
     /** The proxy that the settings are applied to. */
     interface Target {
         /** Applies these settings over those of its own file; on failure returns a one-line reason. */
-        Optional<String> take(Map<String, byte[]> published);
+        Optional<String> apply(Map<String, byte[]> published);
     }
 
     private final String name;
@@ -48,8 +48,8 @@
     public Optional<String> offer(
             long nowUs, Position position, SortedMap<String, Value> state, List<Change> changes) {
         Map<String, Value> offered = new TreeMap<>(state);
-        offered.keySet().removeIf(key -> !PublishedSettings.isOne(key));
-        Optional<String> reason = offered.equals(settings) ? Optional.empty() : take(offered);
+        offered.keySet().removeIf(key -> !PublishedSettings.isSettingKey(key));
+        Optional<String> reason = offered.equals(settings) ? Optional.empty() : apply(offered);
         if (reason.isEmpty()) {
             settings = offered;
             inForce = position;
@@ -76,11 +76,11 @@
         return reason;
     }
 
-    private Optional<String> take(Map<String, Value> offered) {
+    private Optional<String> apply(Map<String, Value> offered) {
         Map<String, byte[]> published = new TreeMap<>();
         offered.forEach((key, value) -> published.put(key, value.bytes()));
         try {
-            return target.take(published);
+            return target.apply(published);
         } catch (RuntimeException e) {
             // An unexpected failure must not close the link, which also delivers the next state.
             return Optional.of("cannot be applied: " + e);
--- a/src/main/java/holdproxy/daemon/PublishedSettings.java
+++ b/src/main/java/holdproxy/daemon/PublishedSettings.java
@@ -22,40 +22,40 @@
     static final String PREFIX = "settings/";
 
     /** Maximum size in bytes of a file to publish. */
-    private static final int LONGEST_FILE = 64 << 10;
+    private static final int MAX_FILE_BYTES = 64 << 10;
 
     private PublishedSettings() {}
 
-    static boolean isOne(String key) {
+    static boolean isSettingKey(String key) {
         return key.startsWith(PREFIX);
     }
 
     /** Applies published settings over {@code own}: tables are merged key by key, lists are replaced. */
-    static Map<String, Object> over(Map<String, Object> own, Map<String, byte[]> published) {
+    static Map<String, Object> overlay(Map<String, Object> own, Map<String, byte[]> published) {
         Map<String, Object> all = new HashMap<>(own);
         published.forEach(
                 (key, value) -> {
-                    if (isOne(key)) {
+                    if (isSettingKey(key)) {
                         all.merge(
                                 key.substring(PREFIX.length()),
                                 value(key, value),
-                                PublishedSettings::over);
+                                PublishedSettings::overlay);
                     }
                 });
         return all;
     }
 
-    private static Object over(Object own, Object published) {
+    private static Object overlay(Object own, Object published) {
         if (!(own instanceof Map<?, ?> below) || !(published instanceof Map<?, ?> above)) {
             return published;
         }
-        Map<Object, Object> both = new HashMap<>(below);
-        above.forEach((key, value) -> both.merge(key, value, PublishedSettings::over));
-        return both;
+        Map<Object, Object> merged = new HashMap<>(below);
+        above.forEach((key, value) -> merged.merge(key, value, PublishedSettings::overlay));
+        return merged;
     }
 
     /** The failure's message, prefixed with the published key if the invalid value came from one. */
-    static String nameKey(Map<String, byte[]> published, BadInput failure) {
+    static String messageWithKey(Map<String, byte[]> published, BadInput failure) {
         String path = failure.path() == null ? "" : failure.path();
         String key = PREFIX + path.split("\\.", 2)[0];
         return published.containsKey(key)
@@ -82,9 +82,9 @@
     static Map<String, byte[]> read(Path file) {
         String text;
         try {
-            if (Files.size(file) > LONGEST_FILE) {
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new BadInput(
-                        "the file " + file + " has more than " + LONGEST_FILE + " bytes");
+                        "the file " + file + " has more than " + MAX_FILE_BYTES + " bytes");
             }
             text = Files.readString(file);
         } catch (IOException e) {
--- a/src/main/java/holdproxy/daemon/RelayRole.java
+++ b/src/main/java/holdproxy/daemon/RelayRole.java
@@ -12,7 +12,7 @@
  * closed port otherwise and try the next candidate. Runs on the context's event loop.
  */
 final class RelayRole {
-    private static final int BIND_AGAIN_MS = 500;
+    private static final int BIND_RETRY_MS = 500;
 
     private final TransportContext context;
     private final Relay.Source source;
@@ -38,7 +38,7 @@
         if (server != null) {
             server.close();
             server = null;
-            EventLog.event("relay ended", "address", DistributionTransport.text(address));
+            EventLog.event("relay ended", "address", DistributionTransport.formatAddress(address));
         }
     }
 
@@ -73,23 +73,23 @@
                                 EventLog.event(
                                         "relay serves",
                                         "address",
-                                        DistributionTransport.text(address));
+                                        DistributionTransport.formatAddress(address));
                                 return;
                             }
                             EventLog.line(
                                     "cannot listen for subscribers on "
-                                            + DistributionTransport.text(address)
+                                            + DistributionTransport.formatAddress(address)
                                             + ", retrying: "
                                             + bound.cause().getMessage());
                             context.loop()
                                     .schedule(
-                                            () -> listenAgain(opened),
-                                            BIND_AGAIN_MS,
+                                            () -> retryListen(opened),
+                                            BIND_RETRY_MS,
                                             TimeUnit.MILLISECONDS);
                         });
     }
 
-    private void listenAgain(RelayServer failed) {
+    private void retryListen(RelayServer failed) {
         failed.close();
         if (server == failed) {
             listen();
--- a/src/main/java/holdproxy/daemon/ReplicatedState.java
+++ b/src/main/java/holdproxy/daemon/ReplicatedState.java
@@ -10,7 +10,7 @@
 
 /**
  * The state machine of a fleet's consensus group: the lease table and the log of published changes. A
- * publication carries the fencing token of the {@link #PUBLISHER} lease; every member refuses a publication
+ * publication carries the fencing token of the publisher lease; every member refuses a publication
  * whose token is older than the last one granted.
  *
  * <p>Operations on the change log are marked, those on leases are not, so that Raft logs and snapshots
@@ -18,10 +18,10 @@
  */
 final class ReplicatedState implements StateMachine {
     /** Role whose holder alone appends to the change log. */
-    static final String PUBLISHER = "publisher";
+    static final String PUBLISHER_ROLE = "publisher";
 
     /** Marks operations on the change log and its parts of a snapshot. */
-    private static final String CHANGES = "changes";
+    private static final String CHANGES_MARK = "changes";
 
     /** Even with one more value a part stays below a quarter of a frame between members. */
     private static final int SNAPSHOT_PART_BYTES = 128 << 10;
@@ -50,18 +50,20 @@
 
     /** The operation that appends a publication; {@link ChangeLogOperations#result} decodes its answer. */
     static List<Object> append(Publication publication) {
-        return List.of(CHANGES, ChangeLogOperations.append(publication));
+        return List.of(CHANGES_MARK, ChangeLogOperations.append(publication));
     }
 
     /**
      * The operation that gives an empty log its epoch; {@link ChangeLogOperations#result} decodes its answer.
      */
     static List<Object> found(long epoch) {
-        return List.of(CHANGES, ChangeLogOperations.found(epoch));
+        return List.of(CHANGES_MARK, ChangeLogOperations.found(epoch));
     }
 
     private static boolean isMarked(Object value) {
-        return value instanceof List<?> parts && parts.size() == 2 && CHANGES.equals(parts.get(0));
+        return value instanceof List<?> parts
+                && parts.size() == 2
+                && CHANGES_MARK.equals(parts.get(0));
     }
 
     @Override
@@ -72,7 +74,7 @@
             return answer;
         }
         Object answer = leases.apply(index, operation);
-        changes.fence(leases.lastToken(PUBLISHER));
+        changes.fence(leases.lastToken(PUBLISHER_ROLE));
         return answer;
     }
 
@@ -90,24 +92,25 @@
     @Override
     public List<Object> snapshot() {
         List<Object> parts = new ArrayList<>(leases.snapshot());
-        changes.snapshot(SNAPSHOT_PART_BYTES).forEach(part -> parts.add(List.of(CHANGES, part)));
+        changes.snapshot(SNAPSHOT_PART_BYTES)
+                .forEach(part -> parts.add(List.of(CHANGES_MARK, part)));
         return parts;
     }
 
     @Override
     public void restore(List<Object> parts) {
-        List<Object> ofLeases = new ArrayList<>();
-        List<Object> ofChanges = new ArrayList<>();
+        List<Object> leaseParts = new ArrayList<>();
+        List<Object> changeParts = new ArrayList<>();
         for (Object part : parts) {
             if (isMarked(part)) {
-                ofChanges.add(((List<?>) part).get(1));
+                changeParts.add(((List<?>) part).get(1));
             } else {
-                ofLeases.add(part);
+                leaseParts.add(part);
             }
         }
-        leases.restore(ofLeases);
-        changes.restore(ofChanges);
-        changes.fence(leases.lastToken(PUBLISHER));
+        leases.restore(leaseParts);
+        changes.restore(changeParts);
+        changes.fence(leases.lastToken(PUBLISHER_ROLE));
         listener.run();
     }
 }
--- a/src/main/java/holdproxy/daemon/SubscribedProcess.java
+++ b/src/main/java/holdproxy/daemon/SubscribedProcess.java
@@ -19,22 +19,22 @@
  * per site serves at a time; the others stay subscribed and can take over with the state they have.
  */
 final class SubscribedProcess implements DistributionPart {
-    private static final String RELAY_ROLE = "relay-";
+    private static final String RELAY_ROLE_PREFIX = "relay-";
 
-    private final PublishedConfiguration own;
+    private final PublishedConfiguration configuration;
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final TransportContext context = DistributionTransport.on(loop);
+    private final TransportContext context = DistributionTransport.contextFor(loop);
     private final SubscriberClient upstream;
 
     /** Null in a proxy. */
     private final RelayRole relay;
 
-    private boolean advancing;
+    private boolean advanceScheduled;
 
     private SubscribedProcess(
             String name, DistributionSettings settings, PublishedConfiguration own) {
-        this.own = own;
+        this.configuration = own;
         boolean serves = settings.role().serves();
         upstream =
                 new SubscriberClient(
@@ -42,7 +42,7 @@
                         name,
                         new Replica(context.settings().limits()),
                         (nowUs, position, state, changes) -> {
-                            advanceSoon();
+                            scheduleAdvance();
                             return own.offer(nowUs, position, state, changes);
                         },
                         serves ? this::report : null,
@@ -62,9 +62,9 @@
                 () -> {
                     process.upstream.candidates(DistributionTransport.candidates(name, settings));
                     process.loop.scheduleAtFixedRate(
-                            () -> process.look(freshness),
-                            FreshnessReporter.LOOK_MS,
-                            FreshnessReporter.LOOK_MS,
+                            () -> process.updateFreshness(freshness),
+                            FreshnessReporter.UPDATE_INTERVAL_MS,
+                            FreshnessReporter.UPDATE_INTERVAL_MS,
                             TimeUnit.MILLISECONDS);
                     DistributionTransport.logCounters(process.context);
                     if (process.relay != null && consensus == null) {
@@ -72,35 +72,39 @@
                     }
                 });
         if (process.relay != null && consensus != null) {
-            consensus.want(RELAY_ROLE + settings.site(), settings.leaseMs(), process.new Holding());
+            consensus.requestLease(
+                    RELAY_ROLE_PREFIX + settings.site(),
+                    settings.leaseMs(),
+                    process.new RelayLease());
         }
         return process;
     }
 
-    private void look(FreshnessReporter freshness) {
-        freshness.look(own.inForce(), upstream.subscriber().ageUs(context.nowUs().getAsLong()));
+    private void updateFreshness(FreshnessReporter freshness) {
+        freshness.update(
+                configuration.inForce(), upstream.subscriber().ageUs(context.nowUs().getAsLong()));
     }
 
     /** Coverage of its own proxy and of those that it serves. */
     private CoverageReport report() {
         return CoverageReport.merge(
-                List.of(own.report(), relay.report()), context.settings().limits());
+                List.of(configuration.report(), relay.report()), context.settings().limits());
     }
 
     /** Deferred, because the calling subscriber may still be applying further changes. */
-    private void advanceSoon() {
-        if (relay != null && !advancing) {
-            advancing = true;
+    private void scheduleAdvance() {
+        if (relay != null && !advanceScheduled) {
+            advanceScheduled = true;
             loop.execute(
                     () -> {
-                        advancing = false;
+                        advanceScheduled = false;
                         relay.advanced();
                     });
         }
     }
 
     @Override
-    public void end() {
+    public void stop() {
         loop.execute(
                 () -> {
                     if (relay != null) {
@@ -111,7 +115,7 @@
     }
 
     /** Follows the lease on the site's role; called on the consensus part's event loop. */
-    private final class Holding implements LeaseListener {
+    private final class RelayLease implements LeaseListener {
         @Override
         public void granted(long token) {
             loop.execute(relay::begin);
--- a/src/main/java/holdproxy/daemon/VersionsCommand.java
+++ b/src/main/java/holdproxy/daemon/VersionsCommand.java
@@ -26,7 +26,7 @@
                             unreachable[0]++;
                             System.err.println("holdproxy: " + problem);
                         });
-        fleet.machines().forEach(machine -> System.out.println(FleetVersions.line(machine)));
-        return unreachable[0] == 0 ? 0 : PublishCommand.NOT_TAKEN;
+        fleet.machines().forEach(machine -> System.out.println(FleetVersions.describe(machine)));
+        return unreachable[0] == 0 ? 0 : PublishCommand.NOT_ACCEPTED;
     }
 }
--- a/src/main/java/holdproxy/input/SettingsText.java
+++ b/src/main/java/holdproxy/input/SettingsText.java
@@ -13,13 +13,13 @@
  * missing ones get a safe default.
  */
 public final class SettingsText {
-    private static final int MOST_ITEMS = 100_000;
+    private static final int MAX_ITEMS = 100_000;
 
     /** Default connect time-out; both connections and repeat windows depend on it. */
-    private static final long DIAL_US = 1_000_000;
+    private static final long DEFAULT_DIAL_TIMEOUT_US = 1_000_000;
 
     private final Map<String, String> values = new HashMap<>();
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> readPaths = new HashSet<>();
 
     /** Parses the lines. */
     public SettingsText(String text) {
@@ -28,7 +28,7 @@
             if (eq > 0) {
                 values.put(line.substring(0, eq), line.substring(eq + 1).strip());
             } else if (!line.isBlank()) {
-                throw new BadInput("settings line without '=': " + shown(line));
+                throw new BadInput("settings line without '=': " + printable(line));
             }
         }
     }
@@ -56,10 +56,10 @@
             t.share = number("tenants." + i + ".share", 0, 0);
             s.tenants[i] = t;
         }
-        s.aside = word("familyInfo.mode", "through", "through", "aside").equals("aside");
+        s.aside = choice("familyInfo.mode", "through", "through", "aside").equals("aside");
         s.originKind = integer("familyInfo.originKind", -1, -1);
         s.askForNodes =
-                word("registryMode", "automatic", "automatic", "subscribe").equals("subscribe");
+                choice("registryMode", "automatic", "automatic", "subscribe").equals("subscribe");
         s.mayCancel = flag("caps.mayCancel");
         s.mayProbe = flag("caps.probing");
         s.secondCopies = flag("caps.secondCopies");
@@ -76,24 +76,24 @@
         s.drainGraceUs = micros("rules.drainGraceMs", 0);
         s.tipMultiple = number("rules.tipMultiple", 0, 0);
         long dialUs = micros("caps.dialTimeoutMs", 0);
-        s.dialTimeoutUs = dialUs > 0 ? dialUs : DIAL_US;
+        s.dialTimeoutUs = dialUs > 0 ? dialUs : DEFAULT_DIAL_TIMEOUT_US;
         s.streamsPerConnection = integer("caps.multiplex", 1, 1);
         s.weights =
-                switch (word("weights", "nominal", "off", "nominal", "rough", "live")) {
+                switch (choice("weights", "nominal", "off", "nominal", "rough", "live")) {
                     case "off" -> Router.Weights.NONE;
                     case "rough" -> Router.Weights.ROUGH;
                     case "live" -> Router.Weights.LIVE;
                     default -> Router.Weights.NOMINAL;
                 };
         s.reports =
-                switch (word("reporting.source", "off", "off", "inline", "on_probe")) {
+                switch (choice("reporting.source", "off", "off", "inline", "on_probe")) {
                     case "inline" -> Router.ReportSource.ANSWERS;
                     case "on_probe" -> Router.ReportSource.PROBES;
                     default -> Router.ReportSource.NONE;
                 };
         s.clientsMarkRepeats = flag("clients.marksRetry");
         s.mayTell = flag("caps.peers");
-        s.countedByWork = word("countedBy", "request", "request", "work").equals("work");
+        s.countedByWork = choice("countedBy", "request", "request", "work").equals("work");
         s.overShareWorth = number("overShareWorth", 1, 0);
         s.originFallMultiple = number("familyInfo.originFallMultiple", 0, 0);
         s.originFallUs = micros("familyInfo.originFallMs", 0);
@@ -126,12 +126,12 @@
     /** The paths that have not been read so far, sorted. */
     public Set<String> unknown() {
         Set<String> unknown = new TreeSet<>(values.keySet());
-        unknown.removeAll(asked);
+        unknown.removeAll(readPaths);
         return unknown;
     }
 
     private String value(String path, String fallback) {
-        asked.add(path);
+        readPaths.add(path);
         return values.getOrDefault(path, fallback);
     }
 
@@ -154,12 +154,12 @@
         Router.RequestClass c = new Router.RequestClass();
         c.name = value(path + "name", "");
         c.effect =
-                switch (word(path + "effect", "side_effect", "pure", "token", "side_effect")) {
+                switch (choice(path + "effect", "side_effect", "pure", "token", "side_effect")) {
                     case "pure" -> Router.Effect.SAFE;
                     case "token" -> Router.Effect.KEYED;
                     default -> Router.Effect.UNSAFE;
                 };
-        String group = word(path + "group", "all", "all", "zone", "cell");
+        String group = choice(path + "group", "all", "all", "zone", "cell");
         c.group = Router.Group.valueOf(group.toUpperCase(Locale.ROOT));
         c.aimUs = micros(path + "targetMs", 0);
         c.aimStretch = number(path + "aimStretch", 0, 0);
@@ -171,14 +171,14 @@
         return c;
     }
 
-    private static String shown(String value) {
+    private static String printable(String value) {
         String line = value.replaceAll("\\p{Cntrl}", "?");
         return line.length() <= 60 ? line : line.substring(0, 60) + "...";
     }
 
     private BadInput bad(String path, String wanted) {
         return new BadInput(
-                "setting " + path + " is not " + wanted + ": " + shown(values.get(path)), path);
+                "setting " + path + " is not " + wanted + ": " + printable(values.get(path)), path);
     }
 
     private double number(String path, double fallback, double least) {
@@ -200,8 +200,8 @@
     private int integer(String path, int fallback, int least) {
         double v = number(path, fallback, least);
         boolean count = path.endsWith(".count");
-        if (v != Math.rint(v) || count && v > MOST_ITEMS) {
-            throw bad(path, "a whole number" + (count ? " up to " + MOST_ITEMS : ""));
+        if (v != Math.rint(v) || count && v > MAX_ITEMS) {
+            throw bad(path, "a whole number" + (count ? " up to " + MAX_ITEMS : ""));
         }
         return (int) Math.min(v, Integer.MAX_VALUE);
     }
@@ -211,10 +211,10 @@
     }
 
     private boolean flag(String path) {
-        return word(path, "false", "true", "false").equals("true");
+        return choice(path, "false", "true", "false").equals("true");
     }
 
-    private String word(String path, String fallback, String... allowed) {
+    private String choice(String path, String fallback, String... allowed) {
         String text = value(path, fallback);
         for (String word : allowed) {
             if (word.equals(text)) {
--- a/src/main/java/holdproxy/input/Shape.java
+++ b/src/main/java/holdproxy/input/Shape.java
@@ -24,27 +24,27 @@
             throw new BadInput(path + " is missing");
         }
         if (inUse instanceof Map<?, ?> map) {
-            Map<?, ?> other = next instanceof Map<?, ?> m ? m : wrong(path, "an object");
+            Map<?, ?> other = next instanceof Map<?, ?> m ? m : reject(path, "an object");
             String before = path.isEmpty() ? "" : path + ".";
             map.forEach((key, value) -> check(before + key, value, other.get(key)));
         } else if (inUse instanceof List<?> list) {
-            List<?> other = next instanceof List<?> l ? l : wrong(path, "a list");
+            List<?> other = next instanceof List<?> l ? l : reject(path, "a list");
             // Each entry needs the keys that all entries in use have; other keys are optional.
-            Object needed = common(list);
+            Object required = commonKeys(list);
             for (int i = 0; i < other.size(); i++) {
-                check(path + "." + i, needed, other.get(i));
+                check(path + "." + i, required, other.get(i));
             }
         } else if (inUse instanceof Number && !(next instanceof Number)) {
-            wrong(path, "a number");
+            reject(path, "a number");
         } else if (inUse instanceof Boolean && !(next instanceof Boolean)) {
-            wrong(path, "true or false");
+            reject(path, "true or false");
         } else if (inUse instanceof String && !(next instanceof String)) {
-            wrong(path, "text");
+            reject(path, "text");
         }
     }
 
     /** The keys that all entries have, or the first entry if it is no object; null for an empty list. */
-    private static Object common(List<?> entries) {
+    private static Object commonKeys(List<?> entries) {
         if (entries.isEmpty() || !(entries.get(0) instanceof Map<?, ?> first)) {
             return entries.isEmpty() ? null : entries.get(0);
         }
@@ -55,7 +55,7 @@
         return common;
     }
 
-    private static <T> T wrong(String path, String wanted) {
+    private static <T> T reject(String path, String wanted) {
         throw new BadInput(path + " is not " + wanted);
     }
 }
--- a/src/main/java/holdproxy/toml/TomlPart.java
+++ b/src/main/java/holdproxy/toml/TomlPart.java
@@ -23,14 +23,14 @@
     private final String file;
     private final String what;
     private final TomlTable table;
-    private final TomlPosition start;
-    private final Set<String> asked = new TreeSet<>();
+    private final TomlPosition position;
+    private final Set<String> readKeys = new TreeSet<>();
 
     private TomlPart(String file, String what, TomlTable table, TomlPosition start) {
         this.file = file;
         this.what = what;
         this.table = table;
-        this.start = start;
+        this.position = start;
     }
 
     /** {@code file} names the file and {@code what} the table in error messages. */
@@ -50,7 +50,7 @@
     /** The position of a key, or of the table if the key is absent. */
     public TomlPosition at(String key) {
         TomlPosition at = table.inputPositionOf(List.of(key));
-        return at == null ? start : at;
+        return at == null ? position : at;
     }
 
     /** Returns an error with the file and the line. */
@@ -71,7 +71,7 @@
     }
 
     private Object value(String key) {
-        asked.add(key);
+        readKeys.add(key);
         return table.get(List.of(key));
     }
 
@@ -87,7 +87,7 @@
     /** A required string, converted by {@code reader}; its {@link BadInput} gets the file and the line. */
     public <T> T read(String key, Function<String, T> reader) {
         if (value(key) == null) {
-            throw bad(start, key + " is missing from " + what);
+            throw bad(position, key + " is missing from " + what);
         }
         try {
             return reader.apply(text(key, ""));
@@ -127,23 +127,23 @@
         if (value != null && !(value instanceof TomlTable)) {
             throw bad(at(key), key + " is no table, [" + key + "]");
         }
-        return value == null ? Map.of() : plain((TomlTable) value);
+        return value == null ? Map.of() : toPlain((TomlTable) value);
     }
 
-    private static Map<String, Object> plain(TomlTable table) {
+    private static Map<String, Object> toPlain(TomlTable table) {
         Map<String, Object> map = new LinkedHashMap<>();
-        table.keySet().forEach(k -> map.put(k, plain(table.get(List.of(k)))));
+        table.keySet().forEach(k -> map.put(k, toPlain(table.get(List.of(k)))));
         return map;
     }
 
-    private static Object plain(Object value) {
+    private static Object toPlain(Object value) {
         if (value instanceof TomlTable inner) {
-            return plain(inner);
+            return toPlain(inner);
         }
         if (value instanceof TomlArray array) {
             List<Object> list = new ArrayList<>();
             for (int i = 0; i < array.size(); i++) {
-                list.add(plain(array.get(i)));
+                list.add(toPlain(array.get(i)));
             }
             return list;
         }
@@ -152,7 +152,7 @@
 
     /** The position of a dotted path of keys and list indexes, or of the innermost existing parent. */
     public TomlPosition atPath(String path) {
-        TomlPosition at = start;
+        TomlPosition at = position;
         Object inside = table;
         for (String step : path.split("\\.")) {
             if (inside instanceof TomlTable t && t.contains(List.of(step))) {
@@ -195,7 +195,7 @@
     /** A required number within bounds. */
     public double needed(String key, double least, double most) {
         if (value(key) == null) {
-            throw bad(start, key + " is missing from " + what);
+            throw bad(position, key + " is missing from " + what);
         }
         return number(key, 0, least, most);
     }
@@ -264,10 +264,14 @@
     /** Throws a {@link BadInput} for the first key that was never read, which is thus unknown. */
     public void done() {
         for (String key : table.keySet()) {
-            if (!asked.contains(key)) {
+            if (!readKeys.contains(key)) {
                 throw bad(
                         at(key),
-                        key + " is unknown in " + what + "; known are " + String.join(", ", asked));
+                        key
+                                + " is unknown in "
+                                + what
+                                + "; known are "
+                                + String.join(", ", readKeys));
             }
         }
     }
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -19,7 +19,7 @@
                     .importPackages("holdproxy");
 
     @Test
-    void theDecisionModuleKnowsNobodyAndDoesNoInput() {
+    void policyDependsOnNoOtherPackageAndDoesNoInputOrOutput() {
         classes()
                 .that()
                 .resideInAPackage("holdproxy.policy")
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void theDecisionModuleReadsNoClock() {
+    void policyReadsNoClock() {
         noClasses()
                 .that()
                 .resideInAPackage("holdproxy.policy")
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void theSimulatorsWireAndTheSocketsDoNotKnowEachOther() {
+    void simAndNetDoNotDependOnEachOther() {
         classes()
                 .that()
                 .resideInAPackage("holdproxy.sim")
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void onlyTownsAndTheLabKnowTheLibrariesThatServiceDoesWithout() {
+    void packagesUsedByServeDependOnNoCommandLineOrLoggingLibraries() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void membershipKnowsNoProxy() {
+    void membershipDependsOnNoOtherPackageButInput() {
         noClasses()
                 .that()
                 .resideInAPackage("holdproxy.membership")
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void theRulesOfMembershipReadNoClockAndOpenNoSocket() {
+    void membershipRulesReadNoClockAndOpenNoSocket() {
         classes()
                 .that()
                 .resideInAPackage("holdproxy.membership")
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void agreementAndDutiesStandOnWhatIsHandedIn() {
+    void consensusAndLeaseReadNoClockAndDependOnNoOtherPackages() {
         classes()
                 .that()
                 .resideInAPackage("holdproxy.lease")
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void theRulesOfTheFanoutStandOnWhatIsHandedIn() {
+    void fanoutRulesReadNoClockAndOpenNoSocket() {
         classes()
                 .that()
                 .resideInAPackage("holdproxy.fanout")
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void theTransportOfTheFanoutKnowsItsRulesAlone() {
+    void fanoutTransportDependsOnFanoutRulesOnly() {
         classes()
                 .that()
                 .resideInAPackage("holdproxy.fanout.transport")
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void theProxyKnowsNoneOfTheCooperatingParts() {
+    void proxyDoesNotDependOnFleetPackages() {
         noClasses()
                 .that()
                 .resideInAnyPackage("holdproxy.net..", "holdproxy.policy..")
@@ -265,7 +265,7 @@
     }
 
     @Test
-    void onlyTheCommandLineKnowsTheDaemon() {
+    void onlyMainDependsOnTheDaemon() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("holdproxy", "holdproxy.daemon..")
@@ -276,7 +276,7 @@
     }
 
     @Test
-    void townsKnowOfTheProxyNothingButHowConnectionsAreMade() {
+    void townDependsOnTransportAndTomlOnly() {
         noClasses()
                 .that()
                 .resideInAPackage("holdproxy.town")
@@ -294,7 +294,7 @@
     }
 
     @Test
-    void theRigKnowsOfTheProgramNoMoreThanItsTowns() {
+    void rigDoesNotDependOnTheProgramUnderTest() {
         noClasses()
                 .that()
                 .resideInAPackage("holdproxy.rig")
@@ -311,7 +311,7 @@
     }
 
     @Test
-    void onlyTheCommandLineKnowsTheScaleRuns() {
+    void onlyMainDependsOnScale() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("holdproxy", "holdproxy.scale..")
@@ -329,7 +329,7 @@
     }
 
     @Test
-    void auditorsShareNoCodeWithTheProxy() {
+    void auditorsDoNotDependOnTheProxy() {
         noClasses()
                 .that()
                 .haveSimpleName("Auditors")
@@ -342,7 +342,7 @@
     }
 
     @Test
-    void theConsoleKnowsNoOtherPackage() {
+    void consoleDependsOnNoOtherPackage() {
         classes()
                 .that()
                 .resideInAPackage("holdproxy.console")
@@ -353,7 +353,7 @@
     }
 
     @Test
-    void settingsAreReadWithoutSocketsOrWire() {
+    void inputDependsOnPolicyOnly() {
         classes()
                 .that()
                 .resideInAPackage("holdproxy.input")
@@ -364,12 +364,12 @@
     }
 
     @Test
-    void noPackagesDependOnEachOtherInACircle() {
+    void packagesHaveNoCyclicDependencies() {
         slices().matching("holdproxy.(*)..").should().beFreeOfCycles().check(MAIN);
     }
 
     @Test
-    void timeEntersTheSocketsInOnePlace() {
+    void onlyTimeReadsTheClockInNet() {
         noClasses()
                 .that()
                 .resideInAPackage("holdproxy.net..")
--- a/src/test/java/holdproxy/Awaiting.java
+++ b/src/test/java/holdproxy/Awaiting.java
@@ -14,9 +14,9 @@
         boolean holds() throws Exception;
     }
 
-    /** Waits until the condition holds; fails after {@code endS} seconds. */
-    public static void await(long endS, Condition condition) throws Exception {
-        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(endS);
+    /** Waits until the condition holds; fails after {@code timeoutS} seconds. */
+    public static void await(long timeoutS, Condition condition) throws Exception {
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutS);
         while (!condition.holds()) {
             assertTrue(System.nanoTime() < endNs, "the condition did not hold in time");
             Thread.onSpinWait();
--- a/src/test/java/holdproxy/ModuleLimitsTest.java
+++ b/src/test/java/holdproxy/ModuleLimitsTest.java
@@ -15,8 +15,7 @@
     private static final Path SOURCES = Path.of("src/main/java/holdproxy");
 
     @Test
-    void thePolicyFilesHoldAtMost1200LinesTogetherAndNameTheirInterfaceAtTheTop()
-            throws IOException {
+    void policyFilesHaveAtMost1200LinesAndNameTheirInterfaceAtTheTop() throws IOException {
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
         String listed =
                 deploy.lines().filter(l -> l.startsWith("policy = ")).findFirst().orElseThrow();
--- a/src/test/java/holdproxy/console/ConsoleTest.java
+++ b/src/test/java/holdproxy/console/ConsoleTest.java
@@ -19,16 +19,16 @@
 /** Answers to valid and invalid console commands, with simulated time. */
 class ConsoleTest {
     private final Figures figures = new Figures();
-    private final List<String> asked = new ArrayList<>();
+    private final List<String> commands = new ArrayList<>();
     private final List<Consumer<String>> answers = new ArrayList<>();
-    private boolean taking = true;
+    private boolean acceptingClients = true;
     private final Console console =
             new Console(
                     null,
                     new Operations() {
                         @Override
                         public boolean takesClients() {
-                            return taking;
+                            return acceptingClients;
                         }
 
                         @Override
@@ -38,7 +38,7 @@
 
                         @Override
                         public void leaveOut(String node, boolean out, Consumer<String> answer) {
-                            asked.add(node + " " + out);
+                            commands.add(node + " " + out);
                             answers.add(answer);
                         }
                     },
@@ -47,8 +47,8 @@
     private EmbeddedChannel caller() {
         EmbeddedChannel ch =
                 new EmbeddedChannel(
-                        new LineBasedFrameDecoder(Console.LONGEST_LINE, true, true),
-                        console.new Caller());
+                        new LineBasedFrameDecoder(Console.MAX_LINE_BYTES, true, true),
+                        console.new CommandHandler());
         ch.freezeTime();
         return ch;
     }
@@ -58,7 +58,7 @@
         caller.runPendingTasks();
     }
 
-    private static String said(EmbeddedChannel caller) {
+    private static String readAnswer(EmbeddedChannel caller) {
         ByteBuf said = caller.readOutbound();
         if (said == null) {
             return null;
@@ -71,21 +71,21 @@
     private String call(String line) {
         EmbeddedChannel caller = caller();
         send(caller, line);
-        String answer = said(caller);
+        String answer = readAnswer(caller);
         assertFalse(caller.isActive(), "the connection closes after the answer");
         return answer;
     }
 
     @Test
-    void checkSaysYesOnlyWhileClientsAreTaken() {
+    void checkIsOkOnlyWhileClientsAreAccepted() {
         assertEquals("OK\r\n", call("check\r\n"));
         assertEquals("OK\r\n", call("check\n"));
-        taking = false;
+        acceptingClients = false;
         assertTrue(call("check\r\n").startsWith("ERR "));
     }
 
     @Test
-    void varsGivesEveryFigureAndThenItsEnd() {
+    void varsListsEveryFigureThenEnd() {
         figures.of("read").ok.add(812);
         figures.of("read").shed.add(3);
         figures.of("write").errors.add(1);
@@ -116,67 +116,68 @@
     }
 
     @Test
-    void aCallThatChangesSomethingIsAnsweredOnceItHoldsAndNotBefore() {
+    void changesAreAnsweredOnlyOnceEffective() {
         EmbeddedChannel down = caller();
         EmbeddedChannel up = caller();
         send(down, "set-down s-1\r\n");
         send(up, "set-up s-2\r\n");
-        assertEquals(List.of("s-1 true", "s-2 false"), asked);
-        assertNull(said(down));
+        assertEquals(List.of("s-1 true", "s-2 false"), commands);
+        assertNull(readAnswer(down));
         answers.get(1).accept("no cache node is called s-2");
         answers.get(0).accept(null);
         down.runPendingTasks();
         up.runPendingTasks();
-        assertEquals("OK\r\n", said(down));
-        assertEquals("ERR no cache node is called s-2\r\n", said(up));
+        assertEquals("OK\r\n", readAnswer(down));
+        assertEquals("ERR no cache node is called s-2\r\n", readAnswer(up));
     }
 
     @Test
-    void whatIsNoCallIsToldWhatIsWrong() {
+    void invalidCommandsGetAnError() {
         assertTrue(call("drain\r\n").startsWith("ERR unknown call drain"));
         assertTrue(call("\r\n").startsWith("ERR unknown call"));
         assertTrue(call("set-down\r\n").startsWith("ERR set-down takes the id of one"));
         assertTrue(call("set-up a b\r\n").startsWith("ERR set-up takes the id of one"));
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), commands);
         assertTrue(call("check now\r\n").startsWith("ERR check takes no argument"));
         assertTrue(call("\u0001\u00ff\r\n").startsWith("ERR the line is no text"));
-        assertTrue(call("x".repeat(Console.LONGEST_LINE + 1)).startsWith("ERR the line is longer"));
+        assertTrue(
+                call("x".repeat(Console.MAX_LINE_BYTES + 1)).startsWith("ERR the line is longer"));
     }
 
     @Test
-    void aCallInPiecesIsOneCallAndOnlyTheFirstIsAnswered() {
+    void fragmentedCommandIsOneAndOnlyTheFirstIsAnswered() {
         EmbeddedChannel caller = caller();
         send(caller, "che");
-        assertNull(said(caller));
+        assertNull(readAnswer(caller));
         send(caller, "ck\r\nvars\r\n");
-        assertEquals("OK\r\n", said(caller));
-        assertNull(said(caller));
+        assertEquals("OK\r\n", readAnswer(caller));
+        assertNull(readAnswer(caller));
     }
 
     @Test
-    void oneThatFinishesNoCallIsToldSoInTheEnd() {
+    void incompleteCommandTimesOut() {
         EmbeddedChannel silent = caller();
         EmbeddedChannel half = caller();
         send(half, "vars");
         for (EmbeddedChannel c : List.of(silent, half)) {
-            c.advanceTimeBy(Console.CALL_MS - 1, TimeUnit.MILLISECONDS);
+            c.advanceTimeBy(Console.COMMAND_TIMEOUT_MS - 1, TimeUnit.MILLISECONDS);
             c.runPendingTasks();
             assertTrue(c.isActive());
             c.advanceTimeBy(1, TimeUnit.MILLISECONDS);
             c.runPendingTasks();
-            assertTrue(said(c).startsWith("ERR no call"));
+            assertTrue(readAnswer(c).startsWith("ERR no call"));
             assertFalse(c.isActive());
         }
     }
 
     @Test
-    void callersThatFinishNoCallHoldNoOtherUp() {
+    void idleCallersDoNotBlockOthers() {
         List<EmbeddedChannel> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * Console.MOST_CALLERS; i++) {
+        for (int i = 0; i < 3 * Console.MAX_CALLERS; i++) {
             silent.add(caller());
         }
         assertEquals(
-                Console.MOST_CALLERS, silent.stream().filter(EmbeddedChannel::isActive).count());
+                Console.MAX_CALLERS, silent.stream().filter(EmbeddedChannel::isActive).count());
         assertFalse(silent.get(0).isActive());
         assertEquals("OK\r\n", call("check\r\n"));
     }
--- a/src/test/java/holdproxy/daemon/AdminTest.java
+++ b/src/test/java/holdproxy/daemon/AdminTest.java
@@ -35,7 +35,7 @@
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private InetSocketAddress address;
-    private PublishRequest asked;
+    private PublishRequest lastRequest;
     private Object answer = new Published(5, 3);
 
     @BeforeEach
@@ -44,7 +44,7 @@
                 new AdminServer.Operations() {
                     @Override
                     public CompletableFuture<Object> publish(PublishRequest request) {
-                        asked = request;
+                        lastRequest = request;
                         return CompletableFuture.completedFuture(answer);
                     }
 
@@ -104,12 +104,12 @@
     }
 
     @Test
-    void callsAndAnswersComeAsTheyWere() throws Exception {
+    void requestsAndAnswersArriveUnchanged() throws Exception {
         AdminClient client = new AdminClient();
         PublishRequest request =
                 new PublishRequest("id", Map.of("settings/caps", "{}"), List.of("settings/rules"));
         assertEquals(answer, client.publish(address, request));
-        assertEquals(request, asked);
+        assertEquals(request, lastRequest);
         for (boolean retry : new boolean[] {true, false}) {
             answer = new AdminApi.Failure("TOO_LARGE: why", retry);
             assertEquals(answer, client.publish(address, request));
@@ -121,20 +121,20 @@
     }
 
     @Test
-    void whatIsNoCallIsToldSo() throws Exception {
+    void invalidRequestsGetAnError() throws Exception {
         assertTrue(raw("GET /v2 HTTP/1.1\r\n\r\n").contains(" 404 "));
         assertTrue(raw("DELETE /v1/versions HTTP/1.1\r\n\r\n").contains(" 404 "));
         assertTrue(raw(post("[]")).contains("not a valid PublishRequest"));
         assertTrue(raw(post("{\"put\":3}")).contains(" 400 "));
-        String tooLong = post("x".repeat(AdminApi.LONGEST_REQUEST + 1));
+        String tooLong = post("x".repeat(AdminApi.MAX_REQUEST_BYTES + 1));
         assertTrue(raw(tooLong.substring(0, tooLong.indexOf("\r\n\r\n") + 4)).contains(" 413 "));
-        assertEquals(null, asked);
+        assertEquals(null, lastRequest);
         assertTrue(
                 raw("GET /v1/versions HTTP/1.1\r\n\r\n").contains("\"publisher\":\"control-1\""));
     }
 
     @Test
-    void aChangeIsSettledWhereEachProxyHasItOrRejectsIt() {
+    void changeIsSettledWhenEachProxyAppliedOrRejectedIt() {
         Published version = new Published(5, 3);
         FleetVersions none = new FleetVersions(List.of());
         assertFalse(none.isSettledAt(version, 0), "no machine has answered");
@@ -157,19 +157,19 @@
         assertTrue(many.isSettledAt(version, 1));
         assertTrue(many.summary(version).endsWith(" and 7 more"), many.summary(version));
         assertTrue(
-                FleetVersions.line(machine(8, 1, rejections(1, 3)))
+                FleetVersions.describe(machine(8, 1, rejections(1, 3)))
                         .contains("5/3 at 8 5/2 at 2; proxy-0 rejects 5/3: why"));
     }
 
     @Test
-    void theAgeOfWhatIsInForceIsAFigure() {
+    void versionInForceAndItsAgeAreFigures() {
         long[] nowUs = {7};
         Figures figures = new Figures();
         FreshnessReporter reporter = new FreshnessReporter(figures, () -> nowUs[0]);
         assertFalse(figures.text().contains("published"), "no figure while nothing is published");
-        reporter.look(Position.NONE, Relay.Source.UNKNOWN_AGE_US);
+        reporter.update(Position.NONE, Relay.Source.UNKNOWN_AGE_US);
         assertTrue(figures.text().contains("svc.published_age_s=-1"), figures.text());
-        reporter.look(new Position(5, 3), 2_600_000);
+        reporter.update(new Position(5, 3), 2_600_000);
         assertTrue(
                 figures.text()
                         .contains(
--- a/src/test/java/holdproxy/daemon/DaemonTest.java
+++ b/src/test/java/holdproxy/daemon/DaemonTest.java
@@ -19,7 +19,7 @@
 
 /** The daemon's configuration file and its errors, its log, and that serve loads none of its classes. */
 class DaemonTest {
-    private static final long END_S = 120;
+    private static final long TIMEOUT_S = 120;
     private static final String SETTINGS =
             """
             [settings]
@@ -39,7 +39,7 @@
 
     @TempDir Path folder;
 
-    private String good() {
+    private String validFile() {
         return "name = \"proxy-1\"\n"
                 + "listen = \"127.0.0.1:0\"\n"
                 + "discovery = \"127.0.0.1:1\"\n"
@@ -60,8 +60,8 @@
     }
 
     @Test
-    void mistakesAreNamedWithTheirLine() throws Exception {
-        String good = good();
+    void errorsNameTheLine() throws Exception {
+        String good = validFile();
         assertEquals("proxy-1", DaemonFile.read(file(good), 1).name());
         assertBad(
                 good.replace("name = \"proxy-1\"", "name = \"a b\""),
@@ -94,9 +94,9 @@
     }
 
     @Test
-    void mistakesInTheDistributionAreNamedWithTheirLine() throws Exception {
+    void errorsInTheDistributionSectionNameTheLine() throws Exception {
         String proxy =
-                good()
+                validFile()
                         + "[distribution]\nrole = \"proxy\"\nsite = \"north\"\n"
                         + "upstream = [\"127.0.0.1:7100\"]\n";
         assertEquals(
@@ -120,13 +120,13 @@
         DaemonFile inUse = DaemonFile.read(file(proxy), 1);
         Path moved = file(proxy.replace("7100", "7101"));
         assertTrue(
-                assertThrows(BadInput.class, () -> DaemonFile.again(moved, inUse))
+                assertThrows(BadInput.class, () -> DaemonFile.reread(moved, inUse))
                         .getMessage()
                         .contains("distribution cannot change while the process runs"));
     }
 
     @Test
-    void tablesAreReadByTheirFormerNamesToo() throws Exception {
+    void formerTableNamesAreAccepted() throws Exception {
         String cooperation =
                 """
                 [membership]
@@ -143,28 +143,28 @@
                         .replace("[membership]", "[peers]")
                         .replace("[consensus]", "[council]")
                         .replace("role =", "duty =");
-        DaemonFile current = DaemonFile.read(file(good() + cooperation), 1);
-        DaemonFile read = DaemonFile.read(file(good() + former), 1);
+        DaemonFile current = DaemonFile.read(file(validFile() + cooperation), 1);
+        DaemonFile read = DaemonFile.read(file(validFile() + former), 1);
         assertEquals(current.membership(), read.membership());
         assertEquals(List.of("proxy-1", "b", "c"), read.voters());
         assertEquals(current.drills(), read.drills());
-        int line = (int) (good() + former).lines().count() + 1;
+        int line = (int) (validFile() + former).lines().count() + 1;
         assertBad(
-                good() + former + "[membership]\n",
+                validFile() + former + "[membership]\n",
                 " line " + (line - 8) + ": peers is the former name of membership");
     }
 
     @Test
-    void whatOnlyAStartCanTakeHasToStay() throws Exception {
-        DaemonFile inUse = DaemonFile.read(file(good()), 1);
-        Path other = file(good().replace("proxy-1", "proxy-2"));
+    void reloadRejectsChangesThatNeedARestart() throws Exception {
+        DaemonFile inUse = DaemonFile.read(file(validFile()), 1);
+        Path other = file(validFile().replace("proxy-1", "proxy-2"));
         assertTrue(
-                assertThrows(BadInput.class, () -> DaemonFile.again(other, inUse))
+                assertThrows(BadInput.class, () -> DaemonFile.reread(other, inUse))
                         .getMessage()
                         .contains("name cannot change while the process runs: it was proxy-1"));
-        Path fewer = file(good().replace("registryMode = \"subscribe\"\n", ""));
+        Path fewer = file(validFile().replace("registryMode = \"subscribe\"\n", ""));
         assertTrue(
-                assertThrows(BadInput.class, () -> DaemonFile.again(fewer, inUse))
+                assertThrows(BadInput.class, () -> DaemonFile.reread(fewer, inUse))
                         .getMessage()
                         .contains("registryMode is missing"));
     }
@@ -205,7 +205,7 @@
     }
 
     private void await(Process process, String text) throws Exception {
-        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(END_S);
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!out().contains(text)) {
             assertTrue(
                     process.isAlive() && System.nanoTime() < endNs,
@@ -215,8 +215,8 @@
     }
 
     @Test
-    void theCommandEndsWithCode2AndTheLine() throws Exception {
-        Path bad = file(good().replace("maxAttempts = 3", "maxAttempts = 0"));
+    void invalidFileGivesExitCode2AndTheLine() throws Exception {
+        Path bad = file(validFile().replace("maxAttempts = 3", "maxAttempts = 0"));
         for (String[] words :
                 List.of(
                         new String[] {"daemon", "check", bad.toString()},
@@ -230,20 +230,21 @@
         assertTrue(out().contains("--config FILE.toml is missing"), out());
         assertEquals(
                 0,
-                start(List.of(), Map.of(), "daemon", "check", file(good()).toString()).waitFor());
+                start(List.of(), Map.of(), "daemon", "check", file(validFile()).toString())
+                        .waitFor());
         assertTrue(out().contains("proxy-1 can start with it"), out());
     }
 
     @Test
-    void itLogsInJsonReadsItsFileAgainAndEndsAsTold() throws Exception {
-        Path file = file(good());
+    void logsInJsonReloadsOnSighupAndStopsOnSigterm() throws Exception {
+        Path file = file(validFile());
         Process daemon = start(List.of(), Map.of(), "daemon", "--config", file.toString());
         try {
             await(daemon, "\"message\":\"started\"");
-            file(good().replace("maxAttempts = 3", "maxAttempts = 2"));
+            file(validFile().replace("maxAttempts = 3", "maxAttempts = 2"));
             hangUp(daemon);
             await(daemon, "settings taken: 1 classes");
-            file(good().replace("maxAttempts = 3", "maxAttempts = 0"));
+            file(validFile().replace("maxAttempts = 3", "maxAttempts = 0"));
             hangUp(daemon);
             await(daemon, " line 12: setting caps.maxAttempts is not a number");
             daemon.destroy();
@@ -257,8 +258,8 @@
     }
 
     @Test
-    void whereSighupIsIgnoredItFollowsItsFile() throws Exception {
-        Path file = file(good());
+    void reloadsWhenTheFileChangesIfSighupIsIgnored() throws Exception {
+        Path file = file(validFile());
         Process daemon =
                 start(
                         List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"),
@@ -270,7 +271,7 @@
         try {
             await(daemon, "SIGHUP has no effect");
             await(daemon, "\"message\":\"started\"");
-            file(good().replace("maxAttempts = 3", "maxAttempts = 2"));
+            file(validFile().replace("maxAttempts = 3", "maxAttempts = 2"));
             await(daemon, "dropped, attempts 2");
         } finally {
             daemon.destroyForcibly();
@@ -283,7 +284,7 @@
 
     /** Checks the JVM's log of loaded classes. */
     @Test
-    void serveLoadsNothingOfTheDaemons() throws Exception {
+    void serveLoadsNoClassesOfTheDaemon() throws Exception {
         Path config =
                 Files.writeString(
                         folder.resolve("c.json"),
@@ -315,7 +316,7 @@
         String loaded = Files.readString(classes);
         assertTrue(
                 loaded.contains("holdproxy.net.Proxy "), "the log lists classes that serve loads");
-        Consumer<String> none =
+        Consumer<String> assertNotLoaded =
                 name ->
                         assertEquals(
                                 List.of(),
@@ -340,6 +341,6 @@
                         "ch.qos.",
                         "picocli.",
                         "org.tomlj.")
-                .forEach(none);
+                .forEach(assertNotLoaded);
     }
 }
--- a/src/test/java/holdproxy/daemon/GenerationFileTest.java
+++ b/src/test/java/holdproxy/daemon/GenerationFileTest.java
@@ -14,14 +14,14 @@
     @TempDir Path folder;
 
     @Test
-    void itGrowsThoughTheWallClockGoesBack() {
+    void generationGrowsWhenTheWallClockGoesBack() {
         assertEquals(5000, GenerationFile.next(folder, 5000));
         assertEquals(5001, GenerationFile.next(folder, 1000));
         assertEquals(9000, GenerationFile.next(folder, 9000));
     }
 
     @Test
-    void whatCannotBeReadOrKeptIsNamed() throws Exception {
+    void errorsNameTheFileThatCannotBeReadOrWritten() throws Exception {
         Files.writeString(folder.resolve("life"), "12x");
         String said =
                 assertThrows(BadInput.class, () -> GenerationFile.next(folder, 1)).getMessage();
--- a/src/test/java/holdproxy/daemon/PublishedConfigurationTest.java
+++ b/src/test/java/holdproxy/daemon/PublishedConfigurationTest.java
@@ -44,9 +44,9 @@
 
     @TempDir Path folder;
     private DaemonFile file;
-    private final List<Map<String, byte[]>> taken = new ArrayList<>();
+    private final List<Map<String, byte[]>> applied = new ArrayList<>();
     private final PublishedConfiguration configuration =
-            new PublishedConfiguration("proxy-1", this::take);
+            new PublishedConfiguration("proxy-1", this::apply);
 
     @BeforeEach
     void read() throws Exception {
@@ -54,10 +54,10 @@
     }
 
     /** Checks and takes settings as a daemon's proxy does. */
-    private Optional<String> take(Map<String, byte[]> published) {
+    private Optional<String> apply(Map<String, byte[]> published) {
         try {
-            file.with(published);
-            taken.add(published);
+            file.withPublished(published);
+            applied.add(published);
             return Optional.empty();
         } catch (BadInput e) {
             return Optional.of(e.getMessage());
@@ -74,18 +74,18 @@
 
     private void assertRejected(String why, long number, String... keysAndValues) {
         Position before = configuration.inForce();
-        int takenBefore = taken.size();
+        int takenBefore = applied.size();
         Optional<String> reason = offer(number, keysAndValues);
         assertTrue(reason.isPresent() && reason.get().contains(why), why + ": " + reason);
         assertEquals(before, configuration.inForce());
-        assertEquals(takenBefore, taken.size());
+        assertEquals(takenBefore, applied.size());
         assertEquals(1, configuration.report().rejecting());
         assertEquals(reason.get(), configuration.report().rejections().get(0).reason());
         assertEquals(1, configuration.report().inForceAt(before));
     }
 
     @Test
-    void oneBadSectionKeepsAllOfAStateOut() {
+    void oneInvalidSectionRejectsTheWholeState() {
         assertEquals(Optional.empty(), offer(1, "settings/caps", "{\"maxAttempts\":2}"));
         assertRejected(
                 "settings/caps: ",
@@ -105,19 +105,19 @@
                 offer(9, "settings/caps", "{\"maxAttempts\":2}", "settings/tickMs", "4"));
         assertEquals(0, configuration.report().rejecting());
         assertEquals(new Position(1, 9), configuration.inForce());
-        assertEquals(2, taken.size());
+        assertEquals(2, applied.size());
     }
 
     @Test
-    void whatChangesNoSettingIsInForceWithoutBeingTakenAgain() {
+    void stateWithoutSettingsChangesIsInForceWithoutReapplying() {
         offer(1, "settings/caps", "{\"maxAttempts\":2}");
         assertEquals(
                 Optional.empty(),
                 offer(2, "settings/caps", "{\"maxAttempts\":2}", "nodes/a", "of another user"));
-        assertEquals(1, taken.size());
+        assertEquals(1, applied.size());
         assertEquals(new Position(1, 2), configuration.inForce());
         assertEquals(Optional.empty(), offer(3), "back to the file's own settings");
-        assertEquals(Map.of(), taken.get(1));
+        assertEquals(Map.of(), applied.get(1));
     }
 
     @Test
@@ -135,7 +135,7 @@
                         "nodes/a", "not ours".getBytes(StandardCharsets.UTF_8));
         assertEquals(
                 Map.of("caps", Map.of("maxAttempts", 2, "retryAfter", false), "grades", List.of(3)),
-                PublishedSettings.over(own, published));
+                PublishedSettings.overlay(own, published));
     }
 
     private Map<String, byte[]> change(String text) throws Exception {
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void aChangeIsReadWithItsMistakesByLine() throws Exception {
+    void changeFileErrorsNameTheLine() throws Exception {
         Map<String, byte[]> change =
                 change(
                         "remove = [\"rules\"]\n"
--- a/src/test/java/holdproxy/daemon/ReplicatedStateTest.java
+++ b/src/test/java/holdproxy/daemon/ReplicatedStateTest.java
@@ -46,10 +46,10 @@
     }
 
     private void grantPublisherTwice() {
-        state.apply(++index, ask(ReplicatedState.PUBLISHER, "a", 0));
+        state.apply(++index, ask(ReplicatedState.PUBLISHER_ROLE, "a", 0));
         state.apply(++index, ReplicatedState.found(9));
-        state.apply(++index, List.of("release", ReplicatedState.PUBLISHER, 1L));
-        state.apply(++index, ask(ReplicatedState.PUBLISHER, "b", 1));
+        state.apply(++index, List.of("release", ReplicatedState.PUBLISHER_ROLE, 1L));
+        state.apply(++index, ask(ReplicatedState.PUBLISHER_ROLE, "b", 1));
     }
 
     private static Reason reason(AppendResult result) {
@@ -57,14 +57,14 @@
     }
 
     @Test
-    void anEarlierHolderIsRefusedBeforeTheNextOneHasPublished() {
-        state.apply(++index, ask(ReplicatedState.PUBLISHER, "a", 0));
+    void formerHolderIsRefusedOnceTheLeaseIsGrantedAgain() {
+        state.apply(++index, ask(ReplicatedState.PUBLISHER_ROLE, "a", 0));
         state.apply(++index, ReplicatedState.found(9));
         assertEquals(new Appended(new Position(9, 1), false), append(1, "first"));
-        state.apply(++index, List.of("release", ReplicatedState.PUBLISHER, 1L));
+        state.apply(++index, List.of("release", ReplicatedState.PUBLISHER_ROLE, 1L));
         state.apply(++index, ask("another role", "c", 0));
         assertEquals(new Appended(new Position(9, 2), false), append(1, "nobody has it yet"));
-        state.apply(++index, ask(ReplicatedState.PUBLISHER, "b", 1));
+        state.apply(++index, ask(ReplicatedState.PUBLISHER_ROLE, "b", 1));
         assertEquals(Reason.STALE_TOKEN, reason(append(1, "old holder")));
         assertEquals(
                 new Appended(new Position(9, 1), true), append(1, "first"), "its answer was lost");
@@ -73,14 +73,14 @@
     }
 
     @Test
-    void aSnapshotHasBothAndTheRefusal() {
+    void snapshotKeepsLeasesChangesAndFencing() {
         grantPublisherTwice();
         append(2, "kept");
         ReplicatedState other = empty();
-        int[] heard = {0};
-        other.onChange(() -> heard[0]++);
+        int[] notifications = {0};
+        other.onChange(() -> notifications[0]++);
         other.restore(state.snapshot());
-        assertEquals(1, heard[0]);
+        assertEquals(1, notifications[0]);
         assertEquals(state.leases().leases(), other.leases().leases());
         assertEquals(new Position(9, 1), other.changes().position());
         assertEquals(
@@ -96,11 +96,11 @@
 
     /** Snapshots from before the change log have one unmarked part, the lease table. */
     @Test
-    void aSnapshotOfBeforeIsReadAndKeepsOldHoldersOut() {
+    void snapshotWithoutChangeLogIsReadAndFencesFormerHolders() {
         LeaseTable before = new LeaseTable();
-        before.apply(1, ask(ReplicatedState.PUBLISHER, "a", 0));
-        before.apply(2, List.of("release", ReplicatedState.PUBLISHER, 1L));
-        before.apply(3, ask(ReplicatedState.PUBLISHER, "b", 1));
+        before.apply(1, ask(ReplicatedState.PUBLISHER_ROLE, "a", 0));
+        before.apply(2, List.of("release", ReplicatedState.PUBLISHER_ROLE, 1L));
+        before.apply(3, ask(ReplicatedState.PUBLISHER_ROLE, "b", 1));
         state.restore(before.snapshot());
         assertEquals(before.leases(), state.leases().leases());
         assertEquals(Position.NONE, state.changes().position());
@@ -110,15 +110,16 @@
     }
 
     @Test
-    void onlyLeasesAreAnsweredWithoutTheLog() {
+    void onlyLeaseOperationsAreAnsweredWithoutTheLog() {
         grantPublisherTwice();
         assertEquals(null, state.atOnce(ReplicatedState.append(publication(2, "x"))));
         assertEquals(
-                List.of("TAKEN", 2L, "b"), state.atOnce(ask(ReplicatedState.PUBLISHER, "c", 0)));
+                List.of("TAKEN", 2L, "b"),
+                state.atOnce(ask(ReplicatedState.PUBLISHER_ROLE, "c", 0)));
     }
 
     @Test
-    void whatNobodyKnowsChangesNothing() {
+    void unknownOperationChangesNothing() {
         grantPublisherTwice();
         assertEquals(
                 Reason.UNKNOWN_OPERATION,
