--- a/src/main/java/holdproxy/daemon/ConsensusPart.java
+++ b/src/main/java/holdproxy/daemon/ConsensusPart.java
@@ -37,8 +37,10 @@
     private static final String PLANNER_ROLE = "planner";
 
     private static final int PLANNER_LEASE_MS = 3_000;
+
+    // First byte of a frame: a message of the group, or the notice that a lease is free.
     private static final byte RAFT_FRAME = 0;
-    private static final byte LEASE_FREE_FRAME = 1;
+    private static final byte FREE = 1;
 
     // Both are well under the time allowed for the shutdown after SIGTERM.
     private static final long HAND_OVER_TIMEOUT_MS = 1_500;
@@ -138,7 +140,7 @@
             System.arraycopy(frame, Math.min(1, frame.length), payload, 0, payload.length);
             if (frame.length > 0 && frame[0] == RAFT_FRAME) {
                 group.received(payload);
-            } else if (frame.length > 1 + Long.BYTES && frame[0] == LEASE_FREE_FRAME) {
+            } else if (frame.length > 1 + Long.BYTES && frame[0] == FREE) {
                 ByteBuffer notice = ByteBuffer.wrap(payload);
                 long token = notice.getLong();
                 leases.notifiedFree(StandardCharsets.UTF_8.decode(notice).toString(), token);
@@ -228,7 +230,7 @@
                     to,
                     MembershipService.CONSENSUS,
                     ByteBuffer.allocate(1 + Long.BYTES + text.length)
-                            .put(LEASE_FREE_FRAME)
+                            .put(FREE)
                             .putLong(token)
                             .put(text)
                             .array());
--- a/src/main/java/holdproxy/daemon/ReplicatedState.java
+++ b/src/main/java/holdproxy/daemon/ReplicatedState.java
@@ -10,8 +10,8 @@
 
 /**
  * The state machine of a fleet's consensus group: the lease table and the log of published changes. A
- * publication carries the fencing token of the publisher lease; every member refuses a publication
- * whose token is older than the last one granted.
+ * publication carries the fencing token of the publisher lease; every member refuses a publication whose
+ * token is older than the last one granted.
  *
  * <p>Operations on the change log are marked, those on leases are not, so that Raft logs and snapshots
  * written before there was a change log can still be read.
