--- a/src/main/java/holdproxy/console/Console.java
+++ b/src/main/java/holdproxy/console/Console.java
@@ -22,37 +22,37 @@
 import java.util.function.Consumer;
 
 /**
- * Where operators call: one line to a connection, an answer that begins with {@code OK} or {@code ERR}, or
- * the figures and {@code END}. Runs on an event loop of its own, so that it answers however late the proxy's
- * runs.
+ * The operators' console. A connection carries one command line; the answer begins with {@code OK} or {@code
+ * ERR}, or is the figures followed by {@code END}. Runs on its own event loop, so that it answers even while
+ * the proxy's loop is delayed.
  */
 public final class Console {
-    /** Descriptors it may hold: callers, one that is turned away, its listener, its selector's. */
+    /** Maximum number of descriptors: callers, one being rejected, the listener, the selector's. */
     public static final int DESCRIPTORS = 24;
 
-    static final int MOST_CALLERS = 16;
-    static final int LONGEST_LINE = 256;
+    static final int MAX_CALLERS = 16;
+    static final int MAX_LINE_BYTES = 256;
 
-    /** For its call a caller has so long. */
-    static final int CALL_MS = 5_000;
+    /** Time within which a caller must send its command. */
+    static final int COMMAND_TIMEOUT_MS = 5_000;
 
-    /** And so long to take the answer and end the connection. */
+    /** Time the caller has after the answer to read it and close the connection. */
     private static final int LINGER_MS = 1_000;
 
-    private static final int BIND_AGAIN_MS = 200;
+    private static final int BIND_RETRY_MS = 200;
     private static final int BACKLOG = 64;
 
     private final EventLoop loop;
     private final Operations operations;
     private final Consumer<String> log;
 
-    /** Those that have not finished their call, longest first. */
+    /** Connections whose command is incomplete, oldest first. */
     private final Set<Channel> waiting = new LinkedHashSet<>();
 
     private int callers;
-    private boolean toldOfFailure;
+    private boolean bindFailureLogged;
 
-    /** {@code log} takes its lines, on the loop's thread. */
+    /** {@code log} receives log lines, on the loop's thread. */
     public Console(EventLoop loop, Operations operations, Consumer<String> log) {
         this.loop = loop;
         this.operations = operations;
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Listens, trying again for as long as it takes: a proxy serves on without its console, and the process
-     * before this one may hold the address a moment longer. The channel, once it listens.
+     * Listens on the address, retrying until that succeeds: the proxy works without its console, and the
+     * previous process may hold the address a moment longer. {@code listening} then receives the channel.
      */
     public void listen(InetSocketAddress address, Consumer<Channel> listening) {
         ChannelFuture bound =
@@ -77,8 +77,8 @@
                                         ch.pipeline()
                                                 .addLast(
                                                         new LineBasedFrameDecoder(
-                                                                LONGEST_LINE, true, true),
-                                                        new Caller());
+                                                                MAX_LINE_BYTES, true, true),
+                                                        new CommandHandler());
                                     }
                                 })
                         .bind(address);
@@ -89,31 +89,31 @@
                                 listening.accept(f.channel());
                                 return;
                             }
-                            if (!toldOfFailure) {
-                                toldOfFailure = true;
+                            if (!bindFailureLogged) {
+                                bindFailureLogged = true;
                                 log.accept(
                                         "the console cannot listen on "
                                                 + address
-                                                + ", trying on: "
+                                                + ", retrying: "
                                                 + f.cause().getMessage());
                             }
                             loop.schedule(
                                     () -> listen(address, listening),
-                                    BIND_AGAIN_MS,
+                                    BIND_RETRY_MS,
                                     TimeUnit.MILLISECONDS);
                         });
     }
 
-    /** One connection. */
-    final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
-        private boolean called;
+    /** Handles one connection. */
+    final class CommandHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private boolean commandReceived;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             callers++;
-            if (callers > MOST_CALLERS) {
+            if (callers > MAX_CALLERS) {
                 if (waiting.isEmpty()) {
-                    ctx.close(); // all have called and are being answered
+                    ctx.close(); // every other caller is being answered
                     return;
                 }
                 waiting.iterator().next().close();
@@ -122,11 +122,11 @@
             ctx.executor()
                     .schedule(
                             () -> {
-                                if (!called) {
-                                    answer(ctx, "ERR no call within " + CALL_MS + " ms");
+                                if (!commandReceived) {
+                                    answer(ctx, "ERR no call within " + COMMAND_TIMEOUT_MS + " ms");
                                 }
                             },
-                            CALL_MS,
+                            COMMAND_TIMEOUT_MS,
                             TimeUnit.MILLISECONDS);
         }
 
@@ -138,12 +138,12 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            if (!called) {
-                call(ctx, line.toString(StandardCharsets.ISO_8859_1).strip());
+            if (!commandReceived) {
+                handle(ctx, line.toString(StandardCharsets.ISO_8859_1).strip());
             }
         }
 
-        private void call(ChannelHandlerContext ctx, String line) {
+        private void handle(ChannelHandlerContext ctx, String line) {
             String[] words = line.split(" +");
             boolean leaveOut = words[0].equals("set-down");
             if (!line.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
@@ -153,7 +153,7 @@
                     answer(ctx, "ERR " + words[0] + " takes the id of one cache node");
                     return;
                 }
-                begun(ctx);
+                markReceived(ctx);
                 operations.leaveOut(
                         words[1],
                         leaveOut,
@@ -181,14 +181,17 @@
             }
         }
 
-        private void begun(ChannelHandlerContext ctx) {
-            called = true;
+        private void markReceived(ChannelHandlerContext ctx) {
+            commandReceived = true;
             waiting.remove(ctx.channel());
         }
 
-        /** The answer and the end of the sending; a close with bytes unread would reset it under way. */
+        /**
+         * Sends the answer and shuts down the output. An immediate close with unread input would reset the
+         * connection and could lose the answer.
+         */
         private void answer(ChannelHandlerContext ctx, String text) {
-            begun(ctx);
+            markReceived(ctx);
             ctx.writeAndFlush(Unpooled.copiedBuffer(text + "\r\n", StandardCharsets.ISO_8859_1))
                     .addListener(
                             f -> {
@@ -207,10 +210,10 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (cause instanceof io.netty.handler.codec.TooLongFrameException && !called) {
-                answer(ctx, "ERR the line is longer than " + LONGEST_LINE + " bytes");
-            } else if (!called) {
-                ctx.close(); // a broken connection ends alone
+            if (cause instanceof io.netty.handler.codec.TooLongFrameException && !commandReceived) {
+                answer(ctx, "ERR the line is longer than " + MAX_LINE_BYTES + " bytes");
+            } else if (!commandReceived) {
+                ctx.close(); // a connection error affects only this caller
             }
         }
     }
--- a/src/main/java/holdproxy/daemon/AdminServer.java
+++ b/src/main/java/holdproxy/daemon/AdminServer.java
@@ -27,14 +27,12 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
 
-/**
- * Where a control machine takes operators' calls: {@link AdminApi} on HTTP, one request for each connection.
- */
+/** HTTP server for the {@link AdminApi} of a control machine; one request per connection. */
 final class AdminServer implements AutoCloseable {
-    private static final int MOST_CONNECTIONS = 32;
-    private static final int IDLE_SECONDS = 30;
+    private static final int MAX_CONNECTIONS = 32;
+    private static final int IDLE_TIMEOUT_S = 30;
 
-    /** What calls ask for; on the event loop. */
+    /** Handles the requests; called on the event loop. */
     interface Operations {
         /** Completes with {@link AdminApi.Published} or {@link AdminApi.Failure}. */
         CompletableFuture<Object> publish(AdminApi.PublishRequest request);
@@ -62,7 +60,7 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        accepted(channel);
+                                        onAccept(channel);
                                     }
                                 })
                         .bind(address);
@@ -77,38 +75,38 @@
         }
     }
 
-    private void accepted(SocketChannel channel) {
-        if (connections >= MOST_CONNECTIONS) {
+    private void onAccept(SocketChannel channel) {
+        if (connections >= MAX_CONNECTIONS) {
             channel.close();
             return;
         }
         connections++;
         channel.closeFuture().addListener(closed -> connections--);
         channel.pipeline()
-                .addLast(new IdleStateHandler(0, 0, IDLE_SECONDS))
+                .addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT_S))
                 .addLast(new HttpServerCodec())
-                .addLast(new HttpObjectAggregator(AdminApi.LONGEST_REQUEST))
-                .addLast(new Call());
+                .addLast(new HttpObjectAggregator(AdminApi.MAX_REQUEST_BYTES))
+                .addLast(new RequestHandler());
     }
 
-    /** One request. */
-    private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Handles the one request of a connection. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (request.decoderResult().isFailure()) {
-                answer(ctx, HttpResponseStatus.BAD_REQUEST, failure("this is no HTTP request"));
+                respond(ctx, HttpResponseStatus.BAD_REQUEST, failure("malformed HTTP request"));
             } else if (request.uri().equals(AdminApi.VERSIONS_PATH)
                     && request.method().equals(HttpMethod.GET)) {
-                answer(ctx, HttpResponseStatus.OK, operations.versions());
+                respond(ctx, HttpResponseStatus.OK, operations.versions());
             } else if (request.uri().equals(AdminApi.CHANGES_PATH)
                     && request.method().equals(HttpMethod.POST)) {
                 publish(ctx, ByteBufUtil.getBytes(request.content()));
             } else {
-                answer(
+                respond(
                         ctx,
                         HttpResponseStatus.NOT_FOUND,
                         failure(
-                                "there are GET "
+                                "unknown path or method; supported are GET "
                                         + AdminApi.VERSIONS_PATH
                                         + " and POST "
                                         + AdminApi.CHANGES_PATH));
@@ -118,22 +116,22 @@
         private void publish(ChannelHandlerContext ctx, byte[] body) {
             AdminApi.PublishRequest request;
             try {
-                request = AdminApi.read(AdminApi.PublishRequest.class, body);
+                request = AdminApi.fromJson(AdminApi.PublishRequest.class, body);
             } catch (BadInput e) {
-                answer(ctx, HttpResponseStatus.BAD_REQUEST, failure(e.getMessage()));
+                respond(ctx, HttpResponseStatus.BAD_REQUEST, failure(e.getMessage()));
                 return;
             }
             operations
                     .publish(request)
                     .whenComplete(
                             (result, failed) -> {
-                                Object said = failed == null ? result : failure(failed.toString());
-                                answer(ctx, status(said), said);
+                                Object reply = failed == null ? result : failure(failed.toString());
+                                respond(ctx, status(reply), reply);
                             });
         }
 
-        private HttpResponseStatus status(Object said) {
-            if (said instanceof AdminApi.Failure failure) {
+        private HttpResponseStatus status(Object reply) {
+            if (reply instanceof AdminApi.Failure failure) {
                 return failure.retry()
                         ? HttpResponseStatus.SERVICE_UNAVAILABLE
                         : HttpResponseStatus.UNPROCESSABLE_ENTITY;
@@ -145,12 +143,12 @@
             return new AdminApi.Failure(error, false);
         }
 
-        private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, Object said) {
+        private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, Object reply) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
                             status,
-                            Unpooled.wrappedBuffer(AdminApi.bytes(said)));
+                            Unpooled.wrappedBuffer(AdminApi.toJson(reply)));
             response.headers()
                     .set(HttpHeaderNames.CONTENT_TYPE, "application/json")
                     .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
@@ -160,7 +158,7 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            ctx.close(); // idle
+            ctx.close(); // the only user event is the idle time-out
         }
 
         @Override
--- a/src/main/java/holdproxy/daemon/ControlOptions.java
+++ b/src/main/java/holdproxy/daemon/ControlOptions.java
@@ -9,19 +9,19 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** Where a command finds the control machines, and what they say together. */
+/** Options that name the control machines, and the requests that are sent to all of them. */
 final class ControlOptions {
     @Option(
             names = "--config",
             paramLabel = "FILE.toml",
-            description = "a daemon's file, for [distribution] admins")
-    private Path config;
+            description = "a daemon's configuration file, read for [distribution] admins")
+    private Path configFile;
 
     @Option(
             names = "--control",
             paramLabel = "HOST:PORT",
-            description = "where a control machine takes operators' calls; may be repeated")
-    private List<String> machines = new ArrayList<>();
+            description = "admin address of a control machine; may be repeated")
+    private List<String> machineAddresses = new ArrayList<>();
 
     private final AdminClient client = new AdminClient();
 
@@ -29,12 +29,12 @@
         return client;
     }
 
-    /** All that are named, in their order. */
+    /** All addresses given, in order. */
     List<InetSocketAddress> addresses() {
         List<InetSocketAddress> addresses = new ArrayList<>();
-        machines.forEach(each -> addresses.add(Config.address(each, "--control")));
-        if (config != null) {
-            DistributionSettings distribution = DaemonFile.read(config, 1).distribution();
+        machineAddresses.forEach(each -> addresses.add(Config.address(each, "--control")));
+        if (configFile != null) {
+            DistributionSettings distribution = DaemonFile.read(configFile, 1).distribution();
             if (distribution != null) {
                 addresses.addAll(distribution.admins());
                 if (distribution.admin() != null && !addresses.contains(distribution.admin())) {
@@ -50,7 +50,7 @@
         return addresses;
     }
 
-    /** What those say that answer; {@code unreachable} takes a line for each other one. */
+    /** Queries all machines; {@code unreachable} gets a line for each one that does not answer. */
     FleetVersions versions(
             List<InetSocketAddress> addresses, java.util.function.Consumer<String> unreachable) {
         List<AdminApi.Versions> answers = new ArrayList<>();
@@ -58,7 +58,7 @@
             try {
                 answers.add(client.versions(each));
             } catch (IOException e) {
-                unreachable.accept(AdminClient.problem(each, e));
+                unreachable.accept(AdminClient.describeFailure(each, e));
             }
         }
         return new FleetVersions(answers);
--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -15,131 +15,134 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The life cycle of a daemon: starts its proxy and the parts around it, and ends them in their order. */
+/** The life cycle of a daemon: starts the proxy and the parts around it and stops them in order. */
 final class Daemon {
-    /** What {@link Service} keeps is below the daemon's folder, where it looks for it by this variable. */
-    private static final String KEPT_BELOW = "TMPDIR";
+    /** Variable that tells {@link Service} where to keep its files; set to the daemon's folder. */
+    private static final String KEPT_FILES_VARIABLE = "TMPDIR";
 
     private static final long NS_PER_US = 1_000;
 
-    private final Path file;
-    private DaemonFile inUse;
+    private final Path configFile;
+    private DaemonFile current;
     private MembershipService membership;
     private ConsensusPart consensus;
     private DistributionPart distribution;
 
-    /** Published settings that are in force; replaced as a whole. */
-    private Map<String, byte[]> published = Map.of();
+    /** The published settings in force; replaced as a whole. */
+    private Map<String, byte[]> publishedSettings = Map.of();
 
     private Daemon(Path file, DaemonFile inUse) {
-        this.file = file;
-        this.inUse = inUse;
+        this.configFile = file;
+        this.current = inUse;
     }
 
-    /** Returns once it takes clients; a {@link BadInput} says why it cannot start. */
+    /** Starts the daemon; returns once it accepts clients. Throws {@link BadInput} if it cannot start. */
     static void start(Path file, Map<String, String> env) {
         DaemonFile read = DaemonFile.read(file, new SecureRandom().nextLong() >>> 1);
         try {
             Files.createDirectories(read.folder());
         } catch (IOException e) {
-            throw new BadInput("the folder " + read.folder() + " cannot be made: " + e);
+            throw new BadInput("cannot create the folder " + read.folder() + ": " + e);
         }
         new Daemon(file, read).run(env);
     }
 
     private void run(Map<String, String> env) {
-        EventLog.event("starting", "name", inUse.name(), "pid", ProcessHandle.current().pid());
-        if (inUse.membership() != null) {
-            long generation = GenerationFile.next(inUse.folder(), System.currentTimeMillis());
+        EventLog.event("starting", "name", current.name(), "pid", ProcessHandle.current().pid());
+        if (current.membership() != null) {
+            long generation = GenerationFile.next(current.folder(), System.currentTimeMillis());
             membership =
                     MembershipService.start(
-                            inUse.membership(),
+                            current.membership(),
                             generation,
                             text -> Config.address(text, "an address"),
                             new MembershipEvents());
             EventLog.event(
                     "membership",
                     "name",
-                    inUse.name(),
+                    current.name(),
                     "generation",
                     generation,
                     "address",
-                    inUse.membership().address());
-            if (!inUse.voters().isEmpty()) {
-                consensus = ConsensusPart.start(inUse, generation, membership);
+                    current.membership().address());
+            if (!current.voters().isEmpty()) {
+                consensus = ConsensusPart.start(current, generation, membership);
             }
         }
-        Map<String, String> own = new HashMap<>(env);
-        own.put(KEPT_BELOW, inUse.folder().toString());
+        Map<String, String> serviceEnv = new HashMap<>(env);
+        serviceEnv.put(KEPT_FILES_VARIABLE, current.folder().toString());
         Service service =
                 Service.run(
-                        inUse.proxy(),
-                        new ConfigSource(file, config -> readAgain()),
-                        own,
+                        current.proxy(),
+                        new ConfigSource(configFile, config -> reload()),
+                        serviceEnv,
                         EventLog::line,
-                        this::end);
+                        this::stop);
         service.listening();
-        if (inUse.distribution() != null) {
+        if (current.distribution() != null) {
             distribution =
                     DistributionPart.start(
-                            inUse.name(),
-                            inUse.distribution(),
+                            current.name(),
+                            current.distribution(),
                             new PublishedConfiguration(
-                                    inUse.name(), settings -> take(service, settings)),
+                                    current.name(), settings -> apply(service, settings)),
                             new FreshnessReporter(
                                     service.figures(), () -> System.nanoTime() / NS_PER_US),
                             consensus);
         }
-        EventLog.event("started", "name", inUse.name());
+        EventLog.event("started", "name", current.name());
     }
 
-    /** The file as it is now, with what is published over it. One call at a time, as the service sees to. */
-    private Config readAgain() {
-        DaemonFile now = DaemonFile.again(file, inUse);
-        Config config = published.isEmpty() ? now.proxy() : now.with(published);
-        inUse = now;
+    /** Reads the file again and applies the published settings over it. The service serializes the calls. */
+    private Config reload() {
+        DaemonFile reread = DaemonFile.reread(configFile, current);
+        Config config =
+                publishedSettings.isEmpty()
+                        ? reread.proxy()
+                        : reread.withPublished(publishedSettings);
+        current = reread;
         return config;
     }
 
-    private Optional<String> take(Service service, Map<String, byte[]> settings) {
+    private Optional<String> apply(Service service, Map<String, byte[]> settings) {
         return Optional.ofNullable(
                 service.take(
                         () -> {
-                            Config config = inUse.with(settings);
-                            published = settings;
+                            Config config = current.withPublished(settings);
+                            publishedSettings = settings;
                             return config;
                         }));
     }
 
-    /** SIGTERM: what was taken is answered, then this process is over. */
-    private void end(Service service) {
-        EventLog.event("ending", "name", inUse.name());
-        // while requests are answered: what this process holds, others have at once
-        Thread handing = new Thread(this::handOver, "hand-over");
-        handing.start();
+    /** On SIGTERM: answers the accepted requests, then exits. */
+    private void stop(Service service) {
+        EventLog.event("ending", "name", current.name());
+        // Hand over in parallel with the drain, so that others take over leases at once.
+        Thread handOverThread = new Thread(this::handOver, "hand-over");
+        handOverThread.start();
         service.drain();
         try {
-            handing.join();
+            handOverThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        EventLog.event("ended", "name", inUse.name());
+        EventLog.event("ended", "name", current.name());
         Runtime.getRuntime().halt(0);
     }
 
     private void handOver() {
         if (distribution != null) {
-            distribution.end();
+            distribution.stop();
         }
         if (consensus != null) {
-            consensus.end();
+            consensus.stop();
         }
         if (membership != null) {
             membership.leave();
         }
     }
 
-    /** What becomes known of others, as events. */
+    /** Logs membership changes as events. */
     private static final class MembershipEvents implements MembershipService.Listener {
         @Override
         public void changed(Change change) {
--- a/src/main/java/holdproxy/daemon/DaemonFile.java
+++ b/src/main/java/holdproxy/daemon/DaemonFile.java
@@ -17,20 +17,20 @@
 import java.util.Set;
 
 /**
- * What operators say of a daemon, in TOML. Whatever is missing, unknown or out of its bounds is a
- * {@link BadInput} with the file and the line.
+ * A daemon's configuration file, in TOML. A missing, unknown or out-of-range value is a {@link BadInput} with
+ * the file and the line.
  *
- * @param name of the process in its fleet
- * @param folder where it keeps what has to outlive it
- * @param listen where clients come
- * @param console where operators call; null: nowhere
- * @param proxy its configuration as a proxy, checked
- * @param membership how it meets the others of its fleet; null: it is alone
- * @param voters names of the voters; empty: there is none
- * @param distribution how it takes part in the distribution of published changes; null: it does not
- * @param discovery where it has the list of cache nodes
- * @param document what {@code proxy} was made of, in the platform's form
- * @param drills leases without a purpose but to be held, for operators and the rig to try the fleet with
+ * @param name the process's name in its fleet
+ * @param folder the directory for its persistent state
+ * @param listen the address for clients
+ * @param console the address of the operators' console, or null
+ * @param proxy the checked configuration of the proxy
+ * @param membership this process's place in the membership protocol, or null
+ * @param voters the names of the consensus group's voters; empty without a consensus group
+ * @param distribution its part in the distribution of published changes, or null
+ * @param discovery the address that serves the list of cache nodes
+ * @param document the JSON document that {@code proxy} was read from, in the platform's form
+ * @param drills test leases, with which operators and the rig exercise the fleet
  */
 record DaemonFile(
         String name,
@@ -44,32 +44,32 @@
         InetSocketAddress discovery,
         Map<String, Object> document,
         List<Drill> drills) {
-    private static final int LEAST_SOCKETS = 128;
-    private static final int MOST_SOCKETS = 1 << 20;
-    private static final int SOCKETS = 1024;
-    private static final int LEAST_LEASE_MS = 200;
-    private static final int MOST_LEASE_MS = 60_000;
+    private static final int MIN_SOCKETS = 128;
+    private static final int MAX_SOCKETS = 1 << 20;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int MIN_LEASE_MS = 200;
+    private static final int MAX_LEASE_MS = 60_000;
 
     /**
-     * A lease without a purpose: its holder sends its token to a guarded resource.
+     * A test lease: its holder regularly sends the fencing token to a guarded resource.
      *
-     * @param role its name
-     * @param leaseMs length of its lease, in milliseconds
-     * @param everyMs an act each so often, in milliseconds
-     * @param resource where acts go
+     * @param role the name of the role
+     * @param leaseMs the lease's duration in milliseconds
+     * @param everyMs the interval between two messages to the resource, in milliseconds
+     * @param resource the resource's address
      */
     record Drill(String role, int leaseMs, int everyMs, InetSocketAddress resource) {}
 
-    /** The file as it is now; {@code seed}: of all chance. */
+    /** Reads the file for a start; {@code seed} seeds all random choices. */
     static DaemonFile read(Path file, long seed) {
         return read(file, seed, null);
     }
 
     /**
-     * The file for a process that runs already, as {@code inUse} says: what only a start can take, its name
-     * and addresses, has to be as it was.
+     * Reads the file again for a running process with the configuration {@code inUse}. Values that only a
+     * start can apply, such as the name and addresses, must be unchanged.
      */
-    static DaemonFile again(Path file, DaemonFile inUse) {
+    static DaemonFile reread(Path file, DaemonFile inUse) {
         return read(file, 0, inUse);
     }
 
@@ -90,7 +90,7 @@
                         ? null
                         : top.read("console", t -> Config.address(t, "console"));
         Path folder = top.read("folder", DaemonFile::folder);
-        int sockets = top.whole("sockets", SOCKETS, LEAST_SOCKETS, MOST_SOCKETS);
+        int sockets = top.whole("sockets", DEFAULT_SOCKETS, MIN_SOCKETS, MAX_SOCKETS);
         Map<String, Object> settings = top.map("settings");
         String membershipKey = top.currentOrFormer("membership", "peers");
         String consensusKey = top.currentOrFormer("consensus", "council");
@@ -107,8 +107,8 @@
             drills.add(
                     new Drill(
                             each.read(each.currentOrFormer("role", "duty"), DaemonFile::name),
-                            each.whole("lease_ms", 3_000, LEAST_LEASE_MS, MOST_LEASE_MS),
-                            each.whole("every_ms", 50, 1, MOST_LEASE_MS),
+                            each.whole("lease_ms", 3_000, MIN_LEASE_MS, MAX_LEASE_MS),
+                            each.whole("every_ms", 50, 1, MAX_LEASE_MS),
                             each.read("resource", t -> Config.address(t, "resource"))));
             each.done();
         }
@@ -126,20 +126,21 @@
         json.put("settings", settings);
         try {
             if (inUse != null) {
-                same(top, "name", inUse.name, name);
-                same(top, "folder", inUse.folder, folder);
-                same(top, "listen", inUse.listen, listen);
-                same(top, "console", inUse.console, console);
-                same(top, membershipKey, inUse.membership, membership);
-                same(top, consensusKey, inUse.voters, voters);
-                same(top, DistributionSettings.SECTION, inUse.distribution, distribution);
-                same(top, "drill", inUse.drills, drills);
+                requireUnchanged(top, "name", inUse.name, name);
+                requireUnchanged(top, "folder", inUse.folder, folder);
+                requireUnchanged(top, "listen", inUse.listen, listen);
+                requireUnchanged(top, "console", inUse.console, console);
+                requireUnchanged(top, membershipKey, inUse.membership, membership);
+                requireUnchanged(top, consensusKey, inUse.voters, voters);
+                requireUnchanged(
+                        top, DistributionSettings.SECTION, inUse.distribution, distribution);
+                requireUnchanged(top, "drill", inUse.drills, drills);
             }
             Config proxy =
                     inUse == null
                             ? Config.of(name, listen, discovery, console, json)
                             : inUse.proxy.reload(discovery, json);
-            refuseUnknown(proxy);
+            rejectUnknown(proxy);
             return new DaemonFile(
                     name,
                     folder,
@@ -159,7 +160,7 @@
         }
     }
 
-    private static void refuseUnknown(Config proxy) {
+    private static void rejectUnknown(Config proxy) {
         Set<String> unknown = proxy.unknownSettings();
         if (!unknown.isEmpty()) {
             String first = unknown.iterator().next();
@@ -168,20 +169,20 @@
     }
 
     /**
-     * The proxy's configuration with published settings over those of this file, checked; a {@link BadInput}
-     * names the key that is at fault.
+     * Returns the proxy's configuration with the published settings applied over those of this file, checked.
+     * A {@link BadInput} names the invalid key.
      */
-    Config with(Map<String, byte[]> published) {
+    Config withPublished(Map<String, byte[]> published) {
         Map<String, Object> all = new HashMap<>(document);
-        @SuppressWarnings("unchecked") // so it was read
+        @SuppressWarnings("unchecked") // read() puts a Map there
         Map<String, Object> own = (Map<String, Object>) document.get("settings");
-        all.put("settings", PublishedSettings.over(own, published));
+        all.put("settings", PublishedSettings.overlay(own, published));
         try {
             Config config = proxy.reload(discovery, all);
-            refuseUnknown(config);
+            rejectUnknown(config);
             return config;
         } catch (BadInput e) {
-            throw new BadInput(PublishedSettings.nameKey(published, e), e.path());
+            throw new BadInput(PublishedSettings.messageWithKey(published, e), e.path());
         }
     }
 
@@ -207,23 +208,23 @@
                 part.text("address", listen.getAddress().getHostAddress() + ":" + listen.getPort());
         List<String> seeds = part.texts("seeds", t -> Config.address(t, "a seed"));
         Map<String, InetSocketAddress> routes = new HashMap<>();
-        TomlPart stated = part.part("routes");
-        for (String to : stated.keys()) {
-            routes.put(to, stated.read(to, t -> Config.address(t, "the route to " + to)));
+        TomlPart routesTable = part.part("routes");
+        for (String to : routesTable.keys()) {
+            routes.put(to, routesTable.read(to, t -> Config.address(t, "the route to " + to)));
         }
-        stated.done();
+        routesTable.done();
         part.done();
         return new MembershipService.Place(name, address, listen, seeds, routes);
     }
 
-    private static void same(TomlPart top, String key, Object was, Object now) {
-        if (!Objects.equals(was, now)) {
+    private static void requireUnchanged(TomlPart top, String key, Object before, Object now) {
+        if (!Objects.equals(before, now)) {
             throw top.bad(
-                    top.at(key), key + " cannot change while the process runs: it was " + was);
+                    top.at(key), key + " cannot change while the process runs: it was " + before);
         }
     }
 
-    /** Checks a name of a process or a role. */
+    /** Checks the name of a process or a role. */
     static String name(String text) {
         if (!text.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
             throw new BadInput(
--- a/src/main/java/holdproxy/daemon/DistributionTransport.java
+++ b/src/main/java/holdproxy/daemon/DistributionTransport.java
@@ -11,14 +11,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the parts of a daemon that distribute changes have in common. */
+/** Transport helpers shared by the parts of a daemon that distribute changes. */
 final class DistributionTransport {
-    private static final int COUNT_SECONDS = 10;
+    private static final int COUNTERS_INTERVAL_S = 10;
     private static final int NS_PER_US = 1_000;
 
     private DistributionTransport() {}
 
-    static TransportContext on(EventLoop loop) {
+    static TransportContext contextFor(EventLoop loop) {
         long startNs = System.nanoTime();
         return new TransportContext(
                 loop,
@@ -29,35 +29,35 @@
                 EventLog::line);
     }
 
-    /** Logs what has been carried, now and then, as long as the loop runs. */
+    /** Logs the transport counters periodically while the loop runs. */
     static void logCounters(TransportContext context) {
         context.loop()
                 .scheduleAtFixedRate(
                         () -> {
-                            TransportCounters.Snapshot counted = context.counters().snapshot();
+                            TransportCounters.Snapshot snapshot = context.counters().snapshot();
                             EventLog.event(
                                     "distribution",
                                     "bytes_in",
-                                    counted.bytesReceived(),
+                                    snapshot.bytesReceived(),
                                     "bytes_out",
-                                    counted.bytesSent(),
+                                    snapshot.bytesSent(),
                                     "messages_in",
-                                    counted.messagesReceived(),
+                                    snapshot.messagesReceived(),
                                     "messages_out",
-                                    counted.messagesSent(),
+                                    snapshot.messagesSent(),
                                     "dropped",
-                                    counted.messagesDropped(),
+                                    snapshot.messagesDropped(),
                                     "connections",
-                                    counted.connectionsOpen(),
+                                    snapshot.connectionsOpen(),
                                     "links_ended",
-                                    counted.linksDropped());
+                                    snapshot.linksDropped());
                         },
-                        COUNT_SECONDS,
-                        COUNT_SECONDS,
+                        COUNTERS_INTERVAL_S,
+                        COUNTERS_INTERVAL_S,
                         java.util.concurrent.TimeUnit.SECONDS);
     }
 
-    /** Where a process subscribes, best first; different processes begin at different ones. */
+    /** The relays to subscribe to, best first; rendezvous hashing spreads processes over them. */
     static List<RelayCandidate> candidates(String name, DistributionSettings settings) {
         List<RelayCandidate> candidates = new ArrayList<>();
         settings.upstream().forEach(each -> candidates.add(candidate(each, settings.site())));
@@ -66,12 +66,12 @@
     }
 
     private static RelayCandidate candidate(InetSocketAddress address, String site) {
-        String text = text(address);
+        String text = formatAddress(address);
         return new RelayCandidate(text, text, site);
     }
 
-    /** An address as files have it. */
-    static String text(InetSocketAddress address) {
+    /** Formats an address as configuration files have it. */
+    static String formatAddress(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort();
     }
--- a/src/main/java/holdproxy/daemon/GenerationFile.java
+++ b/src/main/java/holdproxy/daemon/GenerationFile.java
@@ -10,15 +10,15 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A process's generation, kept so that it grows though the wall clock may not. */
+/** Persists a process's generation, so that it grows even if the wall clock goes back. */
 final class GenerationFile {
-    private static final String NAME = "life";
+    private static final String FILE_NAME = "life";
 
     private GenerationFile() {}
 
-    /** The generation that begins now: the wall clock's milliseconds, or one more than the last. */
+    /** Returns and stores a new generation: {@code wallMs}, but at least one more than the last. */
     static long next(Path folder, long wallMs) {
-        Path file = folder.resolve(NAME);
+        Path file = folder.resolve(FILE_NAME);
         long last = 0;
         try {
             if (Files.exists(file)) {
@@ -26,17 +26,17 @@
             }
         } catch (IOException | NumberFormatException e) {
             throw new BadInput(
-                    "the last generation cannot be read from "
+                    "cannot read the last generation from "
                             + file
                             + ": "
                             + e
-                            + "; without the file a start takes the wall clock");
+                            + "; if the file is removed, the next start uses the wall clock");
         }
         long next = Math.max(wallMs, last + 1);
-        Path fresh = folder.resolve(NAME + ".new");
+        Path newFile = folder.resolve(FILE_NAME + ".new");
         try (FileChannel out =
                 FileChannel.open(
-                        fresh,
+                        newFile,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -45,9 +45,9 @@
                 out.write(text);
             }
             out.force(true);
-            Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            throw new BadInput("this generation cannot be kept in " + file + ": " + e);
+            throw new BadInput("cannot write the generation to " + file + ": " + e);
         }
         return next;
     }
--- a/src/main/java/holdproxy/daemon/PublishedConfiguration.java
+++ b/src/main/java/holdproxy/daemon/PublishedConfiguration.java
@@ -13,14 +13,14 @@
 import java.util.TreeMap;
 
 /**
- * Puts published settings into force at this process's proxy, all of a state or nothing of it. On one event
- * loop.
+ * Applies published settings to this process's proxy, each state as a whole or not at all. Confined to one
+ * event loop.
  */
 final class PublishedConfiguration implements Subscriber.Consumer {
-    /** The proxy that settings are for. */
+    /** The proxy that the settings are applied to. */
     interface Target {
-        /** Takes its own file's settings with these in place of theirs, or says in one line why not. */
-        Optional<String> take(Map<String, byte[]> published);
+        /** Applies these settings over those of its own file; on failure returns a one-line reason. */
+        Optional<String> apply(Map<String, byte[]> published);
     }
 
     private final String name;
@@ -34,12 +34,12 @@
         this.target = target;
     }
 
-    /** What this process has in force, for those who count. */
+    /** The version this process has in force, for the coverage counts. */
     CoverageReport report() {
         return CoverageReport.ofProxy(inForce, rejection);
     }
 
-    /** Position of the last state that was taken. */
+    /** Position of the last state applied. */
     Position inForce() {
         return inForce;
     }
@@ -48,8 +48,8 @@
     public Optional<String> offer(
             long nowUs, Position position, SortedMap<String, Value> state, List<Change> changes) {
         Map<String, Value> offered = new TreeMap<>(state);
-        offered.keySet().removeIf(key -> !PublishedSettings.isOne(key));
-        Optional<String> reason = offered.equals(settings) ? Optional.empty() : take(offered);
+        offered.keySet().removeIf(key -> !PublishedSettings.isSettingKey(key));
+        Optional<String> reason = offered.equals(settings) ? Optional.empty() : apply(offered);
         if (reason.isEmpty()) {
             settings = offered;
             inForce = position;
@@ -76,14 +76,14 @@
         return reason;
     }
 
-    private Optional<String> take(Map<String, Value> offered) {
+    private Optional<String> apply(Map<String, Value> offered) {
         Map<String, byte[]> published = new TreeMap<>();
         offered.forEach((key, value) -> published.put(key, value.bytes()));
         try {
-            return target.take(published);
+            return target.apply(published);
         } catch (RuntimeException e) {
-            // one state that nobody foresaw must not end the link over which the next one comes
-            return Optional.of("it cannot be read: " + e);
+            // An unexpected failure must not close the link, which also delivers the next state.
+            return Optional.of("cannot be applied: " + e);
         }
     }
 }
--- a/src/main/java/holdproxy/daemon/PublishedSettings.java
+++ b/src/main/java/holdproxy/daemon/PublishedSettings.java
@@ -14,50 +14,48 @@
 
 /**
  * Settings that operators publish to a whole fleet. Each top-level section of {@code [settings]} is one key
- * of the distributed state, its value a JSON text; a published section takes the place of the same one in a
- * process's own file.
+ * of the distributed state, with a JSON text as its value. Published values override those in a process's own
+ * file.
  */
 final class PublishedSettings {
-    /** What the keys of published settings begin with; other keys are of other users. */
+    /** Key prefix of published settings; other keys of the state have other users. */
     static final String PREFIX = "settings/";
 
-    /** Bytes of a file that is published. */
-    private static final int LONGEST_FILE = 64 << 10;
+    /** Maximum size in bytes of a file to publish. */
+    private static final int MAX_FILE_BYTES = 64 << 10;
 
     private PublishedSettings() {}
 
-    static boolean isOne(String key) {
+    static boolean isSettingKey(String key) {
         return key.startsWith(PREFIX);
     }
 
-    /**
-     * The settings {@code own} with all that is published in place of theirs: tables key by key, lists whole.
-     */
-    static Map<String, Object> over(Map<String, Object> own, Map<String, byte[]> published) {
+    /** Applies published settings over {@code own}: tables are merged key by key, lists are replaced. */
+    static Map<String, Object> overlay(Map<String, Object> own, Map<String, byte[]> published) {
         Map<String, Object> all = new HashMap<>(own);
         published.forEach(
                 (key, value) -> {
-                    if (isOne(key)) {
+                    if (isSettingKey(key)) {
                         all.merge(
                                 key.substring(PREFIX.length()),
                                 value(key, value),
-                                PublishedSettings::over);
+                                PublishedSettings::overlay);
                     }
                 });
         return all;
     }
 
-    private static Object over(Object own, Object published) {
+    private static Object overlay(Object own, Object published) {
         if (!(own instanceof Map<?, ?> below) || !(published instanceof Map<?, ?> above)) {
             return published;
         }
-        Map<Object, Object> both = new HashMap<>(below);
-        above.forEach((key, value) -> both.merge(key, value, PublishedSettings::over));
-        return both;
+        Map<Object, Object> merged = new HashMap<>(below);
+        above.forEach((key, value) -> merged.merge(key, value, PublishedSettings::overlay));
+        return merged;
     }
 
-    /** What is wrong, with the published key where the value at fault is one's. */
-    static String nameKey(Map<String, byte[]> published, BadInput failure) {
+    /** The failure's message, prefixed with the published key if the invalid value came from one. */
+    static String messageWithKey(Map<String, byte[]> published, BadInput failure) {
         String path = failure.path() == null ? "" : failure.path();
         String key = PREFIX + path.split("\\.", 2)[0];
         return published.containsKey(key)
@@ -72,21 +70,21 @@
                 return read;
             }
         } catch (IOException e) {
-            // said below
+            // reported below
         }
         throw new BadInput(key + " is no JSON value");
     }
 
     /**
-     * What a file asks to publish: each section below {@code [settings]}, and null for each one that {@code
-     * remove} names, for which processes go by their own files again.
+     * Reads the change to publish from a file: the value of each section below {@code [settings]}, and null
+     * for each section listed in {@code remove}, for which processes use their own files again.
      */
     static Map<String, byte[]> read(Path file) {
         String text;
         try {
-            if (Files.size(file) > LONGEST_FILE) {
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new BadInput(
-                        "the file " + file + " has more than " + LONGEST_FILE + " bytes");
+                        "the file " + file + " has more than " + MAX_FILE_BYTES + " bytes");
             }
             text = Files.readString(file);
         } catch (IOException e) {
@@ -115,7 +113,7 @@
         try {
             return JSON.std.asString(value).getBytes(StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new UncheckedIOException("a value cannot be written", e);
+            throw new UncheckedIOException("cannot serialize a value to JSON", e);
         }
     }
 }
--- a/src/main/java/holdproxy/daemon/SubscribedProcess.java
+++ b/src/main/java/holdproxy/daemon/SubscribedProcess.java
@@ -12,29 +12,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A proxy or a site's relay: subscribes, puts what is published into force at its own proxy and, as a relay,
- * serves the site's proxies. On an event loop of its own.
+ * A proxy or a site's relay: subscribes to changes, applies them to its own proxy and, as a relay, serves the
+ * site's proxies. Runs on its own event loop.
  *
- * <p>Where there is a consensus group a relay serves while it holds the lease on its site's role, so that one
- * relay of a site serves at a time; the others stay subscribed and take over with what they hold.
+ * <p>With a consensus group, a relay serves while it holds the lease on its site's role, so that one relay
+ * per site serves at a time; the others stay subscribed and can take over with the state they have.
  */
 final class SubscribedProcess implements DistributionPart {
-    private static final String RELAY_ROLE = "relay-";
+    private static final String RELAY_ROLE_PREFIX = "relay-";
 
-    private final PublishedConfiguration own;
+    private final PublishedConfiguration configuration;
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final TransportContext context = DistributionTransport.on(loop);
+    private final TransportContext context = DistributionTransport.contextFor(loop);
     private final SubscriberClient upstream;
 
     /** Null in a proxy. */
     private final RelayRole relay;
 
-    private boolean advancing;
+    private boolean advanceScheduled;
 
     private SubscribedProcess(
             String name, DistributionSettings settings, PublishedConfiguration own) {
-        this.own = own;
+        this.configuration = own;
         boolean serves = settings.role().serves();
         upstream =
                 new SubscriberClient(
@@ -42,7 +42,7 @@
                         name,
                         new Replica(context.settings().limits()),
                         (nowUs, position, state, changes) -> {
-                            advanceSoon();
+                            scheduleAdvance();
                             return own.offer(nowUs, position, state, changes);
                         },
                         serves ? this::report : null,
@@ -50,7 +50,7 @@
         relay = serves ? new RelayRole(context, upstream.subscriber(), settings.listen()) : null;
     }
 
-    /** {@code consensus}: null where there is none, and a relay always serves. */
+    /** {@code consensus}: null without a consensus group; a relay then always serves. */
     static SubscribedProcess start(
             String name,
             DistributionSettings settings,
@@ -62,9 +62,9 @@
                 () -> {
                     process.upstream.candidates(DistributionTransport.candidates(name, settings));
                     process.loop.scheduleAtFixedRate(
-                            () -> process.look(freshness),
-                            FreshnessReporter.LOOK_MS,
-                            FreshnessReporter.LOOK_MS,
+                            () -> process.updateFreshness(freshness),
+                            FreshnessReporter.UPDATE_INTERVAL_MS,
+                            FreshnessReporter.UPDATE_INTERVAL_MS,
                             TimeUnit.MILLISECONDS);
                     DistributionTransport.logCounters(process.context);
                     if (process.relay != null && consensus == null) {
@@ -72,35 +72,39 @@
                     }
                 });
         if (process.relay != null && consensus != null) {
-            consensus.want(RELAY_ROLE + settings.site(), settings.leaseMs(), process.new Holding());
+            consensus.requestLease(
+                    RELAY_ROLE_PREFIX + settings.site(),
+                    settings.leaseMs(),
+                    process.new RelayLease());
         }
         return process;
     }
 
-    private void look(FreshnessReporter freshness) {
-        freshness.look(own.inForce(), upstream.subscriber().ageUs(context.nowUs().getAsLong()));
+    private void updateFreshness(FreshnessReporter freshness) {
+        freshness.update(
+                configuration.inForce(), upstream.subscriber().ageUs(context.nowUs().getAsLong()));
     }
 
-    /** Its own proxy and those that it serves. */
+    /** Coverage of its own proxy and of those that it serves. */
     private CoverageReport report() {
         return CoverageReport.merge(
-                List.of(own.report(), relay.report()), context.settings().limits());
+                List.of(configuration.report(), relay.report()), context.settings().limits());
     }
 
-    /** Not at once: the subscriber that says so is at work, and may have more to say. */
-    private void advanceSoon() {
-        if (relay != null && !advancing) {
-            advancing = true;
+    /** Deferred, because the calling subscriber may still be applying further changes. */
+    private void scheduleAdvance() {
+        if (relay != null && !advanceScheduled) {
+            advanceScheduled = true;
             loop.execute(
                     () -> {
-                        advancing = false;
+                        advanceScheduled = false;
                         relay.advanced();
                     });
         }
     }
 
     @Override
-    public void end() {
+    public void stop() {
         loop.execute(
                 () -> {
                     if (relay != null) {
@@ -110,8 +114,8 @@
                 });
     }
 
-    /** The lease on the site's role, told on the consensus part's loop. */
-    private final class Holding implements LeaseListener {
+    /** Follows the lease on the site's role; called on the consensus part's event loop. */
+    private final class RelayLease implements LeaseListener {
         @Override
         public void granted(long token) {
             loop.execute(relay::begin);
--- a/src/main/java/holdproxy/daemon/VersionsCommand.java
+++ b/src/main/java/holdproxy/daemon/VersionsCommand.java
@@ -4,11 +4,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** {@code holdproxy daemon versions}: what each control machine says of the log and the proxies below it. */
+/** {@code holdproxy daemon versions}: prints the log and proxy versions of each control machine. */
 @Command(
         name = "versions",
         description = {
-            "Says which versions of the published state are in force where.",
+            "Prints which versions of the published state are in force.",
             "Exit codes: 0 all control machines answered; 2 the command or the file is wrong; 4 one"
                     + " did not answer."
         },
@@ -26,7 +26,7 @@
                             unreachable[0]++;
                             System.err.println("holdproxy: " + problem);
                         });
-        fleet.machines().forEach(machine -> System.out.println(FleetVersions.line(machine)));
-        return unreachable[0] == 0 ? 0 : PublishCommand.NOT_TAKEN;
+        fleet.machines().forEach(machine -> System.out.println(FleetVersions.describe(machine)));
+        return unreachable[0] == 0 ? 0 : PublishCommand.NOT_ACCEPTED;
     }
 }
--- a/src/test/java/holdproxy/daemon/AdminTest.java
+++ b/src/test/java/holdproxy/daemon/AdminTest.java
@@ -30,12 +30,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Operators' calls at a control machine, and what several machines' answers come to. */
+/** The admin API of a control machine, and the merging of several machines' answers. */
 class AdminTest {
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private InetSocketAddress address;
-    private PublishRequest asked;
+    private PublishRequest lastRequest;
     private Object answer = new Published(5, 3);
 
     @BeforeEach
@@ -44,7 +44,7 @@
                 new AdminServer.Operations() {
                     @Override
                     public CompletableFuture<Object> publish(PublishRequest request) {
-                        asked = request;
+                        lastRequest = request;
                         return CompletableFuture.completedFuture(answer);
                     }
 
@@ -67,7 +67,7 @@
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** Ten proxies, so many of them at 5/3 and the others at 5/2. */
+    /** A control machine with ten proxies, {@code atThree} of them at 5/3 and the others at 5/2. */
     private static Versions machine(long atThree, long rejecting, List<RejectionView> rejections) {
         return new Versions(
                 "control-1",
@@ -104,12 +104,12 @@
     }
 
     @Test
-    void callsAndAnswersComeAsTheyWere() throws Exception {
+    void requestsAndAnswersArriveUnchanged() throws Exception {
         AdminClient client = new AdminClient();
         PublishRequest request =
                 new PublishRequest("id", Map.of("settings/caps", "{}"), List.of("settings/rules"));
         assertEquals(answer, client.publish(address, request));
-        assertEquals(request, asked);
+        assertEquals(request, lastRequest);
         for (boolean retry : new boolean[] {true, false}) {
             answer = new AdminApi.Failure("TOO_LARGE: why", retry);
             assertEquals(answer, client.publish(address, request));
@@ -121,23 +121,23 @@
     }
 
     @Test
-    void whatIsNoCallIsToldSo() throws Exception {
+    void invalidRequestsGetAnError() throws Exception {
         assertTrue(raw("GET /v2 HTTP/1.1\r\n\r\n").contains(" 404 "));
         assertTrue(raw("DELETE /v1/versions HTTP/1.1\r\n\r\n").contains(" 404 "));
-        assertTrue(raw(post("[]")).contains("this is no PublishRequest"));
+        assertTrue(raw(post("[]")).contains("not a valid PublishRequest"));
         assertTrue(raw(post("{\"put\":3}")).contains(" 400 "));
-        String tooLong = post("x".repeat(AdminApi.LONGEST_REQUEST + 1));
+        String tooLong = post("x".repeat(AdminApi.MAX_REQUEST_BYTES + 1));
         assertTrue(raw(tooLong.substring(0, tooLong.indexOf("\r\n\r\n") + 4)).contains(" 413 "));
-        assertEquals(null, asked);
+        assertEquals(null, lastRequest);
         assertTrue(
                 raw("GET /v1/versions HTTP/1.1\r\n\r\n").contains("\"publisher\":\"control-1\""));
     }
 
     @Test
-    void aChangeIsSettledWhereEachProxyHasItOrRejectsIt() {
+    void changeIsSettledWhenEachProxyAppliedOrRejectedIt() {
         Published version = new Published(5, 3);
         FleetVersions none = new FleetVersions(List.of());
-        assertFalse(none.isSettledAt(version, 0), "nobody has answered");
+        assertFalse(none.isSettledAt(version, 0), "no machine has answered");
         FleetVersions some =
                 new FleetVersions(List.of(machine(9, 0, List.of()), machine(10, 0, List.of())));
         assertFalse(some.isSettledAt(version, 1));
@@ -151,25 +151,25 @@
         FleetVersions earlier = new FleetVersions(List.of(machine(8, 2, rejections(2, 2))));
         assertFalse(
                 earlier.isSettledAt(version, 1),
-                "they reject the one before, and may take this one");
+                "they reject the previous version and may still take this one");
         assertEquals("in force at 8 of 10", earlier.summary(version));
         FleetVersions many = new FleetVersions(List.of(machine(0, 10, rejections(3, 4))));
         assertTrue(many.isSettledAt(version, 1));
         assertTrue(many.summary(version).endsWith(" and 7 more"), many.summary(version));
         assertTrue(
-                FleetVersions.line(machine(8, 1, rejections(1, 3)))
+                FleetVersions.describe(machine(8, 1, rejections(1, 3)))
                         .contains("5/3 at 8 5/2 at 2; proxy-0 rejects 5/3: why"));
     }
 
     @Test
-    void theAgeOfWhatIsInForceIsAFigure() {
+    void versionInForceAndItsAgeAreFigures() {
         long[] nowUs = {7};
         Figures figures = new Figures();
         FreshnessReporter reporter = new FreshnessReporter(figures, () -> nowUs[0]);
-        assertFalse(figures.text().contains("published"), "not where nothing is published");
-        reporter.look(Position.NONE, Relay.Source.UNKNOWN_AGE_US);
+        assertFalse(figures.text().contains("published"), "no figure while nothing is published");
+        reporter.update(Position.NONE, Relay.Source.UNKNOWN_AGE_US);
         assertTrue(figures.text().contains("svc.published_age_s=-1"), figures.text());
-        reporter.look(new Position(5, 3), 2_600_000);
+        reporter.update(new Position(5, 3), 2_600_000);
         assertTrue(
                 figures.text()
                         .contains(
