--- a/src/main/java/holdproxy/consensus/FileDisk.java
+++ b/src/main/java/holdproxy/consensus/FileDisk.java
@@ -8,12 +8,12 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A file of the operating system's. */
+/** A {@link Disk} in a file of the file system. */
 public final class FileDisk implements Disk, AutoCloseable {
     private final Path file;
     private FileChannel channel;
 
-    /** {@code file}: of this voter alone; its folder is there. */
+    /** The file must belong to this voter alone, and its folder must exist. */
     public FileDisk(Path file) {
         this.file = file;
     }
@@ -53,7 +53,7 @@
         close();
         Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent())) {
-            folder.force(true); // the name as well
+            folder.force(true); // makes the rename durable
         }
     }
 
--- a/src/main/java/holdproxy/consensus/LeaderWatch.java
+++ b/src/main/java/holdproxy/consensus/LeaderWatch.java
@@ -1,35 +1,35 @@
 package holdproxy.consensus;
 
-/** When the leader was last heard, and whether a follower waits in vain for one that is gone. */
+/** Tracks when the leader was last heard from, and detects a follower stuck with a leader that is gone. */
 final class LeaderWatch {
-    /** Four times as long as a leader may be silent. */
+    /** Four times the longest silence of a live leader. */
     private static final long STUCK_US = 4_000_000;
 
-    /** Looks in turn that have to find it silent for that long. */
+    /** Consecutive checks that have to find the leader silent for that long. */
     private static final int STUCK_LOOKS = 3;
 
     private long heardUs;
     private boolean everHeard;
     private int silentLooks;
 
-    /** The leader has said something, or leadership has changed at this process. */
+    /** A message of the leader has arrived, or this process has gained or lost leadership. */
     void heard(long nowUs) {
         heardUs = nowUs;
         everHeard = true;
     }
 
-    /** The node begins again: its silence counts from here. */
+    /** The node was restarted; silence counts from now. */
     void restarted(long nowUs) {
         heardUs = nowUs;
         silentLooks = 0;
     }
 
-    /** For how long the leader has been silent; {@link Long#MAX_VALUE} where none was ever heard. */
+    /** Time since the leader was last heard from; {@link Long#MAX_VALUE} if none ever was. */
     long silentUs(long nowUs) {
         return everHeard ? nowUs - heardUs : Long.MAX_VALUE;
     }
 
-    /** One more look; {@code follows}: whether the node follows a leader. True once it is stuck with it. */
+    /** Performs one check; true when the node, if it {@code follows} a leader, is found stuck with it. */
     boolean isStuck(boolean follows, long nowUs) {
         silentLooks = follows && nowUs - heardUs > STUCK_US ? silentLooks + 1 : 0;
         return silentLooks == STUCK_LOOKS;
--- a/src/main/java/holdproxy/consensus/ProposalRouter.java
+++ b/src/main/java/holdproxy/consensus/ProposalRouter.java
@@ -9,34 +9,34 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Brings proposals to whoever leads: to the local node where it does, else by a frame to a voter, again and
- * again until there is an answer or the time is over. Bounded in what waits at once.
+ * Routes proposals to the leader: to the local node if it leads, else in a frame to a voter; retries until
+ * there is an answer or the time limit is reached. The number of pending proposals is bounded.
  */
 final class ProposalRouter {
     private static final int MOST_PENDING = 1_000;
 
-    /** One voter is waited for so long before the next is asked. */
+    /** How long to wait for a voter's answer before the next voter is asked. */
     private static final long ASK_US = 300_000;
 
-    /** And after it has said that it does not lead, and knows nobody who does. */
+    /** Delay before the retry after a voter that neither leads nor knows another leader. */
     private static final long AGAIN_US = 30_000;
 
-    /** The node of this process. */
+    /** The Raft node of this process. */
     interface LocalNode {
         /** Whether it leads, as far as it knows. */
         boolean leads();
 
-        /** Has an operation agreed on; only where it leads. */
+        /** Replicates an operation; called only if the node leads. */
         void replicate(Object operation, Result result);
     }
 
-    /** What an operation came to. */
+    /** Receives the outcome of an operation. */
     interface Result {
-        /** {@code failed}: null where {@code value} is the answer. */
+        /** {@code value} is the answer if {@code failed} is null. */
         void of(Object value, Throwable failed);
     }
 
-    /** A proposal that a voter was asked for. */
+    /** A proposal sent to a voter that has not answered yet. */
     private record Pending(
             Object operation, long endUs, CompletableFuture<Object> answer, String to) {}
 
@@ -49,7 +49,7 @@
     private int nextVoter;
     private String leader = "";
 
-    /** {@code others}: the voters that can be asked, this process not among them. */
+    /** {@code others}: the voters but this process; {@code voters}: the number of all voters. */
     ProposalRouter(
             String name,
             List<String> others,
@@ -62,16 +62,16 @@
         this.host = host;
         this.local = local;
         nextVoter = random.nextInt(Math.max(1, voters));
-        // not from 0: an answer to an earlier generation of this name may still be under way
+        // random start: an answer to an earlier generation of this process may still arrive
         lastNumber = random.nextLong() >>> 2;
     }
 
-    /** Who leads, as far as is known; else empty. */
+    /** Name of the leader; empty if unknown. */
     String leader() {
         return leader;
     }
 
-    /** {@code name}: empty where nobody is known to lead. */
+    /** Sets the name of the leader; empty if unknown. */
     void leader(String name) {
         leader = name;
     }
@@ -80,7 +80,7 @@
     CompletableFuture<Object> propose(Object operation, long withinUs) {
         CompletableFuture<Object> answer = new CompletableFuture<>();
         if (pending.size() >= MOST_PENDING) {
-            answer.completeExceptionally(new IOException("too much is asked at once"));
+            answer.completeExceptionally(new IOException("too many pending proposals"));
             return answer;
         }
         route(operation, host.nowUs() + withinUs, answer);
@@ -93,7 +93,7 @@
         }
         if (host.nowUs() >= endUs) {
             answer.completeExceptionally(
-                    new IOException("the consensus group has not answered in time"));
+                    new IOException("the consensus group did not answer in time"));
         } else if (local.leads()) {
             replicateHere(operation, endUs, answer);
         } else if (others.isEmpty()) {
@@ -115,7 +115,7 @@
                         host.after(AGAIN_US, () -> route(operation, endUs, answer));
                     }
                 });
-        // a leader without a majority never hears of it
+        // a leader without a majority never gets a result
         host.after(
                 Math.min(ASK_US * 4, endUs - host.nowUs()),
                 () -> {
@@ -146,18 +146,18 @@
         return others.get(Math.floorMod(nextVoter++, others.size()));
     }
 
-    /** A voter's answer has come; {@code whoLeads}: who leads as far as the voter knows, else empty. */
+    /** Handles a voter's answer; {@code whoLeads}: the leader as known to the voter, else empty. */
     void answered(long number, boolean done, Object value, String whoLeads) {
         Pending mine = pending.remove(number);
         if (mine == null) {
-            return; // too late: it was asked for again
+            return; // too late: the proposal has been sent again
         }
         leader = whoLeads;
         if (done) {
             mine.answer.complete(value);
             return;
         }
-        // nobody may lead for a moment: not at once again
+        // there may be no leader at the moment: retry after a delay
         long delayUs = whoLeads.isEmpty() || whoLeads.equals(mine.to) ? AGAIN_US : 0;
         host.after(delayUs, () -> route(mine.operation, mine.endUs, mine.answer));
     }
--- a/src/main/java/holdproxy/consensus/RaftCodec.java
+++ b/src/main/java/holdproxy/consensus/RaftCodec.java
@@ -31,8 +31,8 @@
 import java.util.List;
 
 /**
- * What MicroRaft sends and keeps, as CBOR: lists of plain values. Operations are plain values themselves, or
- * a change of members. Whatever is not in this form is a {@link BadInput}.
+ * Encodes MicroRaft's messages and persistent state as CBOR lists of plain values. An operation is a plain
+ * value or a change of group members. Malformed input is rejected with {@link BadInput}.
  */
 final class RaftCodec {
     static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -42,21 +42,21 @@
 
     private RaftCodec() {}
 
-    /** Reads a list part by part. */
+    /** Reads the items of a list in order. */
     static final class Parts {
         private final List<?> parts;
         private int next;
 
         Parts(Object value) {
             if (!(value instanceof List<?> list)) {
-                throw new BadInput("there is no list where one belongs");
+                throw new BadInput("expected a list");
             }
             parts = list;
         }
 
         Object value() {
             if (next >= parts.size()) {
-                throw new BadInput("a list is too short");
+                throw new BadInput("a list has too few items");
             }
             return parts.get(next++);
         }
@@ -65,7 +65,7 @@
             if (value() instanceof String text) {
                 return text;
             }
-            throw new BadInput("part " + next + " of a list is no text");
+            throw new BadInput("item " + next + " of a list is not a string");
         }
 
         long number() {
@@ -73,13 +73,13 @@
             if (value instanceof Integer || value instanceof Long) {
                 return ((Number) value).longValue();
             }
-            throw new BadInput("part " + next + " of a list is no number");
+            throw new BadInput("item " + next + " of a list is not a whole number");
         }
 
         int whole() {
             long number = number();
             if (number != (int) number) {
-                throw new BadInput("part " + next + " of a list is too large: " + number);
+                throw new BadInput("item " + next + " of a list does not fit 32 bits: " + number);
             }
             return (int) number;
         }
@@ -88,7 +88,7 @@
             if (value() instanceof Boolean flag) {
                 return flag;
             }
-            throw new BadInput("part " + next + " of a list is neither true nor false");
+            throw new BadInput("item " + next + " of a list is not a boolean");
         }
 
         Voter voter() {
@@ -96,7 +96,7 @@
             try {
                 return text.isEmpty() ? null : Voter.read(text);
             } catch (IndexOutOfBoundsException | NumberFormatException e) {
-                throw new BadInput("part " + next + " of a list is no voter");
+                throw new BadInput("item " + next + " of a list is not a voter");
             }
         }
 
@@ -118,7 +118,7 @@
         try {
             return CBOR.asBytes(value);
         } catch (IOException e) {
-            throw new UncheckedIOException("a value cannot be written", e);
+            throw new UncheckedIOException("cannot encode a value", e);
         }
     }
 
@@ -126,7 +126,7 @@
         try {
             return CBOR.anyFrom(bytes);
         } catch (IOException e) {
-            throw new BadInput("these bytes are no CBOR: " + e.getClass().getSimpleName());
+            throw new BadInput("invalid CBOR: " + e.getClass().getSimpleName());
         }
     }
 
@@ -332,11 +332,11 @@
                             .setQuerySequenceNumber(p.number())
                             .setFlowControlSequenceNumber(p.number())
                             .build();
-            default -> throw new BadInput("a message is of no known kind");
+            default -> throw new BadInput("unknown kind of Raft message");
         };
     }
 
-    // ---- what is kept ----
+    // ---- persistent state ----
 
     static List<Object> entry(LogEntry e) {
         return list(e.getIndex(), e.getTerm(), written(e.getOperation()));
@@ -431,9 +431,7 @@
                                 .filter(m -> m.name().equals(mode))
                                 .findFirst()
                                 .orElseThrow(
-                                        () ->
-                                                new BadInput(
-                                                        "a change of members is of no known kind")))
+                                        () -> new BadInput("unknown kind of membership change")))
                 .build();
     }
 }
--- a/src/main/java/holdproxy/consensus/RaftDisk.java
+++ b/src/main/java/holdproxy/consensus/RaftDisk.java
@@ -21,21 +21,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a voter must not forget, as records at the end of one file, each with its checksums. Opened again it
- * holds what was made safe, or a {@link BadInput} says where the file is damaged: then the voter is out of
- * the vote, for it can no longer tell what it has promised. A record at the end that is cut short was never
- * safe, and goes.
+ * Persistent state of a voter: records with checksums, appended to one file. When the file is opened again it
+ * holds everything that was flushed, or a {@link BadInput} says where it is damaged; the voter must then not
+ * vote, since it no longer knows its earlier votes and promises. A truncated record at the end was never
+ * flushed and is removed.
  *
- * <p>After a failure nothing more is written, and the voter is to be ended: MicroRaft itself would go on with
- * what it has in memory. Of snapshots the last is kept, of
- * entries those after it; the file is written anew when four fifths of it are out of date.
+ * <p>After a failure nothing more is written, and the voter must be stopped, since MicroRaft itself would
+ * continue with its state in memory. The last snapshot and the entries after it are kept; the file is
+ * rewritten when four fifths of it are obsolete.
  */
 final class RaftDisk implements RaftStore {
     private static final short MAGIC = 0x5231;
     private static final int HEAD = 14;
     private static final int LARGEST = 64 << 20;
 
-    /** Below so many bytes the file is left as it is. */
+    /** A file of at most this many bytes is never rewritten. */
     private static final int SMALL = 1 << 20;
 
     private final Disk disk;
@@ -46,7 +46,7 @@
     private int term;
     private Voter votedFor;
 
-    /** Entries and parts of snapshots in the form in which they are written, by index. */
+    /** Log entries as encoded records, by index; {@code chunks}: the same for snapshot chunks. */
     private final TreeMap<Long, byte[]> entries = new TreeMap<>();
 
     private final TreeMap<Long, TreeMap<Integer, byte[]>> chunks = new TreeMap<>();
@@ -58,7 +58,7 @@
         this.disk = disk;
     }
 
-    /** Reads what there is; a {@link BadInput} says where it is damaged. */
+    /** Reads the file; throws {@link BadInput} if it is damaged. */
     static RaftDisk open(Disk disk) throws IOException {
         RaftDisk opened = new RaftDisk(disk);
         byte[] bytes = disk.read();
@@ -70,17 +70,17 @@
         return opened;
     }
 
-    /** Run once, when writing has failed: from then on the voter must not vote. */
+    /** Sets an action to run once if a write fails; the voter must not vote from then on. */
     void onFailure(Runnable action) {
         onFailure = action;
     }
 
-    /** Whose it is; null where it has never been written. */
+    /** The voter that the file belongs to; null if it has never been written. */
     Voter localVoter() {
         return localVoter;
     }
 
-    /** For {@link io.microraft.RaftNode}; to be called only where there is a local voter. */
+    /** The state to restart a {@link io.microraft.RaftNode} from; requires a local voter. */
     RestoredRaftState restored() {
         SnapshotEntry snapshot = snapshot();
         List<LogEntry> after = new ArrayList<>();
@@ -138,19 +138,19 @@
         return (int) crc.getValue();
     }
 
-    /** Of a record that holds one thing: that. */
+    /** Decodes the value of a record that holds a single one. */
     private static Object body(byte[] record) {
         RaftCodec.Parts parts = RaftCodec.parts(Arrays.copyOfRange(record, HEAD, record.length));
         parts.text();
         return parts.value();
     }
 
-    /** Takes all whole records; returns where the last of them ends. */
+    /** Applies all complete records; returns the offset at which the last of them ends. */
     private int take(byte[] file) {
         int at = 0;
         while (at < file.length) {
             if (file.length - at < HEAD || allZero(file, at)) {
-                return at; // cut short, or room that was never written to
+                return at; // truncated, or allocated but never written
             }
             ByteBuffer head = ByteBuffer.wrap(file, at, HEAD);
             boolean sound = head.getShort() == MAGIC;
@@ -217,11 +217,11 @@
                     cut(gone);
                 }
             }
-            default -> throw new BadInput("it is of no known kind");
+            default -> throw new BadInput("unknown record type");
         }
     }
 
-    @SuppressWarnings("unchecked") // the reader makes no other lists than these
+    @SuppressWarnings("unchecked") // the decoder creates only lists of objects
     private static List<Object> plain(Object list) {
         return (List<Object>) list;
     }
@@ -236,7 +236,7 @@
         gone.clear();
     }
 
-    // ---- what MicroRaft has kept ----
+    // ---- RaftStore ----
 
     private interface Write {
         void run() throws IOException;
@@ -244,7 +244,7 @@
 
     private void guarded(Write write) throws IOException {
         if (failure != null) {
-            throw new IOException("nothing is written after a failure", failure);
+            throw new IOException("no more writes after a failure", failure);
         }
         try {
             write.run();
@@ -260,8 +260,7 @@
                 () -> {
                     byte[] record = framed(parts);
                     if (record.length > LARGEST) {
-                        throw new IOException(
-                                "a record of " + record.length + " bytes is too long");
+                        throw new IOException("record too large: " + record.length + " bytes");
                     }
                     disk.append(record);
                     fileBytes += record.length;
--- a/src/main/java/holdproxy/consensus/RaftGroup.java
+++ b/src/main/java/holdproxy/consensus/RaftGroup.java
@@ -25,14 +25,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A process's part in a consensus group: a voter keeps the log, everybody else asks the voters. Time, chance,
- * links and the disk are handed in; all calls are on the host's one thread.
+ * A process's part in a consensus group: voters keep the replicated log, other processes send proposals to
+ * the voters. Time, randomness, transport and disk are passed in; all calls are on the host's single thread.
  *
- * <p>An operation that was asked for may have been agreed though its answer did not come, and is then asked
- * for again: operations have to bear that.
+ * <p>An operation may be committed although its answer was lost, and is then proposed again: operations must
+ * be idempotent.
  */
 public final class RaftGroup {
-    /** In every frame of the group: not to be changed. */
+    /** Group id of MicroRaft; must not change. */
     private static final String GROUP = "council";
 
     private static final int ELECTION_MS = 1_000;
@@ -41,7 +41,7 @@
     private static final int SNAPSHOT_AFTER = 1_000;
     private static final int MOST_PENDING = 1_000;
 
-    /** Entries in one frame; each is at most a published change of 64 KiB, and a frame holds 1 MiB. */
+    /** Entries in a frame: an entry is at most a published change of 64 KiB, a frame at most 1 MiB. */
     private static final int MOST_ENTRIES_AT_ONCE = 12;
 
     private static final long STEP_DOWN_US = 500_000;
@@ -49,31 +49,31 @@
 
     private static final long LOOK_US = 500_000;
 
-    /** What the process around it offers. */
+    /** Services of the process, and callbacks into it. */
     public interface Host {
         /** Monotonic, in microseconds. */
         long nowUs();
 
-        /** Runs a task so many microseconds later, on the one thread. */
+        /** Runs a task on the thread after this many microseconds. */
         void after(long us, Runnable task);
 
         /** Sends a frame to a process, or drops it. */
         void send(String name, byte[] frame);
 
-        /** This process leads the consensus group now, or no longer. */
+        /** This process has become the leader, or has ceased to be. */
         void leads(boolean now);
 
-        /** A task of the library's has failed; the consensus group goes on. */
+        /** A task of the library has failed; the consensus group continues. */
         void failed(RuntimeException failure);
 
-        /** This process is out of the vote: why. It goes on asking. */
+        /** This process no longer votes, for the given reason; it still sends proposals. */
         void out(String why);
     }
 
     private final String name;
     private final List<String> voters;
 
-    /** Those but this process: whom it can ask. */
+    /** The voters other than this process. */
     private final List<String> others;
 
     private final Host host;
@@ -88,12 +88,10 @@
     private boolean failed;
     private boolean ended;
 
-    /** Of the node in use: what an earlier one still reports is nothing any more. */
+    /** Adapter of the current node; reports of earlier nodes are ignored. */
     private StateMachineAdapter adapter;
 
-    /**
-     * {@code voters}: names of those that may be asked, this process among them or not.
-     */
+    /** {@code voters}: names of the voters; this process may be among them. */
     public RaftGroup(
             String name, List<String> voters, Host host, Random random, StateMachine stateMachine) {
         this.name = name;
@@ -107,9 +105,9 @@
     }
 
     /**
-     * Founds a consensus group: writes what a first voter begins with. Once in the lifetime of a
-     * fleet, by operators, on the empty disk of each of the first voters; a {@link BadInput} says that there
-     * is one already.
+     * Founds a consensus group: writes the initial state of one of the first voters. Operators do this once
+     * in the lifetime of a fleet, on the empty disk of each of them; throws {@link BadInput} if the disk is
+     * not empty or if {@code name} is not one of {@code voters}.
      */
     public static void found(Disk disk, String name, Collection<String> voters) throws IOException {
         RaftDisk kept = RaftDisk.open(disk);
@@ -148,8 +146,8 @@
     }
 
     /**
-     * Takes up its vote, where it is one of the voters. An empty disk makes it a new one, which asks to be
-     * admitted in place of what it was; a damaged one leaves it out of the vote.
+     * Starts the Raft node if this process is one of the voters. With an empty disk it is a new voter, which
+     * asks to be admitted in place of the earlier one; with a damaged disk it does not vote.
      */
     public void begin(Disk disk) {
         if (voters.contains(name)) {
@@ -159,9 +157,8 @@
     }
 
     /**
-     * MicroRaft's follower can come to wait for good for a leader that is gone: when a late message of that
-     * leader's arrives while it asks others whether to stand for election. Begun again from its disk, as
-     * after a crash, it is free of that.
+     * Restarts a stuck follower from its disk, as after a crash. A MicroRaft follower waits forever for a
+     * leader that is gone if a late message of that leader arrives during the follower's pre-vote.
      */
     private void watch(Disk disk) {
         if (ended || !votes()) {
@@ -212,11 +209,11 @@
         }
     }
 
-    /** At once: what could not be kept must not be said either. */
+    /** Stops all sending at once: what was not persisted must not be sent either. */
     private void diskFailed() {
         failed = true;
         lead(false);
-        host.out("the disk has failed");
+        host.out("writing to the disk failed");
         host.after(0, () -> node.terminate());
     }
 
@@ -238,8 +235,8 @@
     }
 
     /**
-     * For how long this voter has not heard the leader, in microseconds; 0 where it leads, {@link
-     * Long#MAX_VALUE} where it has never heard one.
+     * Time since this voter last heard from the leader, in microseconds; 0 if it leads, {@link
+     * Long#MAX_VALUE} if it has never heard from one.
      */
     public long leaderSilentUs() {
         return leading ? 0 : leaderWatch.silentUs(host.nowUs());
@@ -250,12 +247,12 @@
         return node != null && !failed && !RaftNodeStatus.isTerminal(node.getStatus());
     }
 
-    /** The voter that this process is; null where it does not vote. */
+    /** This process as a voter; null if it is none. */
     public Voter self() {
         return self;
     }
 
-    /** Who votes, by what this process knows to be agreed; empty where it does not vote. */
+    /** The voters, as committed in this process's log; empty if it does not vote. */
     public Set<Voter> votingMembers() {
         Set<Voter> members = new LinkedHashSet<>();
         if (votes()) {
@@ -265,8 +262,9 @@
     }
 
     /**
-     * Gives leadership, if it has it, to another; completes then. Before it hands its leases over: those who
-     * ask for them then find a leader that stays.
+     * Transfers leadership, if this process has it, to another voter; completes when that is done or takes
+     * too long. To be called before leases are handed over, so that their next holders find a leader that
+     * stays.
      */
     public CompletableFuture<Void> stepDown() {
         CompletableFuture<Void> over = new CompletableFuture<>();
@@ -280,14 +278,14 @@
                         .findFirst();
         if (other.isPresent()) {
             node.transferLeadership(other.get()).whenComplete((done, why) -> over.complete(null));
-            host.after(STEP_DOWN_US, () -> over.complete(null)); // whom it was to go to may be gone
+            host.after(STEP_DOWN_US, () -> over.complete(null)); // the other may be gone
         } else {
             over.complete(null);
         }
         return over;
     }
 
-    /** Gives its vote up for this generation; completes then. */
+    /** Stops voting for the rest of this generation; completes when the node has terminated. */
     public CompletableFuture<Void> end() {
         ended = true;
         CompletableFuture<Void> over = new CompletableFuture<>();
@@ -299,12 +297,11 @@
         return over;
     }
 
-    // ---- asking ----
+    // ---- proposals ----
 
     /**
-     * Has an operation agreed on, by way of whoever leads; completes with the state machine's answer, or
-     * exceptionally when it did not come within {@code withinUs}. It may be agreed on all the same, and more
-     * than once.
+     * Proposes an operation through the leader; completes with the state machine's answer, or exceptionally
+     * if there is none within {@code withinUs}. The operation may be committed even then, and more than once.
      */
     public CompletableFuture<Object> propose(Object operation, long withinUs) {
         return proposals.propose(operation, withinUs);
@@ -325,7 +322,7 @@
 
     // ---- frames ----
 
-    /** A frame of another process's has come; a {@link BadInput} says that it is none. */
+    /** Handles a frame of another process; throws {@link BadInput} if it is malformed. */
     public void received(byte[] frame) {
         RaftCodec.Parts p = RaftCodec.parts(frame);
         switch (p.text()) {
@@ -333,15 +330,15 @@
             case "ask" -> asked(p.text(), p.number(), p.value());
             case "answer" -> proposals.answered(p.number(), p.flag(), p.value(), p.text());
             case "admit" -> admit(p.voter());
-            default -> throw new BadInput("a frame for the consensus group is of no known kind");
+            default -> throw new BadInput("unknown kind of consensus frame");
         }
     }
 
     private void raft(String to, Object message) {
-        // of an earlier disk's votes and promises this process knows nothing
+        // a message to an earlier disk: its votes and promises are not known here
         if (votes() && self.toString().equals(to)) {
             RaftMessage read = RaftCodec.message(message, GROUP);
-            // one that led and asks for votes now says by that that it leads no longer
+            // only these two show that the sender leads: a former leader also sends vote requests
             boolean leads =
                     read instanceof AppendEntriesRequest || read instanceof InstallSnapshotRequest;
             if (leads && read.getSender().equals(node.getTerm().getLeaderEndpoint())) {
@@ -394,11 +391,11 @@
     private void terminated(StateMachineAdapter of) {
         if (!ended && !failed && adapter == of) {
             lead(false);
-            host.out("another has been let in in its place");
+            host.out("another voter was admitted in its place");
         }
     }
 
-    // ---- what MicroRaft is given ----
+    // ---- adapters for MicroRaft ----
 
     private final class Outward implements Transport {
         @Override
@@ -414,7 +411,7 @@
 
         @Override
         public boolean isReachable(RaftEndpoint to) {
-            return true; // whoever it is: what is sent may arrive
+            return true; // unknown: a message may arrive
         }
     }
 
--- a/src/main/java/holdproxy/consensus/ScaledClock.java
+++ b/src/main/java/holdproxy/consensus/ScaledClock.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The time that MicroRaft goes by: a monotonic clock that is handed in, running faster than the true one,
- * since the library counts heartbeats in whole seconds and a fleet wants them in fifths of one.
+ * Clock and executor for MicroRaft, based on the host's monotonic clock but running faster: the library
+ * configures heartbeats in whole seconds, while the fleet needs one every fifth of a second.
  */
 final class ScaledClock extends Clock implements RaftNodeExecutor {
-    /** So many of the library's seconds pass in one. */
+    /** Seconds of the library's time in one real second. */
     static final int FASTER = 5;
 
     private final RaftGroup.Host host;
@@ -51,7 +51,7 @@
         host.after(0, guarded(task));
     }
 
-    /** A task of the library's that fails is told of, and ends nothing else. */
+    /** Reports a failure of the library's task to the host instead of passing it on. */
     private Runnable guarded(Runnable task) {
         return () -> {
             try {
--- a/src/main/java/holdproxy/consensus/StateMachine.java
+++ b/src/main/java/holdproxy/consensus/StateMachine.java
@@ -3,25 +3,26 @@
 import java.util.List;
 
 /**
- * What the log's operations make, the same in every voter. Operations, answers and parts of a snapshot are
- * plain values: texts, whole numbers, truths, null, and lists of them. Called on the consensus thread.
+ * The replicated state machine, which applies the log's operations identically in every voter. Operations,
+ * answers and snapshot parts are plain values: strings, whole numbers, booleans, null, and lists of them.
+ * Called on the consensus thread.
  */
 public interface StateMachine {
-    /** Applies an operation that is agreed; {@code index} grows. Its answer goes to who proposed it. */
+    /** Applies a committed operation; {@code index} increases. The answer is sent to the proposer. */
     Object apply(long index, Object operation);
 
     /**
-     * In the process that leads: an answer that needs no agreement, since the operation would change nothing
-     * and whoever asks bears an old answer; null where it has to be agreed.
+     * Called in the leader: returns an answer without replication if the operation would change nothing and
+     * the proposer tolerates a stale answer; null if the operation has to be replicated.
      */
     Object atOnce(Object operation);
 
-    /** Becomes empty: it is made again from the beginning. */
+    /** Resets to the empty state, before the log is replayed. */
     void clear();
 
-    /** All of it, in parts of less than a quarter of a frame each. */
+    /** Returns the whole state, in parts of less than a quarter of a frame each. */
     List<Object> snapshot();
 
-    /** Becomes what these parts say. */
+    /** Replaces the state with that of a snapshot. */
     void restore(List<Object> parts);
 }
--- a/src/main/java/holdproxy/consensus/StateMachineAdapter.java
+++ b/src/main/java/holdproxy/consensus/StateMachineAdapter.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A {@link StateMachine} as one MicroRaft node sees it; a node that is begun again gets another one. */
+/** Adapts a {@link StateMachine} to one MicroRaft node; a restarted node gets a new adapter. */
 final class StateMachineAdapter
         implements io.microraft.statemachine.StateMachine, RaftNodeLifecycleAware {
-    /** What a leader begins its term with; no state machine has an operation like it. */
+    /** Operation that a leader starts its term with; no state machine has an equal one. */
     private static final String NEW_TERM = "a new term";
 
     private final StateMachine stateMachine;
@@ -36,7 +36,7 @@
 
     @Override
     public Object getNewTermOperation() {
-        // without an entry of its own term a leader can commit nothing of the terms before
+        // a leader can commit entries of earlier terms only together with one of its own term
         return NEW_TERM;
     }
 
--- a/src/main/java/holdproxy/consensus/Voter.java
+++ b/src/main/java/holdproxy/consensus/Voter.java
@@ -3,14 +3,14 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A voter: a process by its name, and which of its disks. Whoever loses the disk has forgotten its votes, and
- * comes back as another voter.
+ * A voter, identified by its process and its disk: a process that loses its disk has lost its votes and comes
+ * back as another voter.
  *
- * @param name of the process
- * @param disk a number drawn when the disk was begun
+ * @param name name of the process
+ * @param disk 0 in the first voters, else a random number drawn for an empty disk
  */
 public record Voter(String name, long disk) implements RaftEndpoint {
-    /** The form that frames and files have. */
+    /** Parses the text form used in frames and files. */
     static Voter read(String text) {
         int slash = text.lastIndexOf('/');
         return new Voter(
--- a/src/main/java/holdproxy/consensus/VoterAdmission.java
+++ b/src/main/java/holdproxy/consensus/VoterAdmission.java
@@ -5,13 +5,14 @@
 import io.microraft.RaftNode;
 import java.util.Optional;
 
-/** How a leader lets in a voter that begins with an empty disk, in place of what its name was before. */
+/** Admission by the leader of a voter with an empty disk, in place of the earlier voter of that name. */
 final class VoterAdmission {
     private VoterAdmission() {}
 
     /**
-     * Takes the next step: out with what this name was before, in with what it is, first without a vote.
-     * Where a change is under way or fails nothing is done; the newcomer asks again.
+     * Takes the next step: removes the earlier voter of this name, adds the new one as a learner, then
+     * promotes it. Does nothing if a membership change is in progress; the new voter asks again, also when a
+     * step fails.
      */
     static void step(RaftNode node, Voter newcomer) {
         var members = node.getEffectiveMembers();
--- a/src/main/java/holdproxy/lease/Lease.java
+++ b/src/main/java/holdproxy/lease/Lease.java
@@ -1,14 +1,14 @@
 package holdproxy.lease;
 
 /**
- * A lease as the voters have agreed on it.
+ * A lease as committed by the voters.
  *
- * @param role its name: what its holder does
- * @param token fencing token: no two grants of any role have the same, later ones have higher ones
- * @param holder name of the process
- * @param generation its generation, which each start raises
- * @param ms length, from when the holder asked, in milliseconds
- * @param renewals how often it was renewed
+ * @param role the role that its holder performs, which names the lease
+ * @param token fencing token: unique among the grants of all roles, and higher in later grants
+ * @param holder name of the holding process
+ * @param generation generation of the holder, raised by each start
+ * @param ms duration in milliseconds, counted from the holder's request
+ * @param renewals number of renewals
  */
 public record Lease(
         String role, long token, String holder, long generation, int ms, long renewals) {
--- a/src/main/java/holdproxy/lease/LeaseClient.java
+++ b/src/main/java/holdproxy/lease/LeaseClient.java
@@ -15,18 +15,19 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A process's part in the leases: asks for those it wants, renews those it holds, stops by its own clock,
- * hands over when it ends; and, in a voter, proposes the end of leases that nobody has renewed. All calls are
- * on the host's one thread.
+ * The leases of a process: requests those it wants, renews those it holds, gives them up when they expire by
+ * its own clock, and releases them at shutdown. In a voter it also proposes the expiry of leases that were
+ * not renewed. All calls are on the host's single thread.
  *
- * <p>Why two cannot hold at once, with clocks whose rates are true to {@link #CLOCK_BOUND}: a holder counts
- * from before it asked, and stops when its clock has gone the lease's length less the bound; a voter counts
- * from when it applied the grant or the last renewal, which is later, and proposes the end when its clock has
- * gone the length and the bound; and that end is void if a renewal came first. A stalled holder cannot stop
- * itself: for its last act there is the token, which the guarded side compares.
+ * <p>Two processes cannot hold a lease at once if the clock rates are within {@link #CLOCK_BOUND} of the true
+ * rate. A holder counts from before it sent its request, and stops after the lease's duration less the bound.
+ * A voter counts from when it applied the grant or the last renewal, which is later, and proposes the expiry
+ * after the duration plus the bound; the expiry has no effect if a renewal was committed before it. A stalled
+ * holder cannot stop itself in time: the resource that the lease guards has to compare the token of its last
+ * action.
  */
 public final class LeaseClient {
-    /** How far the rate of a clock may be from the true one. */
+    /** Largest relative error of a clock's rate. */
     public static final double CLOCK_BOUND = 0.05;
 
     private static final int MOST_WAITING = 64;
@@ -34,35 +35,35 @@
     private static final long HAND_OVER_US = 1_000_000;
     private static final long LEAST_AGAIN_US = 20_000;
 
-    /** A safeguard that simulations take away, to see that the judge finds it. */
+    /** A safeguard that simulations can switch off, to show that the checker finds the violation. */
     public enum Safeguard {
-        /** The lease counts from before the asking, not from the answer. */
+        /** The holder counts the lease from before its request, not from the answer. */
         FROM_ASKING,
-        /** The own clock may be slow, others' fast. */
+        /** {@link #CLOCK_BOUND} is allowed for: this process's clock may be slow and others' fast. */
         BOUND,
-        /** The lease is given back after the last act's end, not before. */
+        /** The lease is released only after the last action has ended. */
         LAST_ACT
     }
 
-    /** What the process around it offers, and hears. */
+    /** Services of the process, and callbacks into it. */
     public interface Host {
         /** Monotonic, in microseconds. */
         long nowUs();
 
-        /** Runs a task so many microseconds later, on the one thread. */
+        /** Runs a task on the thread after this many microseconds. */
         void after(long us, Runnable task);
 
-        /** Tells a process that a role is free, or drops it. */
+        /** Notifies a process that a role is free; the message may be lost. */
         void notifyFree(String name, String role, long token);
 
-        /** From now on this process holds a lease. */
+        /** This process holds the lease from now on. */
         void granted(String role, long token);
 
-        /** From now on it does not. */
+        /** This process no longer holds the lease. */
         void ended(String role, long token, String why);
     }
 
-    /** An act under a lease; the lease is not given back before its end. */
+    /** An action performed under a lease; the lease is not released before it is closed. */
     public final class Act implements AutoCloseable {
         private final Own own;
         private final long token;
@@ -75,12 +76,12 @@
             own.acts++;
         }
 
-        /** To when the lease that it was begun under lasts, in this process's time. */
+        /** When the lease that it was begun under expires, by this process's clock. */
         public long untilUs() {
             return own.token == token ? own.untilUs : untilUs;
         }
 
-        /** To be sent along, for the guarded side to compare. */
+        /** Fencing token to send along, for the guarded resource to compare. */
         public long token() {
             return token;
         }
@@ -121,16 +122,16 @@
     private final Set<Safeguard> safeguards;
     private final Map<String, Own> wanted = new LinkedHashMap<>();
 
-    /** In a voter: since when, by its own clock, each lease is as it is. */
+    /** In a voter: when, by its own clock, each lease was last granted or renewed. */
     private final Map<String, Long> sinceUs = new HashMap<>();
 
-    /** In a voter: who was told that a lease is taken, and would hear of its end. */
+    /** In a voter: processes to notify when a lease ends, since they were refused it. */
     private final Map<String, Set<String>> waiting = new HashMap<>();
 
     private final Set<String> watched = new LinkedHashSet<>();
     private boolean ending;
 
-    /** {@code table}: what this process's consensus group keeps, if it votes. */
+    /** {@code table}: the state machine of this process's consensus group; used if it votes. */
     public LeaseClient(
             String name,
             long generation,
@@ -141,7 +142,7 @@
         this(name, generation, group, table, host, random, EnumSet.allOf(Safeguard.class));
     }
 
-    /** For simulations: with these safeguards alone. */
+    /** For simulations: only the given safeguards are in effect. */
     public LeaseClient(
             String name,
             long generation,
@@ -161,9 +162,9 @@
         table.onRefused(this::waits);
     }
 
-    // ---- what the process does with them ----
+    // ---- use by the process ----
 
-    /** From now on this process asks for a role whenever it is free, for leases of so many milliseconds. */
+    /** From now on requests the role whenever it is free, for leases of {@code ms} milliseconds. */
     public void want(String role, int ms) {
         Own own = new Own(role, ms);
         if (wanted.putIfAbsent(role, own) == null) {
@@ -171,19 +172,19 @@
         }
     }
 
-    /** The token under which this process may act now; empty: it may not. To be asked before every act. */
+    /** The token to act under now; empty if this process may not act. To be called before every action. */
     public OptionalLong mayAct(String role) {
         Own own = wanted.get(role);
         boolean may = own != null && own.holds && own.giving == null && host.nowUs() < own.untilUs;
         return may ? OptionalLong.of(own.token) : OptionalLong.empty();
     }
 
-    /** Begins an act; null where it may not. */
+    /** Begins an action; null if this process may not act. */
     public Act begin(String role) {
         return mayAct(role).isPresent() ? new Act(wanted.get(role)) : null;
     }
 
-    /** The process ends: what it holds is given back once its acts are over; completes when that is done. */
+    /** Releases all held leases once their actions have ended; completes when that is done. */
     public CompletableFuture<Void> handOver() {
         ending = true;
         List<CompletableFuture<Void>> all = new ArrayList<>();
@@ -213,7 +214,7 @@
                 .whenComplete((answer, failed) -> own.giving.complete(null));
     }
 
-    // ---- asking and renewing ----
+    // ---- requests and renewals ----
 
     private void ask(Own own) {
         if (ending || own.asking || own.holds) {
@@ -247,13 +248,13 @@
                         });
     }
 
-    /** Not all at once: whoever waits is told when it is free, and asks now and then should that be lost. */
+    /** Retries after a random delay, in case the notification that the role is free was lost. */
     private void again(Own own, long askedUs) {
         long us = own.ms * MS / 2 + (long) (random.nextDouble() * own.ms * MS / 2);
         host.after(Math.max(LEAST_AGAIN_US, us), () -> ask(own));
     }
 
-    /** Until when a lease lasts by this process's clock that was asked for, or to be renewed, then. */
+    /** When a lease requested or renewed at {@code askedUs} expires, by this process's clock. */
     private long lastsUs(Own own, long askedUs) {
         double part = safeguards.contains(Safeguard.BOUND) ? 1 - CLOCK_BOUND : 1;
         return (safeguards.contains(Safeguard.FROM_ASKING) ? askedUs : host.nowUs())
@@ -262,7 +263,7 @@
 
     private void held(Own own, long token, long askedUs) {
         if (ending) {
-            // it was asked for before the end, and is of no use any more
+            // requested before the shutdown, no longer needed
             group.propose(LeaseTable.release(own.role, token), HAND_OVER_US);
             return;
         }
@@ -270,7 +271,7 @@
         own.seen = token;
         own.untilUs = lastsUs(own, askedUs);
         if (host.nowUs() >= own.untilUs) {
-            // too late to be of use; it ends for others when they have waited for it
+            // expired on arrival; the voters will expire it, too
             again(own, askedUs);
             return;
         }
@@ -332,7 +333,7 @@
         }
     }
 
-    /** Whoever leads says that a role is free. */
+    /** The leader has notified this process that a role is free. */
     public void notifiedFree(String role, long token) {
         Own own = wanted.get(role);
         if (own != null && !own.holds && token >= own.seen) {
@@ -343,7 +344,7 @@
 
     // ---- in a voter ----
 
-    /** Every voter knows who was refused; whoever leads when the lease ends tells them. */
+    /** Every voter records who was refused; the leader at the end of the lease notifies them. */
     private void waits(String role, String who) {
         Set<String> all = waiting.computeIfAbsent(role, d -> new LinkedHashSet<>());
         if (all.size() < MOST_WAITING) {
--- a/src/main/java/holdproxy/lease/LeaseTable.java
+++ b/src/main/java/holdproxy/lease/LeaseTable.java
@@ -11,60 +11,59 @@
 import java.util.function.Consumer;
 
 /**
- * Who holds which role: what the voters agree on, the same in each. No clock is read here: a lease
- * ends when somebody who has waited for long enough proposes so, and it has not been renewed meanwhile.
+ * The replicated table of leases, identical in every voter. No clock is read here: a lease expires when a
+ * voter that has waited long enough proposes it, unless it has been renewed meanwhile.
  *
- * <p>Asking and releasing name the token that was seen, so that an operation which arrives late, or twice,
- * changes nothing.
+ * <p>Requests and releases carry the token last seen, so that a late or repeated operation changes nothing.
  */
 public final class LeaseTable implements StateMachine {
-    /** Roles at most; names are the program's own and operators'. */
+    /** Largest number of roles; their names come from the program and from operators. */
     public static final int MOST_ROLES = 1_000;
 
-    /** What an operation came to. */
+    /** Outcome of an operation, with the values that follow it in the answer. */
     public enum Outcome {
-        /** The asker holds it: token, renewals. */
+        /** The requester holds the lease: token, renewals. */
         HELD,
-        /** Somebody else does: token, holder. */
+        /** Another process holds it: token, holder. */
         TAKEN,
-        /** Nobody does, and it was last under another token than the asker had seen: token. */
+        /** Free but not granted, since another token was seen than the last, or for too many roles: token. */
         FREE,
-        /** It was held under this token, and no longer is. */
+        /** The lease with this token has ended. */
         ENDED,
-        /** What was to end had ended already, or was renewed. */
+        /** The lease to end had already ended or been renewed. */
         UNCHANGED
     }
 
     private final Map<String, Lease> held = new TreeMap<>();
 
-    /** The last token of each role that was ever held. */
+    /** Last token of each role that was ever held. */
     private final Map<String, Long> last = new TreeMap<>();
 
     private long tokens;
     private Consumer<String> changed = role -> {};
     private BiConsumer<String, String> refused = (role, name) -> {};
 
-    /** {@code listener} hears of each role that is granted, renewed or ended, in the order of the log. */
+    /** {@code listener} receives each role that is granted, renewed or ended, in log order. */
     public void onChange(Consumer<String> listener) {
         changed = listener;
     }
 
-    /** {@code listener} hears who asked for a role, named first, that somebody else holds. */
+    /** {@code listener} receives the role and the process whose request was refused as taken. */
     public void onRefused(BiConsumer<String, String> listener) {
         refused = listener;
     }
 
-    /** Null: nobody has it. */
+    /** The current lease of a role; null if nobody holds it. */
     public Lease lease(String role) {
         return held.get(role);
     }
 
-    /** All that are held. */
+    /** All current leases. */
     public List<Lease> leases() {
         return List.copyOf(held.values());
     }
 
-    /** The token under which a role was last held; 0: it never was. */
+    /** The last token of a role; 0 if it was never held. */
     public long lastToken(String role) {
         return last.getOrDefault(role, 0L);
     }
@@ -102,11 +101,11 @@
             case "renew" -> renewed(role, number(op, 2));
             case "release" -> ended(role, number(op, 2), -1);
             case "expire" -> ended(role, number(op, 2), number(op, 3));
-            default -> throw new BadInput("no operation on leases is called " + op.get(0));
+            default -> throw new BadInput("unknown lease operation: " + op.get(0));
         };
     }
 
-    /** Asking for what somebody else holds: forty that wait must not fill the log. */
+    /** Refuses requests for a taken lease without the log, which forty waiting processes would fill. */
     @Override
     public Object atOnce(Object operation) {
         List<?> op = (List<?>) operation;
@@ -135,7 +134,7 @@
         if (lease != null) {
             boolean own = lease.holder().equals(name) && lease.generation() == generation;
             if (own) {
-                // who asks again counts from then, and so do the voters
+                // the holder counts from its repeated request, so the voters must count anew, too
                 return renewed(role, lease.token());
             }
             refused.accept(role, name);
--- a/src/main/java/holdproxy/membership/Change.java
+++ b/src/main/java/holdproxy/membership/Change.java
@@ -1,10 +1,10 @@
 package holdproxy.membership;
 
 /**
- * That a process is held for something else than before.
+ * A change in what this process knows of another member.
  *
- * @param before null where it was not known
- * @param now what it is held for
- * @param voices how many processes had said so, this one included
+ * @param before the member as known before; null if it was unknown
+ * @param now the member as known now
+ * @param voices number of processes that reported it, this one included
  */
 public record Change(Member before, Member now, int voices) {}
--- a/src/main/java/holdproxy/membership/Gossip.java
+++ b/src/main/java/holdproxy/membership/Gossip.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Updates that still have to be passed on, each so many times and then no more. */
+/** Queue of updates to piggyback on messages; each is sent a bounded number of times. */
 final class Gossip {
     private static final class Update {
         final Member member;
@@ -19,7 +19,7 @@
 
     private final Map<String, Update> all = new LinkedHashMap<>();
 
-    /** To be passed on; updates that it replaces no longer are. */
+    /** Queues an update and removes the queued updates that it replaces. */
     void add(Member member) {
         all.values().removeIf(update -> isReplaced(update.member, member));
         String key = member.name() + " " + member.by() + " " + member.state();
@@ -32,7 +32,10 @@
                 && later.replaces(earlier);
     }
 
-    /** So many at most, the least passed on first, and before them what the receiver is to hear of itself. */
+    /**
+     * Returns at most {@code most} updates, those about the receiver first, then the least often sent. An
+     * update that has been sent {@code rounds} times is removed.
+     */
     List<Member> next(String receiver, int most, int rounds) {
         List<Update> least = new ArrayList<>(all.values());
         least.sort(
--- a/src/main/java/holdproxy/membership/Links.java
+++ b/src/main/java/holdproxy/membership/Links.java
@@ -31,14 +31,15 @@
 import java.util.function.Function;
 
 /**
- * Frames from and to other processes: a connection for each direction, opened when there is something to
- * send. A frame that cannot go now is dropped, for who sends repeats what matters. On one event loop.
+ * Exchanges frames with other processes over TCP, with one connection for each direction, opened when there
+ * is something to send. A frame that cannot be sent now is dropped: senders repeat what matters. Runs on one
+ * event loop.
  *
- * <p>Bounded: so many connections each way, so many bytes and frames that wait for one, frames of so many
- * bytes.
+ * <p>Connections in each direction, frames and bytes waiting for a connection, and the frame length are all
+ * bounded.
  */
 public final class Links implements AutoCloseable {
-    /** Bytes of the longest frame. */
+    /** Longest frame, in bytes, without its header. */
     public static final int LONGEST_FRAME = 1 << 20;
 
     private static final int VERSION = 1;
@@ -52,9 +53,9 @@
     private static final int SILENT_S = 120;
     private static final long AGAIN_NS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** Takes frames, on the event loop; a {@link BadInput} from it ends the connection that they came by. */
+    /** Receives frames on the event loop; if it throws {@link BadInput}, the connection is closed. */
     public interface Receiver {
-        /** A frame has come; the array is the receiver's own. */
+        /** Called for each frame; the array belongs to the receiver. */
         void received(byte[] frame);
     }
 
@@ -71,9 +72,12 @@
     private long sentFrames;
 
     /**
-     * {@code routes}: where processes are reached whose own addresses do not serve from here, by name;
-     * {@code addresses} reads an address, with a {@link BadInput} where it is none; {@code log} takes lines
-     * on the loop.
+     * Creates the links; {@link #listen} accepts connections.
+     *
+     * @param routes addresses, by process name, that replace the advertised ones of processes that cannot be
+     *     reached there from here
+     * @param addresses parses an address; throws {@link BadInput} if it is invalid
+     * @param log receives log lines on the event loop
      */
     public Links(
             EventLoop loop,
@@ -86,12 +90,12 @@
         this.log = log;
     }
 
-    /** Who takes the frames of a kind, a number from 0 to 127; those that come before are dropped. */
+    /** Sets the receiver for a kind of frame, 0 to 127; frames of a kind without a receiver are dropped. */
     public void receive(int kind, Receiver receiver) {
         receivers.put(kind, receiver);
     }
 
-    /** Accepts connections of other processes at this address. */
+    /** Accepts connections from other processes at this address. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -125,22 +129,22 @@
         return bound;
     }
 
-    /** Frames that could not go, since the start. */
+    /** Number of frames dropped since the start. */
     public long dropped() {
         return dropped;
     }
 
-    /** Frames sent, since the start. */
+    /** Number of frames sent since the start. */
     public long sentFrames() {
         return sentFrames;
     }
 
-    /** Bytes sent, since the start. */
+    /** Number of bytes sent since the start, headers included. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** Sends to a process, by its route if it has one, else to the address; null: no name is known. */
+    /** Sends to the route of this name, if there is one, else to the address; the name may be null. */
     public void send(String name, String address, int kind, byte[] frame) {
         InetSocketAddress to = target(name, address);
         if (to == null || frame.length > LONGEST_FRAME) {
@@ -162,7 +166,7 @@
         link.send(kind, frame);
     }
 
-    /** The connection to a process that does not answer is given up: the next frame opens another. */
+    /** Closes the connection to a process that does not answer; the next frame opens a new one. */
     public void renew(String name, String address) {
         Outgoing link = outgoing.get(target(name, address));
         if (link != null) {
@@ -178,7 +182,7 @@
         try {
             return addresses.apply(address);
         } catch (BadInput e) {
-            return null; // somebody said so of himself; it is counted with what could not go
+            return null; // another process advertised it; the frame counts as dropped
         }
     }
 
@@ -191,7 +195,7 @@
         List.copyOf(outgoing.values()).forEach(Outgoing::end);
     }
 
-    /** The connection to one address. */
+    /** The outgoing connection to one address. */
     private final class Outgoing {
         private final InetSocketAddress to;
         private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
@@ -287,11 +291,11 @@
         }
     }
 
-    /** What comes back on a connection that only sends: its end, and its having been idle. */
+    /** Closes an outgoing connection that is idle or has failed; what it receives is ignored. */
     private static final class Ending extends SimpleChannelInboundHandler<Object> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object message) {
-            // the other side has nothing to say here
+            // nothing is expected on an outgoing connection
         }
 
         @Override
@@ -305,12 +309,12 @@
         }
     }
 
-    /** A connection that others have opened. */
+    /** Reads frames from a connection that another process has opened. */
     private final class Incoming extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
             if (frame.readableBytes() < HEAD || frame.readByte() != VERSION) {
-                throw new BadInput("a frame is of another version");
+                throw new BadInput("unsupported frame version, or frame too short");
             }
             Receiver receiver = receivers.get((int) frame.readByte());
             if (receiver != null) {
@@ -322,14 +326,17 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            ctx.close(); // nothing has come for long: whoever sent is gone, or has another
-            // connection
+            ctx.close(); // silent for too long: the sender is gone or uses another connection
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                log.accept("from " + ctx.channel().remoteAddress() + ": " + cause.getMessage());
+                log.accept(
+                        "closing the connection from "
+                                + ctx.channel().remoteAddress()
+                                + ": "
+                                + cause.getMessage());
             }
             ctx.close();
         }
--- a/src/main/java/holdproxy/membership/Member.java
+++ b/src/main/java/holdproxy/membership/Member.java
@@ -3,32 +3,32 @@
 /**
  * What is known of one process of the fleet.
  *
- * @param name of the process, the same over all its generations
- * @param address where it says it is reached
- * @param generation its generation, which each start raises: a later start has a higher number
- * @param incarnation grows within a generation each time that it contradicts what others say of it
- * @param state what it is held for
- * @param who said so; the process's own name while it is alive or has left
+ * @param name name of the process, the same in all its generations
+ * @param address the address that it advertises
+ * @param generation raised by each start of the process
+ * @param incarnation raised within a generation each time the process refutes a report about it
+ * @param state its known state
+ * @param by name of the process that reported the state; its own while it is alive or has left
  */
 public record Member(
         String name, String address, long generation, int incarnation, State state, String by) {
-    /** In the order in which updates of the same incarnation replace each other. */
+    /** For the same incarnation, an update with a later state replaces one with an earlier state. */
     public enum State {
         ALIVE,
-        /** Somebody could not reach it; it lives unless nobody can. */
+        /** Some process could not reach it; it is dead only if none can. */
         SUSPECT,
-        /** Held for dead: it answered nobody for the time that a suspicion lasts. */
+        /** It answered no process until the suspicion timed out. */
         DEAD,
-        /** It has said that it ends. */
+        /** It announced that it shuts down. */
         LEFT
     }
 
-    /** Whether it is reckoned with: until the contrary is shown, a suspect is. */
+    /** Whether it counts as running; a suspect does until it is found dead. */
     public boolean live() {
         return state == State.ALIVE || state == State.SUSPECT;
     }
 
-    /** Whether this replaces another update of the same process. */
+    /** Whether this update replaces another one about the same process. */
     boolean replaces(Member other) {
         if (generation != other.generation) {
             return generation > other.generation;
@@ -39,7 +39,7 @@
         return state.ordinal() > other.state.ordinal();
     }
 
-    /** Whether both are of one generation and incarnation. */
+    /** Whether both have the same generation and incarnation. */
     boolean sameIncarnation(Member other) {
         return generation == other.generation && incarnation == other.incarnation;
     }
--- a/src/main/java/holdproxy/membership/Membership.java
+++ b/src/main/java/holdproxy/membership/Membership.java
@@ -17,13 +17,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * Which processes of the fleet live, as one process sees it: the rules alone. Time, chance and links are
- * handed in; every call is with the present moment, which never goes back, and by one thread.
+ * Which processes of the fleet are alive, as seen by one process. This class is the protocol alone: time,
+ * randomness and transport are passed in. It is used by one thread, with a time that never goes back.
  *
- * <p>SWIM with Lifeguard's refinements, and one of its own, since a process that is cut off must not talk
- * others dead: a verdict takes a last question, which others answer and the suspect does not.
+ * <p>The protocol is SWIM with the extensions of Lifeguard and one more: before a suspect is declared dead,
+ * the suspect and other processes are probed once more, and the others must answer while the suspect does
+ * not. So a process that is cut off from the network cannot declare the others dead.
  *
- * <p>Bounded: {@link #MOST_MEMBERS} processes, messages of {@link Settings#updatesPerMessage} updates.
+ * <p>Bounded: {@link #MOST_MEMBERS} processes, and {@link Settings#updatesPerMessage} gossiped updates a
+ * message.
  */
 public final class Membership {
     public static final int MOST_MEMBERS = 1000;
@@ -36,37 +38,38 @@
     private static final long SETTLED_US = 2_000_000;
     private static final long FORGET_US = 600_000_000;
 
-    /** A rule that simulations take away, to see what it is for. */
+    /** A safeguard that simulations can switch off, to show that it is needed. */
     public enum Safeguard {
-        /** Who has no answer from others either passes no judgement. */
+        /** A process that no other process answers declares none suspect or dead. */
         LAST_QUESTION,
-        /** A suspect contradicts. */
+        /** A process that is reported suspect or dead refutes it. */
         REFUTATION
     }
 
-    /** What the rules have the process do. */
+    /** Effects of the protocol. */
     public interface Output {
-        /** Sends to a process, or to an address of which the process is not known yet (name null). */
+        /** Sends to a process; {@code name} is null if the process at the address is not known yet. */
         void send(String name, String address, Message message);
 
-        /** What is held of a process has changed. */
+        /** What is known of a process has changed. */
         void changed(Change change);
 
-        /** A newer generation of this name runs elsewhere: this process is out of the fleet. */
+        /** A later generation of this name runs elsewhere; this process has stopped taking part. */
         void superseded(Member by);
     }
 
     /**
-     * Figures of the rules.
+     * Parameters of the protocol.
      *
-     * @param periodUs one process is asked each so often, in microseconds
-     * @param timeoutUs after which others are asked to ask it
-     * @param helpers how many others
-     * @param suspicionPeriods that a suspicion lasts at least, times the decimal logarithm of the fleet
-     * @param suspicionSpread how many times as long it lasts with a single voice
-     * @param voices further ones that bring it down to the least
-     * @param updatesPerMessage updates that go along with a message
-     * @param gossipRounds that an update is passed on, times the binary logarithm of the fleet
+     * @param periodUs interval between probes, in microseconds; each probes one process
+     * @param timeoutUs time without an answer after which other processes are asked to probe the target
+     * @param helpers number of processes asked to do so
+     * @param suspicionPeriods shortest suspicion timeout in probe periods, times the decimal logarithm of the
+     *     fleet's size
+     * @param suspicionSpread ratio of the longest suspicion timeout (one process suspects) to the shortest
+     * @param voices number of further suspecting processes that bring the timeout down to the shortest
+     * @param updatesPerMessage gossiped updates in a message
+     * @param gossipRounds how often an update is sent, times the binary logarithm of the fleet's size
      */
     public record Settings(
             long periodUs,
@@ -80,18 +83,18 @@
         public static final Settings USUAL = new Settings(500_000, 200_000, 3, 4, 4, 3, 8, 3);
     }
 
-    /** What is held of another process. */
+    /** What is known of another process. */
     private static final class Entry {
         Member member;
 
-        /** Who suspects it by what they saw themselves. */
+        /** Processes that could not reach it themselves. */
         final Set<String> suspectedBy = new LinkedHashSet<>();
 
         long suspectedUs;
         long heardUs = Long.MIN_VALUE;
         long overUs;
 
-        /** The last question before a verdict: its number (0: none), when, and whether others answered. */
+        /** Last probe before it is declared dead: sequence number (0: none), time, others answered. */
         long lastSeq;
 
         long lastUs;
@@ -102,7 +105,7 @@
         }
     }
 
-    /** A ping that goes out on behalf of another process. */
+    /** A ping sent on behalf of another process. */
     private record AskedFor(String asker, long askersSeq, String target, long nackUs) {}
 
     private final Settings settings;
@@ -139,10 +142,10 @@
     private long othersDigest;
 
     /**
-     * Of a process that begins now.
+     * Creates the membership of a process that starts now.
      *
-     * @param generation higher than that of any start before, as far as the process can tell
-     * @param seeds addresses at which others may be found, its own among them or not
+     * @param generation higher than in any earlier start, as far as the process can tell
+     * @param seeds addresses of processes to join through; its own may be among them
      */
     public Membership(
             Settings settings,
@@ -165,7 +168,7 @@
                 EnumSet.allOf(Safeguard.class));
     }
 
-    /** For simulations: with these rules alone. */
+    /** For simulations: only the given safeguards are in effect. */
     public Membership(
             Settings settings,
             String name,
@@ -194,25 +197,25 @@
         return self;
     }
 
-    /** Everybody known, this process not among them, by name. */
+    /** All known processes but this one, sorted by name. */
     public Collection<Member> others() {
         return entries.values().stream().map(e -> e.member).toList();
     }
 
-    /** What is held of another process; null where nothing is. */
+    /** The process of this name; null if it is unknown. */
     public Member other(String name) {
         Entry entry = entries.get(name);
         return entry == null ? null : entry.member;
     }
 
-    /** When {@link #tick} wants to be called next; the largest number: never again. */
+    /** When {@link #tick} has to be called next; {@link Long#MAX_VALUE}: never again. */
     public long dueUs() {
         return over ? Long.MAX_VALUE : dueUs;
     }
 
     // ---- time ----
 
-    /** To be called at {@link #dueUs}, or when the process comes round to it. */
+    /** Runs what is due; to be called at {@link #dueUs} or as soon as possible after it. */
     public void tick(long nowUs) {
         if (over) {
             return;
@@ -252,7 +255,7 @@
         }
     }
 
-    /** Now and then somebody who is held for gone is asked, or a seed: so parts find together again. */
+    /** Contacts a dead process and an unknown seed now and then, so that a partitioned fleet merges again. */
     private void reconnectOn(long nowUs) {
         if (nowUs < reconnectUs) {
             return;
@@ -287,7 +290,7 @@
                 helpersAsked++;
                 send(helper, Kind.PING_REQUEST, probeSeq, probed);
             }
-            // once more directly: the first may have been the one that was lost
+            // ping again directly: the first ping may have been lost
             send(target, Kind.PING, probeSeq, "");
         }
         if (nowUs < probeEndUs) {
@@ -303,8 +306,8 @@
 
     private void missed(long nowUs) {
         Entry target = entries.get(probed);
-        // helpers that live but got no answer speak against the target; silent ones against this
-        // process
+        // a NACK shows that the helper is reachable but the target is not; missing NACKs point to a
+        // fault of this process
         worse(helpersAsked > nacks ? 1 : 0);
         boolean heard =
                 lastHeardUs >= probeStartUs
@@ -332,7 +335,7 @@
         }
     }
 
-    /** Everybody in turn, in an order drawn anew each time: so nobody waits for more than two rounds. */
+    /** Round-robin in a random order drawn anew for each round, so the wait is at most two rounds. */
     private String nextTarget() {
         while (true) {
             if (round.isEmpty()) {
@@ -404,7 +407,7 @@
         }
     }
 
-    /** When a suspicion becomes a death: the sooner the more have it by what they saw themselves. */
+    /** When the suspicion times out: the more processes suspect independently, the sooner. */
     private long endsUs(Entry entry) {
         double least =
                 settings.suspicionPeriods * settings.periodUs * Math.max(1, Math.log10(live() + 1));
@@ -421,7 +424,7 @@
             }
             boolean alone = live() == 1 || !safeguards.contains(Safeguard.LAST_QUESTION);
             if (e.heardUs > e.suspectedUs) {
-                // whatever is said: it has been heard since
+                // it has been heard from since it became suspect
                 Member before = e.member;
                 hold(e, before.as(State.ALIVE, before.name()));
                 changed(before, e, 1, nowUs);
@@ -432,14 +435,14 @@
             } else if (nowUs >= e.lastUs + lastWaitUs() && e.othersAnswer) {
                 died(e, e.member.as(State.DEAD, self.name()), nowUs);
             } else if (nowUs >= e.lastUs + lastWaitUs()) {
-                // it may be this process that nobody reaches
+                // nobody answered: this process itself may be cut off
                 e.suspectedUs = nowUs;
                 e.lastSeq = 0;
             }
         }
     }
 
-    /** The suspect itself, and others for it: they say at least that they live. */
+    /** Pings the suspect directly and through others, whose answers show that this process is not cut off. */
     private void askOnceMore(Entry suspect, long nowUs) {
         suspect.lastSeq = ++seq;
         suspect.lastUs = nowUs;
@@ -462,9 +465,9 @@
         changed(before, entry, entry.suspectedBy.size(), nowUs);
     }
 
-    // ---- what others say ----
+    // ---- received messages ----
 
-    /** A message has come. */
+    /** Handles a message. */
     public void received(long nowUs, Message message) {
         if (over
                 || message.sender().name().equals(self.name())
@@ -478,8 +481,7 @@
         learn(message.sender(), nowUs);
         Entry sender = entries.get(message.sender().name());
         if (sender == null || sender.member.generation() > message.sender().generation()) {
-            // there are too many, or a generation that is over still talks; it is told who
-            // generations
+            // the table is full, or an earlier generation still sends: tell it of the later one
             if (sender != null) {
                 out.send(
                         null,
@@ -518,7 +520,7 @@
                 }
             }
             case ASK_VIEW -> tellAll(sender, message.seq());
-            default -> joined = true; // a view: its updates were taken above
+            default -> joined = true; // VIEW: its updates have been applied by received()
         }
     }
 
@@ -540,7 +542,7 @@
         } else if (message.seq() == probeSeq && probed != null) {
             answered = true;
             if (message.target().equals(probed)) {
-                entries.get(probed).heardUs = nowUs; // by way of another
+                entries.get(probed).heardUs = nowUs; // through a helper
             }
         } else {
             Entry suspect = entries.get(message.target());
@@ -550,7 +552,7 @@
         }
     }
 
-    /** Where both have settled and still differ, something was missed: everything is asked for. */
+    /** Asks for all members if nothing has changed for a while and the digests still differ. */
     private void lookForDifference(long nowUs, Message message, Member sender) {
         if (!joined && nowUs >= joinUs && message.kind() != Kind.VIEW) {
             joinUs = nowUs + JOIN_AGAIN_US;
@@ -567,7 +569,7 @@
     private void tellAll(Member to, long number) {
         List<Member> all = new ArrayList<>();
         entries.values().forEach(e -> all.add(e.member));
-        // first what the asker is held for: it may be told of a later generation than it has
+        // the asker itself comes first: there may be a later generation of it
         int asker = all.indexOf(to);
         if (asker > 0) {
             Collections.swap(all, 0, asker);
@@ -642,8 +644,7 @@
                 over = true;
                 out.superseded(update);
             } else {
-                // the wall clock went back, or the disk is gone: this start is the later one all
-                // the same
+                // the clock went back or the disk was lost, but this start is the later one
                 self =
                         new Member(
                                 self.name(),
@@ -673,7 +674,7 @@
         }
     }
 
-    /** Another process of this name: the earlier of the two goes, and tells the later whom it knows. */
+    /** Another process has this name: the earlier generation stops, after sending its view to the later. */
     private void namesake(long nowUs, Message message) {
         Member other = message.sender();
         if (other.generation() > self.generation()) {
@@ -687,9 +688,9 @@
         }
     }
 
-    // ---- leaving, and what is passed on ----
+    // ---- leaving and gossip ----
 
-    /** The process ends: some of the others hear it at once, and pass it on. */
+    /** Tells some of the other processes, which gossip it, that this process shuts down. */
     public void leave() {
         if (over) {
             return;
@@ -713,7 +714,7 @@
         out.changed(new Change(before, entry.member, voices));
     }
 
-    /** What goes round, and what the receiver has to hear: that it is suspected. */
+    /** Gossiped updates, and the receiver's own entry if it is not ALIVE, so that it can refute it. */
     private List<Member> updatesFor(String to) {
         List<Member> updates =
                 gossip.next(to, settings.updatesPerMessage, settings.gossipRounds * log2());
@@ -746,7 +747,7 @@
         return 64 - Long.numberOfLeadingZeros(live() + 1L);
     }
 
-    /** The same for the same live members, whatever order they came in. */
+    /** Digest of the live members, independent of their order. */
     private long digest() {
         return othersDigest + of(self);
     }
--- a/src/main/java/holdproxy/membership/MembershipService.java
+++ b/src/main/java/holdproxy/membership/MembershipService.java
@@ -15,22 +15,23 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Function;
 
-/** A process's place among the others: the rules of membership on links, with an event loop of their own. */
+/** Runs {@link Membership} over {@link Links} on an event loop of its own. */
 public final class MembershipService {
-    /** The kind of frame that membership's messages are. */
+    /** Frame kind of membership messages. */
     static final int MEMBERSHIP = 1;
 
     private static final long LEAVE_MS = 200;
     private static final int COUNT_S = 10;
 
     /**
-     * Where a process is met and meets others.
+     * Identity and addresses of a process.
      *
-     * @param name its own
-     * @param address by which others reach it
-     * @param listen where it listens
-     * @param seeds addresses at which others may be found
-     * @param routes where others are reached whose own addresses do not serve from here, by name
+     * @param name name of the process
+     * @param address advertised address, by which others reach it
+     * @param listen address that it listens on
+     * @param seeds addresses of processes to join through
+     * @param routes addresses, by process name, that replace the advertised ones of processes that cannot be
+     *     reached there from here
      */
     public record Place(
             String name,
@@ -44,22 +45,22 @@
         }
     }
 
-    /** Hears what becomes known, on the event loop. */
+    /** Called on the event loop. */
     public interface Listener {
-        /** What is held of a process has changed. */
+        /** What is known of a process has changed. */
         void changed(Change change);
 
-        /** A later generation of this name runs elsewhere: this one is out of the fleet. */
+        /** A later generation of this name runs elsewhere; this process has stopped taking part. */
         void superseded(Member by);
 
-        /** What this process has sent to others since its start, and what it could not send. */
+        /** Counters since the start: frames and bytes sent, frames dropped. */
         void sent(long frames, long bytes, long dropped);
 
         /** A line for the log. */
         void line(String text);
     }
 
-    /** The kind of frame that the consensus group's and the leases' are. */
+    /** Frame kind of the consensus group and the leases. */
     public static final int CONSENSUS = 2;
 
     private final EventLoop loop =
@@ -78,8 +79,8 @@
     }
 
     /**
-     * Listens and begins to look for the others; {@code addresses} reads an address, with a {@link BadInput}
-     * where it is none. A {@link BadInput} says why it cannot listen.
+     * Listens and starts to join. {@code addresses} parses an address and throws {@link BadInput} if it is
+     * invalid. Throws {@link BadInput} if the process cannot listen.
      */
     public static MembershipService start(
             Place place,
@@ -110,7 +111,7 @@
             Thread.currentThread().interrupt();
             throw new BadInput("interrupted");
         } catch (ExecutionException e) {
-            throw new IllegalStateException("membership cannot begin", e.getCause());
+            throw new IllegalStateException("membership failed to start", e.getCause());
         }
         return service;
     }
@@ -159,12 +160,12 @@
                         TimeUnit.MICROSECONDS);
     }
 
-    /** Who takes frames of a kind, on the event loop; to be said at once after the start. */
+    /** Sets the receiver for a kind of frame; to be called right after the start. */
     public void receive(int kind, Links.Receiver receiver) {
         loop.execute(() -> links.receive(kind, receiver));
     }
 
-    /** Sends a frame to a process, where it is known how that is reached; on any thread. */
+    /** Sends a frame to a process, or drops it if its address is unknown; may be called on any thread. */
     public void send(String name, int kind, byte[] frame) {
         loop.execute(
                 () -> {
@@ -173,7 +174,7 @@
                 });
     }
 
-    /** Tells others that this process ends, and waits a moment for that to go out. */
+    /** Announces the shutdown to other members, waits briefly for that to be sent, and closes the links. */
     public void leave() {
         try {
             loop.submit(() -> rules.leave()).get(LEAVE_MS, TimeUnit.MILLISECONDS);
@@ -182,11 +183,11 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            listener.line("the others are not told of the end: " + e);
+            listener.line("could not notify other members of the shutdown: " + e);
         }
     }
 
-    /** What the rules have the links do. */
+    /** Applies the effects of the protocol to the links. */
     private final class Outward implements Membership.Output {
         @Override
         public void send(String name, String address, Message message) {
@@ -196,7 +197,7 @@
         @Override
         public void changed(Change change) {
             if (change.now().state() == Member.State.SUSPECT) {
-                // its connection may be at fault, which a new one shows
+                // the connection may be at fault: the next frame opens a new one
                 links.renew(change.now().name(), change.now().address());
             }
             listener.changed(change);
--- a/src/main/java/holdproxy/membership/Message.java
+++ b/src/main/java/holdproxy/membership/Message.java
@@ -3,30 +3,30 @@
 import java.util.List;
 
 /**
- * What one process says to another of the fleet's members.
+ * A message of the membership protocol.
  *
- * @param kind what it is about
- * @param seq number of a question, which its answer repeats
- * @param target name of the process that {@link Kind#PING_REQUEST} is about, else empty
- * @param digest of all that the sender holds for live, so that a difference is seen
- * @param sender itself, as it knows itself
- * @param updates updates that have not gone round yet; all that is known in a {@link Kind#VIEW}
+ * @param kind type of the message
+ * @param seq sequence number of a request, repeated in its response
+ * @param target name of the process that a {@link Kind#PING_REQUEST} or its response is about, else empty
+ * @param digest digest of the members that the sender considers live, to detect differing views
+ * @param sender the sender, as it announces itself
+ * @param updates updates still being gossiped; in a {@link Kind#VIEW} a part of all known members
  */
 public record Message(
         Kind kind, long seq, String target, long digest, Member sender, List<Member> updates) {
-    /** What a message is about. */
+    /** Type of a message; its ordinal is sent. */
     public enum Kind {
-        /** Do you live? */
+        /** Asks whether the receiver is alive. */
         PING,
-        /** Yes; or for somebody who asked by way of the sender: the target does. */
+        /** Answers a ping; in answer to {@link #PING_REQUEST}: the target has answered. */
         ACK,
-        /** Ask the target for me. */
+        /** Asks the receiver to ping the target on behalf of the sender. */
         PING_REQUEST,
-        /** I do live, the target has not answered me yet. */
+        /** Answers {@link #PING_REQUEST}: the sender is alive, the target has not answered it yet. */
         NACK,
-        /** What do you know? Also how a process joins. */
+        /** Asks for all known members; also used to join. */
         ASK_VIEW,
-        /** A part of all that the sender knows. */
+        /** A part of the members that the sender knows. */
         VIEW
     }
 
--- a/src/main/java/holdproxy/membership/MessageCodec.java
+++ b/src/main/java/holdproxy/membership/MessageCodec.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Messages as CBOR: a list of the message's parts in their order, each member a list of its own. Later
- * versions add parts at the end, which earlier ones pass over.
+ * Encodes messages as CBOR: a list of the message's fields in order, each member a nested list. Later
+ * versions append fields at the end, which earlier ones ignore.
  */
 public final class MessageCodec {
     private static final JSON CBOR = JSON.builder(new CBORFactory()).build();
@@ -20,7 +20,7 @@
 
     private MessageCodec() {}
 
-    /** The message as one frame. */
+    /** Encodes a message as one frame. */
     public static byte[] bytes(Message message) {
         List<Object> updates = new ArrayList<>();
         message.updates().forEach(m -> updates.add(list(m)));
@@ -34,7 +34,7 @@
                             list(message.sender()),
                             updates));
         } catch (IOException e) {
-            throw new UncheckedIOException("a message cannot be written", e);
+            throw new UncheckedIOException("cannot encode a membership message", e);
         }
     }
 
@@ -48,16 +48,17 @@
                 m.by());
     }
 
-    /** What these bytes say, or a {@link BadInput}. */
+    /** Decodes a message; throws {@link BadInput} if the bytes are malformed. */
     public static Message message(byte[] bytes) {
         List<Object> parts;
         try {
             parts = CBOR.listFrom(bytes);
         } catch (IOException e) {
-            throw new BadInput("a message is no CBOR list: " + e.getClass().getSimpleName());
+            throw new BadInput(
+                    "membership message is not a CBOR list: " + e.getClass().getSimpleName());
         }
         if (parts == null || parts.size() < PARTS) {
-            throw new BadInput("a message has too few parts");
+            throw new BadInput("membership message has too few fields");
         }
         List<Member> updates = new ArrayList<>();
         for (Object each : list(parts.get(5), MOST_UPDATES)) {
@@ -75,7 +76,7 @@
     private static Member member(Object value) {
         List<?> parts = list(value, Integer.MAX_VALUE);
         if (parts.size() < PARTS || text(parts.get(0)).isEmpty()) {
-            throw new BadInput("a member in a message has too few parts");
+            throw new BadInput("member in a membership message has too few fields or no name");
         }
         return new Member(
                 text(parts.get(0)),
@@ -90,27 +91,27 @@
         if (value instanceof List<?> list && list.size() <= most) {
             return list;
         }
-        throw new BadInput("a message has no list, or too long a one, where one belongs");
+        throw new BadInput("membership message: expected a list of bounded length");
     }
 
     private static String text(Object value) {
         if (value instanceof String text && text.length() <= LONGEST) {
             return text;
         }
-        throw new BadInput("a message has no text, or too long a one, where one belongs");
+        throw new BadInput("membership message: expected a string of bounded length");
     }
 
     private static long number(Object value) {
         if (value instanceof Integer || value instanceof Long) {
             return ((Number) value).longValue();
         }
-        throw new BadInput("a message has no number where one belongs");
+        throw new BadInput("membership message: expected a whole number");
     }
 
     private static int index(Object value, int below) {
         long number = number(value);
         if (number < 0 || number >= below) {
-            throw new BadInput("a number in a message is out of its bounds: " + number);
+            throw new BadInput("membership message: number out of range: " + number);
         }
         return (int) number;
     }
--- a/src/main/java/holdproxy/membership/package-info.java
+++ b/src/main/java/holdproxy/membership/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Group membership: which processes of a fleet live, and on whose evidence. Holds the rules
- * ({@link holdproxy.membership.Membership}), the messages between members, and the links that carry them.
+ * Group membership: which processes of a fleet are alive, and which processes reported it. Contains the
+ * protocol ({@link holdproxy.membership.Membership}), the messages between members, and the links that carry
+ * them.
  */
 package holdproxy.membership;
--- a/src/test/java/holdproxy/consensus/RaftDiskTest.java
+++ b/src/test/java/holdproxy/consensus/RaftDiskTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a voter must not forget, on a real file: kept, cut short, damaged, written anew. */
+/** Persistent state of a voter in a real file: restored, truncated, damaged, rewritten. */
 class RaftDiskTest {
     @TempDir Path folder;
 
@@ -96,13 +96,12 @@
             cut.flush();
             assertEquals(List.of(1L, 2L), indices(again()), length + " bytes");
         }
-        Files.write(
-                file(),
-                Arrays.copyOf(whole, whole.length + 4096)); // room that was never written to
+        // allocated but never written
+        Files.write(file(), Arrays.copyOf(whole, whole.length + 4096));
         assertEquals(List.of(1L, 2L), indices(again()));
     }
 
-    /** Any bit of what was made safe: it is noticed, and where it is said. */
+    /** Any single flipped bit of flushed data is detected, and the message names the record. */
     @Test
     void aBitThatIsAnotherIsNoticed() throws Exception {
         RaftDisk disk = founded();
--- a/src/test/java/holdproxy/lease/LeaseTableTest.java
+++ b/src/test/java/holdproxy/lease/LeaseTableTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Grants, renewals and ends as the log has them, and operations that come late or twice. */
+/** Grants, renewals and ends of leases, and operations that arrive late or twice. */
 class LeaseTableTest {
     private final LeaseTable table = new LeaseTable();
     private long index;
@@ -25,11 +25,11 @@
         assertEquals(
                 List.of("TAKEN", 1L, "a"),
                 apply(LeaseTable.ask("d", "a", 6, 1000, 0)),
-                "another generation is another");
+                "another generation is another process");
         assertEquals(
                 List.of("HELD", 1L, 1L),
                 apply(LeaseTable.ask("d", "a", 5, 1000, 0)),
-                "asked twice: a renewal");
+                "a repeated request is a renewal");
         assertEquals(List.of("HELD", 1L, 2L), apply(LeaseTable.renew("d", 1)));
         assertEquals(List.of("HELD", 2L, 0L), apply(LeaseTable.ask("e", "b", 9, 1000, 0)));
         assertEquals(List.of("ENDED"), apply(LeaseTable.release("d", 1)));
@@ -48,7 +48,7 @@
         assertEquals(
                 List.of("FREE", 1L),
                 apply(LeaseTable.ask("d", "a", 5, 1000, 0)),
-                "an asking from before the end");
+                "a request from before the end");
         assertNull(table.lease("d"));
         assertEquals(List.of("HELD", 2L, 0L), apply(LeaseTable.ask("d", "b", 9, 1000, 1)));
         assertEquals(
@@ -73,7 +73,7 @@
         assertEquals(
                 List.of("HELD", 3L, 0L),
                 other.apply(9, LeaseTable.ask("e", "c", 1, 1000, 2)),
-                "tokens go on");
+                "tokens continue to increase");
     }
 
     @Test
@@ -82,7 +82,7 @@
         table.onRefused((role, name) -> refused.add(role + " " + name));
         assertNull(table.atOnce(LeaseTable.ask("d", "a", 5, 1000, 0)), "it is free");
         apply(LeaseTable.ask("d", "a", 5, 1000, 0));
-        assertNull(table.atOnce(LeaseTable.ask("d", "a", 5, 1000, 0)), "its own: a renewal");
+        assertNull(table.atOnce(LeaseTable.ask("d", "a", 5, 1000, 0)), "its own lease: a renewal");
         assertNull(table.atOnce(LeaseTable.renew("d", 1)));
         assertEquals(List.of("TAKEN", 1L, "a"), table.atOnce(LeaseTable.ask("d", "b", 9, 1000, 0)));
         assertEquals(List.of("d b"), refused);
--- a/src/test/java/holdproxy/membership/LinksTest.java
+++ b/src/test/java/holdproxy/membership/LinksTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Frames between processes, and the messages in them, whatever comes. */
+/** Frames between processes and the encoding of membership messages, with valid and malformed input. */
 class LinksTest {
     private static final long END_S = 60;
 
@@ -51,7 +51,7 @@
                 1,
                 frame -> {
                     if (frame.length == 1) {
-                        throw new BadInput("one byte is nothing");
+                        throw new BadInput("a frame of one byte is invalid");
                     }
                     frames.add(frame);
                 });
@@ -68,7 +68,7 @@
 
     private byte[] next() throws InterruptedException {
         byte[] frame = frames.poll(END_S, TimeUnit.SECONDS);
-        assertTrue(frame != null, "no frame has come");
+        assertTrue(frame != null, "no frame received");
         return frame;
     }
 
@@ -128,7 +128,9 @@
                 socket.getOutputStream().write(each);
                 assertEquals(-1, socket.getInputStream().read(), Arrays.toString(each));
             }
-            assertTrue(lines.poll(END_S, TimeUnit.SECONDS) != null, "it is logged");
+            assertTrue(
+                    lines.poll(END_S, TimeUnit.SECONDS) != null,
+                    "the closed connection is not logged");
         }
         Links from = links(Map.of("b", at));
         send(from, "b", new byte[2]);
@@ -153,7 +155,7 @@
         assertEquals(message(), MessageCodec.message(MessageCodec.bytes(message())));
     }
 
-    /** Bytes changed, cut and made up: each is read, or turned down as bad input and nothing else. */
+    /** Changed, truncated and random bytes: each is decoded or rejected with BadInput, nothing else. */
     @Test
     void badMessagesAreTurnedDown() {
         Random random = new Random(1);
@@ -176,7 +178,7 @@
                 bad++;
             }
         }
-        assertTrue(bad > 10_000, bad + " were turned down");
+        assertTrue(bad > 10_000, bad + " were rejected");
         assertThrows(BadInput.class, () -> MessageCodec.message(new byte[0]));
     }
 }
