--- a/src/main/java/holdproxy/consensus/FileDisk.java
+++ b/src/main/java/holdproxy/consensus/FileDisk.java
@@ -40,10 +40,10 @@
 
     @Override
     public void replace(byte[] bytes) throws IOException {
-        Path fresh = file.resolveSibling(file.getFileName() + ".new");
+        Path replacement = file.resolveSibling(file.getFileName() + ".new");
         try (FileChannel out =
                 FileChannel.open(
-                        fresh,
+                        replacement,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -51,16 +51,16 @@
             out.force(true);
         }
         close();
-        Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(replacement, file, StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent())) {
             folder.force(true); // makes the rename durable
         }
     }
 
     private static void write(FileChannel to, byte[] bytes) throws IOException {
-        ByteBuffer left = ByteBuffer.wrap(bytes);
-        while (left.hasRemaining()) {
-            to.write(left);
+        ByteBuffer remaining = ByteBuffer.wrap(bytes);
+        while (remaining.hasRemaining()) {
+            to.write(remaining);
         }
     }
 
--- a/src/main/java/holdproxy/consensus/LeaderWatch.java
+++ b/src/main/java/holdproxy/consensus/LeaderWatch.java
@@ -6,11 +6,11 @@
     private static final long STUCK_US = 4_000_000;
 
     /** Consecutive checks that have to find the leader silent for that long. */
-    private static final int STUCK_LOOKS = 3;
+    private static final int STUCK_CHECKS = 3;
 
     private long heardUs;
     private boolean everHeard;
-    private int silentLooks;
+    private int silentChecks;
 
     /** A message of the leader has arrived, or this process has gained or lost leadership. */
     void heard(long nowUs) {
@@ -21,7 +21,7 @@
     /** The node was restarted; silence counts from now. */
     void restarted(long nowUs) {
         heardUs = nowUs;
-        silentLooks = 0;
+        silentChecks = 0;
     }
 
     /** Time since the leader was last heard from; {@link Long#MAX_VALUE} if none ever was. */
@@ -31,7 +31,7 @@
 
     /** Performs one check; true when the node, if it {@code follows} a leader, is found stuck with it. */
     boolean isStuck(boolean follows, long nowUs) {
-        silentLooks = follows && nowUs - heardUs > STUCK_US ? silentLooks + 1 : 0;
-        return silentLooks == STUCK_LOOKS;
+        silentChecks = follows && nowUs - heardUs > STUCK_US ? silentChecks + 1 : 0;
+        return silentChecks == STUCK_CHECKS;
     }
 }
--- a/src/main/java/holdproxy/consensus/ProposalRouter.java
+++ b/src/main/java/holdproxy/consensus/ProposalRouter.java
@@ -13,13 +13,13 @@
  * there is an answer or the time limit is reached. The number of pending proposals is bounded.
  */
 final class ProposalRouter {
-    private static final int MOST_PENDING = 1_000;
+    private static final int MAX_PENDING = 1_000;
 
     /** How long to wait for a voter's answer before the next voter is asked. */
-    private static final long ASK_US = 300_000;
+    private static final long ANSWER_TIMEOUT_US = 300_000;
 
     /** Delay before the retry after a voter that neither leads nor knows another leader. */
-    private static final long AGAIN_US = 30_000;
+    private static final long RETRY_DELAY_US = 30_000;
 
     /** The Raft node of this process. */
     interface LocalNode {
@@ -27,18 +27,18 @@
         boolean leads();
 
         /** Replicates an operation; called only if the node leads. */
-        void replicate(Object operation, Result result);
+        void replicate(Object operation, ResultHandler result);
     }
 
     /** Receives the outcome of an operation. */
-    interface Result {
+    interface ResultHandler {
         /** {@code value} is the answer if {@code failed} is null. */
-        void of(Object value, Throwable failed);
+        void completed(Object value, Throwable failed);
     }
 
     /** A proposal sent to a voter that has not answered yet. */
     private record Pending(
-            Object operation, long endUs, CompletableFuture<Object> answer, String to) {}
+            Object operation, long deadlineUs, CompletableFuture<Object> answer, String to) {}
 
     private final String name;
     private final List<String> others;
@@ -79,7 +79,7 @@
     /** See {@link RaftGroup#propose}. */
     CompletableFuture<Object> propose(Object operation, long withinUs) {
         CompletableFuture<Object> answer = new CompletableFuture<>();
-        if (pending.size() >= MOST_PENDING) {
+        if (pending.size() >= MAX_PENDING) {
             answer.completeExceptionally(new IOException("too many pending proposals"));
             return answer;
         }
@@ -87,78 +87,79 @@
         return answer;
     }
 
-    private void route(Object operation, long endUs, CompletableFuture<Object> answer) {
+    private void route(Object operation, long deadlineUs, CompletableFuture<Object> answer) {
         if (answer.isDone()) {
             return;
         }
-        if (host.nowUs() >= endUs) {
+        if (host.nowUs() >= deadlineUs) {
             answer.completeExceptionally(
                     new IOException("the consensus group did not answer in time"));
         } else if (local.leads()) {
-            replicateHere(operation, endUs, answer);
+            replicateHere(operation, deadlineUs, answer);
         } else if (others.isEmpty()) {
-            host.after(ASK_US, () -> route(operation, endUs, answer));
+            host.after(ANSWER_TIMEOUT_US, () -> route(operation, deadlineUs, answer));
         } else {
-            askVoter(operation, endUs, answer);
+            askVoter(operation, deadlineUs, answer);
         }
     }
 
-    private void replicateHere(Object operation, long endUs, CompletableFuture<Object> answer) {
-        boolean[] over = {false};
+    private void replicateHere(
+            Object operation, long deadlineUs, CompletableFuture<Object> answer) {
+        boolean[] finished = {false};
         local.replicate(
                 operation,
                 (value, why) -> {
                     if (why == null) {
                         answer.complete(value);
-                    } else if (!over[0]) {
-                        over[0] = true;
-                        host.after(AGAIN_US, () -> route(operation, endUs, answer));
+                    } else if (!finished[0]) {
+                        finished[0] = true;
+                        host.after(RETRY_DELAY_US, () -> route(operation, deadlineUs, answer));
                     }
                 });
         // a leader without a majority never gets a result
         host.after(
-                Math.min(ASK_US * 4, endUs - host.nowUs()),
+                Math.min(ANSWER_TIMEOUT_US * 4, deadlineUs - host.nowUs()),
                 () -> {
-                    if (!over[0]) {
-                        over[0] = true;
-                        route(operation, endUs, answer);
+                    if (!finished[0]) {
+                        finished[0] = true;
+                        route(operation, deadlineUs, answer);
                     }
                 });
     }
 
-    private void askVoter(Object operation, long endUs, CompletableFuture<Object> answer) {
-        String to = others.contains(leader) ? leader : next();
+    private void askVoter(Object operation, long deadlineUs, CompletableFuture<Object> answer) {
+        String to = others.contains(leader) ? leader : nextVoterName();
         long number = ++lastNumber;
-        pending.put(number, new Pending(operation, endUs, answer, to));
+        pending.put(number, new Pending(operation, deadlineUs, answer, to));
         host.send(to, RaftCodec.bytes(Arrays.asList("ask", name, number, operation)));
         host.after(
-                Math.min(ASK_US, endUs - host.nowUs()),
+                Math.min(ANSWER_TIMEOUT_US, deadlineUs - host.nowUs()),
                 () -> {
-                    Pending mine = pending.remove(number);
-                    if (mine != null) {
-                        leader = leader.equals(mine.to) ? "" : leader;
-                        route(operation, endUs, answer);
+                    Pending proposal = pending.remove(number);
+                    if (proposal != null) {
+                        leader = leader.equals(proposal.to) ? "" : leader;
+                        route(operation, deadlineUs, answer);
                     }
                 });
     }
 
-    private String next() {
+    private String nextVoterName() {
         return others.get(Math.floorMod(nextVoter++, others.size()));
     }
 
-    /** Handles a voter's answer; {@code whoLeads}: the leader as known to the voter, else empty. */
-    void answered(long number, boolean done, Object value, String whoLeads) {
-        Pending mine = pending.remove(number);
-        if (mine == null) {
+    /** Handles a voter's answer; {@code leaderName}: the leader as known to the voter, else empty. */
+    void answered(long number, boolean success, Object value, String leaderName) {
+        Pending proposal = pending.remove(number);
+        if (proposal == null) {
             return; // too late: the proposal has been sent again
         }
-        leader = whoLeads;
-        if (done) {
-            mine.answer.complete(value);
+        leader = leaderName;
+        if (success) {
+            proposal.answer.complete(value);
             return;
         }
         // there may be no leader at the moment: retry after a delay
-        long delayUs = whoLeads.isEmpty() || whoLeads.equals(mine.to) ? AGAIN_US : 0;
-        host.after(delayUs, () -> route(mine.operation, mine.endUs, mine.answer));
+        long delayUs = leaderName.isEmpty() || leaderName.equals(proposal.to) ? RETRY_DELAY_US : 0;
+        host.after(delayUs, () -> route(proposal.operation, proposal.deadlineUs, proposal.answer));
     }
 }
--- a/src/main/java/holdproxy/consensus/RaftCodec.java
+++ b/src/main/java/holdproxy/consensus/RaftCodec.java
@@ -43,11 +43,11 @@
     private RaftCodec() {}
 
     /** Reads the items of a list in order. */
-    static final class Parts {
+    static final class ListReader {
         private final List<?> parts;
         private int next;
 
-        Parts(Object value) {
+        ListReader(Object value) {
             if (!(value instanceof List<?> list)) {
                 throw new BadInput("expected a list");
             }
@@ -76,7 +76,7 @@
             throw new BadInput("item " + next + " of a list is not a whole number");
         }
 
-        int whole() {
+        int integer() {
             long number = number();
             if (number != (int) number) {
                 throw new BadInput("item " + next + " of a list does not fit 32 bits: " + number);
@@ -84,7 +84,7 @@
             return (int) number;
         }
 
-        boolean flag() {
+        boolean bool() {
             if (value() instanceof Boolean flag) {
                 return flag;
             }
@@ -102,14 +102,14 @@
 
         Collection<RaftEndpoint> voters() {
             Collection<RaftEndpoint> voters = new LinkedHashSet<>();
-            Parts inner = new Parts(value());
-            while (inner.more()) {
+            ListReader inner = new ListReader(value());
+            while (inner.hasNext()) {
                 voters.add(inner.voter());
             }
             return voters;
         }
 
-        boolean more() {
+        boolean hasNext() {
             return next < parts.size();
         }
     }
@@ -130,8 +130,8 @@
         }
     }
 
-    static Parts parts(byte[] bytes) {
-        return new Parts(value(bytes));
+    static ListReader parts(byte[] bytes) {
+        return new ListReader(value(bytes));
     }
 
     private static String text(RaftEndpoint voter) {
@@ -152,11 +152,11 @@
 
     static List<Object> message(RaftMessage m) {
         List<Object> parts = new ArrayList<>(list(null, text(m.getSender()), m.getTerm()));
-        parts.set(0, add(m, parts));
+        parts.set(0, addFields(m, parts));
         return parts;
     }
 
-    private static String add(RaftMessage m, List<Object> to) {
+    private static String addFields(RaftMessage m, List<Object> to) {
         if (m instanceof AppendEntriesRequest a) {
             List<Object> entries = new ArrayList<>();
             a.getLogEntries().forEach(e -> entries.add(entry(e)));
@@ -233,17 +233,17 @@
     }
 
     static RaftMessage message(Object value, Object group) {
-        Parts p = new Parts(value);
+        ListReader p = new ListReader(value);
         String kind = p.text();
         Voter sender = p.voter();
-        int term = p.whole();
+        int term = p.integer();
         return switch (kind) {
             case "append" ->
                     MODELS.createAppendEntriesRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setPreviousLogTerm(p.whole())
+                            .setPreviousLogTerm(p.integer())
                             .setPreviousLogIndex(p.number())
                             .setCommitIndex(p.number())
                             .setLogEntries(entries(p.value()))
@@ -273,7 +273,7 @@
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogTerm(p.whole())
+                            .setLastLogTerm(p.integer())
                             .setLastLogIndex(p.number())
                             .build();
             case "pre-voted" ->
@@ -281,30 +281,30 @@
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setGranted(p.flag())
+                            .setGranted(p.bool())
                             .build();
             case "vote" ->
                     MODELS.createVoteRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogTerm(p.whole())
+                            .setLastLogTerm(p.integer())
                             .setLastLogIndex(p.number())
-                            .setSticky(p.flag())
+                            .setSticky(p.bool())
                             .build();
             case "voted" ->
                     MODELS.createVoteResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setGranted(p.flag())
+                            .setGranted(p.bool())
                             .build();
             case "stand" ->
                     MODELS.createTriggerLeaderElectionRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogTerm(p.whole())
+                            .setLastLogTerm(p.integer())
                             .setLastLogIndex(p.number())
                             .build();
             case "snapshot" ->
@@ -312,10 +312,10 @@
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setSenderLeader(p.flag())
-                            .setSnapshotTerm(p.whole())
+                            .setSenderLeader(p.bool())
+                            .setSnapshotTerm(p.integer())
                             .setSnapshotIndex(p.number())
-                            .setTotalSnapshotChunkCount(p.whole())
+                            .setTotalSnapshotChunkCount(p.integer())
                             .setSnapshotChunk(chunk(p.value()))
                             .setSnapshottedMembers(p.voters())
                             .setGroupMembersView(members(p.value()))
@@ -328,7 +328,7 @@
                             .setSender(sender)
                             .setTerm(term)
                             .setSnapshotIndex(p.number())
-                            .setRequestedSnapshotChunkIndex(p.whole())
+                            .setRequestedSnapshotChunkIndex(p.integer())
                             .setQuerySequenceNumber(p.number())
                             .setFlowControlSequenceNumber(p.number())
                             .build();
@@ -339,22 +339,22 @@
     // ---- persistent state ----
 
     static List<Object> entry(LogEntry e) {
-        return list(e.getIndex(), e.getTerm(), written(e.getOperation()));
+        return list(e.getIndex(), e.getTerm(), encodeOperation(e.getOperation()));
     }
 
     static LogEntry entry(Object value) {
-        Parts p = new Parts(value);
+        ListReader p = new ListReader(value);
         return MODELS.createLogEntryBuilder()
                 .setIndex(p.number())
-                .setTerm(p.whole())
-                .setOperation(operation(p.value()))
+                .setTerm(p.integer())
+                .setOperation(decodeOperation(p.value()))
                 .build();
     }
 
     private static List<LogEntry> entries(Object value) {
         List<LogEntry> entries = new ArrayList<>();
-        Parts p = new Parts(value);
-        while (p.more()) {
+        ListReader p = new ListReader(value);
+        while (p.hasNext()) {
             entries.add(entry(p.value()));
         }
         return entries;
@@ -374,13 +374,13 @@
         if (value == null) {
             return null;
         }
-        Parts p = new Parts(value);
+        ListReader p = new ListReader(value);
         return MODELS.createSnapshotChunkBuilder()
                 .setIndex(p.number())
-                .setTerm(p.whole())
+                .setTerm(p.integer())
                 .setOperation(p.value())
-                .setSnapshotChunkIndex(p.whole())
-                .setSnapshotChunkCount(p.whole())
+                .setSnapshotChunkIndex(p.integer())
+                .setSnapshotChunkCount(p.integer())
                 .setGroupMembersView(members(p.value()))
                 .build();
     }
@@ -393,7 +393,7 @@
         if (value == null) {
             return null;
         }
-        Parts p = new Parts(value);
+        ListReader p = new ListReader(value);
         return MODELS.createRaftGroupMembersViewBuilder()
                 .setLogIndex(p.number())
                 .setMembers(p.voters())
@@ -401,7 +401,7 @@
                 .build();
     }
 
-    private static List<Object> written(Object operation) {
+    private static List<Object> encodeOperation(Object operation) {
         if (operation instanceof UpdateRaftGroupMembersOp change) {
             return list(
                     MEMBERS,
@@ -413,8 +413,8 @@
         return list(VALUE, operation);
     }
 
-    private static Object operation(Object value) {
-        Parts p = new Parts(value);
+    private static Object decodeOperation(Object value) {
+        ListReader p = new ListReader(value);
         if (!p.text().equals(MEMBERS)) {
             return p.value();
         }
--- a/src/main/java/holdproxy/consensus/RaftDisk.java
+++ b/src/main/java/holdproxy/consensus/RaftDisk.java
@@ -32,11 +32,11 @@
  */
 final class RaftDisk implements RaftStore {
     private static final short MAGIC = 0x5231;
-    private static final int HEAD = 14;
-    private static final int LARGEST = 64 << 20;
+    private static final int HEADER_BYTES = 14;
+    private static final int MAX_RECORD_BYTES = 64 << 20;
 
     /** A file of at most this many bytes is never rewritten. */
-    private static final int SMALL = 1 << 20;
+    private static final int MIN_REWRITE_BYTES = 1 << 20;
 
     private final Disk disk;
     private Runnable onFailure = () -> {};
@@ -62,7 +62,7 @@
     static RaftDisk open(Disk disk) throws IOException {
         RaftDisk opened = new RaftDisk(disk);
         byte[] bytes = disk.read();
-        int end = opened.take(bytes);
+        int end = opened.applyRecords(bytes);
         if (end < bytes.length) {
             disk.replace(Arrays.copyOf(bytes, end));
         }
@@ -86,7 +86,7 @@
         List<LogEntry> after = new ArrayList<>();
         entries.tailMap(snapshot == null ? 0 : snapshot.getIndex(), false)
                 .values()
-                .forEach(e -> after.add(RaftCodec.entry(body(e))));
+                .forEach(e -> after.add(RaftCodec.entry(decodeValue(e))));
         return new RestoredRaftState(
                 RaftCodec.MODELS
                         .createRaftEndpointPersistentStateBuilder()
@@ -106,7 +106,7 @@
     private SnapshotEntry snapshot() {
         for (long index : chunks.descendingKeySet()) {
             List<SnapshotChunk> parts = new ArrayList<>();
-            chunks.get(index).values().forEach(c -> parts.add(RaftCodec.chunk(body(c))));
+            chunks.get(index).values().forEach(c -> parts.add(RaftCodec.chunk(decodeValue(c))));
             if (parts.size() == parts.get(0).getSnapshotChunkCount()) {
                 return RaftCodec.MODELS
                         .createSnapshotEntryBuilder()
@@ -122,9 +122,9 @@
 
     // ---- records ----
 
-    private static byte[] framed(Object... parts) {
+    private static byte[] encodeRecord(Object... parts) {
         byte[] body = RaftCodec.bytes(Arrays.asList(parts));
-        ByteBuffer record = ByteBuffer.allocate(HEAD + body.length);
+        ByteBuffer record = ByteBuffer.allocate(HEADER_BYTES + body.length);
         record.putShort(MAGIC).putInt(body.length);
         record.putInt(crc(record.array(), 0, record.position()))
                 .putInt(crc(body, 0, body.length))
@@ -139,32 +139,36 @@
     }
 
     /** Decodes the value of a record that holds a single one. */
-    private static Object body(byte[] record) {
-        RaftCodec.Parts parts = RaftCodec.parts(Arrays.copyOfRange(record, HEAD, record.length));
+    private static Object decodeValue(byte[] record) {
+        RaftCodec.ListReader parts =
+                RaftCodec.parts(Arrays.copyOfRange(record, HEADER_BYTES, record.length));
         parts.text();
         return parts.value();
     }
 
     /** Applies all complete records; returns the offset at which the last of them ends. */
-    private int take(byte[] file) {
+    private int applyRecords(byte[] file) {
         int at = 0;
         while (at < file.length) {
-            if (file.length - at < HEAD || allZero(file, at)) {
+            if (file.length - at < HEADER_BYTES || allZero(file, at)) {
                 return at; // truncated, or allocated but never written
             }
-            ByteBuffer head = ByteBuffer.wrap(file, at, HEAD);
-            boolean sound = head.getShort() == MAGIC;
+            ByteBuffer head = ByteBuffer.wrap(file, at, HEADER_BYTES);
+            boolean magicMatches = head.getShort() == MAGIC;
             int length = head.getInt();
-            if (!sound || head.getInt() != crc(file, at, 6) || length < 1 || length > LARGEST) {
+            if (!magicMatches
+                    || head.getInt() != crc(file, at, 6)
+                    || length < 1
+                    || length > MAX_RECORD_BYTES) {
                 throw damaged(at);
             }
-            if (file.length - at - HEAD < length) {
+            if (file.length - at - HEADER_BYTES < length) {
                 return at;
             }
-            if (head.getInt() != crc(file, at + HEAD, length)) {
+            if (head.getInt() != crc(file, at + HEADER_BYTES, length)) {
                 throw damaged(at);
             }
-            byte[] record = Arrays.copyOfRange(file, at, at + HEAD + length);
+            byte[] record = Arrays.copyOfRange(file, at, at + HEADER_BYTES + length);
             try {
                 apply(record);
             } catch (BadInput e) {
@@ -190,18 +194,19 @@
     }
 
     private void apply(byte[] record) {
-        RaftCodec.Parts p = RaftCodec.parts(Arrays.copyOfRange(record, HEAD, record.length));
+        RaftCodec.ListReader p =
+                RaftCodec.parts(Arrays.copyOfRange(record, HEADER_BYTES, record.length));
         switch (p.text()) {
             case "seat" -> {
                 localVoter = p.voter();
-                voting = p.flag();
+                voting = p.bool();
             }
-            case "members" -> initialMembers = plain(p.value());
+            case "members" -> initialMembers = listOfObjects(p.value());
             case "term" -> {
-                term = p.whole();
+                term = p.integer();
                 votedFor = p.voter();
             }
-            case "entry" -> put(entries, new RaftCodec.Parts(p.value()).number(), record);
+            case "entry" -> put(entries, new RaftCodec.ListReader(p.value()).number(), record);
             case "chunk" -> {
                 SnapshotChunk chunk = RaftCodec.chunk(p.value());
                 put(
@@ -209,12 +214,12 @@
                         chunk.getSnapshotChunkIndex(),
                         record);
             }
-            case "cut-from" -> cut(entries.tailMap(p.number(), true));
-            case "cut-until" -> cut(entries.headMap(p.number(), true));
+            case "cut-from" -> remove(entries.tailMap(p.number(), true));
+            case "cut-until" -> remove(entries.headMap(p.number(), true));
             case "cut-chunks" -> {
                 TreeMap<Integer, byte[]> gone = chunks.remove(p.number());
                 if (gone != null) {
-                    cut(gone);
+                    remove(gone);
                 }
             }
             default -> throw new BadInput("unknown record type");
@@ -222,7 +227,7 @@
     }
 
     @SuppressWarnings("unchecked") // the decoder creates only lists of objects
-    private static List<Object> plain(Object list) {
+    private static List<Object> listOfObjects(Object list) {
         return (List<Object>) list;
     }
 
@@ -231,7 +236,7 @@
         liveBytes += record.length - (before == null ? 0 : before.length);
     }
 
-    private void cut(Map<?, byte[]> gone) {
+    private void remove(Map<?, byte[]> gone) {
         gone.values().forEach(r -> liveBytes -= r.length);
         gone.clear();
     }
@@ -255,11 +260,11 @@
         }
     }
 
-    private void record(Object... parts) throws IOException {
+    private void appendRecord(Object... parts) throws IOException {
         guarded(
                 () -> {
-                    byte[] record = framed(parts);
-                    if (record.length > LARGEST) {
+                    byte[] record = encodeRecord(parts);
+                    if (record.length > MAX_RECORD_BYTES) {
                         throw new IOException("record too large: " + record.length + " bytes");
                     }
                     disk.append(record);
@@ -268,56 +273,56 @@
                 });
     }
 
-    private void recordSafely(Object... parts) throws IOException {
-        record(parts);
+    private void appendAndFlush(Object... parts) throws IOException {
+        appendRecord(parts);
         flush();
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        recordSafely("seat", state.getLocalEndpoint().toString(), state.isVoting());
+        appendAndFlush("seat", state.getLocalEndpoint().toString(), state.isVoting());
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members)
             throws IOException {
-        recordSafely("members", RaftCodec.members(members));
+        appendAndFlush("members", RaftCodec.members(members));
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
         RaftEndpoint voted = state.getVotedFor();
-        recordSafely("term", state.getTerm(), voted == null ? "" : voted.toString());
+        appendAndFlush("term", state.getTerm(), voted == null ? "" : voted.toString());
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> added) throws IOException {
         for (LogEntry entry : added) {
-            record("entry", RaftCodec.entry(entry));
+            appendRecord("entry", RaftCodec.entry(entry));
         }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        record("chunk", RaftCodec.chunk(chunk));
+        appendRecord("chunk", RaftCodec.chunk(chunk));
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        record("cut-from", index);
+        appendRecord("cut-from", index);
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        record("cut-until", index);
-        if (fileBytes > SMALL && fileBytes > 5 * liveBytes) {
-            guarded(this::writeAnew);
+        appendRecord("cut-until", index);
+        if (fileBytes > MIN_REWRITE_BYTES && fileBytes > 5 * liveBytes) {
+            guarded(this::rewrite);
         }
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        record("cut-chunks", index);
+        appendRecord("cut-chunks", index);
     }
 
     @Override
@@ -325,11 +330,11 @@
         guarded(disk::force);
     }
 
-    private void writeAnew() throws IOException {
+    private void rewrite() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.write(framed("seat", localVoter.toString(), voting));
-        out.write(framed("members", initialMembers));
-        out.write(framed("term", term, votedFor == null ? "" : votedFor.toString()));
+        out.write(encodeRecord("seat", localVoter.toString(), voting));
+        out.write(encodeRecord("members", initialMembers));
+        out.write(encodeRecord("term", term, votedFor == null ? "" : votedFor.toString()));
         for (TreeMap<Integer, byte[]> parts : chunks.values()) {
             for (byte[] part : parts.values()) {
                 out.write(part);
--- a/src/main/java/holdproxy/consensus/RaftGroup.java
+++ b/src/main/java/holdproxy/consensus/RaftGroup.java
@@ -37,17 +37,17 @@
 
     private static final int ELECTION_MS = 1_000;
     private static final int HEARTBEAT_S = 1;
-    private static final int SILENCE_S = 5;
-    private static final int SNAPSHOT_AFTER = 1_000;
-    private static final int MOST_PENDING = 1_000;
+    private static final int LEADER_TIMEOUT_S = 5;
+    private static final int ENTRIES_PER_SNAPSHOT = 1_000;
+    private static final int MAX_PENDING_ENTRIES = 1_000;
 
     /** Entries in a frame: an entry is at most a published change of 64 KiB, a frame at most 1 MiB. */
-    private static final int MOST_ENTRIES_AT_ONCE = 12;
+    private static final int MAX_ENTRIES_PER_FRAME = 12;
 
-    private static final long STEP_DOWN_US = 500_000;
-    private static final long ADMIT_US = 500_000;
+    private static final long STEP_DOWN_TIMEOUT_US = 500_000;
+    private static final long ADMISSION_RETRY_US = 500_000;
 
-    private static final long LOOK_US = 500_000;
+    private static final long LEADER_CHECK_INTERVAL_US = 500_000;
 
     /** Services of the process, and callbacks into it. */
     public interface Host {
@@ -110,28 +110,28 @@
      * not empty or if {@code name} is not one of {@code voters}.
      */
     public static void found(Disk disk, String name, Collection<String> voters) throws IOException {
-        RaftDisk kept = RaftDisk.open(disk);
-        if (kept.localVoter() != null) {
-            throw new BadInput("there is a consensus disk already, of " + kept.localVoter());
+        RaftDisk store = RaftDisk.open(disk);
+        if (store.localVoter() != null) {
+            throw new BadInput("there is a consensus disk already, of " + store.localVoter());
         }
         Set<RaftEndpoint> initial = initialVoters(voters);
         if (!voters.contains(name)) {
             throw new BadInput(name + " is not one of the first voters, " + voters);
         }
-        kept.persistAndFlushLocalEndpoint(
+        store.persistAndFlushLocalEndpoint(
                 RaftCodec.MODELS
                         .createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(new Voter(name, 0))
                         .setVoting(true)
                         .build());
-        kept.persistAndFlushInitialGroupMembers(
+        store.persistAndFlushInitialGroupMembers(
                 RaftCodec.MODELS
                         .createRaftGroupMembersViewBuilder()
                         .setLogIndex(0)
                         .setMembers(initial)
                         .setVotingMembers(initial)
                         .build());
-        kept.persistAndFlushTerm(
+        store.persistAndFlushTerm(
                 RaftCodec.MODELS
                         .createRaftTermPersistentStateBuilder()
                         .setTerm(0)
@@ -152,7 +152,7 @@
     public void begin(Disk disk) {
         if (voters.contains(name)) {
             open(disk);
-            watch(disk);
+            checkLeader(disk);
         }
     }
 
@@ -160,7 +160,7 @@
      * Restarts a stuck follower from its disk, as after a crash. A MicroRaft follower waits forever for a
      * leader that is gone if a late message of that leader arrives during the follower's pre-vote.
      */
-    private void watch(Disk disk) {
+    private void checkLeader(Disk disk) {
         if (ended || !votes()) {
             return;
         }
@@ -172,16 +172,16 @@
             leaderWatch.restarted(host.nowUs());
             open(disk);
         }
-        host.after(LOOK_US, () -> watch(disk));
+        host.after(LEADER_CHECK_INTERVAL_US, () -> checkLeader(disk));
     }
 
     private void open(Disk disk) {
         try {
-            RaftDisk kept = RaftDisk.open(disk);
-            kept.onFailure(this::diskFailed);
-            boolean isNew = kept.localVoter() == null;
-            self = isNew ? new Voter(name, random.nextLong() >>> 1 | 1) : kept.localVoter();
-            adapter = new StateMachineAdapter(stateMachine, this::terminated);
+            RaftDisk store = RaftDisk.open(disk);
+            store.onFailure(this::diskFailed);
+            boolean isNew = store.localVoter() == null;
+            self = isNew ? new Voter(name, random.nextLong() >>> 1 | 1) : store.localVoter();
+            adapter = new StateMachineAdapter(stateMachine, this::nodeTerminated);
             RaftNode.RaftNodeBuilder builder =
                     RaftNode.newBuilder()
                             .setGroupId(GROUP)
@@ -189,14 +189,14 @@
                             .setExecutor(clock)
                             .setClock(clock)
                             .setRandom(random)
-                            .setTransport(new Outward())
+                            .setTransport(new GroupTransport())
                             .setStateMachine(adapter)
-                            .setStore(kept)
-                            .setRaftNodeReportListener(new Heard(adapter));
+                            .setStore(store)
+                            .setRaftNodeReportListener(new LeaderListener(adapter));
             if (isNew) {
                 builder.setLocalEndpoint(self).setInitialGroupMembers(initialVoters(voters));
             } else {
-                builder.setRestoredState(kept.restored());
+                builder.setRestoredState(store.restored());
             }
             node = builder.build();
             node.start();
@@ -212,7 +212,7 @@
     /** Stops all sending at once: what was not persisted must not be sent either. */
     private void diskFailed() {
         failed = true;
-        lead(false);
+        setLeading(false);
         host.out("writing to the disk failed");
         host.after(0, () -> node.terminate());
     }
@@ -221,10 +221,10 @@
         return RaftConfig.newBuilder()
                 .setLeaderElectionTimeoutMillis(ELECTION_MS)
                 .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
-                .setLeaderHeartbeatTimeoutSecs(SILENCE_S)
-                .setCommitCountToTakeSnapshot(SNAPSHOT_AFTER)
-                .setMaxPendingLogEntryCount(MOST_PENDING)
-                .setAppendEntriesRequestBatchSize(MOST_ENTRIES_AT_ONCE)
+                .setLeaderHeartbeatTimeoutSecs(LEADER_TIMEOUT_S)
+                .setCommitCountToTakeSnapshot(ENTRIES_PER_SNAPSHOT)
+                .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
+                .setAppendEntriesRequestBatchSize(MAX_ENTRIES_PER_FRAME)
                 .setTransferSnapshotsFromFollowersEnabled(false)
                 .build();
     }
@@ -267,34 +267,36 @@
      * stays.
      */
     public CompletableFuture<Void> stepDown() {
-        CompletableFuture<Void> over = new CompletableFuture<>();
+        CompletableFuture<Void> completed = new CompletableFuture<>();
         if (!votes() || !leading) {
-            over.complete(null);
-            return over;
+            completed.complete(null);
+            return completed;
         }
         Optional<RaftEndpoint> other =
                 node.getCommittedMembers().getVotingMembers().stream()
                         .filter(m -> !m.equals(self))
                         .findFirst();
         if (other.isPresent()) {
-            node.transferLeadership(other.get()).whenComplete((done, why) -> over.complete(null));
-            host.after(STEP_DOWN_US, () -> over.complete(null)); // the other may be gone
+            node.transferLeadership(other.get())
+                    .whenComplete((done, why) -> completed.complete(null));
+            // the other voter may be gone
+            host.after(STEP_DOWN_TIMEOUT_US, () -> completed.complete(null));
         } else {
-            over.complete(null);
+            completed.complete(null);
         }
-        return over;
+        return completed;
     }
 
     /** Stops voting for the rest of this generation; completes when the node has terminated. */
     public CompletableFuture<Void> end() {
         ended = true;
-        CompletableFuture<Void> over = new CompletableFuture<>();
+        CompletableFuture<Void> completed = new CompletableFuture<>();
         if (votes()) {
-            node.terminate().whenComplete((done, why) -> over.complete(null));
+            node.terminate().whenComplete((done, why) -> completed.complete(null));
         } else {
-            over.complete(null);
+            completed.complete(null);
         }
-        return over;
+        return completed;
     }
 
     // ---- proposals ----
@@ -307,34 +309,37 @@
         return proposals.propose(operation, withinUs);
     }
 
-    private void replicate(Object operation, ProposalRouter.Result result) {
+    private void replicate(Object operation, ProposalRouter.ResultHandler result) {
         Object known = stateMachine.atOnce(operation);
         if (known != null) {
-            host.after(0, () -> result.of(known, null));
+            host.after(0, () -> result.completed(known, null));
             return;
         }
         CompletableFuture<Ordered<Object>> agreed = node.replicate(operation);
         agreed.whenComplete(
                 (ordered, why) ->
                         host.after(
-                                0, () -> result.of(why == null ? ordered.getResult() : null, why)));
+                                0,
+                                () ->
+                                        result.completed(
+                                                why == null ? ordered.getResult() : null, why)));
     }
 
     // ---- frames ----
 
     /** Handles a frame of another process; throws {@link BadInput} if it is malformed. */
     public void received(byte[] frame) {
-        RaftCodec.Parts p = RaftCodec.parts(frame);
+        RaftCodec.ListReader p = RaftCodec.parts(frame);
         switch (p.text()) {
-            case "raft" -> raft(p.text(), p.value());
-            case "ask" -> asked(p.text(), p.number(), p.value());
-            case "answer" -> proposals.answered(p.number(), p.flag(), p.value(), p.text());
-            case "admit" -> admit(p.voter());
+            case "raft" -> handleRaftMessage(p.text(), p.value());
+            case "ask" -> handleProposal(p.text(), p.number(), p.value());
+            case "answer" -> proposals.answered(p.number(), p.bool(), p.value(), p.text());
+            case "admit" -> handleAdmission(p.voter());
             default -> throw new BadInput("unknown kind of consensus frame");
         }
     }
 
-    private void raft(String to, Object message) {
+    private void handleRaftMessage(String to, Object message) {
         // a message to an earlier disk: its votes and promises are not known here
         if (votes() && self.toString().equals(to)) {
             RaftMessage read = RaftCodec.message(message, GROUP);
@@ -348,7 +353,7 @@
         }
     }
 
-    private void asked(String who, long number, Object operation) {
+    private void handleProposal(String who, long number, Object operation) {
         if (!leading || ended) {
             host.send(
                     who,
@@ -379,25 +384,25 @@
         for (String voter : others) {
             host.send(voter, RaftCodec.bytes(Arrays.asList("admit", self.toString())));
         }
-        host.after(ADMIT_US, this::askToBeAdmitted);
+        host.after(ADMISSION_RETRY_US, this::askToBeAdmitted);
     }
 
-    private void admit(Voter newcomer) {
+    private void handleAdmission(Voter newcomer) {
         if (leading && !ended && newcomer != null && voters.contains(newcomer.name())) {
             VoterAdmission.step(node, newcomer);
         }
     }
 
-    private void terminated(StateMachineAdapter of) {
+    private void nodeTerminated(StateMachineAdapter of) {
         if (!ended && !failed && adapter == of) {
-            lead(false);
+            setLeading(false);
             host.out("another voter was admitted in its place");
         }
     }
 
     // ---- adapters for MicroRaft ----
 
-    private final class Outward implements Transport {
+    private final class GroupTransport implements Transport {
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
             if (failed) {
@@ -422,30 +427,30 @@
         }
 
         @Override
-        public void replicate(Object operation, ProposalRouter.Result result) {
+        public void replicate(Object operation, ProposalRouter.ResultHandler result) {
             RaftGroup.this.replicate(operation, result);
         }
     }
 
-    private final class Heard implements RaftNodeReportListener {
-        private final StateMachineAdapter of;
+    private final class LeaderListener implements RaftNodeReportListener {
+        private final StateMachineAdapter ownAdapter;
 
-        Heard(StateMachineAdapter of) {
-            this.of = of;
+        LeaderListener(StateMachineAdapter ownAdapter) {
+            this.ownAdapter = ownAdapter;
         }
 
         @Override
         public void accept(RaftNodeReport report) {
-            if (adapter != of) {
+            if (adapter != ownAdapter) {
                 return;
             }
             RaftEndpoint now = report.getTerm().getLeaderEndpoint();
             proposals.leader(now == null || failed ? "" : ((Voter) now).name());
-            lead(!failed && Objects.equals(now, self) && report.getRole() == RaftRole.LEADER);
+            setLeading(!failed && Objects.equals(now, self) && report.getRole() == RaftRole.LEADER);
         }
     }
 
-    private void lead(boolean now) {
+    private void setLeading(boolean now) {
         if (leading != now) {
             leading = now;
             leaderWatch.heard(host.nowUs());
--- a/src/main/java/holdproxy/consensus/ScaledClock.java
+++ b/src/main/java/holdproxy/consensus/ScaledClock.java
@@ -13,7 +13,7 @@
  */
 final class ScaledClock extends Clock implements RaftNodeExecutor {
     /** Seconds of the library's time in one real second. */
-    static final int FASTER = 5;
+    static final int SPEEDUP = 5;
 
     private final RaftGroup.Host host;
 
@@ -23,7 +23,7 @@
 
     @Override
     public long millis() {
-        return host.nowUs() * FASTER / 1000;
+        return host.nowUs() * SPEEDUP / 1000;
     }
 
     @Override
@@ -64,6 +64,6 @@
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        host.after(unit.toMicros(delay) / FASTER, guarded(task));
+        host.after(unit.toMicros(delay) / SPEEDUP, guarded(task));
     }
 }
--- a/src/main/java/holdproxy/lease/LeaseClient.java
+++ b/src/main/java/holdproxy/lease/LeaseClient.java
@@ -30,10 +30,10 @@
     /** Largest relative error of a clock's rate. */
     public static final double CLOCK_BOUND = 0.05;
 
-    private static final int MOST_WAITING = 64;
-    private static final long MS = 1_000;
-    private static final long HAND_OVER_US = 1_000_000;
-    private static final long LEAST_AGAIN_US = 20_000;
+    private static final int MAX_WAITING = 64;
+    private static final long US_PER_MS = 1_000;
+    private static final long RELEASE_TIMEOUT_US = 1_000_000;
+    private static final long MIN_RETRY_US = 20_000;
 
     /** A safeguard that simulations can switch off, to show that the checker finds the violation. */
     public enum Safeguard {
@@ -65,20 +65,20 @@
 
     /** An action performed under a lease; the lease is not released before it is closed. */
     public final class Act implements AutoCloseable {
-        private final Own own;
+        private final WantedRole wantedRole;
         private final long token;
         private final long untilUs;
 
-        private Act(Own own) {
-            this.own = own;
-            token = own.token;
-            untilUs = own.untilUs;
-            own.acts++;
+        private Act(WantedRole wantedRole) {
+            this.wantedRole = wantedRole;
+            token = wantedRole.token;
+            untilUs = wantedRole.untilUs;
+            wantedRole.openActs++;
         }
 
         /** When the lease that it was begun under expires, by this process's clock. */
         public long untilUs() {
-            return own.token == token ? own.untilUs : untilUs;
+            return wantedRole.token == token ? wantedRole.untilUs : untilUs;
         }
 
         /** Fencing token to send along, for the guarded resource to compare. */
@@ -88,26 +88,26 @@
 
         @Override
         public void close() {
-            own.acts--;
-            if (own.acts == 0 && own.giving != null) {
-                giveBack(own);
+            wantedRole.openActs--;
+            if (wantedRole.openActs == 0 && wantedRole.releasing != null) {
+                release(wantedRole);
             }
         }
     }
 
     /** A role that this process wants to hold. */
-    private static final class Own {
+    private static final class WantedRole {
         final String role;
         final int ms;
         long token;
-        long seen;
+        long lastSeenToken;
         boolean holds;
         long untilUs;
-        int acts;
-        boolean asking;
-        CompletableFuture<Void> giving;
+        int openActs;
+        boolean requesting;
+        CompletableFuture<Void> releasing;
 
-        Own(String role, int ms) {
+        WantedRole(String role, int ms) {
             this.role = role;
             this.ms = ms;
         }
@@ -120,16 +120,16 @@
     private final Host host;
     private final Random random;
     private final Set<Safeguard> safeguards;
-    private final Map<String, Own> wanted = new LinkedHashMap<>();
+    private final Map<String, WantedRole> wanted = new LinkedHashMap<>();
 
     /** In a voter: when, by its own clock, each lease was last granted or renewed. */
-    private final Map<String, Long> sinceUs = new HashMap<>();
+    private final Map<String, Long> changedUs = new HashMap<>();
 
     /** In a voter: processes to notify when a lease ends, since they were refused it. */
     private final Map<String, Set<String>> waiting = new HashMap<>();
 
     private final Set<String> watched = new LinkedHashSet<>();
-    private boolean ending;
+    private boolean shuttingDown;
 
     /** {@code table}: the state machine of this process's consensus group; used if it votes. */
     public LeaseClient(
@@ -159,24 +159,28 @@
         this.random = random;
         this.safeguards = safeguards;
         table.onChange(this::changed);
-        table.onRefused(this::waits);
+        table.onRefused(this::addWaiting);
     }
 
     // ---- use by the process ----
 
     /** From now on requests the role whenever it is free, for leases of {@code ms} milliseconds. */
     public void want(String role, int ms) {
-        Own own = new Own(role, ms);
-        if (wanted.putIfAbsent(role, own) == null) {
-            ask(own);
+        WantedRole wantedRole = new WantedRole(role, ms);
+        if (wanted.putIfAbsent(role, wantedRole) == null) {
+            request(wantedRole);
         }
     }
 
     /** The token to act under now; empty if this process may not act. To be called before every action. */
     public OptionalLong mayAct(String role) {
-        Own own = wanted.get(role);
-        boolean may = own != null && own.holds && own.giving == null && host.nowUs() < own.untilUs;
-        return may ? OptionalLong.of(own.token) : OptionalLong.empty();
+        WantedRole wantedRole = wanted.get(role);
+        boolean may =
+                wantedRole != null
+                        && wantedRole.holds
+                        && wantedRole.releasing == null
+                        && host.nowUs() < wantedRole.untilUs;
+        return may ? OptionalLong.of(wantedRole.token) : OptionalLong.empty();
     }
 
     /** Begins an action; null if this process may not act. */
@@ -186,168 +190,180 @@
 
     /** Releases all held leases once their actions have ended; completes when that is done. */
     public CompletableFuture<Void> handOver() {
-        ending = true;
+        shuttingDown = true;
         List<CompletableFuture<Void>> all = new ArrayList<>();
-        for (Own own : wanted.values()) {
-            if (own.holds && own.giving == null) {
-                own.giving = new CompletableFuture<>();
-                if (own.acts == 0 || !safeguards.contains(Safeguard.LAST_ACT)) {
-                    giveBack(own);
+        for (WantedRole wantedRole : wanted.values()) {
+            if (wantedRole.holds && wantedRole.releasing == null) {
+                wantedRole.releasing = new CompletableFuture<>();
+                if (wantedRole.openActs == 0 || !safeguards.contains(Safeguard.LAST_ACT)) {
+                    release(wantedRole);
                 }
             }
-            if (own.giving != null) {
-                all.add(own.giving);
+            if (wantedRole.releasing != null) {
+                all.add(wantedRole.releasing);
             }
         }
         return CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0]));
     }
 
-    private void giveBack(Own own) {
-        if (!own.holds) {
-            own.giving.complete(null);
+    private void release(WantedRole wantedRole) {
+        if (!wantedRole.holds) {
+            wantedRole.releasing.complete(null);
             return;
         }
-        long token = own.token;
-        own.holds = false;
-        host.ended(own.role, token, "handed over");
-        group.propose(LeaseTable.release(own.role, token), HAND_OVER_US)
-                .whenComplete((answer, failed) -> own.giving.complete(null));
+        long token = wantedRole.token;
+        wantedRole.holds = false;
+        host.ended(wantedRole.role, token, "handed over");
+        group.propose(LeaseTable.release(wantedRole.role, token), RELEASE_TIMEOUT_US)
+                .whenComplete((answer, failed) -> wantedRole.releasing.complete(null));
     }
 
     // ---- requests and renewals ----
 
-    private void ask(Own own) {
-        if (ending || own.asking || own.holds) {
+    private void request(WantedRole wantedRole) {
+        if (shuttingDown || wantedRole.requesting || wantedRole.holds) {
             return;
         }
-        own.asking = true;
+        wantedRole.requesting = true;
         long askedUs = host.nowUs();
-        group.propose(LeaseTable.ask(own.role, name, generation, own.ms, own.seen), own.ms * MS)
+        group.propose(
+                        LeaseTable.ask(
+                                wantedRole.role,
+                                name,
+                                generation,
+                                wantedRole.ms,
+                                wantedRole.lastSeenToken),
+                        wantedRole.ms * US_PER_MS)
                 .whenComplete(
                         (answer, failed) -> {
-                            own.asking = false;
+                            wantedRole.requesting = false;
                             if (failed != null) {
-                                again(own, askedUs);
+                                retryLater(wantedRole, askedUs);
                                 return;
                             }
                             List<?> parts = (List<?>) answer;
                             long token = ((Number) parts.get(1)).longValue();
                             switch (Outcome.valueOf((String) parts.get(0))) {
-                                case HELD -> held(own, token, askedUs);
+                                case HELD -> leaseGranted(wantedRole, token, askedUs);
                                 case FREE -> {
-                                    own.seen = token;
+                                    wantedRole.lastSeenToken = token;
                                     host.after(
-                                            1 + random.nextInt((int) LEAST_AGAIN_US),
-                                            () -> ask(own));
+                                            1 + random.nextInt((int) MIN_RETRY_US),
+                                            () -> request(wantedRole));
                                 }
                                 default -> {
-                                    own.seen = token;
-                                    again(own, askedUs);
+                                    wantedRole.lastSeenToken = token;
+                                    retryLater(wantedRole, askedUs);
                                 }
                             }
                         });
     }
 
     /** Retries after a random delay, in case the notification that the role is free was lost. */
-    private void again(Own own, long askedUs) {
-        long us = own.ms * MS / 2 + (long) (random.nextDouble() * own.ms * MS / 2);
-        host.after(Math.max(LEAST_AGAIN_US, us), () -> ask(own));
+    private void retryLater(WantedRole wantedRole, long askedUs) {
+        long us =
+                wantedRole.ms * US_PER_MS / 2
+                        + (long) (random.nextDouble() * wantedRole.ms * US_PER_MS / 2);
+        host.after(Math.max(MIN_RETRY_US, us), () -> request(wantedRole));
     }
 
     /** When a lease requested or renewed at {@code askedUs} expires, by this process's clock. */
-    private long lastsUs(Own own, long askedUs) {
-        double part = safeguards.contains(Safeguard.BOUND) ? 1 - CLOCK_BOUND : 1;
+    private long expiryUs(WantedRole wantedRole, long askedUs) {
+        double factor = safeguards.contains(Safeguard.BOUND) ? 1 - CLOCK_BOUND : 1;
         return (safeguards.contains(Safeguard.FROM_ASKING) ? askedUs : host.nowUs())
-                + (long) (own.ms * MS * part);
+                + (long) (wantedRole.ms * US_PER_MS * factor);
     }
 
-    private void held(Own own, long token, long askedUs) {
-        if (ending) {
+    private void leaseGranted(WantedRole wantedRole, long token, long askedUs) {
+        if (shuttingDown) {
             // requested before the shutdown, no longer needed
-            group.propose(LeaseTable.release(own.role, token), HAND_OVER_US);
+            group.propose(LeaseTable.release(wantedRole.role, token), RELEASE_TIMEOUT_US);
             return;
         }
-        own.token = token;
-        own.seen = token;
-        own.untilUs = lastsUs(own, askedUs);
-        if (host.nowUs() >= own.untilUs) {
+        wantedRole.token = token;
+        wantedRole.lastSeenToken = token;
+        wantedRole.untilUs = expiryUs(wantedRole, askedUs);
+        if (host.nowUs() >= wantedRole.untilUs) {
             // expired on arrival; the voters will expire it, too
-            again(own, askedUs);
+            retryLater(wantedRole, askedUs);
             return;
         }
-        own.holds = true;
-        host.granted(own.role, token);
-        host.after(own.ms * MS / 3, () -> renew(own, token));
-        stopInTime(own, token);
+        wantedRole.holds = true;
+        host.granted(wantedRole.role, token);
+        host.after(wantedRole.ms * US_PER_MS / 3, () -> renew(wantedRole, token));
+        scheduleExpiry(wantedRole, token);
     }
 
-    private void renew(Own own, long token) {
-        if (!own.holds || own.token != token || own.giving != null) {
+    private void renew(WantedRole wantedRole, long token) {
+        if (!wantedRole.holds || wantedRole.token != token || wantedRole.releasing != null) {
             return;
         }
         long askedUs = host.nowUs();
-        group.propose(LeaseTable.renew(own.role, token), own.ms * MS / 3)
+        group.propose(LeaseTable.renew(wantedRole.role, token), wantedRole.ms * US_PER_MS / 3)
                 .whenComplete(
                         (answer, failed) -> {
-                            if (!own.holds || own.token != token) {
+                            if (!wantedRole.holds || wantedRole.token != token) {
                                 return;
                             }
                             if (failed == null
                                     && !Outcome.HELD.name().equals(((List<?>) answer).get(0))) {
-                                end(own, "the consensus group has ended it");
-                                ask(own);
+                                stopHolding(wantedRole, "the consensus group has ended it");
+                                request(wantedRole);
                             } else if (failed == null) {
-                                own.untilUs = Math.max(own.untilUs, lastsUs(own, askedUs));
+                                wantedRole.untilUs =
+                                        Math.max(wantedRole.untilUs, expiryUs(wantedRole, askedUs));
                                 host.after(
                                         Math.max(
-                                                LEAST_AGAIN_US,
-                                                askedUs + own.ms * MS / 3 - host.nowUs()),
-                                        () -> renew(own, token));
+                                                MIN_RETRY_US,
+                                                askedUs
+                                                        + wantedRole.ms * US_PER_MS / 3
+                                                        - host.nowUs()),
+                                        () -> renew(wantedRole, token));
                             } else {
-                                host.after(LEAST_AGAIN_US, () -> renew(own, token));
+                                host.after(MIN_RETRY_US, () -> renew(wantedRole, token));
                             }
                         });
     }
 
-    private void stopInTime(Own own, long token) {
+    private void scheduleExpiry(WantedRole wantedRole, long token) {
         host.after(
-                Math.max(1, own.untilUs - host.nowUs()),
+                Math.max(1, wantedRole.untilUs - host.nowUs()),
                 () -> {
-                    if (!own.holds || own.token != token) {
+                    if (!wantedRole.holds || wantedRole.token != token) {
                         return;
                     }
-                    if (host.nowUs() >= own.untilUs) {
-                        end(own, "not renewed in time");
-                        ask(own);
+                    if (host.nowUs() >= wantedRole.untilUs) {
+                        stopHolding(wantedRole, "not renewed in time");
+                        request(wantedRole);
                     } else {
-                        stopInTime(own, token);
+                        scheduleExpiry(wantedRole, token);
                     }
                 });
     }
 
-    private void end(Own own, String why) {
-        own.holds = false;
-        host.ended(own.role, own.token, why);
-        if (own.giving != null && own.acts == 0) {
-            own.giving.complete(null);
+    private void stopHolding(WantedRole wantedRole, String why) {
+        wantedRole.holds = false;
+        host.ended(wantedRole.role, wantedRole.token, why);
+        if (wantedRole.releasing != null && wantedRole.openActs == 0) {
+            wantedRole.releasing.complete(null);
         }
     }
 
     /** The leader has notified this process that a role is free. */
     public void notifiedFree(String role, long token) {
-        Own own = wanted.get(role);
-        if (own != null && !own.holds && token >= own.seen) {
-            own.seen = token;
-            ask(own);
+        WantedRole wantedRole = wanted.get(role);
+        if (wantedRole != null && !wantedRole.holds && token >= wantedRole.lastSeenToken) {
+            wantedRole.lastSeenToken = token;
+            request(wantedRole);
         }
     }
 
     // ---- in a voter ----
 
     /** Every voter records who was refused; the leader at the end of the lease notifies them. */
-    private void waits(String role, String who) {
+    private void addWaiting(String role, String who) {
         Set<String> all = waiting.computeIfAbsent(role, d -> new LinkedHashSet<>());
-        if (all.size() < MOST_WAITING) {
+        if (all.size() < MAX_WAITING) {
             all.add(who);
         }
     }
@@ -355,35 +371,36 @@
     private void changed(String role) {
         Lease lease = table.lease(role);
         if (lease != null) {
-            sinceUs.put(role, host.nowUs());
-            watch(role);
+            changedUs.put(role, host.nowUs());
+            watchExpiry(role);
             return;
         }
-        sinceUs.remove(role);
+        changedUs.remove(role);
         Set<String> all = waiting.remove(role);
         if (all != null && group.leads()) {
             all.forEach(who -> host.notifyFree(who, role, table.lastToken(role)));
         }
     }
 
-    private void watch(String role) {
+    private void watchExpiry(String role) {
         if (watched.add(role)) {
-            look(role);
+            checkExpiry(role);
         }
     }
 
-    private void look(String role) {
+    private void checkExpiry(String role) {
         Lease lease = table.lease(role);
         if (lease == null) {
             watched.remove(role);
             return;
         }
-        double part = safeguards.contains(Safeguard.BOUND) ? 1 + CLOCK_BOUND : 1;
-        long endsUs = sinceUs.get(role) + (long) (lease.ms() * MS * part);
+        double factor = safeguards.contains(Safeguard.BOUND) ? 1 + CLOCK_BOUND : 1;
+        long endsUs = changedUs.get(role) + (long) (lease.durationMs() * US_PER_MS * factor);
         long nowUs = host.nowUs();
         if (nowUs >= endsUs && group.leads()) {
-            group.propose(LeaseTable.expire(lease), lease.ms() * MS);
+            group.propose(LeaseTable.expire(lease), lease.durationMs() * US_PER_MS);
         }
-        host.after(nowUs >= endsUs ? LEAST_AGAIN_US * 5 : endsUs - nowUs + 1, () -> look(role));
+        host.after(
+                nowUs >= endsUs ? MIN_RETRY_US * 5 : endsUs - nowUs + 1, () -> checkExpiry(role));
     }
 }
--- a/src/main/java/holdproxy/lease/LeaseTable.java
+++ b/src/main/java/holdproxy/lease/LeaseTable.java
@@ -18,7 +18,7 @@
  */
 public final class LeaseTable implements StateMachine {
     /** Largest number of roles; their names come from the program and from operators. */
-    public static final int MOST_ROLES = 1_000;
+    public static final int MAX_ROLES = 1_000;
 
     /** Outcome of an operation, with the values that follow it in the answer. */
     public enum Outcome {
@@ -37,20 +37,20 @@
     private final Map<String, Lease> held = new TreeMap<>();
 
     /** Last token of each role that was ever held. */
-    private final Map<String, Long> last = new TreeMap<>();
+    private final Map<String, Long> lastTokens = new TreeMap<>();
 
-    private long tokens;
-    private Consumer<String> changed = role -> {};
-    private BiConsumer<String, String> refused = (role, name) -> {};
+    private long highestToken;
+    private Consumer<String> changeListener = role -> {};
+    private BiConsumer<String, String> refusalListener = (role, name) -> {};
 
     /** {@code listener} receives each role that is granted, renewed or ended, in log order. */
     public void onChange(Consumer<String> listener) {
-        changed = listener;
+        changeListener = listener;
     }
 
     /** {@code listener} receives the role and the process whose request was refused as taken. */
     public void onRefused(BiConsumer<String, String> listener) {
-        refused = listener;
+        refusalListener = listener;
     }
 
     /** The current lease of a role; null if nobody holds it. */
@@ -65,7 +65,7 @@
 
     /** The last token of a role; 0 if it was never held. */
     public long lastToken(String role) {
-        return last.getOrDefault(role, 0L);
+        return lastTokens.getOrDefault(role, 0L);
     }
 
     // ---- operations ----
@@ -92,15 +92,15 @@
         String role = (String) op.get(1);
         return switch ((String) op.get(0)) {
             case "ask" ->
-                    asked(
+                    applyRequest(
                             role,
                             (String) op.get(2),
                             number(op, 3),
                             (int) number(op, 4),
                             number(op, 5));
-            case "renew" -> renewed(role, number(op, 2));
-            case "release" -> ended(role, number(op, 2), -1);
-            case "expire" -> ended(role, number(op, 2), number(op, 3));
+            case "renew" -> applyRenewal(role, number(op, 2));
+            case "release" -> applyEnd(role, number(op, 2), -1);
+            case "expire" -> applyEnd(role, number(op, 2), number(op, 3));
             default -> throw new BadInput("unknown lease operation: " + op.get(0));
         };
     }
@@ -114,7 +114,7 @@
                 || lease.holder().equals(op.get(2)) && lease.generation() == number(op, 3)) {
             return null;
         }
-        refused.accept(lease.role(), (String) op.get(2));
+        refusalListener.accept(lease.role(), (String) op.get(2));
         return answer(Outcome.TAKEN, lease.token(), lease.holder());
     }
 
@@ -129,38 +129,40 @@
         return answer;
     }
 
-    private List<Object> asked(String role, String name, long generation, int ms, long seen) {
+    private List<Object> applyRequest(
+            String role, String name, long generation, int ms, long seen) {
         Lease lease = held.get(role);
         if (lease != null) {
             boolean own = lease.holder().equals(name) && lease.generation() == generation;
             if (own) {
                 // the holder counts from its repeated request, so the voters must count anew, too
-                return renewed(role, lease.token());
+                return applyRenewal(role, lease.token());
             }
-            refused.accept(role, name);
+            refusalListener.accept(role, name);
             return answer(Outcome.TAKEN, lease.token(), lease.holder());
         }
-        if (lastToken(role) != seen || last.size() >= MOST_ROLES && !last.containsKey(role)) {
+        if (lastToken(role) != seen
+                || lastTokens.size() >= MAX_ROLES && !lastTokens.containsKey(role)) {
             return answer(Outcome.FREE, lastToken(role));
         }
-        tokens++;
-        held.put(role, new Lease(role, tokens, name, generation, ms, 0));
-        last.put(role, tokens);
-        changed.accept(role);
-        return answer(Outcome.HELD, tokens, 0L);
+        highestToken++;
+        held.put(role, new Lease(role, highestToken, name, generation, ms, 0));
+        lastTokens.put(role, highestToken);
+        changeListener.accept(role);
+        return answer(Outcome.HELD, highestToken, 0L);
     }
 
-    private List<Object> renewed(String role, long token) {
+    private List<Object> applyRenewal(String role, long token) {
         Lease lease = held.get(role);
         if (lease == null || lease.token() != token) {
             return answer(Outcome.ENDED);
         }
         held.put(role, lease.renewed());
-        changed.accept(role);
+        changeListener.accept(role);
         return answer(Outcome.HELD, token, lease.renewals() + 1);
     }
 
-    private List<Object> ended(String role, long token, long renewals) {
+    private List<Object> applyEnd(String role, long token, long renewals) {
         Lease lease = held.get(role);
         if (lease == null
                 || lease.token() != token
@@ -168,7 +170,7 @@
             return answer(Outcome.UNCHANGED);
         }
         held.remove(role);
-        changed.accept(role);
+        changeListener.accept(role);
         return answer(Outcome.ENDED);
     }
 
@@ -177,8 +179,8 @@
     @Override
     public void clear() {
         held.clear();
-        last.clear();
-        tokens = 0;
+        lastTokens.clear();
+        highestToken = 0;
     }
 
     @Override
@@ -193,18 +195,18 @@
                                                 l.token(),
                                                 l.holder(),
                                                 l.generation(),
-                                                l.ms(),
+                                                l.durationMs(),
                                                 l.renewals())));
         List<Object> lasts = new ArrayList<>();
-        last.forEach((role, token) -> lasts.add(Arrays.asList(role, token)));
-        return List.of(Arrays.asList(tokens, leases, lasts));
+        lastTokens.forEach((role, token) -> lasts.add(Arrays.asList(role, token)));
+        return List.of(Arrays.asList(highestToken, leases, lasts));
     }
 
     @Override
     public void restore(List<Object> parts) {
         List<?> all = (List<?>) parts.get(0);
         clear();
-        tokens = number(all, 0);
+        highestToken = number(all, 0);
         for (Object each : (List<?>) all.get(1)) {
             List<?> l = (List<?>) each;
             held.put(
@@ -219,8 +221,8 @@
         }
         for (Object each : (List<?>) all.get(2)) {
             List<?> pair = (List<?>) each;
-            last.put((String) pair.get(0), number(pair, 1));
+            lastTokens.put((String) pair.get(0), number(pair, 1));
         }
-        last.keySet().forEach(changed);
+        lastTokens.keySet().forEach(changeListener);
     }
 }
--- a/src/main/java/holdproxy/membership/Gossip.java
+++ b/src/main/java/holdproxy/membership/Gossip.java
@@ -17,13 +17,13 @@
         }
     }
 
-    private final Map<String, Update> all = new LinkedHashMap<>();
+    private final Map<String, Update> queued = new LinkedHashMap<>();
 
     /** Queues an update and removes the queued updates that it replaces. */
     void add(Member member) {
-        all.values().removeIf(update -> isReplaced(update.member, member));
+        queued.values().removeIf(update -> isReplaced(update.member, member));
         String key = member.name() + " " + member.by() + " " + member.state();
-        all.put(key, new Update(member));
+        queued.put(key, new Update(member));
     }
 
     private static boolean isReplaced(Member earlier, Member later) {
@@ -33,21 +33,21 @@
     }
 
     /**
-     * Returns at most {@code most} updates, those about the receiver first, then the least often sent. An
-     * update that has been sent {@code rounds} times is removed.
+     * Returns at most {@code maxUpdates} updates, those about the receiver first, then the least often sent.
+     * An update that has been sent {@code maxSends} times is removed.
      */
-    List<Member> next(String receiver, int most, int rounds) {
-        List<Update> least = new ArrayList<>(all.values());
-        least.sort(
+    List<Member> next(String receiver, int maxUpdates, int maxSends) {
+        List<Update> leastSent = new ArrayList<>(queued.values());
+        leastSent.sort(
                 Comparator.comparingInt(
                         (Update update) ->
                                 update.member.name().equals(receiver) ? -1 : update.sent));
         List<Member> members = new ArrayList<>();
-        for (Update each : least.subList(0, Math.min(least.size(), most))) {
+        for (Update each : leastSent.subList(0, Math.min(leastSent.size(), maxUpdates))) {
             members.add(each.member);
             each.sent++;
         }
-        all.values().removeIf(update -> update.sent >= rounds);
+        queued.values().removeIf(update -> update.sent >= maxSends);
         return members;
     }
 }
--- a/src/main/java/holdproxy/membership/Links.java
+++ b/src/main/java/holdproxy/membership/Links.java
@@ -43,15 +43,15 @@
     public static final int LONGEST_FRAME = 1 << 20;
 
     private static final int VERSION = 1;
-    private static final int HEAD = 2;
-    private static final int LENGTH = 4;
-    private static final int MOST_CONNECTIONS = 2048;
-    private static final int MOST_WAITING = 64;
-    private static final int MOST_UNSENT = 4 << 20;
-    private static final int CONNECT_MS = 1_000;
-    private static final int IDLE_S = 30;
-    private static final int SILENT_S = 120;
-    private static final long AGAIN_NS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final int HEADER_BYTES = 2;
+    private static final int LENGTH_BYTES = 4;
+    private static final int MAX_CONNECTIONS = 2048;
+    private static final int MAX_QUEUED_FRAMES = 64;
+    private static final int MAX_UNSENT_BYTES = 4 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int IDLE_TIMEOUT_S = 30;
+    private static final int READ_TIMEOUT_S = 120;
+    private static final long RECONNECT_DELAY_NS = TimeUnit.MILLISECONDS.toNanos(200);
 
     /** Receives frames on the event loop; if it throws {@link BadInput}, the connection is closed. */
     public interface Receiver {
@@ -106,7 +106,7 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel ch) {
-                                        if (incoming.size() >= MOST_CONNECTIONS) {
+                                        if (incoming.size() >= MAX_CONNECTIONS) {
                                             ch.close();
                                             return;
                                         }
@@ -114,14 +114,16 @@
                                         ch.closeFuture().addListener(f -> incoming.remove(ch));
                                         ch.pipeline()
                                                 .addLast(
-                                                        new IdleStateHandler(SILENT_S, 0, 0),
+                                                        new IdleStateHandler(READ_TIMEOUT_S, 0, 0),
                                                         new LengthFieldBasedFrameDecoder(
-                                                                LONGEST_FRAME + LENGTH + HEAD,
+                                                                LONGEST_FRAME
+                                                                        + LENGTH_BYTES
+                                                                        + HEADER_BYTES,
                                                                 0,
-                                                                LENGTH,
+                                                                LENGTH_BYTES,
                                                                 0,
-                                                                LENGTH),
-                                                        new Incoming());
+                                                                LENGTH_BYTES),
+                                                        new IncomingHandler());
                                     }
                                 })
                         .bind(address);
@@ -146,17 +148,17 @@
 
     /** Sends to the route of this name, if there is one, else to the address; the name may be null. */
     public void send(String name, String address, int kind, byte[] frame) {
-        InetSocketAddress to = target(name, address);
+        InetSocketAddress to = resolve(name, address);
         if (to == null || frame.length > LONGEST_FRAME) {
             dropped++;
             return;
         }
         Outgoing link = outgoing.get(to);
         if (link == null) {
-            if (outgoing.size() >= MOST_CONNECTIONS) {
+            if (outgoing.size() >= MAX_CONNECTIONS) {
                 outgoing.values().removeIf(o -> o.failed);
             }
-            if (outgoing.size() >= MOST_CONNECTIONS) {
+            if (outgoing.size() >= MAX_CONNECTIONS) {
                 dropped++;
                 return;
             }
@@ -167,14 +169,14 @@
     }
 
     /** Closes the connection to a process that does not answer; the next frame opens a new one. */
-    public void renew(String name, String address) {
-        Outgoing link = outgoing.get(target(name, address));
+    public void closeConnection(String name, String address) {
+        Outgoing link = outgoing.get(resolve(name, address));
         if (link != null) {
-            link.end();
+            link.close();
         }
     }
 
-    private InetSocketAddress target(String name, String address) {
+    private InetSocketAddress resolve(String name, String address) {
         InetSocketAddress route = name == null ? null : routes.get(name);
         if (route != null) {
             return route;
@@ -192,13 +194,13 @@
             listener.close();
         }
         List.copyOf(incoming).forEach(Channel::close);
-        List.copyOf(outgoing.values()).forEach(Outgoing::end);
+        List.copyOf(outgoing.values()).forEach(Outgoing::close);
     }
 
     /** The outgoing connection to one address. */
     private final class Outgoing {
         private final InetSocketAddress to;
-        private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
+        private final ArrayDeque<ByteBuf> queued = new ArrayDeque<>();
         private Channel channel;
         private boolean open;
         private boolean failed;
@@ -209,14 +211,14 @@
         }
 
         void send(int kind, byte[] frame) {
-            if (failed && System.nanoTime() - failedNs < AGAIN_NS
-                    || waiting.size() >= MOST_WAITING
+            if (failed && System.nanoTime() - failedNs < RECONNECT_DELAY_NS
+                    || queued.size() >= MAX_QUEUED_FRAMES
                     || open && !channel.isWritable()) {
                 dropped++;
                 return;
             }
-            ByteBuf bytes = Unpooled.buffer(LENGTH + HEAD + frame.length);
-            bytes.writeInt(HEAD + frame.length)
+            ByteBuf bytes = Unpooled.buffer(LENGTH_BYTES + HEADER_BYTES + frame.length);
+            bytes.writeInt(HEADER_BYTES + frame.length)
                     .writeByte(VERSION)
                     .writeByte(kind)
                     .writeBytes(frame);
@@ -226,7 +228,7 @@
                 channel.writeAndFlush(bytes);
                 return;
             }
-            waiting.add(bytes);
+            queued.add(bytes);
             if (channel == null) {
                 connect();
             }
@@ -239,18 +241,20 @@
                             .group(loop)
                             .channel(NioSocketChannel.class)
                             .option(ChannelOption.TCP_NODELAY, true)
-                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                             .option(
                                     ChannelOption.WRITE_BUFFER_WATER_MARK,
-                                    new WriteBufferWaterMark(MOST_UNSENT / 2, MOST_UNSENT))
+                                    new WriteBufferWaterMark(
+                                            MAX_UNSENT_BYTES / 2, MAX_UNSENT_BYTES))
                             .handler(
                                     new ChannelInitializer<SocketChannel>() {
                                         @Override
                                         protected void initChannel(SocketChannel ch) {
                                             ch.pipeline()
                                                     .addLast(
-                                                            new IdleStateHandler(0, IDLE_S, 0),
-                                                            new Ending());
+                                                            new IdleStateHandler(
+                                                                    0, IDLE_TIMEOUT_S, 0),
+                                                            new OutgoingHandler());
                                         }
                                     })
                             .connect(to);
@@ -260,31 +264,31 @@
                         if (!f.isSuccess()) {
                             failed = true;
                             failedNs = System.nanoTime();
-                            dropped += waiting.size();
-                            drop();
+                            dropped += queued.size();
+                            releaseQueued();
                             channel = null;
                             return;
                         }
                         open = true;
-                        waiting.forEach(channel::write);
-                        waiting.clear();
+                        queued.forEach(channel::write);
+                        queued.clear();
                         channel.flush();
-                        channel.closeFuture().addListener(c -> over());
+                        channel.closeFuture().addListener(c -> closed());
                     });
         }
 
-        private void over() {
+        private void closed() {
             open = false;
-            drop();
+            releaseQueued();
             outgoing.remove(to, this);
         }
 
-        private void drop() {
-            waiting.forEach(ByteBuf::release);
-            waiting.clear();
+        private void releaseQueued() {
+            queued.forEach(ByteBuf::release);
+            queued.clear();
         }
 
-        void end() {
+        void close() {
             if (channel != null) {
                 channel.close();
             }
@@ -292,7 +296,7 @@
     }
 
     /** Closes an outgoing connection that is idle or has failed; what it receives is ignored. */
-    private static final class Ending extends SimpleChannelInboundHandler<Object> {
+    private static final class OutgoingHandler extends SimpleChannelInboundHandler<Object> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object message) {
             // nothing is expected on an outgoing connection
@@ -310,10 +314,10 @@
     }
 
     /** Reads frames from a connection that another process has opened. */
-    private final class Incoming extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class IncomingHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            if (frame.readableBytes() < HEAD || frame.readByte() != VERSION) {
+            if (frame.readableBytes() < HEADER_BYTES || frame.readByte() != VERSION) {
                 throw new BadInput("unsupported frame version, or frame too short");
             }
             Receiver receiver = receivers.get((int) frame.readByte());
--- a/src/main/java/holdproxy/membership/Member.java
+++ b/src/main/java/holdproxy/membership/Member.java
@@ -44,7 +44,7 @@
         return generation == other.generation && incarnation == other.incarnation;
     }
 
-    Member as(State now, String saidBy) {
-        return new Member(name, address, generation, incarnation, now, saidBy);
+    Member withState(State newState, String reportedBy) {
+        return new Member(name, address, generation, incarnation, newState, reportedBy);
     }
 }
--- a/src/main/java/holdproxy/membership/Membership.java
+++ b/src/main/java/holdproxy/membership/Membership.java
@@ -24,19 +24,18 @@
  * the suspect and other processes are probed once more, and the others must answer while the suspect does
  * not. So a process that is cut off from the network cannot declare the others dead.
  *
- * <p>Bounded: {@link #MOST_MEMBERS} processes, and {@link Settings#updatesPerMessage} gossiped updates a
- * message.
+ * <p>Bounded: {@link #MOST_MEMBERS} processes, {@link Settings#updatesPerMessage} updates a message.
  */
 public final class Membership {
     public static final int MOST_MEMBERS = 1000;
-    private static final int VIEW_PART = 64;
-    private static final int MOST_ASKED_FOR = 256;
-    private static final int WORST_HEALTH = 8;
-    private static final long JOIN_AGAIN_US = 1_000_000;
-    private static final long RECONNECT_US = 5_000_000;
-    private static final long VIEW_AGAIN_US = 5_000_000;
+    private static final int MEMBERS_PER_VIEW = 64;
+    private static final int MAX_RELAYED_PINGS = 256;
+    private static final int MAX_HEALTH_SCORE = 8;
+    private static final long JOIN_RETRY_US = 1_000_000;
+    private static final long RECONNECT_INTERVAL_US = 5_000_000;
+    private static final long VIEW_INTERVAL_US = 5_000_000;
     private static final long SETTLED_US = 2_000_000;
-    private static final long FORGET_US = 600_000_000;
+    private static final long GONE_RETENTION_US = 600_000_000;
 
     /** A safeguard that simulations can switch off, to show that it is needed. */
     public enum Safeguard {
@@ -64,12 +63,11 @@
      * @param periodUs interval between probes, in microseconds; each probes one process
      * @param timeoutUs time without an answer after which other processes are asked to probe the target
      * @param helpers number of processes asked to do so
-     * @param suspicionPeriods shortest suspicion timeout in probe periods, times the decimal logarithm of the
-     *     fleet's size
+     * @param suspicionPeriods shortest suspicion timeout in periods, times the decimal logarithm of the fleet
      * @param suspicionSpread ratio of the longest suspicion timeout (one process suspects) to the shortest
      * @param voices number of further suspecting processes that bring the timeout down to the shortest
      * @param updatesPerMessage gossiped updates in a message
-     * @param gossipRounds how often an update is sent, times the binary logarithm of the fleet's size
+     * @param gossipRounds how often an update is sent, times the binary logarithm of the fleet
      */
     public record Settings(
             long periodUs,
@@ -92,13 +90,13 @@
 
         long suspectedUs;
         long heardUs = Long.MIN_VALUE;
-        long overUs;
+        long goneUs;
 
         /** Last probe before it is declared dead: sequence number (0: none), time, others answered. */
-        long lastSeq;
+        long finalProbeSeq;
 
-        long lastUs;
-        boolean othersAnswer;
+        long finalProbeUs;
+        boolean helperAnswered;
 
         Entry(Member member) {
             this.member = member;
@@ -106,7 +104,7 @@
     }
 
     /** A ping sent on behalf of another process. */
-    private record AskedFor(String asker, long askersSeq, String target, long nackUs) {}
+    private record RelayedPing(String requester, long requesterSeq, String target, long nackUs) {}
 
     private final Settings settings;
     private final List<String> seeds;
@@ -115,27 +113,27 @@
     private final Set<Safeguard> safeguards;
     private final Map<String, Entry> entries = new TreeMap<>();
     private final Gossip gossip = new Gossip();
-    private final Map<Long, AskedFor> askedFor = new LinkedHashMap<>();
-    private final List<String> round = new ArrayList<>();
+    private final Map<Long, RelayedPing> relayedPings = new LinkedHashMap<>();
+    private final List<String> probeOrder = new ArrayList<>();
     private Member self;
     private boolean joined;
-    private boolean over;
-    private int health;
+    private boolean stopped;
+    private int healthScore;
     private long seq;
 
     private String probed;
     private long probeSeq;
     private long probeStartUs;
-    private long helpUs;
+    private long indirectUs;
     private long probeEndUs;
     private boolean answered;
-    private boolean helped;
+    private boolean indirectSent;
     private int helpersAsked;
     private int nacks;
 
     private long joinUs;
     private long reconnectUs;
-    private long askedViewUs = Long.MIN_VALUE / 2;
+    private long viewRequestedUs = Long.MIN_VALUE / 2;
     private long changedUs;
     private long lastHeardUs = Long.MIN_VALUE / 2;
     private long dueUs;
@@ -186,7 +184,7 @@
         this.safeguards = safeguards;
         self = new Member(name, address, generation, 0, State.ALIVE, name);
         joinUs = nowUs;
-        reconnectUs = nowUs + RECONNECT_US;
+        reconnectUs = nowUs + RECONNECT_INTERVAL_US;
         probeEndUs = nowUs + random.nextInt((int) settings.periodUs);
         dueUs = nowUs;
         changedUs = nowUs;
@@ -210,45 +208,53 @@
 
     /** When {@link #tick} has to be called next; {@link Long#MAX_VALUE}: never again. */
     public long dueUs() {
-        return over ? Long.MAX_VALUE : dueUs;
+        return stopped ? Long.MAX_VALUE : dueUs;
     }
 
     // ---- time ----
 
     /** Runs what is due; to be called at {@link #dueUs} or as soon as possible after it. */
     public void tick(long nowUs) {
-        if (over) {
+        if (stopped) {
             return;
         }
-        joinOn(nowUs);
-        probeOn(nowUs);
-        nackOn(nowUs);
-        judge(nowUs);
-        reconnectOn(nowUs);
-        entries.values().removeIf(e -> !e.member.live() && nowUs - e.overUs > FORGET_US);
-        due(nowUs);
+        joinIfDue(nowUs);
+        probeIfDue(nowUs);
+        sendDueNacks(nowUs);
+        checkSuspicions(nowUs);
+        reconnectIfDue(nowUs);
+        entries.values().removeIf(e -> !e.member.live() && nowUs - e.goneUs > GONE_RETENTION_US);
+        updateDueUs(nowUs);
     }
 
-    private void due(long nowUs) {
+    private void updateDueUs(long nowUs) {
         long next = reconnectUs;
         if (!joined && !seeds.isEmpty()) {
             next = Math.min(next, joinUs);
         }
-        next = Math.min(next, probed != null && !helped && !answered ? helpUs : probeEndUs);
-        for (AskedFor each : askedFor.values()) {
+        next =
+                Math.min(
+                        next,
+                        probed != null && !indirectSent && !answered ? indirectUs : probeEndUs);
+        for (RelayedPing each : relayedPings.values()) {
             next = Math.min(next, each.nackUs);
         }
         for (Entry e : entries.values()) {
             if (e.member.state() == State.SUSPECT) {
-                next = Math.min(next, e.lastSeq > 0 ? e.lastUs + lastWaitUs() : endsUs(e));
+                next =
+                        Math.min(
+                                next,
+                                e.finalProbeSeq > 0
+                                        ? e.finalProbeUs + finalProbeTimeoutUs()
+                                        : suspicionEndsUs(e));
             }
         }
         dueUs = Math.max(nowUs + 1, next);
     }
 
-    private void joinOn(long nowUs) {
+    private void joinIfDue(long nowUs) {
         if (!joined && nowUs >= joinUs) {
-            joinUs = nowUs + JOIN_AGAIN_US;
+            joinUs = nowUs + JOIN_RETRY_US;
             for (String seed : seeds) {
                 out.send(null, seed, message(Kind.ASK_VIEW, ++seq, "", List.of()));
             }
@@ -256,11 +262,11 @@
     }
 
     /** Contacts a dead process and an unknown seed now and then, so that a partitioned fleet merges again. */
-    private void reconnectOn(long nowUs) {
+    private void reconnectIfDue(long nowUs) {
         if (nowUs < reconnectUs) {
             return;
         }
-        reconnectUs = nowUs + RECONNECT_US + random.nextInt((int) RECONNECT_US);
+        reconnectUs = nowUs + RECONNECT_INTERVAL_US + random.nextInt((int) RECONNECT_INTERVAL_US);
         List<Member> gone =
                 entries.values().stream().map(e -> e.member).filter(m -> !m.live()).toList();
         if (!gone.isEmpty()) {
@@ -282,11 +288,11 @@
 
     // ---- probing ----
 
-    private void probeOn(long nowUs) {
-        if (probed != null && !answered && !helped && nowUs >= helpUs) {
-            helped = true;
+    private void probeIfDue(long nowUs) {
+        if (probed != null && !answered && !indirectSent && nowUs >= indirectUs) {
+            indirectSent = true;
             Member target = entries.get(probed).member;
-            for (Member helper : some(settings.helpers, probed)) {
+            for (Member helper : randomAlive(settings.helpers, probed)) {
                 helpersAsked++;
                 send(helper, Kind.PING_REQUEST, probeSeq, probed);
             }
@@ -297,38 +303,37 @@
             return;
         }
         if (probed != null && answered) {
-            better();
+            lowerHealthScore();
         } else if (probed != null) {
-            missed(nowUs);
+            probeFailed(nowUs);
         }
-        next(nowUs);
+        startProbe(nowUs);
     }
 
-    private void missed(long nowUs) {
+    private void probeFailed(long nowUs) {
         Entry target = entries.get(probed);
-        // a NACK shows that the helper is reachable but the target is not; missing NACKs point to a
-        // fault of this process
-        worse(helpersAsked > nacks ? 1 : 0);
+        // NACKs show that the target is at fault, missing NACKs that this process may be
+        raiseHealthScore(helpersAsked > nacks ? 1 : 0);
         boolean heard =
                 lastHeardUs >= probeStartUs
                         || !safeguards.contains(Safeguard.LAST_QUESTION)
-                        || live() == 1;
+                        || liveCount() == 1;
         if (target != null && target.member.live() && heard) {
-            suspected(target, target.member.as(State.SUSPECT, self.name()), nowUs);
+            suspect(target, target.member.withState(State.SUSPECT, self.name()), nowUs);
         }
     }
 
-    private void next(long nowUs) {
+    private void startProbe(long nowUs) {
         probed = nextTarget();
-        long scale = 1 + health;
+        long scale = 1 + healthScore;
         probeEndUs = nowUs + settings.periodUs * scale;
         if (probed != null) {
             answered = false;
-            helped = false;
+            indirectSent = false;
             helpersAsked = 0;
             nacks = 0;
             probeStartUs = nowUs;
-            helpUs = nowUs + settings.timeoutUs * scale;
+            indirectUs = nowUs + settings.timeoutUs * scale;
             probeSeq = ++seq;
             Member target = entries.get(probed).member;
             send(target, Kind.PING, probeSeq, "");
@@ -338,17 +343,17 @@
     /** Round-robin in a random order drawn anew for each round, so the wait is at most two rounds. */
     private String nextTarget() {
         while (true) {
-            if (round.isEmpty()) {
+            if (probeOrder.isEmpty()) {
                 entries.values().stream()
                         .map(e -> e.member)
                         .filter(Member::live)
-                        .forEach(m -> round.add(m.name()));
-                if (round.isEmpty()) {
+                        .forEach(m -> probeOrder.add(m.name()));
+                if (probeOrder.isEmpty()) {
                     return null;
                 }
-                Collections.shuffle(round, random);
+                Collections.shuffle(probeOrder, random);
             }
-            String name = round.remove(round.size() - 1);
+            String name = probeOrder.remove(probeOrder.size() - 1);
             Entry entry = entries.get(name);
             if (entry != null && entry.member.live()) {
                 return name;
@@ -356,32 +361,33 @@
         }
     }
 
-    private List<Member> some(int most, String but) {
+    private List<Member> randomAlive(int max, String except) {
         List<Member> all = new ArrayList<>();
         entries.values().stream()
                 .map(e -> e.member)
-                .filter(m -> m.state() == State.ALIVE && !m.name().equals(but))
+                .filter(m -> m.state() == State.ALIVE && !m.name().equals(except))
                 .forEach(all::add);
         Collections.shuffle(all, random);
-        return all.subList(0, Math.min(most, all.size()));
+        return all.subList(0, Math.min(max, all.size()));
     }
 
-    private void worse(int by) {
-        health = Math.min(WORST_HEALTH, health + by);
+    private void raiseHealthScore(int by) {
+        healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + by);
     }
 
-    private void better() {
-        health = Math.max(0, health - 1);
+    private void lowerHealthScore() {
+        healthScore = Math.max(0, healthScore - 1);
     }
 
-    private void nackOn(long nowUs) {
-        askedFor.values()
+    private void sendDueNacks(long nowUs) {
+        relayedPings
+                .values()
                 .removeIf(
                         each -> {
                             boolean due = nowUs >= each.nackUs;
-                            Entry asker = entries.get(each.asker);
+                            Entry asker = entries.get(each.requester);
                             if (due && asker != null) {
-                                send(asker.member, Kind.NACK, each.askersSeq, each.target);
+                                send(asker.member, Kind.NACK, each.requesterSeq, each.target);
                             }
                             return due;
                         });
@@ -389,13 +395,13 @@
 
     // ---- suspicion ----
 
-    private void suspected(Entry entry, Member update, long nowUs) {
+    private void suspect(Entry entry, Member update, long nowUs) {
         Member before = entry.member;
         if (before.state() != State.SUSPECT) {
             entry.suspectedUs = nowUs;
-            entry.lastSeq = 0;
+            entry.finalProbeSeq = 0;
             entry.suspectedBy.clear();
-            hold(entry, update);
+            setMember(entry, update);
         }
         boolean isNew =
                 entry.suspectedBy.size() <= settings.voices && entry.suspectedBy.add(update.by());
@@ -408,59 +414,61 @@
     }
 
     /** When the suspicion times out: the more processes suspect independently, the sooner. */
-    private long endsUs(Entry entry) {
-        double least =
-                settings.suspicionPeriods * settings.periodUs * Math.max(1, Math.log10(live() + 1));
-        double most = least * settings.suspicionSpread;
+    private long suspicionEndsUs(Entry entry) {
+        double min =
+                settings.suspicionPeriods
+                        * settings.periodUs
+                        * Math.max(1, Math.log10(liveCount() + 1));
+        double max = min * settings.suspicionSpread;
         int further = Math.max(0, entry.suspectedBy.size() - 1);
-        double part = Math.log(further + 1) / Math.log(settings.voices + 1);
-        return entry.suspectedUs + (long) Math.max(least, most - (most - least) * part);
+        double fraction = Math.log(further + 1) / Math.log(settings.voices + 1);
+        return entry.suspectedUs + (long) Math.max(min, max - (max - min) * fraction);
     }
 
-    private void judge(long nowUs) {
+    private void checkSuspicions(long nowUs) {
         for (Entry e : List.copyOf(entries.values())) {
-            if (e.member.state() != State.SUSPECT || nowUs < endsUs(e)) {
+            if (e.member.state() != State.SUSPECT || nowUs < suspicionEndsUs(e)) {
                 continue;
             }
-            boolean alone = live() == 1 || !safeguards.contains(Safeguard.LAST_QUESTION);
+            boolean alone = liveCount() == 1 || !safeguards.contains(Safeguard.LAST_QUESTION);
             if (e.heardUs > e.suspectedUs) {
                 // it has been heard from since it became suspect
                 Member before = e.member;
-                hold(e, before.as(State.ALIVE, before.name()));
+                setMember(e, before.withState(State.ALIVE, before.name()));
                 changed(before, e, 1, nowUs);
             } else if (alone) {
-                died(e, e.member.as(State.DEAD, self.name()), nowUs);
-            } else if (e.lastSeq == 0) {
-                askOnceMore(e, nowUs);
-            } else if (nowUs >= e.lastUs + lastWaitUs() && e.othersAnswer) {
-                died(e, e.member.as(State.DEAD, self.name()), nowUs);
-            } else if (nowUs >= e.lastUs + lastWaitUs()) {
+                declareDead(e, e.member.withState(State.DEAD, self.name()), nowUs);
+            } else if (e.finalProbeSeq == 0) {
+                startFinalProbe(e, nowUs);
+            } else if (nowUs >= e.finalProbeUs + finalProbeTimeoutUs() && e.helperAnswered) {
+                declareDead(e, e.member.withState(State.DEAD, self.name()), nowUs);
+            } else if (nowUs >= e.finalProbeUs + finalProbeTimeoutUs()) {
                 // nobody answered: this process itself may be cut off
                 e.suspectedUs = nowUs;
-                e.lastSeq = 0;
+                e.finalProbeSeq = 0;
             }
         }
     }
 
     /** Pings the suspect directly and through others, whose answers show that this process is not cut off. */
-    private void askOnceMore(Entry suspect, long nowUs) {
-        suspect.lastSeq = ++seq;
-        suspect.lastUs = nowUs;
-        suspect.othersAnswer = false;
-        send(suspect.member, Kind.PING, suspect.lastSeq, "");
-        for (Member helper : some(settings.helpers, suspect.member.name())) {
-            send(helper, Kind.PING_REQUEST, suspect.lastSeq, suspect.member.name());
+    private void startFinalProbe(Entry suspect, long nowUs) {
+        suspect.finalProbeSeq = ++seq;
+        suspect.finalProbeUs = nowUs;
+        suspect.helperAnswered = false;
+        send(suspect.member, Kind.PING, suspect.finalProbeSeq, "");
+        for (Member helper : randomAlive(settings.helpers, suspect.member.name())) {
+            send(helper, Kind.PING_REQUEST, suspect.finalProbeSeq, suspect.member.name());
         }
     }
 
-    private long lastWaitUs() {
-        return 2 * settings.timeoutUs * (1 + health);
+    private long finalProbeTimeoutUs() {
+        return 2 * settings.timeoutUs * (1 + healthScore);
     }
 
-    private void died(Entry entry, Member update, long nowUs) {
+    private void declareDead(Entry entry, Member update, long nowUs) {
         Member before = entry.member;
-        hold(entry, update);
-        entry.overUs = nowUs;
+        setMember(entry, update);
+        entry.goneUs = nowUs;
         gossip.add(update);
         changed(before, entry, entry.suspectedBy.size(), nowUs);
     }
@@ -469,16 +477,16 @@
 
     /** Handles a message. */
     public void received(long nowUs, Message message) {
-        if (over
+        if (stopped
                 || message.sender().name().equals(self.name())
                         && message.sender().generation() == self.generation()) {
             return;
         }
         if (message.sender().name().equals(self.name())) {
-            namesake(nowUs, message);
+            handleNamesake(nowUs, message);
             return;
         }
-        learn(message.sender(), nowUs);
+        applyUpdate(message.sender(), nowUs);
         Entry sender = entries.get(message.sender().name());
         if (sender == null || sender.member.generation() > message.sender().generation()) {
             // the table is full, or an earlier generation still sends: tell it of the later one
@@ -492,26 +500,26 @@
         }
         sender.heardUs = nowUs;
         lastHeardUs = nowUs;
-        message.updates().forEach(update -> learn(update, nowUs));
-        if (over) {
+        message.updates().forEach(update -> applyUpdate(update, nowUs));
+        if (stopped) {
             return;
         }
-        take(nowUs, message, sender.member);
-        lookForDifference(nowUs, message, sender.member);
-        due(Math.min(nowUs, dueUs));
+        handle(nowUs, message, sender.member);
+        compareDigest(nowUs, message, sender.member);
+        updateDueUs(Math.min(nowUs, dueUs));
     }
 
-    private void take(long nowUs, Message message, Member sender) {
+    private void handle(long nowUs, Message message, Member sender) {
         switch (message.kind()) {
             case PING -> send(sender, Kind.ACK, message.seq(), "");
-            case ACK -> acknowledged(nowUs, message);
-            case NACK -> notAcknowledged(message);
+            case ACK -> handleAck(nowUs, message);
+            case NACK -> handleNack(message);
             case PING_REQUEST -> {
                 Entry target = entries.get(message.target());
-                if (target != null && askedFor.size() < MOST_ASKED_FOR) {
-                    askedFor.put(
+                if (target != null && relayedPings.size() < MAX_RELAYED_PINGS) {
+                    relayedPings.put(
                             ++seq,
-                            new AskedFor(
+                            new RelayedPing(
                                     sender.name(),
                                     message.seq(),
                                     message.target(),
@@ -519,25 +527,25 @@
                     send(target.member, Kind.PING, seq, "");
                 }
             }
-            case ASK_VIEW -> tellAll(sender, message.seq());
+            case ASK_VIEW -> sendView(sender, message.seq());
             default -> joined = true; // VIEW: its updates have been applied by received()
         }
     }
 
-    private void notAcknowledged(Message message) {
+    private void handleNack(Message message) {
         nacks += message.seq() == probeSeq ? 1 : 0;
         Entry suspect = entries.get(message.target());
-        if (suspect != null && message.seq() == suspect.lastSeq) {
-            suspect.othersAnswer = true;
+        if (suspect != null && message.seq() == suspect.finalProbeSeq) {
+            suspect.helperAnswered = true;
         }
     }
 
-    private void acknowledged(long nowUs, Message message) {
-        AskedFor ours = askedFor.remove(message.seq());
-        if (ours != null) {
-            Entry asker = entries.get(ours.asker);
+    private void handleAck(long nowUs, Message message) {
+        RelayedPing relayed = relayedPings.remove(message.seq());
+        if (relayed != null) {
+            Entry asker = entries.get(relayed.requester);
             if (asker != null) {
-                send(asker.member, Kind.ACK, ours.askersSeq, ours.target);
+                send(asker.member, Kind.ACK, relayed.requesterSeq, relayed.target);
             }
         } else if (message.seq() == probeSeq && probed != null) {
             answered = true;
@@ -546,27 +554,28 @@
             }
         } else {
             Entry suspect = entries.get(message.target());
-            if (suspect != null && message.seq() == suspect.lastSeq) {
+            if (suspect != null && message.seq() == suspect.finalProbeSeq) {
                 suspect.heardUs = nowUs;
             }
         }
     }
 
     /** Asks for all members if nothing has changed for a while and the digests still differ. */
-    private void lookForDifference(long nowUs, Message message, Member sender) {
+    private void compareDigest(long nowUs, Message message, Member sender) {
         if (!joined && nowUs >= joinUs && message.kind() != Kind.VIEW) {
-            joinUs = nowUs + JOIN_AGAIN_US;
+            joinUs = nowUs + JOIN_RETRY_US;
             send(sender, Kind.ASK_VIEW, ++seq, "");
             return;
         }
-        boolean settled = nowUs - changedUs > SETTLED_US && nowUs - askedViewUs > VIEW_AGAIN_US;
+        boolean settled =
+                nowUs - changedUs > SETTLED_US && nowUs - viewRequestedUs > VIEW_INTERVAL_US;
         if (settled && message.kind() != Kind.VIEW && message.digest() != digest()) {
-            askedViewUs = nowUs;
+            viewRequestedUs = nowUs;
             send(sender, Kind.ASK_VIEW, ++seq, "");
         }
     }
 
-    private void tellAll(Member to, long number) {
+    private void sendView(Member to, long number) {
         List<Member> all = new ArrayList<>();
         entries.values().forEach(e -> all.add(e.member));
         // the asker itself comes first: there may be a later generation of it
@@ -574,7 +583,7 @@
         if (asker > 0) {
             Collections.swap(all, 0, asker);
         }
-        for (int from = 0; from == 0 || from < all.size(); from += VIEW_PART) {
+        for (int from = 0; from == 0 || from < all.size(); from += MEMBERS_PER_VIEW) {
             out.send(
                     to.name().isEmpty() ? null : to.name(),
                     to.address(),
@@ -582,26 +591,28 @@
                             Kind.VIEW,
                             number,
                             "",
-                            all.subList(from, Math.min(all.size(), from + VIEW_PART))));
+                            all.subList(from, Math.min(all.size(), from + MEMBERS_PER_VIEW))));
         }
     }
 
-    private void learn(Member update, long nowUs) {
+    private void applyUpdate(Member update, long nowUs) {
         if (update.name().equals(self.name())) {
-            ofSelf(update, nowUs);
+            applyUpdateAboutSelf(update, nowUs);
             return;
         }
         Entry entry = entries.get(update.name());
         if (entry == null) {
             if (update.live() && entries.size() < MOST_MEMBERS) {
                 entry = new Entry(update);
-                othersDigest += of(update);
+                othersDigest += hash(update);
                 entry.suspectedUs = nowUs;
                 entries.put(update.name(), entry);
                 if (update.state() == State.SUSPECT) {
                     entry.suspectedBy.add(update.by());
                 }
-                round.add(round.isEmpty() ? 0 : random.nextInt(round.size() + 1), update.name());
+                probeOrder.add(
+                        probeOrder.isEmpty() ? 0 : random.nextInt(probeOrder.size() + 1),
+                        update.name());
                 gossip.add(update);
                 changed(null, entry, 1, nowUs);
             }
@@ -609,39 +620,39 @@
         }
         Member held = entry.member;
         if (update.sameIncarnation(held) && held.live() && update.state() == State.SUSPECT) {
-            suspected(entry, update, nowUs);
+            suspect(entry, update, nowUs);
         } else if (update.replaces(held)) {
-            replaced(entry, update, nowUs);
+            replace(entry, update, nowUs);
         }
     }
 
-    private void replaced(Entry entry, Member update, long nowUs) {
+    private void replace(Entry entry, Member update, long nowUs) {
         Member before = entry.member;
-        hold(entry, update);
+        setMember(entry, update);
         entry.suspectedBy.clear();
         entry.suspectedUs = nowUs;
-        entry.lastSeq = 0;
+        entry.finalProbeSeq = 0;
         if (update.state() == State.SUSPECT) {
             entry.suspectedBy.add(update.by());
         }
         if (!update.live()) {
-            entry.overUs = nowUs;
+            entry.goneUs = nowUs;
         }
         gossip.add(update);
-        boolean seen =
+        boolean visible =
                 before.state() != update.state()
                         || before.generation() != update.generation()
                         || !before.address().equals(update.address());
-        if (seen) {
+        if (visible) {
             changed(before, entry, 1, nowUs);
         }
     }
 
     /** An update about this process. */
-    private void ofSelf(Member update, long nowUs) {
+    private void applyUpdateAboutSelf(Member update, long nowUs) {
         if (update.generation() > self.generation()) {
             if (joined) {
-                over = true;
+                stopped = true;
                 out.superseded(update);
             } else {
                 // the clock went back or the disk was lost, but this start is the later one
@@ -669,20 +680,20 @@
                             update.incarnation() + 1,
                             State.ALIVE,
                             self.name());
-            worse(1);
+            raiseHealthScore(1);
             gossip.add(self);
         }
     }
 
     /** Another process has this name: the earlier generation stops, after sending its view to the later. */
-    private void namesake(long nowUs, Message message) {
+    private void handleNamesake(long nowUs, Message message) {
         Member other = message.sender();
         if (other.generation() > self.generation()) {
-            tellAll(new Member("", other.address(), 0, 0, State.ALIVE, ""), message.seq());
-            ofSelf(other, nowUs);
+            sendView(new Member("", other.address(), 0, 0, State.ALIVE, ""), message.seq());
+            applyUpdateAboutSelf(other, nowUs);
         } else if (message.kind() == Kind.VIEW) {
-            message.updates().forEach(update -> learn(update, nowUs));
-            due(Math.min(nowUs, dueUs));
+            message.updates().forEach(update -> applyUpdate(update, nowUs));
+            updateDueUs(Math.min(nowUs, dueUs));
         } else {
             out.send(null, other.address(), message(Kind.VIEW, message.seq(), "", List.of(self)));
         }
@@ -692,7 +703,7 @@
 
     /** Tells some of the other processes, which gossip it, that this process shuts down. */
     public void leave() {
-        if (over) {
+        if (stopped) {
             return;
         }
         self =
@@ -703,10 +714,10 @@
                         self.incarnation() + 1,
                         State.LEFT,
                         self.name());
-        for (Member member : some(settings.gossipRounds * log2(), "")) {
+        for (Member member : randomAlive(settings.gossipRounds * log2(), "")) {
             out.send(member.name(), member.address(), message(Kind.NACK, 0, "", List.of(self)));
         }
-        over = true;
+        stopped = true;
     }
 
     private void changed(Member before, Entry entry, int voices, long nowUs) {
@@ -735,7 +746,7 @@
         return new Message(kind, number, target, digest(), self, updates);
     }
 
-    private int live() {
+    private int liveCount() {
         int live = 0;
         for (Entry e : entries.values()) {
             live += e.member.live() ? 1 : 0;
@@ -744,21 +755,21 @@
     }
 
     private int log2() {
-        return 64 - Long.numberOfLeadingZeros(live() + 1L);
+        return 64 - Long.numberOfLeadingZeros(liveCount() + 1L);
     }
 
     /** Digest of the live members, independent of their order. */
     private long digest() {
-        return othersDigest + of(self);
+        return othersDigest + hash(self);
     }
 
-    private void hold(Entry entry, Member update) {
-        othersDigest -= entry.member.live() ? of(entry.member) : 0;
+    private void setMember(Entry entry, Member update) {
+        othersDigest -= entry.member.live() ? hash(entry.member) : 0;
         entry.member = update;
-        othersDigest += update.live() ? of(update) : 0;
+        othersDigest += update.live() ? hash(update) : 0;
     }
 
-    private static long of(Member member) {
+    private static long hash(Member member) {
         CRC32C crc = new CRC32C();
         crc.update(
                 (member.name() + " " + member.generation() + " " + member.incarnation())
--- a/src/main/java/holdproxy/membership/MembershipService.java
+++ b/src/main/java/holdproxy/membership/MembershipService.java
@@ -20,8 +20,8 @@
     /** Frame kind of membership messages. */
     static final int MEMBERSHIP = 1;
 
-    private static final long LEAVE_MS = 200;
-    private static final int COUNT_S = 10;
+    private static final long LEAVE_TIMEOUT_MS = 200;
+    private static final int COUNTER_INTERVAL_S = 10;
 
     /**
      * Identity and addresses of a process.
@@ -68,9 +68,9 @@
     private final Links links;
     private final Listener listener;
     private final long startNs = System.nanoTime();
-    private Membership rules;
+    private Membership membership;
     private Future<?> timer;
-    private long timerUs;
+    private long timerDueUs;
 
     private MembershipService(
             Place place, Function<String, InetSocketAddress> addresses, Listener listener) {
@@ -89,15 +89,15 @@
             Listener listener) {
         MembershipService service = new MembershipService(place, addresses, listener);
         try {
-            service.loop.submit(() -> service.begin(place, generation)).get();
+            service.loop.submit(() -> service.startMembership(place, generation)).get();
             service.loop.scheduleAtFixedRate(
                     () ->
                             listener.sent(
                                     service.links.sentFrames(),
                                     service.links.sentBytes(),
                                     service.links.dropped()),
-                    COUNT_S,
-                    COUNT_S,
+                    COUNTER_INTERVAL_S,
+                    COUNTER_INTERVAL_S,
                     TimeUnit.SECONDS);
             ChannelFuture bound = service.links.listen(place.listen()).await();
             if (!bound.isSuccess()) {
@@ -116,8 +116,8 @@
         return service;
     }
 
-    private void begin(Place place, long generation) {
-        rules =
+    private void startMembership(Place place, long generation) {
+        membership =
                 new Membership(
                         Membership.Settings.USUAL,
                         place.name(),
@@ -126,35 +126,35 @@
                         place.seeds(),
                         new Random(),
                         nowUs(),
-                        new Outward());
+                        new LinkOutput());
         links.receive(
                 MEMBERSHIP,
                 frame -> {
-                    rules.received(nowUs(), MessageCodec.message(frame));
-                    wake();
+                    membership.received(nowUs(), MessageCodec.message(frame));
+                    scheduleTick();
                 });
-        wake();
+        scheduleTick();
     }
 
     private long nowUs() {
         return (System.nanoTime() - startNs) / 1000;
     }
 
-    private void wake() {
-        long dueUs = rules.dueUs();
-        if (dueUs == Long.MAX_VALUE || timer != null && !timer.isDone() && timerUs <= dueUs) {
+    private void scheduleTick() {
+        long dueUs = membership.dueUs();
+        if (dueUs == Long.MAX_VALUE || timer != null && !timer.isDone() && timerDueUs <= dueUs) {
             return;
         }
         if (timer != null) {
             timer.cancel(false);
         }
-        timerUs = dueUs;
+        timerDueUs = dueUs;
         timer =
                 loop.schedule(
                         () -> {
                             timer = null;
-                            rules.tick(nowUs());
-                            wake();
+                            membership.tick(nowUs());
+                            scheduleTick();
                         },
                         Math.max(0, dueUs - nowUs()),
                         TimeUnit.MICROSECONDS);
@@ -169,7 +169,7 @@
     public void send(String name, int kind, byte[] frame) {
         loop.execute(
                 () -> {
-                    Member to = rules.other(name);
+                    Member to = membership.other(name);
                     links.send(name, to == null ? "" : to.address(), kind, frame);
                 });
     }
@@ -177,9 +177,9 @@
     /** Announces the shutdown to other members, waits briefly for that to be sent, and closes the links. */
     public void leave() {
         try {
-            loop.submit(() -> rules.leave()).get(LEAVE_MS, TimeUnit.MILLISECONDS);
-            loop.schedule(links::close, LEAVE_MS / 4, TimeUnit.MILLISECONDS)
-                    .get(LEAVE_MS, TimeUnit.MILLISECONDS);
+            loop.submit(() -> membership.leave()).get(LEAVE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(links::close, LEAVE_TIMEOUT_MS / 4, TimeUnit.MILLISECONDS)
+                    .get(LEAVE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
@@ -188,7 +188,7 @@
     }
 
     /** Applies the effects of the protocol to the links. */
-    private final class Outward implements Membership.Output {
+    private final class LinkOutput implements Membership.Output {
         @Override
         public void send(String name, String address, Message message) {
             links.send(name, address, MEMBERSHIP, MessageCodec.bytes(message));
@@ -198,7 +198,7 @@
         public void changed(Change change) {
             if (change.now().state() == Member.State.SUSPECT) {
                 // the connection may be at fault: the next frame opens a new one
-                links.renew(change.now().name(), change.now().address());
+                links.closeConnection(change.now().name(), change.now().address());
             }
             listener.changed(change);
         }
--- a/src/main/java/holdproxy/membership/MessageCodec.java
+++ b/src/main/java/holdproxy/membership/MessageCodec.java
@@ -14,9 +14,9 @@
  */
 public final class MessageCodec {
     private static final JSON CBOR = JSON.builder(new CBORFactory()).build();
-    private static final int MOST_UPDATES = 128;
-    private static final int LONGEST = 256;
-    private static final int PARTS = 6;
+    private static final int MAX_UPDATES = 128;
+    private static final int MAX_STRING_LENGTH = 256;
+    private static final int FIELDS = 6;
 
     private MessageCodec() {}
 
@@ -57,11 +57,11 @@
             throw new BadInput(
                     "membership message is not a CBOR list: " + e.getClass().getSimpleName());
         }
-        if (parts == null || parts.size() < PARTS) {
+        if (parts == null || parts.size() < FIELDS) {
             throw new BadInput("membership message has too few fields");
         }
         List<Member> updates = new ArrayList<>();
-        for (Object each : list(parts.get(5), MOST_UPDATES)) {
+        for (Object each : list(parts.get(5), MAX_UPDATES)) {
             updates.add(member(each));
         }
         return new Message(
@@ -75,7 +75,7 @@
 
     private static Member member(Object value) {
         List<?> parts = list(value, Integer.MAX_VALUE);
-        if (parts.size() < PARTS || text(parts.get(0)).isEmpty()) {
+        if (parts.size() < FIELDS || text(parts.get(0)).isEmpty()) {
             throw new BadInput("member in a membership message has too few fields or no name");
         }
         return new Member(
@@ -87,15 +87,15 @@
                 text(parts.get(5)));
     }
 
-    private static List<?> list(Object value, int most) {
-        if (value instanceof List<?> list && list.size() <= most) {
+    private static List<?> list(Object value, int maxItems) {
+        if (value instanceof List<?> list && list.size() <= maxItems) {
             return list;
         }
         throw new BadInput("membership message: expected a list of bounded length");
     }
 
     private static String text(Object value) {
-        if (value instanceof String text && text.length() <= LONGEST) {
+        if (value instanceof String text && text.length() <= MAX_STRING_LENGTH) {
             return text;
         }
         throw new BadInput("membership message: expected a string of bounded length");
@@ -108,9 +108,9 @@
         throw new BadInput("membership message: expected a whole number");
     }
 
-    private static int index(Object value, int below) {
+    private static int index(Object value, int limit) {
         long number = number(value);
-        if (number < 0 || number >= below) {
+        if (number < 0 || number >= limit) {
             throw new BadInput("membership message: number out of range: " + number);
         }
         return (int) number;
--- a/src/test/java/holdproxy/consensus/RaftDiskTest.java
+++ b/src/test/java/holdproxy/consensus/RaftDiskTest.java
@@ -41,7 +41,7 @@
         return RaftDisk.open(new FileDisk(file()));
     }
 
-    private RestoredRaftState again() throws IOException {
+    private RestoredRaftState reopen() throws IOException {
         return RaftDisk.open(new FileDisk(file())).restored();
     }
 
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void whatWasKeptIsThereAgain() throws Exception {
+    void persistedStateIsRestored() throws Exception {
         RaftDisk disk = founded();
         disk.persistAndFlushTerm(
                 RaftCodec.MODELS
@@ -67,7 +67,7 @@
         disk.truncateLogEntriesFrom(4);
         disk.persistLogEntries(List.of(entry(4, 8, "other")));
         disk.flush();
-        RestoredRaftState state = again();
+        RestoredRaftState state = reopen();
         assertEquals(new Voter("a", 0), state.getLocalEndpointPersistentState().getLocalEndpoint());
         assertEquals(3, state.getInitialGroupMembers().getVotingMembers().size());
         assertEquals(7, state.getTermPersistentState().getTerm());
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void aRecordCutShortGoesAndWhatComesAfterIsSound() throws Exception {
+    void aTruncatedRecordIsRemovedAndLaterOnesAreRestored() throws Exception {
         RaftDisk disk = founded();
         disk.persistLogEntries(List.of(entry(1, 1, "one")));
         disk.flush();
@@ -94,16 +94,16 @@
             assertEquals(List.of(1L), indices(cut.restored()), length + " bytes");
             cut.persistLogEntries(List.of(entry(2, 1, "new")));
             cut.flush();
-            assertEquals(List.of(1L, 2L), indices(again()), length + " bytes");
+            assertEquals(List.of(1L, 2L), indices(reopen()), length + " bytes");
         }
         // allocated but never written
         Files.write(file(), Arrays.copyOf(whole, whole.length + 4096));
-        assertEquals(List.of(1L, 2L), indices(again()));
+        assertEquals(List.of(1L, 2L), indices(reopen()));
     }
 
     /** Any single flipped bit of flushed data is detected, and the message names the record. */
     @Test
-    void aBitThatIsAnotherIsNoticed() throws Exception {
+    void anyFlippedBitIsDetected() throws Exception {
         RaftDisk disk = founded();
         disk.persistLogEntries(List.of(entry(1, 1, "one"), entry(2, 1, "two")));
         disk.flush();
@@ -112,13 +112,15 @@
             byte[] flipped = whole.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(file(), flipped);
-            String said = assertThrows(BadInput.class, this::again, "bit " + bit).getMessage();
-            assertTrue(said.startsWith("the record at byte ") && said.contains("is damaged"), said);
+            String message = assertThrows(BadInput.class, this::reopen, "bit " + bit).getMessage();
+            assertTrue(
+                    message.startsWith("the record at byte ") && message.contains("is damaged"),
+                    message);
         }
     }
 
     @Test
-    void theFileStaysSmallThoughMuchIsWritten() throws Exception {
+    void theFileIsRewrittenWhenMostOfItIsObsolete() throws Exception {
         RaftDisk disk = founded();
         String text = "x".repeat(1000);
         for (long i = 1; i <= 20_000; i++) {
@@ -132,7 +134,7 @@
                                 .setOperation("all to " + i)
                                 .setSnapshotChunkIndex(0)
                                 .setSnapshotChunkCount(1)
-                                .setGroupMembersView(again().getInitialGroupMembers())
+                                .setGroupMembersView(reopen().getInitialGroupMembers())
                                 .build());
                 disk.flush();
                 disk.deleteSnapshotChunks(i - 1000, 1);
@@ -141,7 +143,7 @@
         }
         disk.flush();
         assertTrue(Files.size(file()) < 3 << 20, Files.size(file()) + " bytes");
-        RestoredRaftState state = again();
+        RestoredRaftState state = reopen();
         assertEquals(20_000, state.getSnapshotEntry().getIndex());
         assertEquals(
                 "all to 20000",
@@ -196,11 +198,11 @@
                         .getMessage()
                         .contains("after a failure"));
         assertThrows(IOException.class, disk::flush);
-        assertEquals(LongStream.of(1).boxed().toList(), indices(again()));
+        assertEquals(LongStream.of(1).boxed().toList(), indices(reopen()));
     }
 
     @Test
-    void aCouncilIsFoundedOnce() throws Exception {
+    void aConsensusGroupIsFoundedOnce() throws Exception {
         founded();
         try (FileDisk disk = new FileDisk(file())) {
             assertTrue(
--- a/src/test/java/holdproxy/lease/LeaseTableTest.java
+++ b/src/test/java/holdproxy/lease/LeaseTableTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void oneHoldsItAndTheNextHasAHigherToken() {
+    void onlyOneHoldsALeaseAndTheNextTokenIsHigher() {
         assertEquals(List.of("HELD", 1L, 0L), apply(LeaseTable.ask("d", "a", 5, 1000, 0)));
         assertEquals(List.of("TAKEN", 1L, "a"), apply(LeaseTable.ask("d", "b", 9, 1000, 0)));
         assertEquals(
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void whatComesLateChangesNothing() {
+    void lateOperationsChangeNothing() {
         apply(LeaseTable.ask("d", "a", 5, 1000, 0));
         Lease first = table.lease("d");
         apply(LeaseTable.renew("d", 1));
@@ -59,17 +59,17 @@
     }
 
     @Test
-    void aSnapshotHasAllOfIt() {
+    void aSnapshotRestoresTheTable() {
         apply(LeaseTable.ask("d", "a", 5, 1000, 0));
         apply(LeaseTable.renew("d", 1));
         apply(LeaseTable.ask("e", "b", 9, 2000, 0));
         apply(LeaseTable.release("e", 2));
         LeaseTable other = new LeaseTable();
-        List<String> heard = new ArrayList<>();
-        other.onChange(heard::add);
+        List<String> changedRoles = new ArrayList<>();
+        other.onChange(changedRoles::add);
         other.restore(table.snapshot());
         assertEquals(table.leases(), other.leases());
-        assertEquals(List.of("d", "e"), heard);
+        assertEquals(List.of("d", "e"), changedRoles);
         assertEquals(
                 List.of("HELD", 3L, 0L),
                 other.apply(9, LeaseTable.ask("e", "c", 1, 1000, 2)),
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void whoAsksForWhatAnotherHoldsIsAnsweredWithoutTheLog() {
+    void requestsForATakenLeaseAreRefusedWithoutTheLog() {
         List<String> refused = new ArrayList<>();
         table.onRefused((role, name) -> refused.add(role + " " + name));
         assertNull(table.atOnce(LeaseTable.ask("d", "a", 5, 1000, 0)), "it is free");
@@ -90,7 +90,7 @@
 
     @Test
     void rolesAreBounded() {
-        for (int i = 0; i < LeaseTable.MOST_ROLES; i++) {
+        for (int i = 0; i < LeaseTable.MAX_ROLES; i++) {
             apply(LeaseTable.ask("d" + i, "a", 5, 1000, 0));
         }
         assertEquals(List.of("FREE", 0L), apply(LeaseTable.ask("one more", "a", 5, 1000, 0)));
--- a/src/test/java/holdproxy/membership/LinksTest.java
+++ b/src/test/java/holdproxy/membership/LinksTest.java
@@ -26,7 +26,7 @@
 
 /** Frames between processes and the encoding of membership messages, with valid and malformed input. */
 class LinksTest {
-    private static final long END_S = 60;
+    private static final long TIMEOUT_S = 60;
 
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -34,7 +34,7 @@
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void shutDown() {
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -67,7 +67,7 @@
     }
 
     private byte[] next() throws InterruptedException {
-        byte[] frame = frames.poll(END_S, TimeUnit.SECONDS);
+        byte[] frame = frames.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertTrue(frame != null, "no frame received");
         return frame;
     }
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void framesArriveInOrderAndWhatCannotGoIsDroppedAndCounted() throws Exception {
+    void framesArriveInOrderAndUndeliverableOnesAreDroppedAndCounted() throws Exception {
         Links to = links(Map.of());
         InetSocketAddress at = listen(to, any());
         Links from = links(Map.of("b", at));
@@ -94,22 +94,22 @@
         send(from, "unknown", new byte[2]);
         assertEquals(2, from.dropped());
         assertEquals(51, from.sentFrames());
-        loop.submit(() -> from.renew("b", "nowhere")).get();
+        loop.submit(() -> from.closeConnection("b", "nowhere")).get();
         send(from, "b", new byte[] {7, 7});
         assertArrayEquals(new byte[] {7, 7}, next());
     }
 
     @Test
-    void whoIsNotThereYetIsReachedOnceItIs() throws Exception {
+    void aProcessThatStartsLaterIsReached() throws Exception {
         Links gone = links(Map.of());
         InetSocketAddress at = listen(gone, any());
         loop.submit(gone::close).get();
         Links from = links(Map.of("b", at));
         send(from, "b", new byte[2]);
-        await(END_S, () -> from.dropped() > 0);
+        await(TIMEOUT_S, () -> from.dropped() > 0);
         listen(links(Map.of()), at);
         await(
-                END_S,
+                TIMEOUT_S,
                 () -> {
                     send(from, "b", new byte[2]);
                     return !frames.isEmpty();
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void otherVersionsAndWhatTheReceiverCannotReadEndTheirConnectionAlone() throws Exception {
+    void invalidFramesCloseOnlyTheirOwnConnection() throws Exception {
         Links to = links(Map.of());
         InetSocketAddress at = listen(to, any());
         byte[][] bad = {
@@ -129,7 +129,7 @@
                 assertEquals(-1, socket.getInputStream().read(), Arrays.toString(each));
             }
             assertTrue(
-                    lines.poll(END_S, TimeUnit.SECONDS) != null,
+                    lines.poll(TIMEOUT_S, TimeUnit.SECONDS) != null,
                     "the closed connection is not logged");
         }
         Links from = links(Map.of("b", at));
@@ -151,13 +151,13 @@
     }
 
     @Test
-    void messagesComeBackAsTheyWere() {
+    void messagesSurviveEncodingAndDecoding() {
         assertEquals(message(), MessageCodec.message(MessageCodec.bytes(message())));
     }
 
     /** Changed, truncated and random bytes: each is decoded or rejected with BadInput, nothing else. */
     @Test
-    void badMessagesAreTurnedDown() {
+    void malformedMessagesAreRejected() {
         Random random = new Random(1);
         byte[] good = MessageCodec.bytes(message());
         int bad = 0;
