--- a/src/main/java/holdproxy/consensus/RaftDisk.java
+++ b/src/main/java/holdproxy/consensus/RaftDisk.java
@@ -21,22 +21,22 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a voter must not forget, as records at the end of one file, each with its checksums. Opened again it
- * holds what was made safe, or a {@link BadInput} says where the file is damaged: then the voter is out of
- * the vote, for it can no longer tell what it has promised. A record at the end that is cut short was never
- * safe, and goes.
+ * Persistent state of a voter: records with checksums, appended to one file. When the file is opened again it
+ * holds everything that was flushed, or a {@link BadInput} says where it is damaged; the voter must then not
+ * vote, since it no longer knows its earlier votes and promises. A truncated record at the end was never
+ * flushed and is removed.
  *
- * <p>After a failure nothing more is written, and the voter is to be ended: MicroRaft itself would go on with
- * what it has in memory. Of snapshots the last is kept, of
- * entries those after it; the file is written anew when four fifths of it are out of date.
+ * <p>After a failure nothing more is written, and the voter must be stopped, since MicroRaft itself would
+ * continue with its state in memory. The last snapshot and the entries after it are kept; the file is
+ * rewritten when four fifths of it are obsolete.
  */
 final class RaftDisk implements RaftStore {
     private static final short MAGIC = 0x5231;
-    private static final int HEAD = 14;
-    private static final int LARGEST = 64 << 20;
+    private static final int HEADER_BYTES = 14;
+    private static final int MAX_RECORD_BYTES = 64 << 20;
 
-    /** Below so many bytes the file is left as it is. */
-    private static final int SMALL = 1 << 20;
+    /** A file of at most this many bytes is never rewritten. */
+    private static final int MIN_REWRITE_BYTES = 1 << 20;
 
     private final Disk disk;
     private Runnable onFailure = () -> {};
@@ -46,7 +46,7 @@
     private int term;
     private Voter votedFor;
 
-    /** Entries and parts of snapshots in the form in which they are written, by index. */
+    /** Log entries as encoded records, by index; {@code chunks}: the same for snapshot chunks. */
     private final TreeMap<Long, byte[]> entries = new TreeMap<>();
 
     private final TreeMap<Long, TreeMap<Integer, byte[]>> chunks = new TreeMap<>();
@@ -58,11 +58,11 @@
         this.disk = disk;
     }
 
-    /** Reads what there is; a {@link BadInput} says where it is damaged. */
+    /** Reads the file; throws {@link BadInput} if it is damaged. */
     static RaftDisk open(Disk disk) throws IOException {
         RaftDisk opened = new RaftDisk(disk);
         byte[] bytes = disk.read();
-        int end = opened.take(bytes);
+        int end = opened.applyRecords(bytes);
         if (end < bytes.length) {
             disk.replace(Arrays.copyOf(bytes, end));
         }
@@ -70,23 +70,23 @@
         return opened;
     }
 
-    /** Run once, when writing has failed: from then on the voter must not vote. */
+    /** Sets an action to run once if a write fails; the voter must not vote from then on. */
     void onFailure(Runnable action) {
         onFailure = action;
     }
 
-    /** Whose it is; null where it has never been written. */
+    /** The voter that the file belongs to; null if it has never been written. */
     Voter localVoter() {
         return localVoter;
     }
 
-    /** For {@link io.microraft.RaftNode}; to be called only where there is a local voter. */
+    /** The state to restart a {@link io.microraft.RaftNode} from; requires a local voter. */
     RestoredRaftState restored() {
         SnapshotEntry snapshot = snapshot();
         List<LogEntry> after = new ArrayList<>();
         entries.tailMap(snapshot == null ? 0 : snapshot.getIndex(), false)
                 .values()
-                .forEach(e -> after.add(RaftCodec.entry(body(e))));
+                .forEach(e -> after.add(RaftCodec.entry(decodeValue(e))));
         return new RestoredRaftState(
                 RaftCodec.MODELS
                         .createRaftEndpointPersistentStateBuilder()
@@ -106,7 +106,7 @@
     private SnapshotEntry snapshot() {
         for (long index : chunks.descendingKeySet()) {
             List<SnapshotChunk> parts = new ArrayList<>();
-            chunks.get(index).values().forEach(c -> parts.add(RaftCodec.chunk(body(c))));
+            chunks.get(index).values().forEach(c -> parts.add(RaftCodec.chunk(decodeValue(c))));
             if (parts.size() == parts.get(0).getSnapshotChunkCount()) {
                 return RaftCodec.MODELS
                         .createSnapshotEntryBuilder()
@@ -122,9 +122,9 @@
 
     // ---- records ----
 
-    private static byte[] framed(Object... parts) {
+    private static byte[] encodeRecord(Object... parts) {
         byte[] body = RaftCodec.bytes(Arrays.asList(parts));
-        ByteBuffer record = ByteBuffer.allocate(HEAD + body.length);
+        ByteBuffer record = ByteBuffer.allocate(HEADER_BYTES + body.length);
         record.putShort(MAGIC).putInt(body.length);
         record.putInt(crc(record.array(), 0, record.position()))
                 .putInt(crc(body, 0, body.length))
@@ -138,33 +138,37 @@
         return (int) crc.getValue();
     }
 
-    /** Of a record that holds one thing: that. */
-    private static Object body(byte[] record) {
-        RaftCodec.Parts parts = RaftCodec.parts(Arrays.copyOfRange(record, HEAD, record.length));
+    /** Decodes the value of a record that holds a single one. */
+    private static Object decodeValue(byte[] record) {
+        RaftCodec.ListReader parts =
+                RaftCodec.parts(Arrays.copyOfRange(record, HEADER_BYTES, record.length));
         parts.text();
         return parts.value();
     }
 
-    /** Takes all whole records; returns where the last of them ends. */
-    private int take(byte[] file) {
+    /** Applies all complete records; returns the offset at which the last of them ends. */
+    private int applyRecords(byte[] file) {
         int at = 0;
         while (at < file.length) {
-            if (file.length - at < HEAD || allZero(file, at)) {
-                return at; // cut short, or room that was never written to
+            if (file.length - at < HEADER_BYTES || allZero(file, at)) {
+                return at; // truncated, or allocated but never written
             }
-            ByteBuffer head = ByteBuffer.wrap(file, at, HEAD);
-            boolean sound = head.getShort() == MAGIC;
+            ByteBuffer head = ByteBuffer.wrap(file, at, HEADER_BYTES);
+            boolean magicMatches = head.getShort() == MAGIC;
             int length = head.getInt();
-            if (!sound || head.getInt() != crc(file, at, 6) || length < 1 || length > LARGEST) {
+            if (!magicMatches
+                    || head.getInt() != crc(file, at, 6)
+                    || length < 1
+                    || length > MAX_RECORD_BYTES) {
                 throw damaged(at);
             }
-            if (file.length - at - HEAD < length) {
+            if (file.length - at - HEADER_BYTES < length) {
                 return at;
             }
-            if (head.getInt() != crc(file, at + HEAD, length)) {
+            if (head.getInt() != crc(file, at + HEADER_BYTES, length)) {
                 throw damaged(at);
             }
-            byte[] record = Arrays.copyOfRange(file, at, at + HEAD + length);
+            byte[] record = Arrays.copyOfRange(file, at, at + HEADER_BYTES + length);
             try {
                 apply(record);
             } catch (BadInput e) {
@@ -190,18 +194,19 @@
     }
 
     private void apply(byte[] record) {
-        RaftCodec.Parts p = RaftCodec.parts(Arrays.copyOfRange(record, HEAD, record.length));
+        RaftCodec.ListReader p =
+                RaftCodec.parts(Arrays.copyOfRange(record, HEADER_BYTES, record.length));
         switch (p.text()) {
             case "seat" -> {
                 localVoter = p.voter();
-                voting = p.flag();
+                voting = p.bool();
             }
-            case "members" -> initialMembers = plain(p.value());
+            case "members" -> initialMembers = listOfObjects(p.value());
             case "term" -> {
-                term = p.whole();
+                term = p.integer();
                 votedFor = p.voter();
             }
-            case "entry" -> put(entries, new RaftCodec.Parts(p.value()).number(), record);
+            case "entry" -> put(entries, new RaftCodec.ListReader(p.value()).number(), record);
             case "chunk" -> {
                 SnapshotChunk chunk = RaftCodec.chunk(p.value());
                 put(
@@ -209,20 +214,20 @@
                         chunk.getSnapshotChunkIndex(),
                         record);
             }
-            case "cut-from" -> cut(entries.tailMap(p.number(), true));
-            case "cut-until" -> cut(entries.headMap(p.number(), true));
+            case "cut-from" -> remove(entries.tailMap(p.number(), true));
+            case "cut-until" -> remove(entries.headMap(p.number(), true));
             case "cut-chunks" -> {
                 TreeMap<Integer, byte[]> gone = chunks.remove(p.number());
                 if (gone != null) {
-                    cut(gone);
+                    remove(gone);
                 }
             }
-            default -> throw new BadInput("it is of no known kind");
+            default -> throw new BadInput("unknown record type");
         }
     }
 
-    @SuppressWarnings("unchecked") // the reader makes no other lists than these
-    private static List<Object> plain(Object list) {
+    @SuppressWarnings("unchecked") // the decoder creates only lists of objects
+    private static List<Object> listOfObjects(Object list) {
         return (List<Object>) list;
     }
 
@@ -231,12 +236,12 @@
         liveBytes += record.length - (before == null ? 0 : before.length);
     }
 
-    private void cut(Map<?, byte[]> gone) {
+    private void remove(Map<?, byte[]> gone) {
         gone.values().forEach(r -> liveBytes -= r.length);
         gone.clear();
     }
 
-    // ---- what MicroRaft has kept ----
+    // ---- RaftStore ----
 
     private interface Write {
         void run() throws IOException;
@@ -244,7 +249,7 @@
 
     private void guarded(Write write) throws IOException {
         if (failure != null) {
-            throw new IOException("nothing is written after a failure", failure);
+            throw new IOException("no more writes after a failure", failure);
         }
         try {
             write.run();
@@ -255,13 +260,12 @@
         }
     }
 
-    private void record(Object... parts) throws IOException {
+    private void appendRecord(Object... parts) throws IOException {
         guarded(
                 () -> {
-                    byte[] record = framed(parts);
-                    if (record.length > LARGEST) {
-                        throw new IOException(
-                                "a record of " + record.length + " bytes is too long");
+                    byte[] record = encodeRecord(parts);
+                    if (record.length > MAX_RECORD_BYTES) {
+                        throw new IOException("record too large: " + record.length + " bytes");
                     }
                     disk.append(record);
                     fileBytes += record.length;
@@ -269,56 +273,56 @@
                 });
     }
 
-    private void recordSafely(Object... parts) throws IOException {
-        record(parts);
+    private void appendAndFlush(Object... parts) throws IOException {
+        appendRecord(parts);
         flush();
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        recordSafely("seat", state.getLocalEndpoint().toString(), state.isVoting());
+        appendAndFlush("seat", state.getLocalEndpoint().toString(), state.isVoting());
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members)
             throws IOException {
-        recordSafely("members", RaftCodec.members(members));
+        appendAndFlush("members", RaftCodec.members(members));
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
         RaftEndpoint voted = state.getVotedFor();
-        recordSafely("term", state.getTerm(), voted == null ? "" : voted.toString());
+        appendAndFlush("term", state.getTerm(), voted == null ? "" : voted.toString());
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> added) throws IOException {
         for (LogEntry entry : added) {
-            record("entry", RaftCodec.entry(entry));
+            appendRecord("entry", RaftCodec.entry(entry));
         }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        record("chunk", RaftCodec.chunk(chunk));
+        appendRecord("chunk", RaftCodec.chunk(chunk));
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        record("cut-from", index);
+        appendRecord("cut-from", index);
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        record("cut-until", index);
-        if (fileBytes > SMALL && fileBytes > 5 * liveBytes) {
-            guarded(this::writeAnew);
+        appendRecord("cut-until", index);
+        if (fileBytes > MIN_REWRITE_BYTES && fileBytes > 5 * liveBytes) {
+            guarded(this::rewrite);
         }
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        record("cut-chunks", index);
+        appendRecord("cut-chunks", index);
     }
 
     @Override
@@ -326,11 +330,11 @@
         guarded(disk::force);
     }
 
-    private void writeAnew() throws IOException {
+    private void rewrite() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.write(framed("seat", localVoter.toString(), voting));
-        out.write(framed("members", initialMembers));
-        out.write(framed("term", term, votedFor == null ? "" : votedFor.toString()));
+        out.write(encodeRecord("seat", localVoter.toString(), voting));
+        out.write(encodeRecord("members", initialMembers));
+        out.write(encodeRecord("term", term, votedFor == null ? "" : votedFor.toString()));
         for (TreeMap<Integer, byte[]> parts : chunks.values()) {
             for (byte[] part : parts.values()) {
                 out.write(part);
--- a/src/main/java/holdproxy/consensus/RaftGroup.java
+++ b/src/main/java/holdproxy/consensus/RaftGroup.java
@@ -25,55 +25,55 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A process's part in a consensus group: a voter keeps the log, everybody else asks the voters. Time, chance,
- * links and the disk are handed in; all calls are on the host's one thread.
+ * A process's part in a consensus group: voters keep the replicated log, other processes send proposals to
+ * the voters. Time, randomness, transport and disk are passed in; all calls are on the host's single thread.
  *
- * <p>An operation that was asked for may have been agreed though its answer did not come, and is then asked
- * for again: operations have to bear that.
+ * <p>An operation may be committed although its answer was lost, and is then proposed again: operations must
+ * be idempotent.
  */
 public final class RaftGroup {
-    /** In every frame of the group: not to be changed. */
+    /** Group id of MicroRaft; must not change. */
     private static final String GROUP = "council";
 
     private static final int ELECTION_MS = 1_000;
     private static final int HEARTBEAT_S = 1;
-    private static final int SILENCE_S = 5;
-    private static final int SNAPSHOT_AFTER = 1_000;
-    private static final int MOST_PENDING = 1_000;
+    private static final int LEADER_TIMEOUT_S = 5;
+    private static final int ENTRIES_PER_SNAPSHOT = 1_000;
+    private static final int MAX_PENDING_ENTRIES = 1_000;
 
-    /** Entries in one frame; each is at most a published change of 64 KiB, and a frame holds 1 MiB. */
-    private static final int MOST_ENTRIES_AT_ONCE = 12;
+    /** Entries in a frame: an entry is at most a published change of 64 KiB, a frame at most 1 MiB. */
+    private static final int MAX_ENTRIES_PER_FRAME = 12;
 
-    private static final long STEP_DOWN_US = 500_000;
-    private static final long ADMIT_US = 500_000;
+    private static final long STEP_DOWN_TIMEOUT_US = 500_000;
+    private static final long ADMISSION_RETRY_US = 500_000;
 
-    private static final long LOOK_US = 500_000;
+    private static final long LEADER_CHECK_INTERVAL_US = 500_000;
 
-    /** What the process around it offers. */
+    /** Services of the process, and callbacks into it. */
     public interface Host {
         /** Monotonic, in microseconds. */
         long nowUs();
 
-        /** Runs a task so many microseconds later, on the one thread. */
+        /** Runs a task on the thread after this many microseconds. */
         void after(long us, Runnable task);
 
         /** Sends a frame to a process, or drops it. */
         void send(String name, byte[] frame);
 
-        /** This process leads the consensus group now, or no longer. */
+        /** This process has become the leader, or has ceased to be. */
         void leads(boolean now);
 
-        /** A task of the library's has failed; the consensus group goes on. */
+        /** A task of the library has failed; the consensus group continues. */
         void failed(RuntimeException failure);
 
-        /** This process is out of the vote: why. It goes on asking. */
+        /** This process no longer votes, for the given reason; it still sends proposals. */
         void out(String why);
     }
 
     private final String name;
     private final List<String> voters;
 
-    /** Those but this process: whom it can ask. */
+    /** The voters other than this process. */
     private final List<String> others;
 
     private final Host host;
@@ -88,12 +88,10 @@
     private boolean failed;
     private boolean ended;
 
-    /** Of the node in use: what an earlier one still reports is nothing any more. */
+    /** Adapter of the current node; reports of earlier nodes are ignored. */
     private StateMachineAdapter adapter;
 
-    /**
-     * {@code voters}: names of those that may be asked, this process among them or not.
-     */
+    /** {@code voters}: names of the voters; this process may be among them. */
     public RaftGroup(
             String name, List<String> voters, Host host, Random random, StateMachine stateMachine) {
         this.name = name;
@@ -107,33 +105,33 @@
     }
 
     /**
-     * Founds a consensus group: writes what a first voter begins with. Once in the lifetime of a
-     * fleet, by operators, on the empty disk of each of the first voters; a {@link BadInput} says that there
-     * is one already.
+     * Founds a consensus group: writes the initial state of one of the first voters. Operators do this once
+     * in the lifetime of a fleet, on the empty disk of each of them; throws {@link BadInput} if the disk is
+     * not empty or if {@code name} is not one of {@code voters}.
      */
     public static void found(Disk disk, String name, Collection<String> voters) throws IOException {
-        RaftDisk kept = RaftDisk.open(disk);
-        if (kept.localVoter() != null) {
-            throw new BadInput("there is a consensus disk already, of " + kept.localVoter());
+        RaftDisk store = RaftDisk.open(disk);
+        if (store.localVoter() != null) {
+            throw new BadInput("there is a consensus disk already, of " + store.localVoter());
         }
         Set<RaftEndpoint> initial = initialVoters(voters);
         if (!voters.contains(name)) {
             throw new BadInput(name + " is not one of the first voters, " + voters);
         }
-        kept.persistAndFlushLocalEndpoint(
+        store.persistAndFlushLocalEndpoint(
                 RaftCodec.MODELS
                         .createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(new Voter(name, 0))
                         .setVoting(true)
                         .build());
-        kept.persistAndFlushInitialGroupMembers(
+        store.persistAndFlushInitialGroupMembers(
                 RaftCodec.MODELS
                         .createRaftGroupMembersViewBuilder()
                         .setLogIndex(0)
                         .setMembers(initial)
                         .setVotingMembers(initial)
                         .build());
-        kept.persistAndFlushTerm(
+        store.persistAndFlushTerm(
                 RaftCodec.MODELS
                         .createRaftTermPersistentStateBuilder()
                         .setTerm(0)
@@ -148,22 +146,21 @@
     }
 
     /**
-     * Takes up its vote, where it is one of the voters. An empty disk makes it a new one, which asks to be
-     * admitted in place of what it was; a damaged one leaves it out of the vote.
+     * Starts the Raft node if this process is one of the voters. With an empty disk it is a new voter, which
+     * asks to be admitted in place of the earlier one; with a damaged disk it does not vote.
      */
     public void begin(Disk disk) {
         if (voters.contains(name)) {
             open(disk);
-            watch(disk);
+            checkLeader(disk);
         }
     }
 
     /**
-     * MicroRaft's follower can come to wait for good for a leader that is gone: when a late message of that
-     * leader's arrives while it asks others whether to stand for election. Begun again from its disk, as
-     * after a crash, it is free of that.
+     * Restarts a stuck follower from its disk, as after a crash. A MicroRaft follower waits forever for a
+     * leader that is gone if a late message of that leader arrives during the follower's pre-vote.
      */
-    private void watch(Disk disk) {
+    private void checkLeader(Disk disk) {
         if (ended || !votes()) {
             return;
         }
@@ -175,16 +172,16 @@
             leaderWatch.restarted(host.nowUs());
             open(disk);
         }
-        host.after(LOOK_US, () -> watch(disk));
+        host.after(LEADER_CHECK_INTERVAL_US, () -> checkLeader(disk));
     }
 
     private void open(Disk disk) {
         try {
-            RaftDisk kept = RaftDisk.open(disk);
-            kept.onFailure(this::diskFailed);
-            boolean isNew = kept.localVoter() == null;
-            self = isNew ? new Voter(name, random.nextLong() >>> 1 | 1) : kept.localVoter();
-            adapter = new StateMachineAdapter(stateMachine, this::terminated);
+            RaftDisk store = RaftDisk.open(disk);
+            store.onFailure(this::diskFailed);
+            boolean isNew = store.localVoter() == null;
+            self = isNew ? new Voter(name, random.nextLong() >>> 1 | 1) : store.localVoter();
+            adapter = new StateMachineAdapter(stateMachine, this::nodeTerminated);
             RaftNode.RaftNodeBuilder builder =
                     RaftNode.newBuilder()
                             .setGroupId(GROUP)
@@ -192,14 +189,14 @@
                             .setExecutor(clock)
                             .setClock(clock)
                             .setRandom(random)
-                            .setTransport(new Outward())
+                            .setTransport(new GroupTransport())
                             .setStateMachine(adapter)
-                            .setStore(kept)
-                            .setRaftNodeReportListener(new Heard(adapter));
+                            .setStore(store)
+                            .setRaftNodeReportListener(new LeaderListener(adapter));
             if (isNew) {
                 builder.setLocalEndpoint(self).setInitialGroupMembers(initialVoters(voters));
             } else {
-                builder.setRestoredState(kept.restored());
+                builder.setRestoredState(store.restored());
             }
             node = builder.build();
             node.start();
@@ -212,11 +209,11 @@
         }
     }
 
-    /** At once: what could not be kept must not be said either. */
+    /** Stops all sending at once: what was not persisted must not be sent either. */
     private void diskFailed() {
         failed = true;
-        lead(false);
-        host.out("the disk has failed");
+        setLeading(false);
+        host.out("writing to the disk failed");
         host.after(0, () -> node.terminate());
     }
 
@@ -224,10 +221,10 @@
         return RaftConfig.newBuilder()
                 .setLeaderElectionTimeoutMillis(ELECTION_MS)
                 .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
-                .setLeaderHeartbeatTimeoutSecs(SILENCE_S)
-                .setCommitCountToTakeSnapshot(SNAPSHOT_AFTER)
-                .setMaxPendingLogEntryCount(MOST_PENDING)
-                .setAppendEntriesRequestBatchSize(MOST_ENTRIES_AT_ONCE)
+                .setLeaderHeartbeatTimeoutSecs(LEADER_TIMEOUT_S)
+                .setCommitCountToTakeSnapshot(ENTRIES_PER_SNAPSHOT)
+                .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
+                .setAppendEntriesRequestBatchSize(MAX_ENTRIES_PER_FRAME)
                 .setTransferSnapshotsFromFollowersEnabled(false)
                 .build();
     }
@@ -238,8 +235,8 @@
     }
 
     /**
-     * For how long this voter has not heard the leader, in microseconds; 0 where it leads, {@link
-     * Long#MAX_VALUE} where it has never heard one.
+     * Time since this voter last heard from the leader, in microseconds; 0 if it leads, {@link
+     * Long#MAX_VALUE} if it has never heard from one.
      */
     public long leaderSilentUs() {
         return leading ? 0 : leaderWatch.silentUs(host.nowUs());
@@ -250,12 +247,12 @@
         return node != null && !failed && !RaftNodeStatus.isTerminal(node.getStatus());
     }
 
-    /** The voter that this process is; null where it does not vote. */
+    /** This process as a voter; null if it is none. */
     public Voter self() {
         return self;
     }
 
-    /** Who votes, by what this process knows to be agreed; empty where it does not vote. */
+    /** The voters, as committed in this process's log; empty if it does not vote. */
     public Set<Voter> votingMembers() {
         Set<Voter> members = new LinkedHashSet<>();
         if (votes()) {
@@ -265,83 +262,88 @@
     }
 
     /**
-     * Gives leadership, if it has it, to another; completes then. Before it hands its leases over: those who
-     * ask for them then find a leader that stays.
+     * Transfers leadership, if this process has it, to another voter; completes when that is done or takes
+     * too long. To be called before leases are handed over, so that their next holders find a leader that
+     * stays.
      */
     public CompletableFuture<Void> stepDown() {
-        CompletableFuture<Void> over = new CompletableFuture<>();
+        CompletableFuture<Void> completed = new CompletableFuture<>();
         if (!votes() || !leading) {
-            over.complete(null);
-            return over;
+            completed.complete(null);
+            return completed;
         }
         Optional<RaftEndpoint> other =
                 node.getCommittedMembers().getVotingMembers().stream()
                         .filter(m -> !m.equals(self))
                         .findFirst();
         if (other.isPresent()) {
-            node.transferLeadership(other.get()).whenComplete((done, why) -> over.complete(null));
-            host.after(STEP_DOWN_US, () -> over.complete(null)); // whom it was to go to may be gone
+            node.transferLeadership(other.get())
+                    .whenComplete((done, why) -> completed.complete(null));
+            // the other voter may be gone
+            host.after(STEP_DOWN_TIMEOUT_US, () -> completed.complete(null));
         } else {
-            over.complete(null);
+            completed.complete(null);
         }
-        return over;
+        return completed;
     }
 
-    /** Gives its vote up for this generation; completes then. */
+    /** Stops voting for the rest of this generation; completes when the node has terminated. */
     public CompletableFuture<Void> end() {
         ended = true;
-        CompletableFuture<Void> over = new CompletableFuture<>();
+        CompletableFuture<Void> completed = new CompletableFuture<>();
         if (votes()) {
-            node.terminate().whenComplete((done, why) -> over.complete(null));
+            node.terminate().whenComplete((done, why) -> completed.complete(null));
         } else {
-            over.complete(null);
+            completed.complete(null);
         }
-        return over;
+        return completed;
     }
 
-    // ---- asking ----
+    // ---- proposals ----
 
     /**
-     * Has an operation agreed on, by way of whoever leads; completes with the state machine's answer, or
-     * exceptionally when it did not come within {@code withinUs}. It may be agreed on all the same, and more
-     * than once.
+     * Proposes an operation through the leader; completes with the state machine's answer, or exceptionally
+     * if there is none within {@code withinUs}. The operation may be committed even then, and more than once.
      */
     public CompletableFuture<Object> propose(Object operation, long withinUs) {
         return proposals.propose(operation, withinUs);
     }
 
-    private void replicate(Object operation, ProposalRouter.Result result) {
+    private void replicate(Object operation, ProposalRouter.ResultHandler result) {
         Object known = stateMachine.atOnce(operation);
         if (known != null) {
-            host.after(0, () -> result.of(known, null));
+            host.after(0, () -> result.completed(known, null));
             return;
         }
         CompletableFuture<Ordered<Object>> agreed = node.replicate(operation);
         agreed.whenComplete(
                 (ordered, why) ->
                         host.after(
-                                0, () -> result.of(why == null ? ordered.getResult() : null, why)));
+                                0,
+                                () ->
+                                        result.completed(
+                                                why == null ? ordered.getResult() : null, why)));
     }
 
     // ---- frames ----
 
-    /** A frame of another process's has come; a {@link BadInput} says that it is none. */
+    /** Handles a frame of another process; throws {@link BadInput} if it is malformed. */
     public void received(byte[] frame) {
-        RaftCodec.Parts p = RaftCodec.parts(frame);
+        RaftCodec.ListReader p = RaftCodec.parts(frame);
         switch (p.text()) {
-            case "raft" -> raft(p.text(), p.value());
-            case "ask" -> asked(p.text(), p.number(), p.value());
-            case "answer" -> proposals.answered(p.number(), p.flag(), p.value(), p.text());
-            case "admit" -> admit(p.voter());
-            default -> throw new BadInput("a frame for the consensus group is of no known kind");
+            case "raft" -> handleRaftMessage(p.text(), p.value());
+            case "ask" -> handleProposal(p.text(), p.number(), p.value());
+            case "answer" -> proposals.answered(p.number(), p.bool(), p.value(), p.text());
+            case "admit" -> handleAdmission(p.voter());
+            default -> throw new BadInput("unknown kind of consensus frame");
         }
     }
 
-    private void raft(String to, Object message) {
-        // of an earlier disk's votes and promises this process knows nothing
+    private void handleRaftMessage(String to, Object message) {
+        // a message to an earlier disk: its votes and promises are not known here
         if (votes() && self.toString().equals(to)) {
             RaftMessage read = RaftCodec.message(message, GROUP);
-            // one that led and asks for votes now says by that that it leads no longer
+            // only these two show that the sender leads: a former leader also sends vote requests
             boolean leads =
                     read instanceof AppendEntriesRequest || read instanceof InstallSnapshotRequest;
             if (leads && read.getSender().equals(node.getTerm().getLeaderEndpoint())) {
@@ -351,7 +353,7 @@
         }
     }
 
-    private void asked(String who, long number, Object operation) {
+    private void handleProposal(String who, long number, Object operation) {
         if (!leading || ended) {
             host.send(
                     who,
@@ -382,25 +384,25 @@
         for (String voter : others) {
             host.send(voter, RaftCodec.bytes(Arrays.asList("admit", self.toString())));
         }
-        host.after(ADMIT_US, this::askToBeAdmitted);
+        host.after(ADMISSION_RETRY_US, this::askToBeAdmitted);
     }
 
-    private void admit(Voter newcomer) {
+    private void handleAdmission(Voter newcomer) {
         if (leading && !ended && newcomer != null && voters.contains(newcomer.name())) {
             VoterAdmission.step(node, newcomer);
         }
     }
 
-    private void terminated(StateMachineAdapter of) {
+    private void nodeTerminated(StateMachineAdapter of) {
         if (!ended && !failed && adapter == of) {
-            lead(false);
-            host.out("another has been let in in its place");
+            setLeading(false);
+            host.out("another voter was admitted in its place");
         }
     }
 
-    // ---- what MicroRaft is given ----
+    // ---- adapters for MicroRaft ----
 
-    private final class Outward implements Transport {
+    private final class GroupTransport implements Transport {
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
             if (failed) {
@@ -414,7 +416,7 @@
 
         @Override
         public boolean isReachable(RaftEndpoint to) {
-            return true; // whoever it is: what is sent may arrive
+            return true; // unknown: a message may arrive
         }
     }
 
@@ -425,30 +427,30 @@
         }
 
         @Override
-        public void replicate(Object operation, ProposalRouter.Result result) {
+        public void replicate(Object operation, ProposalRouter.ResultHandler result) {
             RaftGroup.this.replicate(operation, result);
         }
     }
 
-    private final class Heard implements RaftNodeReportListener {
-        private final StateMachineAdapter of;
+    private final class LeaderListener implements RaftNodeReportListener {
+        private final StateMachineAdapter ownAdapter;
 
-        Heard(StateMachineAdapter of) {
-            this.of = of;
+        LeaderListener(StateMachineAdapter ownAdapter) {
+            this.ownAdapter = ownAdapter;
         }
 
         @Override
         public void accept(RaftNodeReport report) {
-            if (adapter != of) {
+            if (adapter != ownAdapter) {
                 return;
             }
             RaftEndpoint now = report.getTerm().getLeaderEndpoint();
             proposals.leader(now == null || failed ? "" : ((Voter) now).name());
-            lead(!failed && Objects.equals(now, self) && report.getRole() == RaftRole.LEADER);
+            setLeading(!failed && Objects.equals(now, self) && report.getRole() == RaftRole.LEADER);
         }
     }
 
-    private void lead(boolean now) {
+    private void setLeading(boolean now) {
         if (leading != now) {
             leading = now;
             leaderWatch.heard(host.nowUs());
--- a/src/main/java/holdproxy/lease/LeaseClient.java
+++ b/src/main/java/holdproxy/lease/LeaseClient.java
@@ -15,98 +15,99 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A process's part in the leases: asks for those it wants, renews those it holds, stops by its own clock,
- * hands over when it ends; and, in a voter, proposes the end of leases that nobody has renewed. All calls are
- * on the host's one thread.
+ * The leases of a process: requests those it wants, renews those it holds, gives them up when they expire by
+ * its own clock, and releases them at shutdown. In a voter it also proposes the expiry of leases that were
+ * not renewed. All calls are on the host's single thread.
  *
- * <p>Why two cannot hold at once, with clocks whose rates are true to {@link #CLOCK_BOUND}: a holder counts
- * from before it asked, and stops when its clock has gone the lease's length less the bound; a voter counts
- * from when it applied the grant or the last renewal, which is later, and proposes the end when its clock has
- * gone the length and the bound; and that end is void if a renewal came first. A stalled holder cannot stop
- * itself: for its last act there is the token, which the guarded side compares.
+ * <p>Two processes cannot hold a lease at once if the clock rates are within {@link #CLOCK_BOUND} of the true
+ * rate. A holder counts from before it sent its request, and stops after the lease's duration less the bound.
+ * A voter counts from when it applied the grant or the last renewal, which is later, and proposes the expiry
+ * after the duration plus the bound; the expiry has no effect if a renewal was committed before it. A stalled
+ * holder cannot stop itself in time: the resource that the lease guards has to compare the token of its last
+ * action.
  */
 public final class LeaseClient {
-    /** How far the rate of a clock may be from the true one. */
+    /** Largest relative error of a clock's rate. */
     public static final double CLOCK_BOUND = 0.05;
 
-    private static final int MOST_WAITING = 64;
-    private static final long MS = 1_000;
-    private static final long HAND_OVER_US = 1_000_000;
-    private static final long LEAST_AGAIN_US = 20_000;
+    private static final int MAX_WAITING = 64;
+    private static final long US_PER_MS = 1_000;
+    private static final long RELEASE_TIMEOUT_US = 1_000_000;
+    private static final long MIN_RETRY_US = 20_000;
 
-    /** A safeguard that simulations take away, to see that the judge finds it. */
+    /** A safeguard that simulations can switch off, to show that the checker finds the violation. */
     public enum Safeguard {
-        /** The lease counts from before the asking, not from the answer. */
+        /** The holder counts the lease from before its request, not from the answer. */
         FROM_ASKING,
-        /** The own clock may be slow, others' fast. */
+        /** {@link #CLOCK_BOUND} is allowed for: this process's clock may be slow and others' fast. */
         BOUND,
-        /** The lease is given back after the last act's end, not before. */
+        /** The lease is released only after the last action has ended. */
         LAST_ACT
     }
 
-    /** What the process around it offers, and hears. */
+    /** Services of the process, and callbacks into it. */
     public interface Host {
         /** Monotonic, in microseconds. */
         long nowUs();
 
-        /** Runs a task so many microseconds later, on the one thread. */
+        /** Runs a task on the thread after this many microseconds. */
         void after(long us, Runnable task);
 
-        /** Tells a process that a role is free, or drops it. */
+        /** Notifies a process that a role is free; the message may be lost. */
         void notifyFree(String name, String role, long token);
 
-        /** From now on this process holds a lease. */
+        /** This process holds the lease from now on. */
         void granted(String role, long token);
 
-        /** From now on it does not. */
+        /** This process no longer holds the lease. */
         void ended(String role, long token, String why);
     }
 
-    /** An act under a lease; the lease is not given back before its end. */
+    /** An action performed under a lease; the lease is not released before it is closed. */
     public final class Act implements AutoCloseable {
-        private final Own own;
+        private final WantedRole wantedRole;
         private final long token;
         private final long untilUs;
 
-        private Act(Own own) {
-            this.own = own;
-            token = own.token;
-            untilUs = own.untilUs;
-            own.acts++;
+        private Act(WantedRole wantedRole) {
+            this.wantedRole = wantedRole;
+            token = wantedRole.token;
+            untilUs = wantedRole.untilUs;
+            wantedRole.openActs++;
         }
 
-        /** To when the lease that it was begun under lasts, in this process's time. */
+        /** When the lease that it was begun under expires, by this process's clock. */
         public long untilUs() {
-            return own.token == token ? own.untilUs : untilUs;
+            return wantedRole.token == token ? wantedRole.untilUs : untilUs;
         }
 
-        /** To be sent along, for the guarded side to compare. */
+        /** Fencing token to send along, for the guarded resource to compare. */
         public long token() {
             return token;
         }
 
         @Override
         public void close() {
-            own.acts--;
-            if (own.acts == 0 && own.giving != null) {
-                giveBack(own);
+            wantedRole.openActs--;
+            if (wantedRole.openActs == 0 && wantedRole.releasing != null) {
+                release(wantedRole);
             }
         }
     }
 
     /** A role that this process wants to hold. */
-    private static final class Own {
+    private static final class WantedRole {
         final String role;
         final int ms;
         long token;
-        long seen;
+        long lastSeenToken;
         boolean holds;
         long untilUs;
-        int acts;
-        boolean asking;
-        CompletableFuture<Void> giving;
+        int openActs;
+        boolean requesting;
+        CompletableFuture<Void> releasing;
 
-        Own(String role, int ms) {
+        WantedRole(String role, int ms) {
             this.role = role;
             this.ms = ms;
         }
@@ -119,18 +120,18 @@
     private final Host host;
     private final Random random;
     private final Set<Safeguard> safeguards;
-    private final Map<String, Own> wanted = new LinkedHashMap<>();
+    private final Map<String, WantedRole> wanted = new LinkedHashMap<>();
 
-    /** In a voter: since when, by its own clock, each lease is as it is. */
-    private final Map<String, Long> sinceUs = new HashMap<>();
+    /** In a voter: when, by its own clock, each lease was last granted or renewed. */
+    private final Map<String, Long> changedUs = new HashMap<>();
 
-    /** In a voter: who was told that a lease is taken, and would hear of its end. */
+    /** In a voter: processes to notify when a lease ends, since they were refused it. */
     private final Map<String, Set<String>> waiting = new HashMap<>();
 
     private final Set<String> watched = new LinkedHashSet<>();
-    private boolean ending;
+    private boolean shuttingDown;
 
-    /** {@code table}: what this process's consensus group keeps, if it votes. */
+    /** {@code table}: the state machine of this process's consensus group; used if it votes. */
     public LeaseClient(
             String name,
             long generation,
@@ -141,7 +142,7 @@
         this(name, generation, group, table, host, random, EnumSet.allOf(Safeguard.class));
     }
 
-    /** For simulations: with these safeguards alone. */
+    /** For simulations: only the given safeguards are in effect. */
     public LeaseClient(
             String name,
             long generation,
@@ -158,195 +159,211 @@
         this.random = random;
         this.safeguards = safeguards;
         table.onChange(this::changed);
-        table.onRefused(this::waits);
+        table.onRefused(this::addWaiting);
     }
 
-    // ---- what the process does with them ----
+    // ---- use by the process ----
 
-    /** From now on this process asks for a role whenever it is free, for leases of so many milliseconds. */
+    /** From now on requests the role whenever it is free, for leases of {@code ms} milliseconds. */
     public void want(String role, int ms) {
-        Own own = new Own(role, ms);
-        if (wanted.putIfAbsent(role, own) == null) {
-            ask(own);
+        WantedRole wantedRole = new WantedRole(role, ms);
+        if (wanted.putIfAbsent(role, wantedRole) == null) {
+            request(wantedRole);
         }
     }
 
-    /** The token under which this process may act now; empty: it may not. To be asked before every act. */
+    /** The token to act under now; empty if this process may not act. To be called before every action. */
     public OptionalLong mayAct(String role) {
-        Own own = wanted.get(role);
-        boolean may = own != null && own.holds && own.giving == null && host.nowUs() < own.untilUs;
-        return may ? OptionalLong.of(own.token) : OptionalLong.empty();
+        WantedRole wantedRole = wanted.get(role);
+        boolean may =
+                wantedRole != null
+                        && wantedRole.holds
+                        && wantedRole.releasing == null
+                        && host.nowUs() < wantedRole.untilUs;
+        return may ? OptionalLong.of(wantedRole.token) : OptionalLong.empty();
     }
 
-    /** Begins an act; null where it may not. */
+    /** Begins an action; null if this process may not act. */
     public Act begin(String role) {
         return mayAct(role).isPresent() ? new Act(wanted.get(role)) : null;
     }
 
-    /** The process ends: what it holds is given back once its acts are over; completes when that is done. */
+    /** Releases all held leases once their actions have ended; completes when that is done. */
     public CompletableFuture<Void> handOver() {
-        ending = true;
+        shuttingDown = true;
         List<CompletableFuture<Void>> all = new ArrayList<>();
-        for (Own own : wanted.values()) {
-            if (own.holds && own.giving == null) {
-                own.giving = new CompletableFuture<>();
-                if (own.acts == 0 || !safeguards.contains(Safeguard.LAST_ACT)) {
-                    giveBack(own);
+        for (WantedRole wantedRole : wanted.values()) {
+            if (wantedRole.holds && wantedRole.releasing == null) {
+                wantedRole.releasing = new CompletableFuture<>();
+                if (wantedRole.openActs == 0 || !safeguards.contains(Safeguard.LAST_ACT)) {
+                    release(wantedRole);
                 }
             }
-            if (own.giving != null) {
-                all.add(own.giving);
+            if (wantedRole.releasing != null) {
+                all.add(wantedRole.releasing);
             }
         }
         return CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0]));
     }
 
-    private void giveBack(Own own) {
-        if (!own.holds) {
-            own.giving.complete(null);
+    private void release(WantedRole wantedRole) {
+        if (!wantedRole.holds) {
+            wantedRole.releasing.complete(null);
             return;
         }
-        long token = own.token;
-        own.holds = false;
-        host.ended(own.role, token, "handed over");
-        group.propose(LeaseTable.release(own.role, token), HAND_OVER_US)
-                .whenComplete((answer, failed) -> own.giving.complete(null));
+        long token = wantedRole.token;
+        wantedRole.holds = false;
+        host.ended(wantedRole.role, token, "handed over");
+        group.propose(LeaseTable.release(wantedRole.role, token), RELEASE_TIMEOUT_US)
+                .whenComplete((answer, failed) -> wantedRole.releasing.complete(null));
     }
 
-    // ---- asking and renewing ----
+    // ---- requests and renewals ----
 
-    private void ask(Own own) {
-        if (ending || own.asking || own.holds) {
+    private void request(WantedRole wantedRole) {
+        if (shuttingDown || wantedRole.requesting || wantedRole.holds) {
             return;
         }
-        own.asking = true;
+        wantedRole.requesting = true;
         long askedUs = host.nowUs();
-        group.propose(LeaseTable.ask(own.role, name, generation, own.ms, own.seen), own.ms * MS)
+        group.propose(
+                        LeaseTable.ask(
+                                wantedRole.role,
+                                name,
+                                generation,
+                                wantedRole.ms,
+                                wantedRole.lastSeenToken),
+                        wantedRole.ms * US_PER_MS)
                 .whenComplete(
                         (answer, failed) -> {
-                            own.asking = false;
+                            wantedRole.requesting = false;
                             if (failed != null) {
-                                again(own, askedUs);
+                                retryLater(wantedRole, askedUs);
                                 return;
                             }
                             List<?> parts = (List<?>) answer;
                             long token = ((Number) parts.get(1)).longValue();
                             switch (Outcome.valueOf((String) parts.get(0))) {
-                                case HELD -> held(own, token, askedUs);
+                                case HELD -> leaseGranted(wantedRole, token, askedUs);
                                 case FREE -> {
-                                    own.seen = token;
+                                    wantedRole.lastSeenToken = token;
                                     host.after(
-                                            1 + random.nextInt((int) LEAST_AGAIN_US),
-                                            () -> ask(own));
+                                            1 + random.nextInt((int) MIN_RETRY_US),
+                                            () -> request(wantedRole));
                                 }
                                 default -> {
-                                    own.seen = token;
-                                    again(own, askedUs);
+                                    wantedRole.lastSeenToken = token;
+                                    retryLater(wantedRole, askedUs);
                                 }
                             }
                         });
     }
 
-    /** Not all at once: whoever waits is told when it is free, and asks now and then should that be lost. */
-    private void again(Own own, long askedUs) {
-        long us = own.ms * MS / 2 + (long) (random.nextDouble() * own.ms * MS / 2);
-        host.after(Math.max(LEAST_AGAIN_US, us), () -> ask(own));
+    /** Retries after a random delay, in case the notification that the role is free was lost. */
+    private void retryLater(WantedRole wantedRole, long askedUs) {
+        long us =
+                wantedRole.ms * US_PER_MS / 2
+                        + (long) (random.nextDouble() * wantedRole.ms * US_PER_MS / 2);
+        host.after(Math.max(MIN_RETRY_US, us), () -> request(wantedRole));
     }
 
-    /** Until when a lease lasts by this process's clock that was asked for, or to be renewed, then. */
-    private long lastsUs(Own own, long askedUs) {
-        double part = safeguards.contains(Safeguard.BOUND) ? 1 - CLOCK_BOUND : 1;
+    /** When a lease requested or renewed at {@code askedUs} expires, by this process's clock. */
+    private long expiryUs(WantedRole wantedRole, long askedUs) {
+        double factor = safeguards.contains(Safeguard.BOUND) ? 1 - CLOCK_BOUND : 1;
         return (safeguards.contains(Safeguard.FROM_ASKING) ? askedUs : host.nowUs())
-                + (long) (own.ms * MS * part);
+                + (long) (wantedRole.ms * US_PER_MS * factor);
     }
 
-    private void held(Own own, long token, long askedUs) {
-        if (ending) {
-            // it was asked for before the end, and is of no use any more
-            group.propose(LeaseTable.release(own.role, token), HAND_OVER_US);
+    private void leaseGranted(WantedRole wantedRole, long token, long askedUs) {
+        if (shuttingDown) {
+            // requested before the shutdown, no longer needed
+            group.propose(LeaseTable.release(wantedRole.role, token), RELEASE_TIMEOUT_US);
             return;
         }
-        own.token = token;
-        own.seen = token;
-        own.untilUs = lastsUs(own, askedUs);
-        if (host.nowUs() >= own.untilUs) {
-            // too late to be of use; it ends for others when they have waited for it
-            again(own, askedUs);
+        wantedRole.token = token;
+        wantedRole.lastSeenToken = token;
+        wantedRole.untilUs = expiryUs(wantedRole, askedUs);
+        if (host.nowUs() >= wantedRole.untilUs) {
+            // expired on arrival; the voters will expire it, too
+            retryLater(wantedRole, askedUs);
             return;
         }
-        own.holds = true;
-        host.granted(own.role, token);
-        host.after(own.ms * MS / 3, () -> renew(own, token));
-        stopInTime(own, token);
+        wantedRole.holds = true;
+        host.granted(wantedRole.role, token);
+        host.after(wantedRole.ms * US_PER_MS / 3, () -> renew(wantedRole, token));
+        scheduleExpiry(wantedRole, token);
     }
 
-    private void renew(Own own, long token) {
-        if (!own.holds || own.token != token || own.giving != null) {
+    private void renew(WantedRole wantedRole, long token) {
+        if (!wantedRole.holds || wantedRole.token != token || wantedRole.releasing != null) {
             return;
         }
         long askedUs = host.nowUs();
-        group.propose(LeaseTable.renew(own.role, token), own.ms * MS / 3)
+        group.propose(LeaseTable.renew(wantedRole.role, token), wantedRole.ms * US_PER_MS / 3)
                 .whenComplete(
                         (answer, failed) -> {
-                            if (!own.holds || own.token != token) {
+                            if (!wantedRole.holds || wantedRole.token != token) {
                                 return;
                             }
                             if (failed == null
                                     && !Outcome.HELD.name().equals(((List<?>) answer).get(0))) {
-                                end(own, "the consensus group has ended it");
-                                ask(own);
+                                stopHolding(wantedRole, "the consensus group has ended it");
+                                request(wantedRole);
                             } else if (failed == null) {
-                                own.untilUs = Math.max(own.untilUs, lastsUs(own, askedUs));
+                                wantedRole.untilUs =
+                                        Math.max(wantedRole.untilUs, expiryUs(wantedRole, askedUs));
                                 host.after(
                                         Math.max(
-                                                LEAST_AGAIN_US,
-                                                askedUs + own.ms * MS / 3 - host.nowUs()),
-                                        () -> renew(own, token));
+                                                MIN_RETRY_US,
+                                                askedUs
+                                                        + wantedRole.ms * US_PER_MS / 3
+                                                        - host.nowUs()),
+                                        () -> renew(wantedRole, token));
                             } else {
-                                host.after(LEAST_AGAIN_US, () -> renew(own, token));
+                                host.after(MIN_RETRY_US, () -> renew(wantedRole, token));
                             }
                         });
     }
 
-    private void stopInTime(Own own, long token) {
+    private void scheduleExpiry(WantedRole wantedRole, long token) {
         host.after(
-                Math.max(1, own.untilUs - host.nowUs()),
+                Math.max(1, wantedRole.untilUs - host.nowUs()),
                 () -> {
-                    if (!own.holds || own.token != token) {
+                    if (!wantedRole.holds || wantedRole.token != token) {
                         return;
                     }
-                    if (host.nowUs() >= own.untilUs) {
-                        end(own, "not renewed in time");
-                        ask(own);
+                    if (host.nowUs() >= wantedRole.untilUs) {
+                        stopHolding(wantedRole, "not renewed in time");
+                        request(wantedRole);
                     } else {
-                        stopInTime(own, token);
+                        scheduleExpiry(wantedRole, token);
                     }
                 });
     }
 
-    private void end(Own own, String why) {
-        own.holds = false;
-        host.ended(own.role, own.token, why);
-        if (own.giving != null && own.acts == 0) {
-            own.giving.complete(null);
+    private void stopHolding(WantedRole wantedRole, String why) {
+        wantedRole.holds = false;
+        host.ended(wantedRole.role, wantedRole.token, why);
+        if (wantedRole.releasing != null && wantedRole.openActs == 0) {
+            wantedRole.releasing.complete(null);
         }
     }
 
-    /** Whoever leads says that a role is free. */
+    /** The leader has notified this process that a role is free. */
     public void notifiedFree(String role, long token) {
-        Own own = wanted.get(role);
-        if (own != null && !own.holds && token >= own.seen) {
-            own.seen = token;
-            ask(own);
+        WantedRole wantedRole = wanted.get(role);
+        if (wantedRole != null && !wantedRole.holds && token >= wantedRole.lastSeenToken) {
+            wantedRole.lastSeenToken = token;
+            request(wantedRole);
         }
     }
 
     // ---- in a voter ----
 
-    /** Every voter knows who was refused; whoever leads when the lease ends tells them. */
-    private void waits(String role, String who) {
+    /** Every voter records who was refused; the leader at the end of the lease notifies them. */
+    private void addWaiting(String role, String who) {
         Set<String> all = waiting.computeIfAbsent(role, d -> new LinkedHashSet<>());
-        if (all.size() < MOST_WAITING) {
+        if (all.size() < MAX_WAITING) {
             all.add(who);
         }
     }
@@ -354,35 +371,36 @@
     private void changed(String role) {
         Lease lease = table.lease(role);
         if (lease != null) {
-            sinceUs.put(role, host.nowUs());
-            watch(role);
+            changedUs.put(role, host.nowUs());
+            watchExpiry(role);
             return;
         }
-        sinceUs.remove(role);
+        changedUs.remove(role);
         Set<String> all = waiting.remove(role);
         if (all != null && group.leads()) {
             all.forEach(who -> host.notifyFree(who, role, table.lastToken(role)));
         }
     }
 
-    private void watch(String role) {
+    private void watchExpiry(String role) {
         if (watched.add(role)) {
-            look(role);
+            checkExpiry(role);
         }
     }
 
-    private void look(String role) {
+    private void checkExpiry(String role) {
         Lease lease = table.lease(role);
         if (lease == null) {
             watched.remove(role);
             return;
         }
-        double part = safeguards.contains(Safeguard.BOUND) ? 1 + CLOCK_BOUND : 1;
-        long endsUs = sinceUs.get(role) + (long) (lease.ms() * MS * part);
+        double factor = safeguards.contains(Safeguard.BOUND) ? 1 + CLOCK_BOUND : 1;
+        long endsUs = changedUs.get(role) + (long) (lease.durationMs() * US_PER_MS * factor);
         long nowUs = host.nowUs();
         if (nowUs >= endsUs && group.leads()) {
-            group.propose(LeaseTable.expire(lease), lease.ms() * MS);
+            group.propose(LeaseTable.expire(lease), lease.durationMs() * US_PER_MS);
         }
-        host.after(nowUs >= endsUs ? LEAST_AGAIN_US * 5 : endsUs - nowUs + 1, () -> look(role));
+        host.after(
+                nowUs >= endsUs ? MIN_RETRY_US * 5 : endsUs - nowUs + 1, () -> checkExpiry(role));
     }
 }
--- a/src/main/java/holdproxy/membership/Gossip.java
+++ b/src/main/java/holdproxy/membership/Gossip.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Updates that still have to be passed on, each so many times and then no more. */
+/** Queue of updates to piggyback on messages; each is sent a bounded number of times. */
 final class Gossip {
     private static final class Update {
         final Member member;
@@ -17,13 +17,13 @@
         }
     }
 
-    private final Map<String, Update> all = new LinkedHashMap<>();
+    private final Map<String, Update> queued = new LinkedHashMap<>();
 
-    /** To be passed on; updates that it replaces no longer are. */
+    /** Queues an update and removes the queued updates that it replaces. */
     void add(Member member) {
-        all.values().removeIf(update -> isReplaced(update.member, member));
+        queued.values().removeIf(update -> isReplaced(update.member, member));
         String key = member.name() + " " + member.by() + " " + member.state();
-        all.put(key, new Update(member));
+        queued.put(key, new Update(member));
     }
 
     private static boolean isReplaced(Member earlier, Member later) {
@@ -32,19 +32,22 @@
                 && later.replaces(earlier);
     }
 
-    /** So many at most, the least passed on first, and before them what the receiver is to hear of itself. */
-    List<Member> next(String receiver, int most, int rounds) {
-        List<Update> least = new ArrayList<>(all.values());
-        least.sort(
+    /**
+     * Returns at most {@code maxUpdates} updates, those about the receiver first, then the least often sent.
+     * An update that has been sent {@code maxSends} times is removed.
+     */
+    List<Member> next(String receiver, int maxUpdates, int maxSends) {
+        List<Update> leastSent = new ArrayList<>(queued.values());
+        leastSent.sort(
                 Comparator.comparingInt(
                         (Update update) ->
                                 update.member.name().equals(receiver) ? -1 : update.sent));
         List<Member> members = new ArrayList<>();
-        for (Update each : least.subList(0, Math.min(least.size(), most))) {
+        for (Update each : leastSent.subList(0, Math.min(leastSent.size(), maxUpdates))) {
             members.add(each.member);
             each.sent++;
         }
-        all.values().removeIf(update -> update.sent >= rounds);
+        queued.values().removeIf(update -> update.sent >= maxSends);
         return members;
     }
 }
--- a/src/main/java/holdproxy/membership/Links.java
+++ b/src/main/java/holdproxy/membership/Links.java
@@ -31,30 +31,31 @@
 import java.util.function.Function;
 
 /**
- * Frames from and to other processes: a connection for each direction, opened when there is something to
- * send. A frame that cannot go now is dropped, for who sends repeats what matters. On one event loop.
+ * Exchanges frames with other processes over TCP, with one connection for each direction, opened when there
+ * is something to send. A frame that cannot be sent now is dropped: senders repeat what matters. Runs on one
+ * event loop.
  *
- * <p>Bounded: so many connections each way, so many bytes and frames that wait for one, frames of so many
- * bytes.
+ * <p>Connections in each direction, frames and bytes waiting for a connection, and the frame length are all
+ * bounded.
  */
 public final class Links implements AutoCloseable {
-    /** Bytes of the longest frame. */
+    /** Longest frame, in bytes, without its header. */
     public static final int LONGEST_FRAME = 1 << 20;
 
     private static final int VERSION = 1;
-    private static final int HEAD = 2;
-    private static final int LENGTH = 4;
-    private static final int MOST_CONNECTIONS = 2048;
-    private static final int MOST_WAITING = 64;
-    private static final int MOST_UNSENT = 4 << 20;
-    private static final int CONNECT_MS = 1_000;
-    private static final int IDLE_S = 30;
-    private static final int SILENT_S = 120;
-    private static final long AGAIN_NS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final int HEADER_BYTES = 2;
+    private static final int LENGTH_BYTES = 4;
+    private static final int MAX_CONNECTIONS = 2048;
+    private static final int MAX_QUEUED_FRAMES = 64;
+    private static final int MAX_UNSENT_BYTES = 4 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int IDLE_TIMEOUT_S = 30;
+    private static final int READ_TIMEOUT_S = 120;
+    private static final long RECONNECT_DELAY_NS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** Takes frames, on the event loop; a {@link BadInput} from it ends the connection that they came by. */
+    /** Receives frames on the event loop; if it throws {@link BadInput}, the connection is closed. */
     public interface Receiver {
-        /** A frame has come; the array is the receiver's own. */
+        /** Called for each frame; the array belongs to the receiver. */
         void received(byte[] frame);
     }
 
@@ -71,9 +72,12 @@
     private long sentFrames;
 
     /**
-     * {@code routes}: where processes are reached whose own addresses do not serve from here, by name;
-     * {@code addresses} reads an address, with a {@link BadInput} where it is none; {@code log} takes lines
-     * on the loop.
+     * Creates the links; {@link #listen} accepts connections.
+     *
+     * @param routes addresses, by process name, that replace the advertised ones of processes that cannot be
+     *     reached there from here
+     * @param addresses parses an address; throws {@link BadInput} if it is invalid
+     * @param log receives log lines on the event loop
      */
     public Links(
             EventLoop loop,
@@ -86,12 +90,12 @@
         this.log = log;
     }
 
-    /** Who takes the frames of a kind, a number from 0 to 127; those that come before are dropped. */
+    /** Sets the receiver for a kind of frame, 0 to 127; frames of a kind without a receiver are dropped. */
     public void receive(int kind, Receiver receiver) {
         receivers.put(kind, receiver);
     }
 
-    /** Accepts connections of other processes at this address. */
+    /** Accepts connections from other processes at this address. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -102,7 +106,7 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel ch) {
-                                        if (incoming.size() >= MOST_CONNECTIONS) {
+                                        if (incoming.size() >= MAX_CONNECTIONS) {
                                             ch.close();
                                             return;
                                         }
@@ -110,14 +114,16 @@
                                         ch.closeFuture().addListener(f -> incoming.remove(ch));
                                         ch.pipeline()
                                                 .addLast(
-                                                        new IdleStateHandler(SILENT_S, 0, 0),
+                                                        new IdleStateHandler(READ_TIMEOUT_S, 0, 0),
                                                         new LengthFieldBasedFrameDecoder(
-                                                                LONGEST_FRAME + LENGTH + HEAD,
+                                                                LONGEST_FRAME
+                                                                        + LENGTH_BYTES
+                                                                        + HEADER_BYTES,
                                                                 0,
-                                                                LENGTH,
+                                                                LENGTH_BYTES,
                                                                 0,
-                                                                LENGTH),
-                                                        new Incoming());
+                                                                LENGTH_BYTES),
+                                                        new IncomingHandler());
                                     }
                                 })
                         .bind(address);
@@ -125,34 +131,34 @@
         return bound;
     }
 
-    /** Frames that could not go, since the start. */
+    /** Number of frames dropped since the start. */
     public long dropped() {
         return dropped;
     }
 
-    /** Frames sent, since the start. */
+    /** Number of frames sent since the start. */
     public long sentFrames() {
         return sentFrames;
     }
 
-    /** Bytes sent, since the start. */
+    /** Number of bytes sent since the start, headers included. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** Sends to a process, by its route if it has one, else to the address; null: no name is known. */
+    /** Sends to the route of this name, if there is one, else to the address; the name may be null. */
     public void send(String name, String address, int kind, byte[] frame) {
-        InetSocketAddress to = target(name, address);
+        InetSocketAddress to = resolve(name, address);
         if (to == null || frame.length > LONGEST_FRAME) {
             dropped++;
             return;
         }
         Outgoing link = outgoing.get(to);
         if (link == null) {
-            if (outgoing.size() >= MOST_CONNECTIONS) {
+            if (outgoing.size() >= MAX_CONNECTIONS) {
                 outgoing.values().removeIf(o -> o.failed);
             }
-            if (outgoing.size() >= MOST_CONNECTIONS) {
+            if (outgoing.size() >= MAX_CONNECTIONS) {
                 dropped++;
                 return;
             }
@@ -162,15 +168,15 @@
         link.send(kind, frame);
     }
 
-    /** The connection to a process that does not answer is given up: the next frame opens another. */
-    public void renew(String name, String address) {
-        Outgoing link = outgoing.get(target(name, address));
+    /** Closes the connection to a process that does not answer; the next frame opens a new one. */
+    public void closeConnection(String name, String address) {
+        Outgoing link = outgoing.get(resolve(name, address));
         if (link != null) {
-            link.end();
+            link.close();
         }
     }
 
-    private InetSocketAddress target(String name, String address) {
+    private InetSocketAddress resolve(String name, String address) {
         InetSocketAddress route = name == null ? null : routes.get(name);
         if (route != null) {
             return route;
@@ -178,7 +184,7 @@
         try {
             return addresses.apply(address);
         } catch (BadInput e) {
-            return null; // somebody said so of himself; it is counted with what could not go
+            return null; // another process advertised it; the frame counts as dropped
         }
     }
 
@@ -188,13 +194,13 @@
             listener.close();
         }
         List.copyOf(incoming).forEach(Channel::close);
-        List.copyOf(outgoing.values()).forEach(Outgoing::end);
+        List.copyOf(outgoing.values()).forEach(Outgoing::close);
     }
 
-    /** The connection to one address. */
+    /** The outgoing connection to one address. */
     private final class Outgoing {
         private final InetSocketAddress to;
-        private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
+        private final ArrayDeque<ByteBuf> queued = new ArrayDeque<>();
         private Channel channel;
         private boolean open;
         private boolean failed;
@@ -205,14 +211,14 @@
         }
 
         void send(int kind, byte[] frame) {
-            if (failed && System.nanoTime() - failedNs < AGAIN_NS
-                    || waiting.size() >= MOST_WAITING
+            if (failed && System.nanoTime() - failedNs < RECONNECT_DELAY_NS
+                    || queued.size() >= MAX_QUEUED_FRAMES
                     || open && !channel.isWritable()) {
                 dropped++;
                 return;
             }
-            ByteBuf bytes = Unpooled.buffer(LENGTH + HEAD + frame.length);
-            bytes.writeInt(HEAD + frame.length)
+            ByteBuf bytes = Unpooled.buffer(LENGTH_BYTES + HEADER_BYTES + frame.length);
+            bytes.writeInt(HEADER_BYTES + frame.length)
                     .writeByte(VERSION)
                     .writeByte(kind)
                     .writeBytes(frame);
@@ -222,7 +228,7 @@
                 channel.writeAndFlush(bytes);
                 return;
             }
-            waiting.add(bytes);
+            queued.add(bytes);
             if (channel == null) {
                 connect();
             }
@@ -235,18 +241,20 @@
                             .group(loop)
                             .channel(NioSocketChannel.class)
                             .option(ChannelOption.TCP_NODELAY, true)
-                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                             .option(
                                     ChannelOption.WRITE_BUFFER_WATER_MARK,
-                                    new WriteBufferWaterMark(MOST_UNSENT / 2, MOST_UNSENT))
+                                    new WriteBufferWaterMark(
+                                            MAX_UNSENT_BYTES / 2, MAX_UNSENT_BYTES))
                             .handler(
                                     new ChannelInitializer<SocketChannel>() {
                                         @Override
                                         protected void initChannel(SocketChannel ch) {
                                             ch.pipeline()
                                                     .addLast(
-                                                            new IdleStateHandler(0, IDLE_S, 0),
-                                                            new Ending());
+                                                            new IdleStateHandler(
+                                                                    0, IDLE_TIMEOUT_S, 0),
+                                                            new OutgoingHandler());
                                         }
                                     })
                             .connect(to);
@@ -256,42 +264,42 @@
                         if (!f.isSuccess()) {
                             failed = true;
                             failedNs = System.nanoTime();
-                            dropped += waiting.size();
-                            drop();
+                            dropped += queued.size();
+                            releaseQueued();
                             channel = null;
                             return;
                         }
                         open = true;
-                        waiting.forEach(channel::write);
-                        waiting.clear();
+                        queued.forEach(channel::write);
+                        queued.clear();
                         channel.flush();
-                        channel.closeFuture().addListener(c -> over());
+                        channel.closeFuture().addListener(c -> closed());
                     });
         }
 
-        private void over() {
+        private void closed() {
             open = false;
-            drop();
+            releaseQueued();
             outgoing.remove(to, this);
         }
 
-        private void drop() {
-            waiting.forEach(ByteBuf::release);
-            waiting.clear();
+        private void releaseQueued() {
+            queued.forEach(ByteBuf::release);
+            queued.clear();
         }
 
-        void end() {
+        void close() {
             if (channel != null) {
                 channel.close();
             }
         }
     }
 
-    /** What comes back on a connection that only sends: its end, and its having been idle. */
-    private static final class Ending extends SimpleChannelInboundHandler<Object> {
+    /** Closes an outgoing connection that is idle or has failed; what it receives is ignored. */
+    private static final class OutgoingHandler extends SimpleChannelInboundHandler<Object> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object message) {
-            // the other side has nothing to say here
+            // nothing is expected on an outgoing connection
         }
 
         @Override
@@ -305,12 +313,12 @@
         }
     }
 
-    /** A connection that others have opened. */
-    private final class Incoming extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Reads frames from a connection that another process has opened. */
+    private final class IncomingHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            if (frame.readableBytes() < HEAD || frame.readByte() != VERSION) {
-                throw new BadInput("a frame is of another version");
+            if (frame.readableBytes() < HEADER_BYTES || frame.readByte() != VERSION) {
+                throw new BadInput("unsupported frame version, or frame too short");
             }
             Receiver receiver = receivers.get((int) frame.readByte());
             if (receiver != null) {
@@ -322,14 +330,17 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            ctx.close(); // nothing has come for long: whoever sent is gone, or has another
-            // connection
+            ctx.close(); // silent for too long: the sender is gone or uses another connection
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                log.accept("from " + ctx.channel().remoteAddress() + ": " + cause.getMessage());
+                log.accept(
+                        "closing the connection from "
+                                + ctx.channel().remoteAddress()
+                                + ": "
+                                + cause.getMessage());
             }
             ctx.close();
         }
--- a/src/main/java/holdproxy/membership/MembershipService.java
+++ b/src/main/java/holdproxy/membership/MembershipService.java
@@ -15,22 +15,23 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Function;
 
-/** A process's place among the others: the rules of membership on links, with an event loop of their own. */
+/** Runs {@link Membership} over {@link Links} on an event loop of its own. */
 public final class MembershipService {
-    /** The kind of frame that membership's messages are. */
+    /** Frame kind of membership messages. */
     static final int MEMBERSHIP = 1;
 
-    private static final long LEAVE_MS = 200;
-    private static final int COUNT_S = 10;
+    private static final long LEAVE_TIMEOUT_MS = 200;
+    private static final int COUNTER_INTERVAL_S = 10;
 
     /**
-     * Where a process is met and meets others.
+     * Identity and addresses of a process.
      *
-     * @param name its own
-     * @param address by which others reach it
-     * @param listen where it listens
-     * @param seeds addresses at which others may be found
-     * @param routes where others are reached whose own addresses do not serve from here, by name
+     * @param name name of the process
+     * @param address advertised address, by which others reach it
+     * @param listen address that it listens on
+     * @param seeds addresses of processes to join through
+     * @param routes addresses, by process name, that replace the advertised ones of processes that cannot be
+     *     reached there from here
      */
     public record Place(
             String name,
@@ -44,22 +45,22 @@
         }
     }
 
-    /** Hears what becomes known, on the event loop. */
+    /** Called on the event loop. */
     public interface Listener {
-        /** What is held of a process has changed. */
+        /** What is known of a process has changed. */
         void changed(Change change);
 
-        /** A later generation of this name runs elsewhere: this one is out of the fleet. */
+        /** A later generation of this name runs elsewhere; this process has stopped taking part. */
         void superseded(Member by);
 
-        /** What this process has sent to others since its start, and what it could not send. */
+        /** Counters since the start: frames and bytes sent, frames dropped. */
         void sent(long frames, long bytes, long dropped);
 
         /** A line for the log. */
         void line(String text);
     }
 
-    /** The kind of frame that the consensus group's and the leases' are. */
+    /** Frame kind of the consensus group and the leases. */
     public static final int CONSENSUS = 2;
 
     private final EventLoop loop =
@@ -67,9 +68,9 @@
     private final Links links;
     private final Listener listener;
     private final long startNs = System.nanoTime();
-    private Membership rules;
+    private Membership membership;
     private Future<?> timer;
-    private long timerUs;
+    private long timerDueUs;
 
     private MembershipService(
             Place place, Function<String, InetSocketAddress> addresses, Listener listener) {
@@ -78,8 +79,8 @@
     }
 
     /**
-     * Listens and begins to look for the others; {@code addresses} reads an address, with a {@link BadInput}
-     * where it is none. A {@link BadInput} says why it cannot listen.
+     * Listens and starts to join. {@code addresses} parses an address and throws {@link BadInput} if it is
+     * invalid. Throws {@link BadInput} if the process cannot listen.
      */
     public static MembershipService start(
             Place place,
@@ -88,15 +89,15 @@
             Listener listener) {
         MembershipService service = new MembershipService(place, addresses, listener);
         try {
-            service.loop.submit(() -> service.begin(place, generation)).get();
+            service.loop.submit(() -> service.startMembership(place, generation)).get();
             service.loop.scheduleAtFixedRate(
                     () ->
                             listener.sent(
                                     service.links.sentFrames(),
                                     service.links.sentBytes(),
                                     service.links.dropped()),
-                    COUNT_S,
-                    COUNT_S,
+                    COUNTER_INTERVAL_S,
+                    COUNTER_INTERVAL_S,
                     TimeUnit.SECONDS);
             ChannelFuture bound = service.links.listen(place.listen()).await();
             if (!bound.isSuccess()) {
@@ -110,13 +111,13 @@
             Thread.currentThread().interrupt();
             throw new BadInput("interrupted");
         } catch (ExecutionException e) {
-            throw new IllegalStateException("membership cannot begin", e.getCause());
+            throw new IllegalStateException("membership failed to start", e.getCause());
         }
         return service;
     }
 
-    private void begin(Place place, long generation) {
-        rules =
+    private void startMembership(Place place, long generation) {
+        membership =
                 new Membership(
                         Membership.Settings.USUAL,
                         place.name(),
@@ -125,69 +126,69 @@
                         place.seeds(),
                         new Random(),
                         nowUs(),
-                        new Outward());
+                        new LinkOutput());
         links.receive(
                 MEMBERSHIP,
                 frame -> {
-                    rules.received(nowUs(), MessageCodec.message(frame));
-                    wake();
+                    membership.received(nowUs(), MessageCodec.message(frame));
+                    scheduleTick();
                 });
-        wake();
+        scheduleTick();
     }
 
     private long nowUs() {
         return (System.nanoTime() - startNs) / 1000;
     }
 
-    private void wake() {
-        long dueUs = rules.dueUs();
-        if (dueUs == Long.MAX_VALUE || timer != null && !timer.isDone() && timerUs <= dueUs) {
+    private void scheduleTick() {
+        long dueUs = membership.dueUs();
+        if (dueUs == Long.MAX_VALUE || timer != null && !timer.isDone() && timerDueUs <= dueUs) {
             return;
         }
         if (timer != null) {
             timer.cancel(false);
         }
-        timerUs = dueUs;
+        timerDueUs = dueUs;
         timer =
                 loop.schedule(
                         () -> {
                             timer = null;
-                            rules.tick(nowUs());
-                            wake();
+                            membership.tick(nowUs());
+                            scheduleTick();
                         },
                         Math.max(0, dueUs - nowUs()),
                         TimeUnit.MICROSECONDS);
     }
 
-    /** Who takes frames of a kind, on the event loop; to be said at once after the start. */
+    /** Sets the receiver for a kind of frame; to be called right after the start. */
     public void receive(int kind, Links.Receiver receiver) {
         loop.execute(() -> links.receive(kind, receiver));
     }
 
-    /** Sends a frame to a process, where it is known how that is reached; on any thread. */
+    /** Sends a frame to a process, or drops it if its address is unknown; may be called on any thread. */
     public void send(String name, int kind, byte[] frame) {
         loop.execute(
                 () -> {
-                    Member to = rules.other(name);
+                    Member to = membership.other(name);
                     links.send(name, to == null ? "" : to.address(), kind, frame);
                 });
     }
 
-    /** Tells others that this process ends, and waits a moment for that to go out. */
+    /** Announces the shutdown to other members, waits briefly for that to be sent, and closes the links. */
     public void leave() {
         try {
-            loop.submit(() -> rules.leave()).get(LEAVE_MS, TimeUnit.MILLISECONDS);
-            loop.schedule(links::close, LEAVE_MS / 4, TimeUnit.MILLISECONDS)
-                    .get(LEAVE_MS, TimeUnit.MILLISECONDS);
+            loop.submit(() -> membership.leave()).get(LEAVE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(links::close, LEAVE_TIMEOUT_MS / 4, TimeUnit.MILLISECONDS)
+                    .get(LEAVE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            listener.line("the others are not told of the end: " + e);
+            listener.line("could not notify other members of the shutdown: " + e);
         }
     }
 
-    /** What the rules have the links do. */
-    private final class Outward implements Membership.Output {
+    /** Applies the effects of the protocol to the links. */
+    private final class LinkOutput implements Membership.Output {
         @Override
         public void send(String name, String address, Message message) {
             links.send(name, address, MEMBERSHIP, MessageCodec.bytes(message));
@@ -196,8 +197,8 @@
         @Override
         public void changed(Change change) {
             if (change.now().state() == Member.State.SUSPECT) {
-                // its connection may be at fault, which a new one shows
-                links.renew(change.now().name(), change.now().address());
+                // the connection may be at fault: the next frame opens a new one
+                links.closeConnection(change.now().name(), change.now().address());
             }
             listener.changed(change);
         }
--- a/src/test/java/holdproxy/lease/LeaseTableTest.java
+++ b/src/test/java/holdproxy/lease/LeaseTableTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Grants, renewals and ends as the log has them, and operations that come late or twice. */
+/** Grants, renewals and ends of leases, and operations that arrive late or twice. */
 class LeaseTableTest {
     private final LeaseTable table = new LeaseTable();
     private long index;
@@ -19,17 +19,17 @@
     }
 
     @Test
-    void oneHoldsItAndTheNextHasAHigherToken() {
+    void onlyOneHoldsALeaseAndTheNextTokenIsHigher() {
         assertEquals(List.of("HELD", 1L, 0L), apply(LeaseTable.ask("d", "a", 5, 1000, 0)));
         assertEquals(List.of("TAKEN", 1L, "a"), apply(LeaseTable.ask("d", "b", 9, 1000, 0)));
         assertEquals(
                 List.of("TAKEN", 1L, "a"),
                 apply(LeaseTable.ask("d", "a", 6, 1000, 0)),
-                "another generation is another");
+                "another generation is another process");
         assertEquals(
                 List.of("HELD", 1L, 1L),
                 apply(LeaseTable.ask("d", "a", 5, 1000, 0)),
-                "asked twice: a renewal");
+                "a repeated request is a renewal");
         assertEquals(List.of("HELD", 1L, 2L), apply(LeaseTable.renew("d", 1)));
         assertEquals(List.of("HELD", 2L, 0L), apply(LeaseTable.ask("e", "b", 9, 1000, 0)));
         assertEquals(List.of("ENDED"), apply(LeaseTable.release("d", 1)));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void whatComesLateChangesNothing() {
+    void lateOperationsChangeNothing() {
         apply(LeaseTable.ask("d", "a", 5, 1000, 0));
         Lease first = table.lease("d");
         apply(LeaseTable.renew("d", 1));
@@ -48,7 +48,7 @@
         assertEquals(
                 List.of("FREE", 1L),
                 apply(LeaseTable.ask("d", "a", 5, 1000, 0)),
-                "an asking from before the end");
+                "a request from before the end");
         assertNull(table.lease("d"));
         assertEquals(List.of("HELD", 2L, 0L), apply(LeaseTable.ask("d", "b", 9, 1000, 1)));
         assertEquals(
@@ -59,30 +59,30 @@
     }
 
     @Test
-    void aSnapshotHasAllOfIt() {
+    void aSnapshotRestoresTheTable() {
         apply(LeaseTable.ask("d", "a", 5, 1000, 0));
         apply(LeaseTable.renew("d", 1));
         apply(LeaseTable.ask("e", "b", 9, 2000, 0));
         apply(LeaseTable.release("e", 2));
         LeaseTable other = new LeaseTable();
-        List<String> heard = new ArrayList<>();
-        other.onChange(heard::add);
+        List<String> changedRoles = new ArrayList<>();
+        other.onChange(changedRoles::add);
         other.restore(table.snapshot());
         assertEquals(table.leases(), other.leases());
-        assertEquals(List.of("d", "e"), heard);
+        assertEquals(List.of("d", "e"), changedRoles);
         assertEquals(
                 List.of("HELD", 3L, 0L),
                 other.apply(9, LeaseTable.ask("e", "c", 1, 1000, 2)),
-                "tokens go on");
+                "tokens continue to increase");
     }
 
     @Test
-    void whoAsksForWhatAnotherHoldsIsAnsweredWithoutTheLog() {
+    void requestsForATakenLeaseAreRefusedWithoutTheLog() {
         List<String> refused = new ArrayList<>();
         table.onRefused((role, name) -> refused.add(role + " " + name));
         assertNull(table.atOnce(LeaseTable.ask("d", "a", 5, 1000, 0)), "it is free");
         apply(LeaseTable.ask("d", "a", 5, 1000, 0));
-        assertNull(table.atOnce(LeaseTable.ask("d", "a", 5, 1000, 0)), "its own: a renewal");
+        assertNull(table.atOnce(LeaseTable.ask("d", "a", 5, 1000, 0)), "its own lease: a renewal");
         assertNull(table.atOnce(LeaseTable.renew("d", 1)));
         assertEquals(List.of("TAKEN", 1L, "a"), table.atOnce(LeaseTable.ask("d", "b", 9, 1000, 0)));
         assertEquals(List.of("d b"), refused);
@@ -90,7 +90,7 @@
 
     @Test
     void rolesAreBounded() {
-        for (int i = 0; i < LeaseTable.MOST_ROLES; i++) {
+        for (int i = 0; i < LeaseTable.MAX_ROLES; i++) {
             apply(LeaseTable.ask("d" + i, "a", 5, 1000, 0));
         }
         assertEquals(List.of("FREE", 0L), apply(LeaseTable.ask("one more", "a", 5, 1000, 0)));
