--- a/src/main/java/holdproxy/town/MetaLines.java
+++ b/src/main/java/holdproxy/town/MetaLines.java
@@ -74,7 +74,7 @@
             int end = in.bytesBefore((byte) '\n');
             if (end < 0) {
                 if (in.readableBytes() > LONGEST) {
-                    throw new IllegalStateException("no line end within " + LONGEST + " bytes");
+                    throw new IllegalStateException("line exceeds the permitted length");
                 }
                 return;
             }
