--- a/src/main/java/holdproxy/town/Event.java
+++ b/src/main/java/holdproxy/town/Event.java
@@ -51,7 +51,7 @@
         FIGURES,
         /**
          * A zone fault lost or delayed a dial or message; where: the receiver, id: the sender, detail: dial,
-         * message or late, whether on a connection of a client, and the silent zone that it was sent into from
+         * message or late, whether on a client connection, and the silent zone that it was sent into from
          * outside, or -1.
          */
         LOST,
