--- a/src/main/java/holdproxy/town/Auditors.java
+++ b/src/main/java/holdproxy/town/Auditors.java
@@ -23,15 +23,15 @@
 
     private static final long DRAIN_US = 500_000 + SLACK_US;
     private static final long REPEAT_US = 2_500_000 + SLACK_US;
-    private static final double TIP = 4;
-    private static final long TIP_US = 2_000_000;
+    private static final double OVERLOAD_MULTIPLE = 4;
+    private static final long OVERLOAD_WINDOW_US = 2_000_000;
 
     /** Overload is a violation only if proxies that knew of the node's start sent more than this part. */
-    private static final double TIP_KNOWN = 2.0 / 3;
+    private static final double MIN_INFORMED_SHARE = 2.0 / 3;
 
     private static final Map<String, Function<List<Event>, List<String>>> RULES =
             new LinkedHashMap<>();
-    private static final Map<String, Function<List<Event>, List<String>>> TIMELESS =
+    private static final Map<String, Function<List<Event>, List<String>>> UNTIMED_RULES =
             new LinkedHashMap<>();
 
     static {
@@ -44,11 +44,11 @@
         RULES.put("figures", Auditors::figures);
         RULES.put("harmless refusals", Auditors::harmlessRefusals);
         RULES.put("cold nodes", Auditors::coldNodes);
-        TIMELESS.put("unasked answers", Auditors::unasked);
-        TIMELESS.put("honest values", Auditors::honestValues);
-        TIMELESS.put("attempts", Auditors::attempts);
-        TIMELESS.put("once", Auditors::once);
-        TIMELESS.put("harmless refusals", Auditors::harmlessRefusals);
+        UNTIMED_RULES.put("unasked answers", Auditors::unsolicitedAnswers);
+        UNTIMED_RULES.put("honest values", Auditors::honestValues);
+        UNTIMED_RULES.put("attempts", Auditors::attempts);
+        UNTIMED_RULES.put("once", Auditors::appliedOnce);
+        UNTIMED_RULES.put("harmless refusals", Auditors::harmlessRefusals);
     }
 
     /** A violation: the name of the rule and the event that shows it. */
@@ -63,15 +63,15 @@
 
     /** The violations of all rules. */
     public static List<Broken> broken(List<Event> events) {
-        return broken(RULES, events);
+        return check(RULES, events);
     }
 
     /** The violations of those rules that set no time limit, for runs in real time. */
     public static List<Broken> brokenWhateverTheTime(List<Event> events) {
-        return broken(TIMELESS, events);
+        return check(UNTIMED_RULES, events);
     }
 
-    private static List<Broken> broken(
+    private static List<Broken> check(
             Map<String, Function<List<Event>, List<String>>> rules, List<Event> events) {
         List<Broken> found = new ArrayList<>();
         rules.forEach(
@@ -81,7 +81,7 @@
     }
 
     /** Clients receive no answer without an open request; a missing answer is no violation here. */
-    static List<String> unasked(List<Event> events) {
+    static List<String> unsolicitedAnswers(List<Event> events) {
         return events.stream()
                 .filter(e -> e.kind() == Event.Kind.ANSWERED && e.id().isEmpty())
                 .map(e -> "answer without an open request: " + e)
@@ -96,8 +96,8 @@
      */
     public static List<String> oneAnswer(List<Event> events) {
         List<String> found = new ArrayList<>();
-        Map<String, Long> askedAt = new HashMap<>();
-        Map<String, Long> heldUntil = new HashMap<>();
+        Map<String, Long> sentAt = new HashMap<>();
+        Map<String, Long> suspendedUntil = new HashMap<>();
         Map<String, Long> killedAt = new HashMap<>();
         Map<String, Long> lostAt = new HashMap<>();
         Set<String> taken = new HashSet<>();
@@ -105,7 +105,7 @@
             switch (e.kind()) {
                 case FAULT -> {
                     if (e.detail().startsWith("held ")) {
-                        heldUntil.put(
+                        suspendedUntil.put(
                                 e.where(),
                                 e.us() + Long.parseLong(e.detail().substring(5)) + SLACK_US);
                     } else if (e.detail().equals("killed")) {
@@ -117,7 +117,7 @@
                         lostAt.put(e.where(), e.us());
                     }
                 }
-                case ASKED -> askedAt.put(e.id(), e.us());
+                case ASKED -> sentAt.put(e.id(), e.us());
                 case TAKEN -> taken.add(e.id());
                 case ANSWERED -> {
                     if (e.id().isEmpty()) {
@@ -125,9 +125,9 @@
                     }
                 }
                 case LEFT, CUT -> {
-                    long since = askedAt.get(e.id());
+                    long since = sentAt.get(e.id());
                     boolean excused =
-                            heldUntil.getOrDefault(e.where(), -1L) >= since
+                            suspendedUntil.getOrDefault(e.where(), -1L) >= since
                                     || killedAt.getOrDefault(e.where(), -1L) >= since
                                     || lostAt.getOrDefault(e.where(), -1L) >= since
                                     || e.kind() == Event.Kind.CUT && !taken.contains(e.id());
@@ -147,10 +147,10 @@
     /** A value or receipt that is served was produced for this request by a node or the origin. */
     public static List<String> honestValues(List<Event> events) {
         List<String> found = new ArrayList<>();
-        Map<String, Set<String>> made = new HashMap<>();
+        Map<String, Set<String>> produced = new HashMap<>();
         for (Event e : events) {
             if (e.kind() == Event.Kind.RAN) {
-                made.computeIfAbsent(e.id(), id -> new HashSet<>()).add(e.detail());
+                produced.computeIfAbsent(e.id(), id -> new HashSet<>()).add(e.detail());
             } else if (e.kind() == Event.Kind.ANSWERED && !e.id().isEmpty()) {
                 String answer = e.detail();
                 boolean value = answer.startsWith("VA ");
@@ -158,7 +158,7 @@
                     // a receipt is preceded by the letter of its flag
                     String served = answer.substring(answer.lastIndexOf(' ') + (value ? 1 : 2));
                     boolean names = answer.contains(" O" + e.id() + " ");
-                    if (!names || !made.getOrDefault(e.id(), Set.of()).contains(served)) {
+                    if (!names || !produced.getOrDefault(e.id(), Set.of()).contains(served)) {
                         found.add("served value was not produced for this request: " + e);
                     }
                 }
@@ -196,7 +196,7 @@
                 outSince.putIfAbsent(e.where() + " " + e.id(), e.us());
             } else if (e.kind() == Event.Kind.OUT) {
                 outSince.remove(e.where() + " " + e.id());
-            } else if (over(e)) {
+            } else if (proxyEnded(e)) {
                 // a restarted proxy learns at its start which nodes are left out
                 outSince.keySet().removeIf(key -> key.startsWith(e.where() + " "));
             } else if (e.kind() == Event.Kind.ARRIVED) {
@@ -219,10 +219,10 @@
      */
     public static List<String> figures(List<Event> events) {
         List<String> found = new ArrayList<>();
-        Map<String, Seen> seen = new HashMap<>();
+        Map<String, ObservedCounts> seen = new HashMap<>();
         for (Event e : events) {
             if (e.kind() == Event.Kind.FAULT && e.detail().equals("started")) {
-                seen.put(e.where(), new Seen());
+                seen.put(e.where(), new ObservedCounts());
             } else if (e.kind() == Event.Kind.ARRIVED && seen.containsKey(e.word(1))) {
                 seen.get(e.word(1)).arrived++;
             } else if (seen.containsKey(e.where())) {
@@ -233,7 +233,7 @@
     }
 
     /** What clients and nodes saw of a proxy since its last start. */
-    private static final class Seen {
+    private static final class ObservedCounts {
         private long taken;
         private long served;
         private long busy;
@@ -259,10 +259,11 @@
                     long shed = Long.parseLong(e.word(1));
                     long errors = Long.parseLong(e.word(2));
                     boolean right =
-                            near(ok, served)
-                                    && near(shed, busy)
-                                    && near(errors, failed)
-                                    && near(taken, ok + shed + errors + Long.parseLong(e.word(4)))
+                            matches(ok, served)
+                                    && matches(shed, busy)
+                                    && matches(errors, failed)
+                                    && matches(
+                                            taken, ok + shed + errors + Long.parseLong(e.word(4)))
                                     && Long.parseLong(e.word(3)) >= arrived;
                     if (!right) {
                         found.add(
@@ -286,7 +287,7 @@
             }
         }
 
-        private boolean near(long more, long less) {
+        private boolean matches(long more, long less) {
             return more >= less && more - less <= abandoned;
         }
     }
@@ -296,7 +297,7 @@
      * dropped.
      */
     public static List<String> repeats(List<Event> events) {
-        List<String> found = once(events);
+        List<String> found = appliedOnce(events);
         Map<String, String> classOf = new HashMap<>();
         Map<String, Long> firstAt = new HashMap<>();
         for (Event e : events) {
@@ -314,7 +315,7 @@
     }
 
     /** No request to write is applied twice, and an enrolment not for another try of the client either. */
-    static List<String> once(List<Event> events) {
+    static List<String> appliedOnce(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, String> classOf = new HashMap<>();
         Set<String> applied = new HashSet<>();
@@ -335,24 +336,24 @@
     /** A node gets no command later than the grace time after the proxy learns that it drains or is gone. */
     public static List<String> drains(List<Event> events) {
         List<String> found = new ArrayList<>();
-        Map<String, Map<String, Long>> toldAt = new HashMap<>();
+        Map<String, Map<String, Long>> notifiedAt = new HashMap<>();
         for (Event e : events) {
             if (e.kind() == Event.Kind.TOLD) {
-                Map<String, Long> told =
-                        toldAt.computeIfAbsent(e.where(), proxy -> new HashMap<>());
+                Map<String, Long> nodes =
+                        notifiedAt.computeIfAbsent(e.where(), proxy -> new HashMap<>());
                 if (e.detail().startsWith("SERVING")) {
-                    told.remove(e.id());
+                    nodes.remove(e.id());
                 } else {
-                    told.putIfAbsent(e.id(), e.us());
+                    nodes.putIfAbsent(e.id(), e.us());
                 }
-            } else if (over(e)) {
-                toldAt.remove(e.where()); // a restarted proxy gets a new list
+            } else if (proxyEnded(e)) {
+                notifiedAt.remove(e.where()); // a restarted proxy gets a new list
             } else if (e.kind() == Event.Kind.ARRIVED) {
-                Long told = toldAt.getOrDefault(e.word(1), Map.of()).get(e.where());
-                if (told != null && e.us() - told > DRAIN_US) {
+                Long since = notifiedAt.getOrDefault(e.word(1), Map.of()).get(e.where());
+                if (since != null && e.us() - since > DRAIN_US) {
                     found.add(
                             "sent "
-                                    + (e.us() - told) / 1000
+                                    + (e.us() - since) / 1000
                                     + " ms after the proxy learned of the drain or removal: "
                                     + e);
                 }
@@ -361,7 +362,7 @@
         return found;
     }
 
-    private static boolean over(Event e) {
+    private static boolean proxyEnded(Event e) {
         return e.kind() == Event.Kind.FAULT
                 && (e.detail().equals("killed") || e.detail().equals("ended"));
     }
@@ -391,65 +392,67 @@
         return found;
     }
 
-    /** A started node and the work that it was sent within the last {@code TIP_US}. */
-    private static final class Started {
-        private record Work(long us, double workUs, boolean known) {}
+    /** A started node and the work that it was sent within the last {@code OVERLOAD_WINDOW_US}. */
+    private static final class StartedNode {
+        private record Work(long us, double workUs, boolean informed) {}
 
         private final long upUs;
-        private final double from;
-        private final double warm;
+        private final double startSpeed;
+        private final double fullSpeed;
         private final long coldUs;
         private final ArrayDeque<Work> window = new ArrayDeque<>();
-        private double allUs;
-        private double knownUs;
-        private boolean found;
+        private double totalUs;
+        private double informedUs;
+        private boolean reported;
 
-        Started(Event up) {
+        StartedNode(Event up) {
             String[] figures = up.detail().split(" ");
             upUs = up.us();
-            from = Double.parseDouble(figures[0]);
-            warm = Double.parseDouble(figures[1]);
+            startSpeed = Double.parseDouble(figures[0]);
+            fullSpeed = Double.parseDouble(figures[1]);
             coldUs = Long.parseLong(figures[2]);
         }
 
         boolean warmAt(long us) {
-            return from == warm || us - upUs >= coldUs;
+            return startSpeed == fullSpeed || us - upUs >= coldUs;
         }
 
         /** Adds work; whether it exceeds the budget, with enough from proxies that knew of the start. */
-        boolean over(long us, double workUs, boolean known) {
-            window.add(new Work(us, workUs, known));
-            allUs += workUs;
-            knownUs += known ? workUs : 0;
-            while (window.peek().us <= us - TIP_US) {
+        boolean exceedsBudget(long us, double workUs, boolean informed) {
+            window.add(new Work(us, workUs, informed));
+            totalUs += workUs;
+            informedUs += informed ? workUs : 0;
+            while (window.peek().us <= us - OVERLOAD_WINDOW_US) {
                 Work past = window.poll();
-                allUs -= past.workUs;
-                knownUs -= past.known ? past.workUs : 0;
+                totalUs -= past.workUs;
+                informedUs -= past.informed ? past.workUs : 0;
             }
-            double now = from + (warm - from) * (us - upUs) / coldUs;
-            return allUs > TIP * now * TIP_US && knownUs > TIP_KNOWN * allUs;
+            double now = startSpeed + (fullSpeed - startSpeed) * (us - upUs) / coldUs;
+            return totalUs > OVERLOAD_MULTIPLE * now * OVERLOAD_WINDOW_US
+                    && informedUs > MIN_INFORMED_SHARE * totalUs;
         }
     }
 
     /** The proxies together send no cold node more than its budget; one violation per start of a node. */
     public static List<String> coldNodes(List<Event> events) {
         List<String> found = new ArrayList<>();
-        Map<String, Started> started = new HashMap<>();
-        Map<String, Set<String>> knowing = new HashMap<>();
+        Map<String, StartedNode> started = new HashMap<>();
+        Map<String, Set<String>> informed = new HashMap<>();
         for (Event e : events) {
             if (e.kind() == Event.Kind.UP) {
-                started.put(e.where(), new Started(e));
-                knowing.put(e.where(), new HashSet<>());
+                started.put(e.where(), new StartedNode(e));
+                informed.put(e.where(), new HashSet<>());
             } else if (e.kind() == Event.Kind.TOLD && e.detail().startsWith("SERVING")) {
-                knowing.getOrDefault(e.id(), new HashSet<>()).add(e.where());
+                informed.getOrDefault(e.id(), new HashSet<>()).add(e.where());
             } else if (e.kind() == Event.Kind.ARRIVED) {
-                Started node = started.get(e.where());
+                StartedNode node = started.get(e.where());
                 if (node.warmAt(e.us())) {
                     continue;
                 }
-                boolean known = knowing.get(e.where()).contains(e.word(1));
-                if (!node.found && node.over(e.us(), Double.parseDouble(e.word(2)), known)) {
-                    node.found = true;
+                boolean known = informed.get(e.where()).contains(e.word(1));
+                if (!node.reported
+                        && node.exceedsBudget(e.us(), Double.parseDouble(e.word(2)), known)) {
+                    node.reported = true;
                     found.add("cold node was sent more than its budget: " + e);
                 }
             }
--- a/src/main/java/holdproxy/town/CacheNode.java
+++ b/src/main/java/holdproxy/town/CacheNode.java
@@ -21,7 +21,8 @@
  * An emulated cache node. Running requests share its cores evenly: each of n gets min(1, cores / n) of a
  * core. Up to {@code slots} run, {@code queue} more wait, and any further request is answered busy. A node
  * that starts cold has {@code coldFrom} of its speed and reaches full speed over {@code coldUs}; if it is
- * sent more than {@code TIP} times what it can do within {@code TIP_US} meanwhile, it fails and stays down.
+ * sent more than {@code OVERLOAD_MULTIPLE} times what it can do within {@code OVERLOAD_WINDOW_US} meanwhile,
+ * it fails and stays down.
  */
 public final class CacheNode {
     /**
@@ -64,50 +65,53 @@
         /** Identifies a write and its repeats where repeats are dropped, else null. */
         final String group;
 
-        final long ofLife = life;
-        double leftUs = -kind.workUs * Math.log(1 - random.nextDouble());
+        final long nodeIncarnation = incarnation;
+        double remainingUs = -kind.workUs * Math.log(1 - random.nextDouble());
         String answer;
 
         Job(MetaLines.Message command, Connection connection) {
             this.command = command;
             this.connection = connection;
             id = command.flag('O');
-            group = command.field("c").equals("renewal") ? register.came(command.field("k")) : null;
-            leftUs *= RequestClass.named(command.field("c")).work();
+            group =
+                    command.field("c").equals("renewal")
+                            ? origin.groupOnArrival(command.field("k"))
+                            : null;
+            remainingUs *= RequestClass.named(command.field("c")).work();
         }
     }
 
-    private static final double TIP = 4;
-    private static final long TIP_US = 2_000_000;
+    private static final double OVERLOAD_MULTIPLE = 4;
+    private static final long OVERLOAD_WINDOW_US = 2_000_000;
 
     public final String name;
     public final int zone;
     public final InetSocketAddress address;
     public final Kind kind;
     private final Timeline loop;
-    private final TownNetwork process;
+    private final TownNetwork network;
     private final TownRecord record;
-    private final MemberRegister register;
+    private final MemberRegister origin;
     private final SplittableRandom random;
     private final List<Job> running = new ArrayList<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final Set<Channel> connections = new LinkedHashSet<>();
 
     /** Expiry time of each cached key; least recently used keys are evicted first. */
-    private final Map<String, Long> memory;
+    private final Map<String, Long> cache;
 
-    /** Work that arrived within the last {@code TIP_US}: pairs of time and amount. */
-    private final ArrayDeque<double[]> lately = new ArrayDeque<>();
+    /** Work that arrived within the last {@code OVERLOAD_WINDOW_US}: pairs of time and amount. */
+    private final ArrayDeque<double[]> recentWork = new ArrayDeque<>();
 
-    private double latelyUs;
+    private double recentWorkUs;
     private Channel listener;
     private long startedUs = Long.MIN_VALUE;
-    private long progressUs;
-    private long plan;
-    private double slowness = 1;
+    private long advancedUs;
+    private long stepNumber;
+    private double slowdown = 1;
     private boolean draining;
-    private long made;
-    private int life;
+    private long valuesMade;
+    private int incarnation;
 
     /** Creates a node that is not started. */
     public CacheNode(
@@ -116,20 +120,20 @@
             InetSocketAddress address,
             Kind kind,
             Timeline loop,
-            TownNetwork process,
+            TownNetwork network,
             TownRecord record,
-            MemberRegister register,
+            MemberRegister origin,
             SplittableRandom random) {
         this.name = name;
         this.zone = zone;
         this.address = address;
         this.kind = kind;
         this.loop = loop;
-        this.process = process;
+        this.network = network;
         this.record = record;
-        this.register = register;
+        this.origin = origin;
         this.random = random;
-        memory =
+        cache =
                 new LinkedHashMap<>(16, 0.75f, true) {
                     private static final long serialVersionUID = 1;
 
@@ -138,28 +142,28 @@
                         return size() > kind.keys;
                     }
                 };
-        register.knows(this);
+        origin.addNode(this);
     }
 
     /** Starts at full speed with this many of the most popular keys cached. */
     public void startWarm(int keys) {
         for (int i = Math.min(keys, kind.keys) - 1; i >= 0; i--) {
-            memory.put(Clients.key(i), (long) (random.nextDouble() * kind.ttlUs));
+            cache.put(Clients.key(i), (long) (random.nextDouble() * kind.ttlUs));
         }
         listen(Long.MIN_VALUE, 1);
     }
 
     /** Starts with an empty cache and reduced speed. */
     public void startCold() {
-        memory.clear();
+        cache.clear();
         listen(loop.nowUs(), kind.coldFrom);
     }
 
-    private void listen(long started, double from) {
+    private void listen(long started, double speedFactor) {
         startedUs = started;
         draining = false;
         listener =
-                process.listen(
+                network.listen(
                                 address,
                                 () -> new ChannelHandler[] {new MetaLines(), new Connection()})
                         .channel();
@@ -169,7 +173,7 @@
                 Event.Kind.UP,
                 name,
                 "",
-                speed * from + " " + speed + " " + kind.coldUs);
+                speed * speedFactor + " " + speed + " " + kind.coldUs);
     }
 
     /** Whether it accepts connections. */
@@ -201,29 +205,29 @@
         record.add(loop.nowUs(), Event.Kind.FAULT, name, "", how);
         listener.close();
         listener = null;
-        life++;
+        incarnation++;
         running.clear();
         waiting.clear();
-        plan++;
-        lately.clear();
-        latelyUs = 0;
+        stepNumber++;
+        recentWork.clear();
+        recentWorkUs = 0;
         List.copyOf(connections).forEach(Channel::close);
     }
 
     /** Makes it {@code times} slower than normal from now on. */
-    public void slow(double times) {
-        record.add(loop.nowUs(), Event.Kind.FAULT, name, "", "slow " + times);
-        progress();
-        slowness = times;
-        planNext();
+    public void slow(double factor) {
+        record.add(loop.nowUs(), Event.Kind.FAULT, name, "", "slow " + factor);
+        advance();
+        slowdown = factor;
+        scheduleStep();
     }
 
     /** Removes a key from its cache. */
-    public void drop(String key) {
-        memory.remove(key);
+    public void invalidate(String key) {
+        cache.remove(key);
     }
 
-    private void arrived(Job job) {
+    private void accept(Job job) {
         String writeKey = job.command.field("k");
         record.add(
                 loop.nowUs(),
@@ -234,8 +238,8 @@
                         + " "
                         + job.connection.proxy
                         + " "
-                        + (long) job.leftUs);
-        if (tips(job.leftUs)) {
+                        + (long) job.remainingUs);
+        if (exceedsColdBudget(job.remainingUs)) {
             end("falls over");
         } else if (draining
                 || connections.size() > kind.connections
@@ -248,20 +252,21 @@
         }
     }
 
-    /** Adds work to that of the last {@code TIP_US}; whether this exceeds the budget of a cold node. */
-    private boolean tips(double workUs) {
+    /** Adds work to the recent work; whether this exceeds the budget of a cold node. */
+    private boolean exceedsColdBudget(double workUs) {
         if (startedUs == Long.MIN_VALUE || loop.nowUs() - startedUs >= kind.coldUs) {
             return false;
         }
-        lately.add(new double[] {loop.nowUs(), workUs});
-        latelyUs += workUs;
-        while (lately.peek()[0] <= loop.nowUs() - TIP_US) {
-            latelyUs -= lately.poll()[1];
+        recentWork.add(new double[] {loop.nowUs(), workUs});
+        recentWorkUs += workUs;
+        while (recentWork.peek()[0] <= loop.nowUs() - OVERLOAD_WINDOW_US) {
+            recentWorkUs -= recentWork.poll()[1];
         }
-        return latelyUs > TIP * TIP_US * kind.speed * kind.cores * warm();
+        return recentWorkUs
+                > OVERLOAD_MULTIPLE * OVERLOAD_WINDOW_US * kind.speed * kind.cores * speedFactor();
     }
 
-    private double warm() {
+    private double speedFactor() {
         return startedUs == Long.MIN_VALUE
                 ? 1
                 : Math.min(
@@ -271,44 +276,47 @@
     }
 
     private void run(Job job) {
-        progress();
+        advance();
         running.add(job);
-        planNext();
+        scheduleStep();
     }
 
     /** Work done per microsecond on each running request. */
-    private double rate() {
-        return kind.speed * warm() / slowness * Math.min(1, (double) kind.cores / running.size());
+    private double workPerUs() {
+        return kind.speed
+                * speedFactor()
+                / slowdown
+                * Math.min(1, (double) kind.cores / running.size());
     }
 
-    private void progress() {
-        double done = (loop.nowUs() - progressUs) * (running.isEmpty() ? 0 : rate());
-        progressUs = loop.nowUs();
-        running.forEach(j -> j.leftUs -= done);
+    private void advance() {
+        double done = (loop.nowUs() - advancedUs) * (running.isEmpty() ? 0 : workPerUs());
+        advancedUs = loop.nowUs();
+        running.forEach(j -> j.remainingUs -= done);
     }
 
-    private void planNext() {
-        long number = ++plan;
+    private void scheduleStep() {
+        long number = ++stepNumber;
         double least = Double.MAX_VALUE;
         for (Job j : running) {
-            least = Math.min(least, j.leftUs);
+            least = Math.min(least, j.remainingUs);
         }
         if (!running.isEmpty()) {
             loop.after(
-                    (long) Math.ceil(Math.max(0, least) / rate()),
+                    (long) Math.ceil(Math.max(0, least) / workPerUs()),
                     () -> {
-                        if (number == plan) {
-                            stepped();
+                        if (number == stepNumber) {
+                            step();
                         }
                     });
         }
     }
 
-    private void stepped() {
-        progress();
+    private void step() {
+        advance();
         List<Job> done = new ArrayList<>();
         for (Job j : running) {
-            if (j.leftUs < 1) {
+            if (j.remainingUs < 1) {
                 done.add(j);
             }
         }
@@ -316,35 +324,39 @@
         while (running.size() < kind.slots && !waiting.isEmpty()) {
             run(waiting.poll());
         }
-        planNext();
-        done.forEach(this::worked);
+        scheduleStep();
+        done.forEach(this::answerOrAskOrigin);
     }
 
     /** The node's own work on a request is done: answers from its cache or asks the origin. */
-    private void worked(Job job) {
+    private void answerOrAskOrigin(Job job) {
         String key = job.command.word(1);
         if (job.command.line().startsWith("ms ")) {
-            register.write(
-                    job.id, key, job.command.field("k"), job.group, receipt -> ran(job, receipt));
-        } else if (memory.getOrDefault(key, -1L) > loop.nowUs()) {
+            origin.write(
+                    job.id,
+                    key,
+                    job.command.field("k"),
+                    job.group,
+                    receipt -> complete(job, receipt));
+        } else if (cache.getOrDefault(key, -1L) > loop.nowUs()) {
             // the look-up also marks the key as most recently used
-            ran(job, null);
+            complete(job, null);
         } else {
-            register.fetch(
+            origin.fetch(
                     job.id,
                     key,
                     version -> {
-                        memory.put(key, loop.nowUs() + kind.ttlUs);
-                        ran(job, null);
+                        cache.put(key, loop.nowUs() + kind.ttlUs);
+                        complete(job, null);
                     });
         }
     }
 
-    private void ran(Job job, String receipt) {
-        if (job.ofLife != life) {
+    private void complete(Job job, String receipt) {
+        if (job.nodeIncarnation != incarnation) {
             return; // the node ended while the origin worked
         }
-        String value = receipt != null ? receipt : name + "." + ++made;
+        String value = receipt != null ? receipt : name + "." + ++valuesMade;
         record.add(loop.nowUs(), Event.Kind.RAN, name, job.id, value);
         finish(
                 job,
@@ -360,33 +372,33 @@
 
     /** A connection of a proxy: commands start on arrival and are answered in order of arrival. */
     private final class Connection extends SimpleChannelInboundHandler<MetaLines.Message> {
-        private final ArrayDeque<Job> line = new ArrayDeque<>();
+        private final ArrayDeque<Job> pending = new ArrayDeque<>();
         private Channel channel;
         private String proxy;
-        private boolean fresh = true;
+        private boolean beforeFirstCommand = true;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            proxy = process.peer(channel);
+            proxy = network.peer(channel);
             connections.add(channel);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaLines.Message command) {
             Job job = new Job(command, this);
-            line.add(job);
-            if (fresh) {
-                job.leftUs += kind.handshakeUs;
-                fresh = false;
+            pending.add(job);
+            if (beforeFirstCommand) {
+                job.remainingUs += kind.handshakeUs;
+                beforeFirstCommand = false;
             }
-            arrived(job);
+            accept(job);
         }
 
         void flushInOrder() {
-            while (!line.isEmpty() && line.peek().answer != null) {
+            while (!pending.isEmpty() && pending.peek().answer != null) {
                 ByteBuf bytes =
-                        Unpooled.copiedBuffer(line.poll().answer, StandardCharsets.ISO_8859_1);
+                        Unpooled.copiedBuffer(pending.poll().answer, StandardCharsets.ISO_8859_1);
                 channel.pipeline().write(bytes);
             }
         }
@@ -394,7 +406,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(ctx.channel());
-            waiting.removeAll(line); // commands that have not started have nobody to answer
+            waiting.removeAll(pending); // commands that have not started have nobody to answer
         }
     }
 }
--- a/src/main/java/holdproxy/town/Clients.java
+++ b/src/main/java/holdproxy/town/Clients.java
@@ -28,10 +28,10 @@
  */
 public final class Clients {
     private static final int CONNECT_MS = 1000;
-    private static final double LEAST_WAIT = 0.5;
-    private static final double MOST_WAIT = 0.8;
-    private static final double LEAST_PAUSE_MS = 20;
-    private static final double MOST_PAUSE_MS = 160;
+    private static final double MIN_WAIT = 0.5;
+    private static final double MAX_WAIT = 0.8;
+    private static final double MIN_PAUSE_MS = 20;
+    private static final double MAX_PAUSE_MS = 160;
 
     private final Timeline loop;
 
@@ -43,20 +43,20 @@
     private final Load load;
     private final List<String> tenants;
     private final Front front;
-    private final double[] keyShares;
-    private final double[] times;
+    private final double[] cumulativeKeyWeights;
+    private final double[] rateFactors;
     private final int proxies;
 
     /** Idle connections, at index zone * proxies + proxy. */
-    private final List<ArrayDeque<Connection>> free = new ArrayList<>();
+    private final List<ArrayDeque<Connection>> idleConnections = new ArrayList<>();
 
     /** Ids of the open requests that a proxy has read. */
-    private final Set<String> taken = new HashSet<>();
+    private final Set<String> readRequests = new HashSet<>();
 
-    private boolean takenWhenWritten;
-    private double hot;
+    private boolean countsReadWhenWritten;
+    private double hotKeyShare;
     private long untilUs;
-    private long wants;
+    private long operations;
 
     /** Creates clients that send nothing before {@link #ask}. */
     public Clients(
@@ -75,17 +75,17 @@
         this.load = load;
         this.tenants = tenants;
         this.front = front;
-        times = new double[tenants.size()];
-        Arrays.fill(times, 1);
+        rateFactors = new double[tenants.size()];
+        Arrays.fill(rateFactors, 1);
         this.proxies = proxies;
         for (int i = 0; i < proxies * networks.size(); i++) {
-            free.add(new ArrayDeque<>());
+            idleConnections.add(new ArrayDeque<>());
         }
-        keyShares = new double[load.keys()];
+        cumulativeKeyWeights = new double[load.keys()];
         double sum = 0;
-        for (int i = 0; i < keyShares.length; i++) {
+        for (int i = 0; i < cumulativeKeyWeights.length; i++) {
             sum += Math.pow(i + 1, -load.zipf());
-            keyShares[i] = sum;
+            cumulativeKeyWeights[i] = sum;
         }
     }
 
@@ -97,7 +97,7 @@
     /** Sends requests from now on until this time, in microseconds. */
     public void ask(long until) {
         untilUs = until;
-        next();
+        scheduleNext();
     }
 
     /**
@@ -106,17 +106,17 @@
      * sent once more for that.
      */
     public void takenWhenWritten() {
-        takenWhenWritten = true;
+        countsReadWhenWritten = true;
     }
 
     /** Multiplies a club's request rate by this factor from now on. */
     public void surge(int club, double factor) {
-        times[club] = factor;
+        rateFactors[club] = factor;
     }
 
     /** Sends this part of all reads to a single key from now on. */
     public void hot(double part) {
-        hot = part;
+        hotKeyShare = part;
     }
 
     /** Wraps a proxy's network so as to record which client requests the proxy has read. */
@@ -134,7 +134,9 @@
                 return inner.listen(
                         address,
                         () ->
-                                Stream.concat(Stream.of(door(proxy)), Stream.of(handlers.get()))
+                                Stream.concat(
+                                                Stream.of(readRecorder(proxy)),
+                                                Stream.of(handlers.get()))
                                         .toArray(ChannelHandler[]::new));
             }
 
@@ -150,7 +152,7 @@
         };
     }
 
-    private ChannelHandler door(String proxy) {
+    private ChannelHandler readRecorder(String proxy) {
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -158,7 +160,7 @@
                 String text = ((ByteBuf) message).toString(StandardCharsets.ISO_8859_1);
                 int at = text.indexOf(" O") + 2;
                 String id = text.substring(at, text.indexOf(' ', at));
-                taken.add(id);
+                readRequests.add(id);
                 record.add(loop.nowUs(), Event.Kind.TAKEN, proxy, id, "");
                 ctx.fireChannelRead(message);
             }
@@ -166,26 +168,29 @@
     }
 
     private double weight(int club) {
-        return load.clubs().get(club) * times[club];
+        return load.clubs().get(club) * rateFactors[club];
     }
 
-    private double weights() {
+    private double totalWeight() {
         double sum = 0;
-        for (int i = 0; i < times.length; i++) {
+        for (int i = 0; i < rateFactors.length; i++) {
             sum += weight(i);
         }
         return sum;
     }
 
-    private void next() {
+    private void scheduleNext() {
         long gapUs =
-                (long) (-Math.log(1 - random.nextDouble()) / (load.ratePerS() * weights()) * 1e6);
+                (long)
+                        (-Math.log(1 - random.nextDouble())
+                                / (load.ratePerS() * totalWeight())
+                                * 1e6);
         if (loop.nowUs() + gapUs < untilUs) {
             loop.after(
                     gapUs,
                     () -> {
-                        next();
-                        new Want().ask();
+                        scheduleNext();
+                        new Operation().sendTry();
                     });
         }
     }
@@ -202,8 +207,8 @@
     }
 
     private String drawTenant() {
-        double at = random.nextDouble() * weights();
-        for (int i = 0; i < times.length; i++) {
+        double at = random.nextDouble() * totalWeight();
+        for (int i = 0; i < rateFactors.length; i++) {
             at -= weight(i);
             if (at < 0) {
                 return tenants.get(i);
@@ -213,11 +218,11 @@
     }
 
     private int drawKey() {
-        double at = random.nextDouble() * keyShares[keyShares.length - 1];
+        double at = random.nextDouble() * cumulativeKeyWeights[cumulativeKeyWeights.length - 1];
         int low = 0;
-        for (int high = keyShares.length - 1; low < high; ) {
+        for (int high = cumulativeKeyWeights.length - 1; low < high; ) {
             int middle = (low + high) >>> 1;
-            if (keyShares[middle] < at) {
+            if (cumulativeKeyWeights[middle] < at) {
                 low = middle + 1;
             } else {
                 high = middle;
@@ -227,18 +232,21 @@
     }
 
     /** One operation of a client; each of its tries is a request with its own id. */
-    private final class Want {
+    private final class Operation {
         private final RequestClass type = drawClass();
         private final String tenant = drawTenant();
         private final String key =
-                key(!type.write() && hot > 0 && random.nextDouble() < hot ? 0 : drawKey());
+                key(
+                        !type.write() && hotKeyShare > 0 && random.nextDouble() < hotKeyShare
+                                ? 0
+                                : drawKey());
         private final int zone = networks.size() == 1 ? 0 : random.nextInt(networks.size());
-        private final String number = Long.toHexString(0x100_0000L + ++wants);
+        private final String number = Long.toHexString(0x100_0000L + ++operations);
         private int tries;
-        private boolean crossed;
-        private int waitMs;
+        private boolean resent;
+        private int timeoutMs;
 
-        Want() {
+        Operation() {
             record.add(
                     loop.nowUs(),
                     Event.Kind.WANTED,
@@ -247,10 +255,10 @@
                     networks.size() == 1 ? type.name() : type.name() + " " + zone);
         }
 
-        void ask() {
+        void sendTry() {
             tries++;
-            crossed = false;
-            waitMs = (int) (type.deadlineMs() * random.nextDouble(LEAST_WAIT, MOST_WAIT));
+            resent = false;
+            timeoutMs = (int) (type.deadlineMs() * random.nextDouble(MIN_WAIT, MAX_WAIT));
             send();
         }
 
@@ -267,7 +275,7 @@
                             + ",t="
                             + tenant
                             + ",d="
-                            + waitMs
+                            + timeoutMs
                             + (tries > 1 ? ",r=1" : "");
             return type.write()
                     ? "ms " + key + " 5" + fields + ",k=k" + number + "\r\nhello\r\n"
@@ -276,9 +284,9 @@
 
         private void send() {
             int proxy = front.pick(random, zone);
-            Connection connection = free.get(zone * proxies + proxy).poll();
+            Connection connection = idleConnections.get(zone * proxies + proxy).poll();
             if (connection != null) {
-                connection.ask(this);
+                connection.send(this);
                 return;
             }
             Connection fresh = new Connection(proxy, zone);
@@ -289,122 +297,123 @@
             connected.addListener(
                     f -> {
                         if (f.isSuccess()) {
-                            fresh.ask(this);
+                            fresh.send(this);
                         } else {
-                            again(0);
+                            retry(0);
                         }
                     });
         }
 
         /** Tries again after a pause of at least {@code adviceMs}, if a retry is left. */
-        private void again(long adviceMs) {
+        private void retry(long adviceMs) {
             if (tries <= load.retries()) {
                 double pauseMs =
-                        random.nextDouble(LEAST_PAUSE_MS, MOST_PAUSE_MS) * (1L << (tries - 1));
-                loop.after((long) (1000 * Math.max(adviceMs, pauseMs)), this::ask);
+                        random.nextDouble(MIN_PAUSE_MS, MAX_PAUSE_MS) * (1L << (tries - 1));
+                loop.after((long) (1000 * Math.max(adviceMs, pauseMs)), this::sendTry);
             }
         }
 
-        private void answered(String line) {
-            taken.remove(id());
+        private void handleAnswer(String line) {
+            readRequests.remove(id());
             if (line.startsWith(MetaLines.BUSY)) {
                 String advice = line.substring(MetaLines.BUSY.length()).strip();
-                again(advice.isEmpty() ? 0 : Long.parseLong(advice));
+                retry(advice.isEmpty() ? 0 : Long.parseLong(advice));
             } else if (!MetaLines.served(line)) {
-                mayHaveRun();
+                retryUnlessOnceOnly();
             }
         }
 
-        private void givenUp() {
-            taken.remove(id());
-            mayHaveRun();
+        private void timedOut() {
+            readRequests.remove(id());
+            retryUnlessOnceOnly();
         }
 
         /** The request may have run: tries again unless its class may run at most once. */
-        private void mayHaveRun() {
+        private void retryUnlessOnceOnly() {
             if (!type.onceOnly()) {
-                again(0);
+                retry(0);
             }
         }
 
-        private void lost() {
-            boolean unread = !taken.remove(id());
-            if (unread && !crossed) {
+        private void connectionClosed() {
+            boolean unread = !readRequests.remove(id());
+            if (unread && !resent) {
                 // the proxy closed the connection before it read the request: resend it, once
-                crossed = true;
+                resent = true;
                 send();
             } else {
-                mayHaveRun();
+                retryUnlessOnceOnly();
             }
         }
     }
 
     private final class Connection extends SimpleChannelInboundHandler<MetaLines.Message> {
         private final int proxy;
-        private final ArrayDeque<Connection> place;
+        private final ArrayDeque<Connection> idle;
         private Channel channel;
-        private Want waits;
+        private Operation current;
 
         Connection(int proxy, int zone) {
             this.proxy = proxy;
-            place = free.get(zone * proxies + proxy);
+            idle = idleConnections.get(zone * proxies + proxy);
         }
 
-        private void add(Event.Kind kind, String id, String detail) {
+        private void recordEvent(Event.Kind kind, String id, String detail) {
             record.add(loop.nowUs(), kind, "proxy-" + proxy, id, detail);
         }
 
-        void ask(Want want) {
-            waits = want;
-            String id = want.id();
-            channel.writeAndFlush(Unpooled.copiedBuffer(want.bytes(), StandardCharsets.ISO_8859_1));
-            if (takenWhenWritten) {
-                taken.add(id);
-                add(Event.Kind.TAKEN, id, "");
+        void send(Operation operation) {
+            current = operation;
+            String id = operation.id();
+            channel.writeAndFlush(
+                    Unpooled.copiedBuffer(operation.bytes(), StandardCharsets.ISO_8859_1));
+            if (countsReadWhenWritten) {
+                readRequests.add(id);
+                recordEvent(Event.Kind.TAKEN, id, "");
             }
-            add(
+            recordEvent(
                     Event.Kind.ASKED,
                     id,
-                    want.type.name()
+                    operation.type.name()
                             + " "
-                            + (want.type.write() ? "k" + want.number : "-")
+                            + (operation.type.write() ? "k" + operation.number : "-")
                             + " "
-                            + want.waitMs);
-            loop.after(want.waitMs * 1000L, () -> leave(want, id));
+                            + operation.timeoutMs);
+            loop.after(operation.timeoutMs * 1000L, () -> giveUp(operation, id));
         }
 
-        private void leave(Want want, String id) {
-            if (waits == want && want.id().equals(id)) {
-                add(Event.Kind.LEFT, id, "");
-                waits = null;
+        private void giveUp(Operation operation, String id) {
+            if (current == operation && operation.id().equals(id)) {
+                recordEvent(Event.Kind.LEFT, id, "");
+                current = null;
                 channel.close();
-                want.givenUp();
+                operation.timedOut();
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaLines.Message answer) {
-            Want served = waits;
+            Operation operation = current;
             // an answer without an open request is recorded too, for the auditors to report
-            add(
+            recordEvent(
                     Event.Kind.ANSWERED,
-                    served == null ? "" : served.id(),
+                    operation == null ? "" : operation.id(),
                     answer.block() == null ? answer.line() : answer.line() + " " + answer.block());
-            if (served != null) {
-                waits = null;
-                place.push(this);
-                served.answered(answer.line());
+            if (operation != null) {
+                current = null;
+                idle.push(this);
+                operation.handleAnswer(answer.line());
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            place.remove(this);
-            if (waits != null) {
-                Want lost = waits;
-                add(Event.Kind.CUT, lost.id(), "");
-                waits = null;
-                lost.lost();
+            idle.remove(this);
+            if (current != null) {
+                Operation unanswered = current;
+                recordEvent(Event.Kind.CUT, unanswered.id(), "");
+                current = null;
+                unanswered.connectionClosed();
             }
         }
     }
--- a/src/main/java/holdproxy/town/DiscoveryService.java
+++ b/src/main/java/holdproxy/town/DiscoveryService.java
@@ -27,7 +27,7 @@
 
 /** The emulated discovery: serves the node list over HTTP, one call at a time, and pushes changes. */
 public final class DiscoveryService {
-    private static final long BEAT_US = 2_000_000;
+    private static final long HEARTBEAT_US = 2_000_000;
 
     private record Change(
             long version,
@@ -41,8 +41,8 @@
     private final Timeline loop;
     private final TownRecord record;
     private final long callUs;
-    private final Predicate<String> unheard;
-    private final BiFunction<String, InetSocketAddress, InetSocketAddress> places;
+    private final Predicate<String> unreachable;
+    private final BiFunction<String, InetSocketAddress, InetSocketAddress> addressForProxy;
     private final List<Change> changes = new ArrayList<>();
 
     /** Open watches, each with the name of its proxy. */
@@ -65,10 +65,10 @@
             Timeline loop,
             TownRecord record,
             long callUs,
-            Predicate<String> unheard,
-            BiFunction<String, InetSocketAddress, InetSocketAddress> places) {
-        this.unheard = unheard;
-        this.places = places;
+            Predicate<String> unreachable,
+            BiFunction<String, InetSocketAddress, InetSocketAddress> addressForProxy) {
+        this.unreachable = unreachable;
+        this.addressForProxy = addressForProxy;
         this.loop = loop;
         this.record = record;
         this.callUs = callUs;
@@ -78,7 +78,7 @@
     public void start(TownNetwork network, InetSocketAddress address) {
         this.network = network;
         network.listen(address, () -> new ChannelHandler[] {new HttpServerCodec(), new Call()});
-        beat();
+        sendHeartbeats();
     }
 
     /** Takes it down or up again; while down it answers 503. Going down closes all watches. */
@@ -108,14 +108,14 @@
         }
         watches.forEach(
                 (watch, proxy) -> {
-                    chunk(watch, list(proxy, false, List.of(change)));
-                    told(proxy, change);
+                    writeLine(watch, list(proxy, false, List.of(change)));
+                    recordTold(proxy, change);
                 });
     }
 
     /** The current full list for a proxy that starts with it; recorded as told to the proxy. */
     public String whole(String proxy) {
-        latest.values().forEach(c -> told(proxy, c));
+        latest.values().forEach(c -> recordTold(proxy, c));
         return list(proxy, true, List.copyOf(latest.values()));
     }
 
@@ -130,7 +130,7 @@
     }
 
     private String entry(String proxy, Change c) {
-        String address = text(places.apply(proxy, c.address));
+        String address = text(addressForProxy.apply(proxy, c.address));
         return "{\"id\":\""
                 + c.node
                 + "\",\"addr\":\""
@@ -147,8 +147,8 @@
                 + "}";
     }
 
-    private void told(String proxy, Change change) {
-        if (unheard.test(proxy)) {
+    private void recordTold(String proxy, Change change) {
+        if (unreachable.test(proxy)) {
             return; // the proxy gets the change when it opens its next watch
         }
         record.add(
@@ -164,45 +164,48 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private static void chunk(Channel watch, String line) {
+    private static void writeLine(Channel watch, String line) {
         watch.writeAndFlush(
                 new DefaultHttpContent(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8)));
     }
 
-    private void beat() {
-        watches.keySet().forEach(w -> chunk(w, ""));
-        loop.after(BEAT_US, this::beat);
+    private void sendHeartbeats() {
+        watches.keySet().forEach(w -> writeLine(w, ""));
+        loop.after(HEARTBEAT_US, this::sendHeartbeats);
     }
 
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
             if (message instanceof HttpRequest request) {
-                QueryStringDecoder asked = new QueryStringDecoder(request.uri());
+                QueryStringDecoder query = new QueryStringDecoder(request.uri());
                 freeAtUs = Math.max(freeAtUs, loop.nowUs()) + callUs;
                 loop.after(
-                        freeAtUs - loop.nowUs(), () -> answer(ctx.channel(), asked.parameters()));
+                        freeAtUs - loop.nowUs(), () -> answer(ctx.channel(), query.parameters()));
             }
         }
 
-        private void answer(Channel ch, Map<String, List<String>> asked) {
+        private void answer(Channel channel, Map<String, List<String>> parameters) {
             if (down) {
-                ch.writeAndFlush(
+                channel.writeAndFlush(
                         new DefaultFullHttpResponse(
                                 HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE));
-                ch.close();
+                channel.close();
                 return;
             }
             DefaultHttpResponse head =
                     new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-            ch.writeAndFlush(head);
-            String proxy = network.peer(ch);
-            long since = asked.containsKey("index") ? Long.parseLong(asked.get("index").get(0)) : 0;
+            channel.writeAndFlush(head);
+            String proxy = network.peer(channel);
+            long since =
+                    parameters.containsKey("index")
+                            ? Long.parseLong(parameters.get("index").get(0))
+                            : 0;
             List<Change> missed = changes.stream().filter(c -> c.version > since).toList();
-            chunk(ch, list(proxy, false, missed));
-            missed.forEach(c -> told(proxy, c));
-            watches.put(ch, proxy);
+            writeLine(channel, list(proxy, false, missed));
+            missed.forEach(c -> recordTold(proxy, c));
+            watches.put(channel, proxy);
         }
 
         @Override
--- a/src/main/java/holdproxy/town/Front.java
+++ b/src/main/java/holdproxy/town/Front.java
@@ -9,44 +9,44 @@
 
 /** A simple load balancer in front of the proxies: spreads connections over those that are marked in use. */
 public final class Front {
-    private final List<InetSocketAddress> doors = new ArrayList<>();
-    private final List<Boolean> used = new ArrayList<>();
+    private final List<InetSocketAddress> addresses = new ArrayList<>();
+    private final List<Boolean> inUse = new ArrayList<>();
     private final List<Integer> zones = new ArrayList<>();
 
     /** Adds a proxy that is not in use yet; returns its number. */
     public int door(InetSocketAddress address, int zone) {
-        doors.add(address);
+        addresses.add(address);
         zones.add(zone);
-        used.add(false);
-        return doors.size() - 1;
+        inUse.add(false);
+        return addresses.size() - 1;
     }
 
     /** The address at which clients reach this proxy. */
     public InetSocketAddress address(int proxy) {
-        return doors.get(proxy);
+        return addresses.get(proxy);
     }
 
     /** Sets whether new connections go to this proxy. */
     public void use(int proxy, boolean use) {
-        used.set(proxy, use);
+        inUse.set(proxy, use);
     }
 
     /** A random proxy in use in this zone; if there is none, one in use in any zone; else any proxy. */
     public int pick(SplittableRandom random, int zone) {
-        int near = count(i -> used.get(i) && zones.get(i) == zone);
-        int up = count(used::get);
-        if (up == 0) {
-            return random.nextInt(doors.size());
+        int inZone = count(i -> inUse.get(i) && zones.get(i) == zone);
+        int inAnyZone = count(inUse::get);
+        if (inAnyZone == 0) {
+            return random.nextInt(addresses.size());
         }
-        int left = random.nextInt(near > 0 ? near : up);
+        int remaining = random.nextInt(inZone > 0 ? inZone : inAnyZone);
         for (int i = 0; ; i++) {
-            if (used.get(i) && (near == 0 || zones.get(i) == zone) && left-- == 0) {
+            if (inUse.get(i) && (inZone == 0 || zones.get(i) == zone) && remaining-- == 0) {
                 return i;
             }
         }
     }
 
-    private int count(IntPredicate so) {
-        return (int) IntStream.range(0, doors.size()).filter(so).count();
+    private int count(IntPredicate condition) {
+        return (int) IntStream.range(0, addresses.size()).filter(condition).count();
     }
 }
--- a/src/main/java/holdproxy/town/Load.java
+++ b/src/main/java/holdproxy/town/Load.java
@@ -20,28 +20,29 @@
     public static final Load PLAIN = new Load(62, 40, 20_000, 0.9, 2, List.of(0.45, 0.37, 0.18));
 
     /** Reads the load of a scenario file; missing keys take their value from {@link #PLAIN}. */
-    public static Load read(TomlPart p) {
-        Load d = PLAIN;
-        double ratePerS = p.number("rate_per_s", d.ratePerS(), 0.1, 100_000);
-        double workMs = p.number("work_ms", d.workMs(), 0.01, 10_000);
-        int keys = p.whole("keys", d.keys(), 1, 10_000_000);
-        double zipf = p.number("zipf", d.zipf(), 0, 5);
-        int retries = p.whole("retries", d.retries(), 0, 10);
+    public static Load read(TomlPart part) {
+        Load defaults = PLAIN;
+        double ratePerS = part.number("rate_per_s", defaults.ratePerS(), 0.1, 100_000);
+        double workMs = part.number("work_ms", defaults.workMs(), 0.01, 10_000);
+        int keys = part.whole("keys", defaults.keys(), 1, 10_000_000);
+        double zipf = part.number("zipf", defaults.zipf(), 0, 5);
+        int retries = part.whole("retries", defaults.retries(), 0, 10);
         List<Double> clubs = new ArrayList<>();
-        TomlArray shares = p.array("clubs");
+        TomlArray shares = part.array("clubs");
         for (int i = 0; shares != null && i < shares.size(); i++) {
             if (!(shares.get(i) instanceof Double share) || share <= 0 || share > 1) {
-                throw p.bad(
+                throw part.bad(
                         shares.inputPositionOf(i),
                         "clubs must hold only shares above 0 and up to 1");
             }
             clubs.add(share);
         }
-        p.done();
+        part.done();
         double sum = clubs.stream().mapToDouble(c -> c).sum();
         if (!clubs.isEmpty() && Math.abs(sum - 1) > 1e-6) {
-            throw p.bad(p.at("clubs"), "the shares of clubs sum to " + sum + " instead of 1");
+            throw part.bad(part.at("clubs"), "the shares of clubs sum to " + sum + " instead of 1");
         }
-        return new Load(ratePerS, workMs, keys, zipf, retries, clubs.isEmpty() ? d.clubs() : clubs);
+        return new Load(
+                ratePerS, workMs, keys, zipf, retries, clubs.isEmpty() ? defaults.clubs() : clubs);
     }
 }
--- a/src/main/java/holdproxy/town/MemberRegister.java
+++ b/src/main/java/holdproxy/town/MemberRegister.java
@@ -14,58 +14,58 @@
 public final class MemberRegister {
     private static final String NAME = "register";
 
-    private record Work(
+    private record Request(
             String id, String key, String writeKey, String group, Consumer<String> done) {}
 
     private final Timeline loop;
     private final TownRecord record;
-    private final int most;
+    private final int slots;
     private final long workUs;
     private final long dropRepeatsUs;
-    private final ArrayDeque<Work> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Request> waiting = new ArrayDeque<>();
 
     /** When a write's idempotency key first arrived at any node, within the window that drops repeats. */
-    private final Map<String, Long> firstUs = new HashMap<>();
+    private final Map<String, Long> firstArrivalUs = new HashMap<>();
 
     private final Map<String, String> receipts = new HashMap<>();
     private final List<CacheNode> nodes = new ArrayList<>();
 
     /** Number of requests that arrived in each second. */
-    private final List<Integer> came = new ArrayList<>();
+    private final List<Integer> arrivalsPerSecond = new ArrayList<>();
 
     private int running;
     private long versions;
 
     /**
-     * Creates an origin that runs {@code most} requests at once, each for {@code workUs}. A keyed write's
+     * Creates an origin that runs {@code slots} requests at once, each for {@code workUs}. A keyed write's
      * repeat is dropped if it arrives at any node within {@code dropRepeatsUs} of the first arrival, however
      * late it gets to the origin.
      */
     public MemberRegister(
-            Timeline loop, TownRecord record, int most, long workUs, long dropRepeatsUs) {
+            Timeline loop, TownRecord record, int slots, long workUs, long dropRepeatsUs) {
         this.loop = loop;
         this.record = record;
-        this.most = most;
+        this.slots = slots;
         this.workUs = workUs;
         this.dropRepeatsUs = dropRepeatsUs;
     }
 
     /** Adds a node whose cached copies are invalidated by writes. */
-    public void knows(CacheNode node) {
+    public void addNode(CacheNode node) {
         nodes.add(node);
     }
 
     /** Reads a value and passes it to {@code done}. */
     public void fetch(String id, String key, Consumer<String> done) {
-        take(new Work(id, key, null, null, done));
+        submit(new Request(id, key, null, null, done));
     }
 
     /** Notes that a keyed write arrived at a node; returns the group that it shares with its repeats. */
-    public String came(String writeKey) {
-        long first = firstUs.getOrDefault(writeKey, Long.MIN_VALUE / 2);
+    public String groupOnArrival(String writeKey) {
+        long first = firstArrivalUs.getOrDefault(writeKey, Long.MIN_VALUE / 2);
         if (loop.nowUs() - first > dropRepeatsUs) {
             first = loop.nowUs();
-            firstUs.put(writeKey, first);
+            firstArrivalUs.put(writeKey, first);
         }
         return writeKey + "@" + first;
     }
@@ -77,31 +77,31 @@
      * @param group from {@link #came(String)} for a write whose repeats are dropped, else null
      */
     public void write(String id, String key, String writeKey, String group, Consumer<String> done) {
-        take(new Work(id, key, writeKey, group, done));
+        submit(new Request(id, key, writeKey, group, done));
     }
 
     /** The most requests that arrived in any second, divided by the capacity per second. */
     public double peakLoad() {
-        double perS = most * 1e6 / workUs;
-        return came.stream().mapToInt(n -> n).max().orElse(0) / perS;
+        double perS = slots * 1e6 / workUs;
+        return arrivalsPerSecond.stream().mapToInt(n -> n).max().orElse(0) / perS;
     }
 
-    private void came() {
+    private void countArrival() {
         int second = (int) (loop.nowUs() / 1_000_000);
-        while (came.size() <= second) {
-            came.add(0);
+        while (arrivalsPerSecond.size() <= second) {
+            arrivalsPerSecond.add(0);
         }
-        came.set(second, came.get(second) + 1);
+        arrivalsPerSecond.set(second, arrivalsPerSecond.get(second) + 1);
     }
 
-    private void take(Work w) {
-        came();
-        start(w);
+    private void submit(Request request) {
+        countArrival();
+        runOrQueue(request);
     }
 
-    private void start(Work w) {
-        if (running == most) {
-            waiting.add(w);
+    private void runOrQueue(Request request) {
+        if (running == slots) {
+            waiting.add(request);
             return;
         }
         running++;
@@ -109,23 +109,24 @@
                 workUs,
                 () -> {
                     running--;
-                    w.done.accept(w.writeKey == null ? "m" + ++versions : apply(w));
+                    request.done.accept(
+                            request.writeKey == null ? "m" + ++versions : apply(request));
                     if (!waiting.isEmpty()) {
-                        start(waiting.poll());
+                        runOrQueue(waiting.poll());
                     }
                 });
     }
 
-    private String apply(Work w) {
-        if (w.group != null && receipts.containsKey(w.group)) {
-            return receipts.get(w.group);
+    private String apply(Request request) {
+        if (request.group != null && receipts.containsKey(request.group)) {
+            return receipts.get(request.group);
         }
         String receipt = "r" + ++versions;
-        if (w.group != null) {
-            receipts.put(w.group, receipt);
+        if (request.group != null) {
+            receipts.put(request.group, receipt);
         }
-        record.add(loop.nowUs(), Event.Kind.APPLIED, NAME, w.id, w.writeKey);
-        nodes.forEach(n -> n.drop(w.key));
+        record.add(loop.nowUs(), Event.Kind.APPLIED, NAME, request.id, request.writeKey);
+        nodes.forEach(n -> n.invalidate(request.key));
         return receipt;
     }
 }
--- a/src/main/java/holdproxy/town/ProxyConfig.java
+++ b/src/main/java/holdproxy/town/ProxyConfig.java
@@ -68,7 +68,8 @@
                                                 + clubs.get(i)
                                                 + "}")
                         .collect(Collectors.joining(","));
-        String rooms = zones.stream().map(z -> "\"" + z + "\"").collect(Collectors.joining(","));
+        String localities =
+                zones.stream().map(z -> "\"" + z + "\"").collect(Collectors.joining(","));
         String settings =
                 SETTINGS.formatted(
                         index,
@@ -76,7 +77,7 @@
                         zone,
                         attempts,
                         grades(),
-                        rooms,
+                        localities,
                         coldFrom,
                         coldS * 1000,
                         tenants);
--- a/src/main/java/holdproxy/town/Service.java
+++ b/src/main/java/holdproxy/town/Service.java
@@ -20,7 +20,7 @@
         public long attempts;
     }
 
-    private record Want(long us, RequestClass type, Second second, Second byClass) {}
+    private record Operation(long us, RequestClass type, Second second, Second byClass) {}
 
     private static final long LONGEST_MS = 60_000;
 
@@ -33,15 +33,16 @@
     /** Evaluates a whole record. */
     public Service(List<Event> events) {
         RequestClass.ALL.forEach(c -> classes.put(c.name(), new Second()));
-        Map<String, Want> open = new HashMap<>();
+        Map<String, Operation> open = new HashMap<>();
         for (Event e : events) {
             Second second = second(e.us());
             switch (e.kind()) {
                 case WANTED -> {
                     RequestClass type = RequestClass.named(e.word(0));
-                    Want want = new Want(e.us(), type, second, classes.get(type.name()));
-                    open.put(e.id(), want);
-                    for (Second s : List.of(all, want.second, want.byClass)) {
+                    Operation operation =
+                            new Operation(e.us(), type, second, classes.get(type.name()));
+                    open.put(e.id(), operation);
+                    for (Second s : List.of(all, operation.second, operation.byClass)) {
                         s.wanted++;
                         s.worthWanted += type.worth();
                     }
@@ -65,7 +66,7 @@
         return seconds.get(at);
     }
 
-    private void answered(Event e, Second second, Map<String, Want> open) {
+    private void answered(Event e, Second second, Map<String, Operation> open) {
         if (e.id().isEmpty()) {
             return;
         } else if (!MetaLines.served(e.detail())) {
@@ -76,13 +77,13 @@
             }
             return;
         }
-        Want want = open.remove(e.want());
-        if (want != null) {
-            long tookMs = (e.us() - want.us) / 1000;
+        Operation operation = open.remove(e.operation());
+        if (operation != null) {
+            long tookMs = (e.us() - operation.us) / 1000;
             servedMs.recordValue(Math.min(tookMs, LONGEST_MS));
-            if (tookMs <= want.type.aimMs()) {
-                for (Second s : List.of(all, want.second, want.byClass)) {
-                    s.worthInTime += want.type.worth();
+            if (tookMs <= operation.type.aimMs()) {
+                for (Second s : List.of(all, operation.second, operation.byClass)) {
+                    s.worthInTime += operation.type.worth();
                 }
             }
         }
--- a/src/main/java/holdproxy/town/TownRecord.java
+++ b/src/main/java/holdproxy/town/TownRecord.java
@@ -12,7 +12,7 @@
 /** The event record of an emulated site, in order of occurrence. */
 public final class TownRecord {
     private final List<Event> events = new ArrayList<>();
-    private final Consumer<Event> also;
+    private final Consumer<Event> listener;
 
     /** Creates a record that keeps its events in memory only. */
     public TownRecord() {
@@ -20,14 +20,14 @@
     }
 
     /** Creates a record that also passes each event to {@code also} when it is added. */
-    public TownRecord(Consumer<Event> also) {
-        this.also = also;
+    public TownRecord(Consumer<Event> listener) {
+        this.listener = listener;
     }
 
     public void add(long us, Event.Kind kind, String where, String id, String detail) {
         Event event = new Event(us, kind, where, id, detail);
         events.add(event);
-        also.accept(event);
+        listener.accept(event);
     }
 
     /** All events, in the order in which they were added. */
--- a/src/main/java/holdproxy/town/ZoneReport.java
+++ b/src/main/java/holdproxy/town/ZoneReport.java
@@ -16,67 +16,70 @@
  * divided by its budget, which matters when a zone returns.
  */
 public final class ZoneReport {
-    /** A cold node fails when it is sent more than this multiple of what it can do within {@code TIP_US}. */
-    private static final double TIP = 4;
+    /** A cold node fails when it is sent more than this multiple of what it can do within the window. */
+    private static final double OVERLOAD_MULTIPLE = 4;
 
-    private static final long TIP_US = 2_000_000;
+    private static final long OVERLOAD_WINDOW_US = 2_000_000;
 
     /** A zone that fell silent, and the traffic sent into it meanwhile. */
-    private static final class Loss {
+    private static final class SilentZone {
         private final String zone;
-        private final long atUs;
-        private long lastUs = -1;
-        private long backUs = Long.MAX_VALUE;
+        private final long silentSinceUs;
+        private long lastSendUs = -1;
+        private long returnedUs = Long.MAX_VALUE;
         private long sends;
         private final Set<String> senders = new HashSet<>();
 
-        Loss(String zone, long atUs) {
+        SilentZone(String zone, long atUs) {
             this.zone = zone;
-            this.atUs = atUs;
+            this.silentSinceUs = atUs;
         }
     }
 
-    /** A started node, from its {@link Event.Kind#UP}, and its work of the last {@code TIP_US}. */
-    private static final class Cold {
+    /** A started node, from its {@link Event.Kind#UP}, and the work sent to it recently. */
+    private static final class StartedNode {
         private final long upUs;
-        private final double from;
-        private final double warm;
+        private final double startSpeed;
+        private final double fullSpeed;
         private final double coldUs;
-        private final ArrayDeque<double[]> lately = new ArrayDeque<>();
-        private double sumUs;
+        private final ArrayDeque<double[]> recentWork = new ArrayDeque<>();
+        private double recentWorkUs;
 
-        Cold(Event up) {
+        StartedNode(Event up) {
             upUs = up.us();
-            from = Double.parseDouble(up.word(0));
-            warm = Double.parseDouble(up.word(1));
+            startSpeed = Double.parseDouble(up.word(0));
+            fullSpeed = Double.parseDouble(up.word(1));
             coldUs = Double.parseDouble(up.word(2));
         }
 
         /** Adds work; returns the part of the budget that is used, or 0 once the node is warm. */
-        double spent(long us, double workUs) {
+        double addToBudget(long us, double workUs) {
             double since = us - upUs;
-            if (from == warm || since >= coldUs) {
+            if (startSpeed == fullSpeed || since >= coldUs) {
                 return 0;
             }
-            lately.add(new double[] {us, workUs});
-            sumUs += workUs;
-            while (lately.peek()[0] <= us - TIP_US) {
-                sumUs -= lately.poll()[1];
+            recentWork.add(new double[] {us, workUs});
+            recentWorkUs += workUs;
+            while (recentWork.peek()[0] <= us - OVERLOAD_WINDOW_US) {
+                recentWorkUs -= recentWork.poll()[1];
             }
-            return sumUs / (TIP * (from + (warm - from) * since / coldUs) * TIP_US);
+            return recentWorkUs
+                    / (OVERLOAD_MULTIPLE
+                            * (startSpeed + (fullSpeed - startSpeed) * since / coldUs)
+                            * OVERLOAD_WINDOW_US);
         }
     }
 
     private final Map<String, Service.Second> zones = new TreeMap<>();
-    private final List<Loss> losses = new ArrayList<>();
-    private double coldPeak;
+    private final List<SilentZone> silentZones = new ArrayList<>();
+    private double coldBudgetPeak;
 
     /** Evaluates a whole record. */
     public ZoneReport(List<Event> events) {
         Map<String, String> zoneOf = new HashMap<>();
         Map<String, Long> wantedAt = new HashMap<>();
         Map<String, RequestClass> types = new HashMap<>();
-        Map<String, Cold> started = new HashMap<>();
+        Map<String, StartedNode> started = new HashMap<>();
         for (Event e : events) {
             switch (e.kind()) {
                 case WANTED -> {
@@ -92,46 +95,48 @@
                 case ANSWERED -> {
                     if (!e.id().isEmpty()
                             && MetaLines.served(e.detail())
-                            && wantedAt.containsKey(e.want())) {
-                        RequestClass type = types.get(e.want());
+                            && wantedAt.containsKey(e.operation())) {
+                        RequestClass type = types.get(e.operation());
                         boolean inTime =
-                                (e.us() - wantedAt.remove(e.want())) / 1000 <= type.aimMs();
-                        zones.get(zoneOf.get(e.want())).worthInTime += inTime ? type.worth() : 0;
+                                (e.us() - wantedAt.remove(e.operation())) / 1000 <= type.aimMs();
+                        zones.get(zoneOf.get(e.operation())).worthInTime +=
+                                inTime ? type.worth() : 0;
                     }
                 }
-                case FAULT -> fault(e);
-                case LOST -> lost(e);
-                case UP -> started.put(e.where(), new Cold(e));
+                case FAULT -> noteZoneFault(e);
+                case LOST -> countSend(e);
+                case UP -> started.put(e.where(), new StartedNode(e));
                 case ARRIVED ->
-                        coldPeak =
+                        coldBudgetPeak =
                                 Math.max(
-                                        coldPeak,
+                                        coldBudgetPeak,
                                         started.get(e.where())
-                                                .spent(e.us(), Double.parseDouble(e.word(2))));
+                                                .addToBudget(
+                                                        e.us(), Double.parseDouble(e.word(2))));
                 default -> {}
             }
         }
     }
 
-    private void fault(Event e) {
+    private void noteZoneFault(Event e) {
         if (e.detail().equals("silent") && e.where().startsWith("zone-")) {
-            losses.add(new Loss(e.where().substring(5), e.us()));
+            silentZones.add(new SilentZone(e.where().substring(5), e.us()));
         } else if (e.detail().equals("back")) {
-            losses.stream()
+            silentZones.stream()
                     .filter(l -> l.zone.equals(e.where().substring(e.where().indexOf('-') + 1)))
-                    .forEach(l -> l.backUs = Math.min(l.backUs, e.us()));
+                    .forEach(l -> l.returnedUs = Math.min(l.returnedUs, e.us()));
         }
     }
 
     /** Counts a dial or message that a proxy outside sent into a silent zone. */
-    private void lost(Event e) {
-        for (Loss l : losses) {
+    private void countSend(Event e) {
+        for (SilentZone l : silentZones) {
             if (!e.word(1).equals("true")
                     && l.zone.equals(e.word(2))
-                    && e.us() < l.backUs
+                    && e.us() < l.returnedUs
                     && !e.where().startsWith("proxy-")) {
                 l.sends++;
-                l.lastUs = e.us();
+                l.lastSendUs = e.us();
                 l.senders.add(e.id());
             }
         }
@@ -143,14 +148,14 @@
         if (zones.size() > 1) {
             zones.forEach((zone, s) -> f.put("in_time_zone_" + zone, Service.share(s)));
         }
-        for (Loss l : losses) {
+        for (SilentZone l : silentZones) {
             f.put(
                     "last_send_into_zone_" + l.zone + "_s",
-                    l.lastUs < 0 ? 0.0 : (l.lastUs - l.atUs) / 1e6);
+                    l.lastSendUs < 0 ? 0.0 : (l.lastSendUs - l.silentSinceUs) / 1e6);
             f.put("sends_into_zone_" + l.zone, l.sends);
             f.put("proxies_that_sent_into_zone_" + l.zone, l.senders.size());
         }
-        f.put("cold_budget_peak", coldPeak);
+        f.put("cold_budget_peak", coldBudgetPeak);
         return f;
     }
 }
