--- a/src/main/java/holdproxy/lab/LoadSeries.java
+++ b/src/main/java/holdproxy/lab/LoadSeries.java
@@ -48,7 +48,7 @@
             } else if (e.kind() == Event.Kind.ANSWERED
                     && MetaLines.served(e.detail())
                     && !e.id().isEmpty()) {
-                Want w = open.remove(e.operation());
+                Want w = open.remove(e.want());
                 if (w != null && e.us() - w.us <= w.type.aimMs() * 1000L) {
                     inTime[w.club][(int) (w.us / BIN_US)]++;
                 }
--- a/src/main/java/holdproxy/town/Event.java
+++ b/src/main/java/holdproxy/town/Event.java
@@ -74,7 +74,7 @@
     }
 
     /** The id that all tries of an operation share: this request's id without its last digit. */
-    public String operation() {
+    public String want() {
         return id.substring(0, id.length() - 1);
     }
 
--- a/src/main/java/holdproxy/town/Service.java
+++ b/src/main/java/holdproxy/town/Service.java
@@ -77,7 +77,7 @@
             }
             return;
         }
-        Operation operation = open.remove(e.operation());
+        Operation operation = open.remove(e.want());
         if (operation != null) {
             long tookMs = (e.us() - operation.us) / 1000;
             servedMs.recordValue(Math.min(tookMs, LONGEST_MS));
--- a/src/main/java/holdproxy/town/ZoneReport.java
+++ b/src/main/java/holdproxy/town/ZoneReport.java
@@ -95,12 +95,11 @@
                 case ANSWERED -> {
                     if (!e.id().isEmpty()
                             && MetaLines.served(e.detail())
-                            && wantedAt.containsKey(e.operation())) {
-                        RequestClass type = types.get(e.operation());
+                            && wantedAt.containsKey(e.want())) {
+                        RequestClass type = types.get(e.want());
                         boolean inTime =
-                                (e.us() - wantedAt.remove(e.operation())) / 1000 <= type.aimMs();
-                        zones.get(zoneOf.get(e.operation())).worthInTime +=
-                                inTime ? type.worth() : 0;
+                                (e.us() - wantedAt.remove(e.want())) / 1000 <= type.aimMs();
+                        zones.get(zoneOf.get(e.want())).worthInTime += inTime ? type.worth() : 0;
                     }
                 }
                 case FAULT -> noteZoneFault(e);
