--- a/src/main/java/holdproxy/town/DiscoveryService.java
+++ b/src/main/java/holdproxy/town/DiscoveryService.java
@@ -25,9 +25,9 @@
 import java.util.function.BiFunction;
 import java.util.function.Predicate;
 
-/** The platform's list of nodes over HTTP: one call after another, and watches that are told of changes. */
+/** The emulated discovery: serves the node list over HTTP, one call at a time, and pushes changes. */
 public final class DiscoveryService {
-    private static final long BEAT_US = 2_000_000;
+    private static final long HEARTBEAT_US = 2_000_000;
 
     private record Change(
             long version,
@@ -41,11 +41,11 @@
     private final Timeline loop;
     private final TownRecord record;
     private final long callUs;
-    private final Predicate<String> unheard;
-    private final BiFunction<String, InetSocketAddress, InetSocketAddress> places;
+    private final Predicate<String> unreachable;
+    private final BiFunction<String, InetSocketAddress, InetSocketAddress> addressForProxy;
     private final List<Change> changes = new ArrayList<>();
 
-    /** Watches and the proxy behind each. */
+    /** Open watches, each with the name of its proxy. */
     private final Map<Channel, String> watches = new LinkedHashMap<>();
 
     private final Map<String, Change> latest = new LinkedHashMap<>();
@@ -55,30 +55,33 @@
     private boolean down;
 
     /**
-     * Each call takes {@code callUs}; {@code unheard}: whether a proxy is not reached by what it is told;
-     * {@code places}: where a proxy finds a node that is at this address.
+     * Creates a service that isn't started.
+     *
+     * @param callUs time that each call takes
+     * @param unheard whether messages to this proxy are lost
+     * @param places maps a proxy and a node's address to the address at which that proxy reaches the node
      */
     public DiscoveryService(
             Timeline loop,
             TownRecord record,
             long callUs,
-            Predicate<String> unheard,
-            BiFunction<String, InetSocketAddress, InetSocketAddress> places) {
-        this.unheard = unheard;
-        this.places = places;
+            Predicate<String> unreachable,
+            BiFunction<String, InetSocketAddress, InetSocketAddress> addressForProxy) {
+        this.unreachable = unreachable;
+        this.addressForProxy = addressForProxy;
         this.loop = loop;
         this.record = record;
         this.callUs = callUs;
     }
 
-    /** Accepts calls at this address. */
+    /** Starts to accept calls at this address. */
     public void start(TownNetwork network, InetSocketAddress address) {
         this.network = network;
         network.listen(address, () -> new ChannelHandler[] {new HttpServerCodec(), new Call()});
-        beat();
+        sendHeartbeats();
     }
 
-    /** Down, it answers 503, and its watches have ended. */
+    /** Takes it down or up again; while down it answers 503. Going down closes all watches. */
     public void down(boolean isDown) {
         record.add(loop.nowUs(), Event.Kind.FAULT, "discovery", "", isDown ? "down" : "up");
         down = isDown;
@@ -88,7 +91,7 @@
         }
     }
 
-    /** A node's state is from now on: SERVING, DRAINING or DELETED. */
+    /** Sets a node's state (SERVING, DRAINING or DELETED) and pushes it to all watches. */
     public void set(
             String node,
             InetSocketAddress address,
@@ -105,14 +108,14 @@
         }
         watches.forEach(
                 (watch, proxy) -> {
-                    chunk(watch, list(proxy, false, List.of(change)));
-                    told(proxy, change);
+                    writeLine(watch, list(proxy, false, List.of(change)));
+                    recordTold(proxy, change);
                 });
     }
 
-    /** The whole list as it is now, told to a proxy that starts with it. */
+    /** The current full list for a proxy that starts with it; recorded as told to the proxy. */
     public String whole(String proxy) {
-        latest.values().forEach(c -> told(proxy, c));
+        latest.values().forEach(c -> recordTold(proxy, c));
         return list(proxy, true, List.copyOf(latest.values()));
     }
 
@@ -127,7 +130,7 @@
     }
 
     private String entry(String proxy, Change c) {
-        String address = text(places.apply(proxy, c.address));
+        String address = text(addressForProxy.apply(proxy, c.address));
         return "{\"id\":\""
                 + c.node
                 + "\",\"addr\":\""
@@ -144,9 +147,9 @@
                 + "}";
     }
 
-    private void told(String proxy, Change change) {
-        if (unheard.test(proxy)) {
-            return; // it will have it from its next watch
+    private void recordTold(String proxy, Change change) {
+        if (unreachable.test(proxy)) {
+            return; // the proxy gets the change when it opens its next watch
         }
         record.add(
                 loop.nowUs(),
@@ -156,50 +159,53 @@
                 change.state + " " + change.startedMs);
     }
 
-    /** An address as discovery states it: host, colon, port. */
+    /** The form of an address in discovery's answers: host, colon, port. */
     public static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private static void chunk(Channel watch, String line) {
+    private static void writeLine(Channel watch, String line) {
         watch.writeAndFlush(
                 new DefaultHttpContent(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8)));
     }
 
-    private void beat() {
-        watches.keySet().forEach(w -> chunk(w, ""));
-        loop.after(BEAT_US, this::beat);
+    private void sendHeartbeats() {
+        watches.keySet().forEach(w -> writeLine(w, ""));
+        loop.after(HEARTBEAT_US, this::sendHeartbeats);
     }
 
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
             if (message instanceof HttpRequest request) {
-                QueryStringDecoder asked = new QueryStringDecoder(request.uri());
+                QueryStringDecoder query = new QueryStringDecoder(request.uri());
                 freeAtUs = Math.max(freeAtUs, loop.nowUs()) + callUs;
                 loop.after(
-                        freeAtUs - loop.nowUs(), () -> answer(ctx.channel(), asked.parameters()));
+                        freeAtUs - loop.nowUs(), () -> answer(ctx.channel(), query.parameters()));
             }
         }
 
-        private void answer(Channel ch, Map<String, List<String>> asked) {
+        private void answer(Channel channel, Map<String, List<String>> parameters) {
             if (down) {
-                ch.writeAndFlush(
+                channel.writeAndFlush(
                         new DefaultFullHttpResponse(
                                 HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE));
-                ch.close();
+                channel.close();
                 return;
             }
             DefaultHttpResponse head =
                     new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-            ch.writeAndFlush(head);
-            String proxy = network.peer(ch);
-            long since = asked.containsKey("index") ? Long.parseLong(asked.get("index").get(0)) : 0;
+            channel.writeAndFlush(head);
+            String proxy = network.peer(channel);
+            long since =
+                    parameters.containsKey("index")
+                            ? Long.parseLong(parameters.get("index").get(0))
+                            : 0;
             List<Change> missed = changes.stream().filter(c -> c.version > since).toList();
-            chunk(ch, list(proxy, false, missed));
-            missed.forEach(c -> told(proxy, c));
-            watches.put(ch, proxy);
+            writeLine(channel, list(proxy, false, missed));
+            missed.forEach(c -> recordTold(proxy, c));
+            watches.put(channel, proxy);
         }
 
         @Override
