--- a/src/main/java/holdproxy/town/Load.java
+++ b/src/main/java/holdproxy/town/Load.java
@@ -33,14 +33,14 @@
             if (!(shares.get(i) instanceof Double share) || share <= 0 || share > 1) {
                 throw part.bad(
                         shares.inputPositionOf(i),
-                        "clubs must hold only shares above 0 and up to 1");
+                        "clubs holds something else than shares from 0 to 1");
             }
             clubs.add(share);
         }
         part.done();
         double sum = clubs.stream().mapToDouble(c -> c).sum();
         if (!clubs.isEmpty() && Math.abs(sum - 1) > 1e-6) {
-            throw part.bad(part.at("clubs"), "the shares of clubs sum to " + sum + " instead of 1");
+            throw part.bad(part.at("clubs"), "the shares of clubs make " + sum + " and not 1");
         }
         return new Load(
                 ratePerS, workMs, keys, zipf, retries, clubs.isEmpty() ? defaults.clubs() : clubs);
