--- a/src/main/java/holdproxy/rig/ConfigurationJudge.java
+++ b/src/main/java/holdproxy/rig/ConfigurationJudge.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Whether each process put published versions into force in their order, none twice and no older one after a
- * newer, by what processes say: whatever the time.
+ * Checks, from the events that processes logged, that each process put published versions into force in
+ * increasing order: none twice, and no older one after a newer one. Independent of timing.
  */
 final class ConfigurationJudge {
     private static final String IN_ORDER = "versions in order";
@@ -32,7 +32,7 @@
                 continue;
             }
             if (e.detail().startsWith(STARTING)) {
-                inForce.remove(e.where()); // it holds nothing yet
+                inForce.remove(e.where()); // a new process has no version in force
             } else if (e.detail().startsWith(IN_FORCE)) {
                 // configuration in force epoch=E number=N sections=S
                 Version now = new Version(value(e, 3, "epoch="), value(e, 4, "number="));
--- a/src/main/java/holdproxy/rig/Expected.java
+++ b/src/main/java/holdproxy/rig/Expected.java
@@ -5,17 +5,17 @@
 import java.util.function.Predicate;
 
 /**
- * Progress that a schedule asks for: each of these processes, or one of them, says or does something, which
- * its event in the record contains.
+ * Progress that a schedule requires: an event with a given text in the history, from all or any of the named
+ * processes.
  *
- * @param any whether one of them is enough
- * @param by who is to say it: a name, one that ends with *, or * for all
- * @param said what its event has to contain
- * @param afterS not before this, in seconds from when all processes listen
- * @param withinS how long that is awaited after the schedule's last second, in seconds
+ * @param any whether an event from one of the processes is enough
+ * @param by the processes: a name, a prefix with *, or * for all
+ * @param said text that the event has to contain
+ * @param afterS earliest time of the event, in seconds after all processes listen
+ * @param withinS how long to wait for it after the schedule's end, in seconds
  */
 record Expected(boolean any, String by, String said, double afterS, double withinS) {
-    /** Whether it has come about in these processes. */
+    /** Whether {@code events} has the required events of the matching {@code processes}. */
     boolean met(List<String> processes, List<Event> events, long startUs) {
         Predicate<String> hasSaid =
                 p ->
--- a/src/main/java/holdproxy/rig/GuardedResource.java
+++ b/src/main/java/holdproxy/rig/GuardedResource.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * What leases are held for: it takes lines of a lease and a token, and refuses a token below one that it has
- * seen for the same lease.
+ * A resource guarded by leases with fencing tokens. It reads lines with a lease's name and a token, and
+ * refuses a token below the highest that it has seen for that lease.
  */
 final class GuardedResource {
     static final String NAME = "resource";
@@ -28,7 +28,7 @@
     private final boolean looks;
     private final Map<String, Long> highest = new HashMap<>();
 
-    /** {@code looks}: whether it compares tokens at all; a judge has to find out where it does not. */
+    /** {@code looks}: whether it checks tokens; if not, {@link LeaseAuditor} has to find stale holders. */
     GuardedResource(Timeline time, TownRecord record, TownNetwork network, boolean looks) {
         this.time = time;
         this.record = record;
--- a/src/main/java/holdproxy/rig/Keeper.java
+++ b/src/main/java/holdproxy/rig/Keeper.java
@@ -13,9 +13,9 @@
 import java.util.Optional;
 
 /**
- * Ends what a rig has started, however the rig itself ends: a process of its own that is told of each one on
- * its standard input, and kills those that still run when that input ends. A pid that another process has by
- * then is told apart by when it was started.
+ * Kills the child processes of a rig when the rig exits, even if the rig itself was killed. The reaper is a
+ * process of its own: it reads the pid and start time of each child from its standard input, and at the end
+ * of that input kills the children that still run. The start time guards against a reused pid.
  */
 public final class Keeper implements AutoCloseable {
     private final Process process;
@@ -26,7 +26,7 @@
         told = process.getOutputStream();
     }
 
-    /** Starts one with this command line, which has to come to {@link #keep}. */
+    /** Starts the reaper process; {@code command} has to run {@link #keep}. */
     public static Keeper start(List<String> command) throws IOException {
         return new Keeper(
                 new ProcessBuilder(command)
@@ -35,7 +35,7 @@
                         .start());
     }
 
-    /** From now on this process ends with the rig. */
+    /** Registers a child process, so that it does not outlive the rig. */
     public synchronized void keeps(ProcessHandle child) throws IOException {
         told.write((child.pid() + " " + startedMs(child) + "\n").getBytes(StandardCharsets.UTF_8));
         told.flush();
@@ -45,7 +45,7 @@
         return process.info().startInstant().map(Instant::toEpochMilli).orElse(-1L);
     }
 
-    /** The rig has ended what it started: so does this. */
+    /** Ends the reaper process, which kills the children that still run, and waits for its exit. */
     @Override
     public void close() {
         try {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** The keeper's own life; returns at the end of its input. */
+    /** The main loop of the reaper process; returns at the end of its input. */
     public static void keep(InputStream in) throws IOException {
         Map<Long, Long> startedMs = new LinkedHashMap<>();
         BufferedReader lines =
--- a/src/main/java/holdproxy/rig/LeaseAuditor.java
+++ b/src/main/java/holdproxy/rig/LeaseAuditor.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Whether one process at a time held each lease, by what the guarded resource saw and what processes say that
- * they were granted: whatever the time.
+ * Checks that each lease had at most one holder per token, from the acts that the guarded resource recorded
+ * and the grants that processes logged. Independent of timing.
  */
 final class LeaseAuditor {
     private static final String ONE_HOLDER = "one holder";
@@ -27,7 +27,8 @@
                     found.add(
                             new Auditors.Broken(
                                     ONE_HOLDER,
-                                    "an act with a token under the highest was taken: " + e));
+                                    "an act was accepted with a token below the highest one: "
+                                            + e));
                 }
                 highest.merge(e.word(0), token, Math::max);
                 hold(holders, e.word(0) + " " + token, e.id(), e, found);
@@ -53,7 +54,7 @@
             List<Auditors.Broken> found) {
         String before = holders.putIfAbsent(grant, who);
         if (before != null && !before.equals(who)) {
-            found.add(new Auditors.Broken(ONE_HOLDER, before + " had the same token: " + e));
+            found.add(new Auditors.Broken(ONE_HOLDER, before + " held the same token: " + e));
         }
     }
 }
--- a/src/main/java/holdproxy/rig/ProgramLine.java
+++ b/src/main/java/holdproxy/rig/ProgramLine.java
@@ -4,11 +4,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The command line by which this program starts itself once more: the same Java, the same classes. */
+/** Builds command lines that start this program again with the same Java and class path. */
 public final class ProgramLine {
     private ProgramLine() {}
 
-    /** {@code heap}: as {@code -Xmx} takes it; {@code options}: further ones of the JVM. */
+    /** {@code heap}: in the format of {@code -Xmx}; {@code options}: further JVM options. */
     public static List<String> of(String heap, List<String> options, String... words) {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         List<String> command =
@@ -20,7 +20,8 @@
                                 "-Djava.net.preferIPv4Stack=true",
                                 "-Dio.netty.leakDetection.level=disabled"));
         command.addAll(options);
-        // where tests run in a jar that only names others, this names those
+        // surefire may run tests from a jar with only a manifest; this property has the real class
+        // path
         command.addAll(
                 List.of(
                         "-cp",
--- a/src/main/java/holdproxy/rig/ServeProcess.java
+++ b/src/main/java/holdproxy/rig/ServeProcess.java
@@ -17,9 +17,9 @@
 import java.util.function.IntConsumer;
 
 /**
- * One proxy of a rig through all its lives, each a real process of the built program. What it prints goes to
- * a file and to the rig; what is done to it is done by signals. Called on the rig's event loop, it calls back
- * there.
+ * One proxy of a rig across restarts; each run is a real process of the built program. Its output goes to a
+ * file and to a callback. It is controlled by signals. Methods are called, and call back, on the rig's event
+ * loop.
  */
 public final class ServeProcess {
     public final String name;
@@ -31,7 +31,7 @@
     private Process process;
     private int life;
 
-    /** {@code log}: a file that all its lives write to, one after another. */
+    /** {@code log}: the output file; each run appends to it. */
     public ServeProcess(
             String name,
             List<String> command,
@@ -47,7 +47,7 @@
         this.loop = loop;
     }
 
-    /** Starts a life; {@code said} gets each line, {@code ended} the exit code unless another has begun. */
+    /** Starts a run; {@code said} gets each output line, {@code ended} the exit code of the latest run. */
     public void start(Consumer<String> said, IntConsumer ended) {
         int mine = ++life;
         try {
@@ -71,7 +71,7 @@
                         "output of " + name);
         reading.setDaemon(true);
         reading.start();
-        // its last words come before its end
+        // the last output is delivered before the exit code
         started.onExit()
                 .thenCombine(allRead, (p, read) -> p)
                 .thenAccept(
@@ -99,16 +99,16 @@
                 said.accept(line);
             }
         } catch (IOException e) {
-            said.accept("its output cannot be read or kept: " + e);
+            said.accept("the process output cannot be read or stored: " + e);
         }
     }
 
-    /** Whether a process has been started that has not ended. */
+    /** Whether a process has been started and its exit has not been handled yet. */
     public boolean runs() {
         return process != null;
     }
 
-    /** SIGKILL, whatever state it is in. */
+    /** SIGKILL; works on a stopped process too. */
     public void kill() {
         if (runs()) {
             process.destroyForcibly();
@@ -123,13 +123,12 @@
     /** SIGTERM. */
     public void end() {
         if (runs()) {
-            // by its handle: the process itself would also close the pipe that its last words come
-            // by
+            // Process.destroy would also close the pipe with the last output; the handle's does not
             process.toHandle().destroy();
         }
     }
 
-    /** SIGSTOP: it stands still until {@link #resume}. */
+    /** SIGSTOP: stops the process until {@link #resume}. */
     public void hold() {
         signal("STOP");
     }
@@ -139,7 +138,7 @@
         signal("CONT");
     }
 
-    /** Java has no way to send these. */
+    /** Runs the program kill, as Java has no API for these signals. */
     private void signal(String signal) {
         if (runs()) {
             try {
