--- a/src/main/java/holdproxy/rig/LinkState.java
+++ b/src/main/java/holdproxy/rig/LinkState.java
@@ -6,7 +6,7 @@
  * @param cut bytes are dropped without notice; a connection that has lost bytes passes on nothing more
  * @param unread nothing is read, so that bytes queue at the sender, as if the receiver had stopped
  * @param delayMs added delay, in milliseconds
- * @param jitterMs upper bound of a uniformly random delay on top of that, in milliseconds
+ * @param jitterMs an additional random delay, uniform from 0 to this, in milliseconds
  * @param growthMs what each second of this state adds to the delay, in milliseconds
  * @param bytesPerS bandwidth limit in bytes per second; 0: no limit
  * @param tearAfter bytes after which a connection is reset, even inside a message; 0: never
--- a/src/main/java/holdproxy/rig/Relay.java
+++ b/src/main/java/holdproxy/rig/Relay.java
@@ -66,7 +66,7 @@
         Relay relay = new Relay(loop, address, target, seed);
         ChannelFuture bound = relay.bind();
         if (!loop.inEventLoop()) {
-            bound.syncUninterruptibly(); // on the loop itself, waiting would deadlock
+            bound.syncUninterruptibly(); // on the loop, the bind completes later and waiting would deadlock
         }
         return relay;
     }
