--- a/src/main/java/holdproxy/rig/ConfigurationJudge.java
+++ b/src/main/java/holdproxy/rig/ConfigurationAuditor.java
@@ -11,7 +11,7 @@
  * Checks, from the events that processes logged, that each process put published versions into force in
  * increasing order: none twice, and no older one after a newer one. Independent of timing.
  */
-final class ConfigurationJudge {
+final class ConfigurationAuditor {
     private static final String IN_ORDER = "versions in order";
     private static final String IN_FORCE = "configuration in force ";
     private static final String STARTING = "starting ";
@@ -22,7 +22,7 @@
         }
     }
 
-    private ConfigurationJudge() {}
+    private ConfigurationAuditor() {}
 
     static List<Auditors.Broken> broken(List<Event> events) {
         List<Auditors.Broken> found = new ArrayList<>();
--- a/src/main/java/holdproxy/rig/DaemonText.java
+++ b/src/main/java/holdproxy/rig/DaemonText.java
@@ -13,7 +13,7 @@
 /** Writes a daemon's configuration file and parses the event lines of its log. */
 public final class DaemonText {
     /** Platform settings that the program does not use, and that a daemon's file rejects as unknown. */
-    private static final List<String> WITHOUT_USE = List.of("domainType");
+    private static final List<String> UNSUPPORTED_SETTINGS = List.of("domainType");
 
     private DaemonText() {}
 
@@ -74,7 +74,7 @@
             CooperationText cooperation,
             String json) {
         Map<String, Object> settings = map(object(json).get("settings"));
-        WITHOUT_USE.forEach(settings::remove);
+        UNSUPPORTED_SETTINGS.forEach(settings::remove);
         map(settings.get("familyInfo")).remove("mode");
         return "name = "
                 + toml(name)
--- a/src/main/java/holdproxy/rig/DistributionRig.java
+++ b/src/main/java/holdproxy/rig/DistributionSetup.java
@@ -26,16 +26,16 @@
  * them are relays of one site, and the others are the proxies of that site. Changes are published with the
  * command that operators use.
  */
-final class DistributionRig {
+final class DistributionSetup {
     /** Suffix of a process's name in the name of its link for published changes. */
-    private static final String CHANGES = ".changes";
+    private static final String CHANGE_LINK_SUFFIX = ".changes";
 
     private static final String OPERATORS = "operators";
     private static final String SITE = "site-0";
-    private static final int PUBLISH_WITHIN_S = 60;
-    private static final long PATIENCE_S = 150;
+    private static final int PUBLISH_TIMEOUT_S = 60;
+    private static final long EXIT_TIMEOUT_S = 150;
 
-    private record Publishing(Schedule.Publication publication, int number, Process process) {}
+    private record PublishCommand(Schedule.Publication publication, int number, Process process) {}
 
     private final Schedule schedule;
     private final Path folder;
@@ -44,14 +44,14 @@
     private final Function<String[], List<String>> program;
     private final Timeline time;
     private final TownRecord record;
-    private final List<InetSocketAddress> listens = new ArrayList<>();
-    private final List<InetSocketAddress> admins = new ArrayList<>();
-    private final List<Publishing> published = new ArrayList<>();
+    private final List<InetSocketAddress> listenAddresses = new ArrayList<>();
+    private final List<InetSocketAddress> adminAddresses = new ArrayList<>();
+    private final List<PublishCommand> commands = new ArrayList<>();
 
     /** Completes when the last command has exited. */
-    private CompletableFuture<Void> last = CompletableFuture.completedFuture(null);
+    private CompletableFuture<Void> lastExit = CompletableFuture.completedFuture(null);
 
-    DistributionRig(
+    DistributionSetup(
             Schedule schedule,
             Path folder,
             Links links,
@@ -66,37 +66,37 @@
         this.program = program;
         this.time = time;
         this.record = record;
-        for (int i = 0; i < controls() + relays(); i++) {
-            listens.add(links.free());
+        for (int i = 0; i < controlCount() + relayCount(); i++) {
+            listenAddresses.add(links.freeAddress());
         }
-        for (int i = 0; i < controls(); i++) {
-            admins.add(links.free());
+        for (int i = 0; i < controlCount(); i++) {
+            adminAddresses.add(links.freeAddress());
         }
     }
 
-    private int controls() {
+    private int controlCount() {
         return schedule.fleet().voters();
     }
 
-    private int relays() {
+    private int relayCount() {
         return schedule.fleet().relays();
     }
 
     /** The {@code [distribution]} section of a daemon's file. */
-    String section(int daemon) {
+    String configSection(int daemon) {
         String role =
-                daemon < controls()
+                daemon < controlCount()
                         ? "control"
-                        : daemon < controls() + relays() ? "relay" : "proxy";
+                        : daemon < controlCount() + relayCount() ? "relay" : "proxy";
         StringBuilder text = new StringBuilder("[distribution]\n");
         line(text, "role", role);
         line(text, "site", SITE);
         text.append("lease_ms = ").append(schedule.fleet().leaseMs()).append('\n');
         if (!role.equals("proxy")) {
-            line(text, "listen", DiscoveryService.text(listens.get(daemon)));
+            line(text, "listen", DiscoveryService.text(listenAddresses.get(daemon)));
         }
         if (role.equals("control")) {
-            line(text, "admin", DiscoveryService.text(admins.get(daemon)));
+            line(text, "admin", DiscoveryService.text(adminAddresses.get(daemon)));
         } else {
             text.append("upstream = ")
                     .append(upstream(daemon, role).map(TomlText::quoted).toList())
@@ -111,47 +111,48 @@
 
     /** Opens links to the daemons that may serve this one; returns their addresses. */
     private Stream<String> upstream(int daemon, String role) {
-        IntStream above =
+        IntStream parents =
                 role.equals("relay")
-                        ? IntStream.range(0, controls())
-                        : IntStream.range(controls(), controls() + relays());
-        return above.mapToObj(
+                        ? IntStream.range(0, controlCount())
+                        : IntStream.range(controlCount(), controlCount() + relayCount());
+        return parents.mapToObj(
                 other ->
                         DiscoveryService.text(
-                                links.link(
+                                links.open(
                                         "proxy-" + daemon,
-                                        "proxy-" + other + CHANGES,
-                                        listens.get(other))));
+                                        "proxy-" + other + CHANGE_LINK_SUFFIX,
+                                        listenAddresses.get(other))));
     }
 
     /** Publishes once the commands for earlier publications have exited. Called on the event loop. */
     void publish(Schedule.Publication publication) {
-        last =
-                last.thenCompose(
+        lastExit =
+                lastExit.thenCompose(
                         before -> {
-                            CompletableFuture<Void> ended = new CompletableFuture<>();
+                            CompletableFuture<Void> exited = new CompletableFuture<>();
                             start(publication)
                                     .onExit()
-                                    .thenRun(() -> time.after(0, () -> ended.complete(null)));
-                            return ended;
+                                    .thenRun(() -> time.after(0, () -> exited.complete(null)));
+                            return exited;
                         });
     }
 
     private Process start(Schedule.Publication publication) {
-        int number = published.size();
+        int number = commands.size();
         Path file = folder.resolve("publish-" + number + ".toml");
-        List<String> words = new ArrayList<>(List.of("daemon", "publish"));
-        admins.forEach(each -> words.addAll(List.of("--control", DiscoveryService.text(each))));
-        words.addAll(List.of("--wait", Integer.toString(PUBLISH_WITHIN_S), file.toString()));
+        List<String> arguments = new ArrayList<>(List.of("daemon", "publish"));
+        adminAddresses.forEach(
+                each -> arguments.addAll(List.of("--control", DiscoveryService.text(each))));
+        arguments.addAll(List.of("--wait", Integer.toString(PUBLISH_TIMEOUT_S), file.toString()));
         try {
             Files.writeString(file, "settings = " + DaemonText.toml(publication.settings()) + "\n");
             Process process =
-                    new ProcessBuilder(program.apply(words.toArray(String[]::new)))
+                    new ProcessBuilder(program.apply(arguments.toArray(String[]::new)))
                             .redirectErrorStream(true)
                             .redirectOutput(log(number).toFile())
                             .start();
             keeper.keeps(process.toHandle());
-            published.add(new Publishing(publication, number, process));
+            commands.add(new PublishCommand(publication, number, process));
             record.add(
                     time.nowUs(),
                     Event.Kind.FAULT,
@@ -169,12 +170,12 @@
     }
 
     /** Awaits all publish commands; returns a broken rule for each unexpected exit code. */
-    List<Auditors.Broken> await()
+    List<Auditors.Broken> awaitCommands()
             throws InterruptedException, ExecutionException, TimeoutException {
-        last.get(PATIENCE_S, TimeUnit.SECONDS);
+        lastExit.get(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
         List<Auditors.Broken> broken = new ArrayList<>();
-        for (Publishing each : published) {
-            int code = each.process.onExit().get(PATIENCE_S, TimeUnit.SECONDS).exitValue();
+        for (PublishCommand each : commands) {
+            int code = each.process.onExit().get(EXIT_TIMEOUT_S, TimeUnit.SECONDS).exitValue();
             if (code != each.publication.exitCode()) {
                 broken.add(
                         new Auditors.Broken(
@@ -194,6 +195,6 @@
 
     /** Kills the publish commands that still run. */
     void close() {
-        published.forEach(each -> each.process.destroyForcibly());
+        commands.forEach(each -> each.process.destroyForcibly());
     }
 }
--- a/src/main/java/holdproxy/rig/Expected.java
+++ b/src/main/java/holdproxy/rig/ExpectedEvent.java
@@ -10,14 +10,14 @@
  *
  * @param any whether an event from one of the processes is enough
  * @param by the processes: a name, a prefix with *, or * for all
- * @param said text that the event has to contain
+ * @param text what the event has to contain
  * @param afterS earliest time of the event, in seconds after all processes listen
  * @param withinS how long to wait for it after the schedule's end, in seconds
  */
-record Expected(boolean any, String by, String said, double afterS, double withinS) {
+record ExpectedEvent(boolean any, String by, String text, double afterS, double withinS) {
     /** Whether {@code events} has the required events of the matching {@code processes}. */
-    boolean met(List<String> processes, List<Event> events, long startUs) {
-        Predicate<String> hasSaid =
+    boolean isMet(List<String> processes, List<Event> events, long startUs) {
+        Predicate<String> hasOccurred =
                 p ->
                         events.stream()
                                 .anyMatch(
@@ -27,8 +27,10 @@
                                                                         && e.where().equals(p)
                                                                 || e.kind() == Event.Kind.ACTED
                                                                         && e.id().equals(p))
-                                                        && e.detail().contains(said));
-        List<String> meant = processes.stream().filter(p -> Links.matches(by, p)).toList();
-        return any ? meant.stream().anyMatch(hasSaid) : meant.stream().allMatch(hasSaid);
+                                                        && e.detail().contains(text));
+        List<String> matching = processes.stream().filter(p -> Links.matches(by, p)).toList();
+        return any
+                ? matching.stream().anyMatch(hasOccurred)
+                : matching.stream().allMatch(hasOccurred);
     }
 }
--- a/src/main/java/holdproxy/rig/GuardedResource.java
+++ b/src/main/java/holdproxy/rig/GuardedResource.java
@@ -20,42 +20,45 @@
  */
 final class GuardedResource {
     static final String NAME = "resource";
-    private static final int LONGEST_LINE = 256;
+    private static final int MAX_LINE_BYTES = 256;
 
     private final Timeline time;
     private final TownRecord record;
     private final TownNetwork network;
-    private final boolean looks;
+    private final boolean checksTokens;
     private final Map<String, Long> highest = new HashMap<>();
 
-    /** {@code looks}: whether it checks tokens; if not, {@link LeaseAuditor} has to find stale holders. */
-    GuardedResource(Timeline time, TownRecord record, TownNetwork network, boolean looks) {
+    /** {@code checksTokens}: false to test that {@link LeaseAuditor} finds accepted stale tokens. */
+    GuardedResource(Timeline time, TownRecord record, TownNetwork network, boolean checksTokens) {
         this.time = time;
         this.record = record;
         this.network = network;
-        this.looks = looks;
+        this.checksTokens = checksTokens;
     }
 
-    void start(InetSocketAddress known) {
+    void start(InetSocketAddress address) {
         network.listen(
-                known,
-                () -> new ChannelHandler[] {new LineBasedFrameDecoder(LONGEST_LINE), new Acts()});
+                address,
+                () ->
+                        new ChannelHandler[] {
+                            new LineBasedFrameDecoder(MAX_LINE_BYTES), new LineHandler()
+                        });
     }
 
-    private final class Acts extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class LineHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            String[] words = line.toString(StandardCharsets.US_ASCII).split(" ");
-            long token = Long.parseLong(words[1]);
-            long before = highest.getOrDefault(words[0], 0L);
-            boolean taken = token >= before || !looks;
-            highest.put(words[0], Math.max(token, before));
+            String[] fields = line.toString(StandardCharsets.US_ASCII).split(" ");
+            long token = Long.parseLong(fields[1]);
+            long before = highest.getOrDefault(fields[0], 0L);
+            boolean accepted = token >= before || !checksTokens;
+            highest.put(fields[0], Math.max(token, before));
             record.add(
                     time.nowUs(),
                     Event.Kind.ACTED,
                     NAME,
                     network.peer(ctx.channel()),
-                    words[0] + " " + token + (taken ? " taken" : " refused"));
+                    fields[0] + " " + token + (accepted ? " taken" : " refused"));
         }
     }
 }
--- a/src/main/java/holdproxy/rig/Keeper.java
+++ b/src/main/java/holdproxy/rig/Keeper.java
@@ -19,11 +19,11 @@
  */
 public final class Keeper implements AutoCloseable {
     private final Process process;
-    private final OutputStream told;
+    private final OutputStream registrations;
 
     private Keeper(Process process) {
         this.process = process;
-        told = process.getOutputStream();
+        registrations = process.getOutputStream();
     }
 
     /** Starts the reaper process; {@code command} has to run {@link #keep}. */
@@ -37,8 +37,9 @@
 
     /** Registers a child process, so that it does not outlive the rig. */
     public synchronized void keeps(ProcessHandle child) throws IOException {
-        told.write((child.pid() + " " + startedMs(child) + "\n").getBytes(StandardCharsets.UTF_8));
-        told.flush();
+        registrations.write(
+                (child.pid() + " " + startedMs(child) + "\n").getBytes(StandardCharsets.UTF_8));
+        registrations.flush();
     }
 
     private static long startedMs(ProcessHandle process) {
@@ -49,7 +50,7 @@
     @Override
     public void close() {
         try {
-            told.close();
+            registrations.close();
             process.waitFor();
         } catch (IOException e) {
             process.destroyForcibly();
--- a/src/main/java/holdproxy/rig/LeaseAuditor.java
+++ b/src/main/java/holdproxy/rig/LeaseAuditor.java
@@ -31,11 +31,11 @@
                                             + e));
                 }
                 highest.merge(e.word(0), token, Math::max);
-                hold(holders, e.word(0) + " " + token, e.id(), e, found);
+                recordHolder(holders, e.word(0) + " " + token, e.id(), e, found);
             } else if (e.kind() == Event.Kind.SAID && e.detail().startsWith("lease granted ")) {
                 // lease granted role=D token=T
                 String role = e.word(2).substring("role=".length());
-                hold(
+                recordHolder(
                         holders,
                         role + " " + e.word(3).substring("token=".length()),
                         e.where(),
@@ -46,7 +46,7 @@
         return found;
     }
 
-    private static void hold(
+    private static void recordHolder(
             Map<String, String> holders,
             String grant,
             String who,
--- a/src/main/java/holdproxy/rig/Relay.java
+++ b/src/main/java/holdproxy/rig/Link.java
@@ -29,49 +29,50 @@
  * It forwards bytes both ways and applies the {@link LinkState} of each direction. Runs on one event loop.
  *
  * <p>Memory is bounded: each direction of a connection is read only while less than {@link #MOST_HELD} bytes
- * of it are queued. A cut direction is always read, as its bytes are dropped.
+ * of it are queued. In a cut direction bytes are dropped, not queued.
  */
-public final class Relay implements AutoCloseable {
+public final class Link implements AutoCloseable {
     /** Limit of the bytes queued in one direction of one connection. */
-    private static final int MOST_HELD = 1 << 20;
+    private static final int MAX_QUEUED_BYTES = 1 << 20;
 
     /** Interval at which a throttled direction gets its next allowance of bytes. */
-    private static final int STEP_MS = 20;
+    private static final int THROTTLE_STEP_MS = 20;
 
     private final EventLoop loop;
     private final InetSocketAddress target;
     private final InetSocketAddress address;
     private final SplittableRandom random;
-    private final Set<Pair> pairs = new LinkedHashSet<>();
-    private LinkState there = LinkState.SOUND;
-    private LinkState back = LinkState.SOUND;
+    private final Set<Connection> connections = new LinkedHashSet<>();
+    private LinkState forwardState = LinkState.HEALTHY;
+    private LinkState backwardState = LinkState.HEALTHY;
     private long stateSinceNs = System.nanoTime();
     private Channel listener;
     private final AtomicLong dropped = new AtomicLong();
-    private volatile int mostHeld;
+    private volatile int maxQueuedBytes;
     private boolean refusing;
-    private volatile ChannelFuture changing;
+    private volatile ChannelFuture pendingChange;
     private boolean closed;
 
-    private Relay(EventLoop loop, InetSocketAddress address, InetSocketAddress target, long seed) {
+    private Link(EventLoop loop, InetSocketAddress address, InetSocketAddress target, long seed) {
         this.loop = loop;
         this.address = address;
         this.target = target;
         random = new SplittableRandom(seed);
     }
 
-    /** Opens a relay from {@code address} to {@code target}; {@code seed} is that of its jitter. */
-    public static Relay open(
+    /** Opens a link from {@code address} to {@code target}; {@code seed} is that of its jitter. */
+    public static Link open(
             EventLoop loop, InetSocketAddress address, InetSocketAddress target, long seed) {
-        Relay relay = new Relay(loop, address, target, seed);
-        ChannelFuture bound = relay.bind();
+        Link link = new Link(loop, address, target, seed);
+        ChannelFuture bound = link.bind();
         if (!loop.inEventLoop()) {
-            bound.syncUninterruptibly(); // on the loop, the bind completes later and waiting would deadlock
+            bound.syncUninterruptibly(); // on the loop, the bind completes later and waiting
+            // would deadlock
         }
-        return relay;
+        return link;
     }
 
-    /** The address at which the relay listens. */
+    /** The address at which the link listens. */
     public InetSocketAddress address() {
         return address;
     }
@@ -82,18 +83,18 @@
     }
 
     /** The highest number of bytes ever queued in one direction of one connection. */
-    int mostHeld() {
-        return mostHeld;
+    int maxQueuedBytes() {
+        return maxQueuedBytes;
     }
 
     /** Sets the states of the direction from the caller to the target, and of the opposite direction. */
-    public void state(LinkState thereNow, LinkState backNow) {
-        run(
+    public void state(LinkState newForward, LinkState newBackward) {
+        runOnLoop(
                 () -> {
-                    there = thereNow;
-                    back = backNow;
+                    forwardState = newForward;
+                    backwardState = newBackward;
                     stateSinceNs = System.nanoTime();
-                    List.copyOf(pairs).forEach(Pair::stateChanged);
+                    List.copyOf(connections).forEach(Connection::onStateChanged);
                 });
     }
 
@@ -101,36 +102,36 @@
      * Refuses new connections, or accepts them again; open connections stay. Off the event loop, the call
      * returns once the change has taken effect.
      */
-    public void refuse(boolean now) {
-        run(
+    public void refuse(boolean refuseNew) {
+        runOnLoop(
                 () -> {
-                    if (now != refusing && !closed) {
-                        refusing = now;
-                        changing = now ? listener.close() : bind();
+                    if (refuseNew != refusing && !closed) {
+                        refusing = refuseNew;
+                        pendingChange = refuseNew ? listener.close() : bind();
                     }
                 });
-        if (!loop.inEventLoop() && changing != null) {
-            changing.syncUninterruptibly();
-            run(() -> {}); // a closed port is released only at the loop's next select
+        if (!loop.inEventLoop() && pendingChange != null) {
+            pendingChange.syncUninterruptibly();
+            runOnLoop(() -> {}); // a closed port is released only at the loop's next select
         }
     }
 
     /** Resets all open connections. */
     public void reset() {
-        run(() -> List.copyOf(pairs).forEach(Pair::reset));
+        runOnLoop(() -> List.copyOf(connections).forEach(Connection::reset));
     }
 
     @Override
     public void close() {
-        run(
+        runOnLoop(
                 () -> {
                     closed = true;
                     listener.close();
-                    List.copyOf(pairs).forEach(Pair::reset);
+                    List.copyOf(connections).forEach(Connection::reset);
                 });
     }
 
-    private void run(Runnable change) {
+    private void runOnLoop(Runnable change) {
         if (loop.inEventLoop()) {
             change.run();
         } else {
@@ -151,7 +152,7 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel caller) {
-                                        new Pair(caller).connect();
+                                        new Connection(caller).connect();
                                     }
                                 })
                         .bind(address);
@@ -170,17 +171,17 @@
     }
 
     /** A connection from the caller and the matching one to the target. */
-    private final class Pair {
+    private final class Connection {
         private final SocketChannel caller;
         private SocketChannel callee;
-        private final Way thereWay = new Way(true);
-        private final Way backWay = new Way(false);
-        private boolean over;
+        private final Direction forward = new Direction(true);
+        private final Direction backward = new Direction(false);
+        private boolean done;
 
-        Pair(SocketChannel caller) {
+        Connection(SocketChannel caller) {
             this.caller = caller;
-            pairs.add(this);
-            caller.pipeline().addLast(thereWay);
+            connections.add(this);
+            caller.pipeline().addLast(forward);
             caller.closeFuture().addListener(f -> reset());
         }
 
@@ -196,7 +197,7 @@
                                 @Override
                                 protected void initChannel(SocketChannel ch) {
                                     callee = ch;
-                                    ch.pipeline().addLast(backWay);
+                                    ch.pipeline().addLast(backward);
                                 }
                             })
                     .connect(target)
@@ -207,92 +208,93 @@
                                     return;
                                 }
                                 callee.closeFuture().addListener(c -> reset());
-                                thereWay.start(caller, callee);
-                                backWay.start(callee, caller);
+                                forward.start(caller, callee);
+                                backward.start(callee, caller);
                             });
         }
 
-        void stateChanged() {
-            if (thereWay.holed && !there.cut() || backWay.holed && !back.cut()) {
+        void onStateChanged() {
+            if (forward.lostBytes && !forwardState.cut()
+                    || backward.lostBytes && !backwardState.cut()) {
                 reset();
-            } else if (thereWay.to != null) {
-                thereWay.go();
-                backWay.go();
+            } else if (forward.to != null) {
+                forward.update();
+                backward.update();
             }
         }
 
         /** Closes both connections after each side has ended its output and that was passed on. */
         private void end() {
-            over = true;
-            pairs.remove(this);
+            done = true;
+            connections.remove(this);
             caller.close();
             callee.close();
         }
 
         /** Closes both sides with a TCP reset, as a killed process would, unless they are closed already. */
         void reset() {
-            if (!over) {
-                over = true;
-                pairs.remove(this);
+            if (!done) {
+                done = true;
+                connections.remove(this);
                 for (SocketChannel side : new SocketChannel[] {caller, callee}) {
                     if (side != null && side.isOpen()) {
                         side.config().setSoLinger(0);
                         side.close();
                     }
                 }
-                thereWay.drop();
-                backWay.drop();
+                forward.discardQueue();
+                backward.discardQueue();
             }
         }
 
         /** One direction of a connection. */
-        private final class Way extends ChannelInboundHandlerAdapter {
-            private record Held(ByteBuf bytes, long dueNs) {}
+        private final class Direction extends ChannelInboundHandlerAdapter {
+            private record QueuedBytes(ByteBuf bytes, long dueNs) {}
 
-            private final boolean forth;
-            private final ArrayDeque<Held> held = new ArrayDeque<>();
+            private final boolean isForward;
+            private final ArrayDeque<QueuedBytes> queue = new ArrayDeque<>();
             private SocketChannel from;
             private SocketChannel to;
             private long lastDueNs;
-            private int heldBytes;
-            private long passed;
+            private int queuedBytes;
+            private long forwardedBytes;
             private int allowance;
 
             /** Bytes were dropped: no later byte may pass, and the connection is reset when the cut ends. */
-            private boolean holed;
+            private boolean lostBytes;
 
             /** The sender has ended its output. */
-            private boolean ended;
+            private boolean inputEnded;
 
             /** The end of the output has been passed on. */
-            private boolean finished;
+            private boolean endForwarded;
 
-            private boolean waiting;
+            private boolean updateScheduled;
 
-            Way(boolean forth) {
-                this.forth = forth;
+            Direction(boolean isForward) {
+                this.isForward = isForward;
             }
 
             private LinkState state() {
-                return forth ? there : back;
+                return isForward ? forwardState : backwardState;
             }
 
             void start(SocketChannel reads, SocketChannel writes) {
                 from = reads;
                 to = writes;
-                go();
+                update();
             }
 
             /** Forwards the bytes that are due, then starts or stops reading, by the current state. */
-            void go() {
-                if (!over) {
-                    pass();
-                    if (!over) {
+            void update() {
+                if (!done) {
+                    forwardDueBytes();
+                    if (!done) {
                         from.config()
                                 .setAutoRead(
-                                        !ended
+                                        !inputEnded
                                                 && !state().unread()
-                                                && heldBytes < MOST_HELD
+                                                && queuedBytes < MAX_QUEUED_BYTES
                                                 && to.isWritable());
                     }
                 }
@@ -302,8 +304,8 @@
             public void channelRead(ChannelHandlerContext ctx, Object message) {
                 ByteBuf bytes = (ByteBuf) message;
                 LinkState now = state();
-                if (now.cut() || holed || over) {
-                    holed = true;
+                if (now.cut() || lostBytes || done) {
+                    lostBytes = true;
                     dropped.addAndGet(bytes.readableBytes());
                     bytes.release();
                     return;
@@ -317,10 +319,10 @@
                 long sinceS = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - stateSinceNs);
                 delayNs += TimeUnit.MILLISECONDS.toNanos(now.growthMs() * sinceS);
                 lastDueNs = Math.max(lastDueNs, System.nanoTime() + delayNs); // keeps the order
-                held.add(new Held(bytes, lastDueNs));
-                heldBytes += bytes.readableBytes();
-                mostHeld = Math.max(mostHeld, heldBytes);
-                go();
+                queue.add(new QueuedBytes(bytes, lastDueNs));
+                queuedBytes += bytes.readableBytes();
+                maxQueuedBytes = Math.max(maxQueuedBytes, queuedBytes);
+                update();
             }
 
             @Override
@@ -331,15 +333,15 @@
             @Override
             public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
                 if (event == ChannelInputShutdownEvent.INSTANCE) {
-                    ended = true;
-                    go();
+                    inputEnded = true;
+                    update();
                 }
             }
 
             @Override
             public void channelWritabilityChanged(ChannelHandlerContext ctx) {
                 // this channel is the output of the opposite direction
-                (forth ? backWay : thereWay).go();
+                (isForward ? backward : forward).update();
             }
 
             @Override
@@ -347,74 +349,80 @@
                 reset();
             }
 
-            private void pass() {
-                boolean any = false;
-                while (!held.isEmpty() && !state().cut() && to.isWritable()) {
-                    Held next = held.peek();
+            private void forwardDueBytes() {
+                boolean wrote = false;
+                while (!queue.isEmpty() && !state().cut() && to.isWritable()) {
+                    QueuedBytes next = queue.peek();
                     long waitNs = next.dueNs - System.nanoTime();
                     if (waitNs > 0) {
-                        later(TimeUnit.NANOSECONDS.toMillis(waitNs) + 1);
+                        scheduleUpdate(TimeUnit.NANOSECONDS.toMillis(waitNs) + 1);
                         break;
                     }
-                    int may = may(next.bytes.readableBytes());
-                    if (may == 0) {
-                        later(STEP_MS);
+                    int count = allowedBytes(next.bytes.readableBytes());
+                    if (count == 0) {
+                        scheduleUpdate(THROTTLE_STEP_MS);
                         break;
                     }
-                    any = true;
-                    heldBytes -= may;
-                    allowance -= state().bytesPerS() > 0 ? may : 0;
-                    passed += may;
-                    to.write(next.bytes.readRetainedSlice(may));
+                    wrote = true;
+                    queuedBytes -= count;
+                    allowance -= state().bytesPerS() > 0 ? count : 0;
+                    forwardedBytes += count;
+                    to.write(next.bytes.readRetainedSlice(count));
                     if (!next.bytes.isReadable()) {
-                        held.poll().bytes.release();
+                        queue.poll().bytes.release();
                     }
-                    if (state().tearAfter() > 0 && passed >= state().tearAfter()) {
+                    if (state().tearAfter() > 0 && forwardedBytes >= state().tearAfter()) {
                         to.flush();
                         reset();
                         return;
                     }
                 }
-                if (any) {
+                if (wrote) {
                     to.flush();
                 }
-                if (ended && held.isEmpty() && !finished && !state().cut() && !holed) {
-                    finished = true;
+                if (inputEnded
+                        && queue.isEmpty()
+                        && !endForwarded
+                        && !state().cut()
+                        && !lostBytes) {
+                    endForwarded = true;
                     to.shutdownOutput();
-                    if (thereWay.finished && backWay.finished) {
+                    if (forward.endForwarded && backward.endForwarded) {
                         end();
                     }
                 }
             }
 
             /** How many of {@code bytes} may be forwarded now. */
-            private int may(int bytes) {
+            private int allowedBytes(int bytes) {
                 LinkState now = state();
-                int may = bytes;
+                int allowed = bytes;
                 if (now.tearAfter() > 0) {
-                    may = (int) Math.max(1, Math.min(may, now.tearAfter() - passed));
+                    allowed =
+                            (int) Math.max(1, Math.min(allowed, now.tearAfter() - forwardedBytes));
                 }
-                return now.bytesPerS() > 0 ? Math.min(may, allowance) : may;
+                return now.bytesPerS() > 0 ? Math.min(allowed, allowance) : allowed;
             }
 
-            private void later(long ms) {
-                if (!waiting) {
-                    waiting = true;
+            private void scheduleUpdate(long ms) {
+                if (!updateScheduled) {
+                    updateScheduled = true;
                     loop.schedule(
                             () -> {
-                                waiting = false;
-                                allowance = Math.max(1, state().bytesPerS() * STEP_MS / 1000);
-                                go();
+                                updateScheduled = false;
+                                allowance =
+                                        Math.max(1, state().bytesPerS() * THROTTLE_STEP_MS / 1000);
+                                update();
                             },
                             ms,
                             TimeUnit.MILLISECONDS);
                 }
             }
 
-            void drop() {
-                held.forEach(h -> ReferenceCountUtil.release(h.bytes));
-                held.clear();
-                heldBytes = 0;
+            void discardQueue() {
+                queue.forEach(h -> ReferenceCountUtil.release(h.bytes));
+                queue.clear();
+                queuedBytes = 0;
             }
         }
     }
--- a/src/main/java/holdproxy/rig/LinkState.java
+++ b/src/main/java/holdproxy/rig/LinkState.java
@@ -1,7 +1,7 @@
 package holdproxy.rig;
 
 /**
- * The faults on one direction of a link. A relay applies a new state to the bytes that it reads from then on.
+ * The faults on one direction of a link. A link applies a new state to the bytes that it reads from then on.
  *
  * @param cut bytes are dropped without notice; a connection that has lost bytes passes on nothing more
  * @param unread nothing is read, so that bytes queue at the sender, as if the receiver had stopped
@@ -20,7 +20,7 @@
         int bytesPerS,
         int tearAfter) {
     /** No faults. */
-    public static final LinkState SOUND = new LinkState(false, false, 0, 0, 0, 0, 0);
+    public static final LinkState HEALTHY = new LinkState(false, false, 0, 0, 0, 0, 0);
 
     public static final LinkState CUT = new LinkState(true, false, 0, 0, 0, 0, 0);
     public static final LinkState UNREAD = new LinkState(false, true, 0, 0, 0, 0, 0);
@@ -43,7 +43,7 @@
     }
 
     /** A reset of each connection after this number of bytes. */
-    public static LinkState torn(int afterBytes) {
+    public static LinkState resetAfter(int afterBytes) {
         return new LinkState(false, false, 0, 0, 0, 0, afterBytes);
     }
 
--- a/src/main/java/holdproxy/rig/Links.java
+++ b/src/main/java/holdproxy/rig/Links.java
@@ -30,7 +30,7 @@
 import java.util.function.Supplier;
 
 /**
- * All relays of a rig, one for each ordered pair of endpoints that communicate, and the ports behind them.
+ * All links of a rig, one for each ordered pair of endpoints that communicate, and the ports behind them.
  * Endpoints are named as in the history: {@code proxy-0}, {@code s-3}, {@code discovery}, {@code clients}.
  * Everything runs on one event loop.
  */
@@ -45,11 +45,11 @@
             new AtomicInteger(Long.hashCode(ProcessHandle.current().pid() * 7919) & 0xffffff);
 
     /** Names of the calling and of the called endpoint. */
-    record Pair(String from, String to) {}
+    record Endpoints(String from, String to) {}
 
     private final EventLoop loop;
     private final long seed;
-    private final Map<Pair, Relay> relays = new LinkedHashMap<>();
+    private final Map<Endpoints, Link> links = new LinkedHashMap<>();
     private final Map<Integer, String> callers = new HashMap<>();
 
     Links(EventLoop loop, long seed) {
@@ -58,7 +58,7 @@
     }
 
     /** A loopback address with a free port. */
-    InetSocketAddress free() {
+    InetSocketAddress freeAddress() {
         for (int tries = 0; tries < LAST_PORT - FIRST_PORT; tries++) {
             int port =
                     FIRST_PORT + Math.floorMod(NEXT_PORT.getAndIncrement(), LAST_PORT - FIRST_PORT);
@@ -76,21 +76,21 @@
                 new IOException("no port from " + FIRST_PORT + " to " + LAST_PORT + " is free"));
     }
 
-    /** Opens a relay to an endpoint that listens at {@code target}; returns the address for the caller. */
-    InetSocketAddress link(String from, String to, InetSocketAddress target) {
-        Pair pair = new Pair(from, to);
-        Relay relay = Relay.open(loop, free(), target, seed ^ pair.hashCode());
-        relays.put(pair, relay);
-        return relay.address();
+    /** Opens a link to an endpoint that listens at {@code target}; returns the address for the caller. */
+    InetSocketAddress open(String from, String to, InetSocketAddress target) {
+        Endpoints endpoints = new Endpoints(from, to);
+        Link link = Link.open(loop, freeAddress(), target, seed ^ endpoints.hashCode());
+        links.put(endpoints, link);
+        return link.address();
     }
 
-    /** The relays whose endpoints match; a pattern is a name, a prefix with *, or * for all. */
-    List<Relay> matching(String from, String to) {
-        List<Relay> found = new ArrayList<>();
-        relays.forEach(
-                (pair, relay) -> {
-                    if (matches(from, pair.from) && matches(to, pair.to)) {
-                        found.add(relay);
+    /** The links whose endpoints match; a pattern is a name, a prefix with *, or * for all. */
+    List<Link> matching(String from, String to) {
+        List<Link> found = new ArrayList<>();
+        links.forEach(
+                (endpoints, link) -> {
+                    if (matches(from, endpoints.from) && matches(to, endpoints.to)) {
+                        found.add(link);
                     }
                 });
         return found;
@@ -103,35 +103,35 @@
                         && name.startsWith(pattern.substring(0, pattern.length() - 1));
     }
 
-    Relay between(String from, String to) {
-        return relays.get(new Pair(from, to));
+    Link get(String from, String to) {
+        return links.get(new Endpoints(from, to));
     }
 
     @Override
     public void close() {
-        relays.values().forEach(Relay::close);
+        links.values().forEach(Link::close);
     }
 
-    /** The network of a modelled endpoint: a port and a relay for each of its possible callers. */
-    TownNetwork part(String name, List<String> from) {
-        return new Part(name, from);
+    /** The network of a modelled endpoint: a port and a link for each of its possible callers. */
+    TownNetwork networkFor(String name, List<String> from) {
+        return new EndpointNetwork(name, from);
     }
 
-    private final class Part implements TownNetwork {
+    private final class EndpointNetwork implements TownNetwork {
         private final String name;
         private final Map<String, InetSocketAddress> ports = new LinkedHashMap<>();
 
-        Part(String name, List<String> from) {
+        EndpointNetwork(String name, List<String> from) {
             this.name = name;
             for (String caller : from) {
-                InetSocketAddress port = free();
+                InetSocketAddress port = freeAddress();
                 ports.put(caller, port);
                 callers.put(port.getPort(), caller);
-                link(caller, name, port);
+                open(caller, name, port);
             }
         }
 
-        /** Binds the ports behind the relays; {@code address} is only the endpoint's name in the model. */
+        /** Binds the ports behind the links; {@code address} is only the endpoint's name in the model. */
         @Override
         public ChannelFuture listen(
                 InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
@@ -149,14 +149,14 @@
                                             @Override
                                             protected void initChannel(SocketChannel ch) {
                                                 ch.pipeline()
-                                                        .addLast(new Flushing())
+                                                        .addLast(new FlushingHandler())
                                                         .addLast(handlers.get())
-                                                        .addLast(new Resets());
+                                                        .addLast(new ErrorHandler());
                                             }
                                         })
                                 .bind(each.getValue());
                 all.add(last.channel());
-                between(each.getKey(), name).refuse(false);
+                get(each.getKey(), name).refuse(false);
             }
             // closing the returned channel closes all of them and makes the relays refuse
             // connections
@@ -165,8 +165,7 @@
                     .addListener(
                             f -> {
                                 all.forEach(Channel::close);
-                                ports.keySet()
-                                        .forEach(caller -> between(caller, name).refuse(true));
+                                ports.keySet().forEach(caller -> get(caller, name).refuse(true));
                             });
             return last;
         }
@@ -189,7 +188,7 @@
     }
 
     /** Flushes each write at once: the model's endpoints write without flushing. */
-    private static final class Flushing extends ChannelOutboundHandlerAdapter {
+    private static final class FlushingHandler extends ChannelOutboundHandlerAdapter {
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             ctx.writeAndFlush(message, promise);
@@ -197,7 +196,7 @@
     }
 
     /** Closes a connection after an error. I/O errors are not reported: the rig causes them on purpose. */
-    private static final class Resets extends ChannelInboundHandlerAdapter {
+    private static final class ErrorHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
@@ -207,7 +206,7 @@
         }
     }
 
-    /** Connects directly, without a relay. */
+    /** Connects directly, without a link. */
     private static ChannelFuture dial(
             EventLoop loop, InetSocketAddress to, int timeoutMs, ChannelHandler... handlers) {
         return new Bootstrap()
@@ -219,7 +218,7 @@
                         new ChannelInitializer<SocketChannel>() {
                             @Override
                             protected void initChannel(SocketChannel ch) {
-                                ch.pipeline().addLast(handlers).addLast(new Resets());
+                                ch.pipeline().addLast(handlers).addLast(new ErrorHandler());
                             }
                         })
                 .connect(to);
--- a/src/main/java/holdproxy/rig/LoopTimeline.java
+++ b/src/main/java/holdproxy/rig/LoopTimeline.java
@@ -9,6 +9,7 @@
     private final EventLoop loop;
     private final long startNs = System.nanoTime();
 
+    /** Starts the clock; tasks run on {@code loop}. */
     public LoopTimeline(EventLoop loop) {
         this.loop = loop;
     }
--- a/src/main/java/holdproxy/rig/ProgramLine.java
+++ b/src/main/java/holdproxy/rig/ProgramLine.java
@@ -9,7 +9,7 @@
     private ProgramLine() {}
 
     /** {@code heap}: in the format of {@code -Xmx}; {@code options}: further JVM options. */
-    public static List<String> of(String heap, List<String> options, String... words) {
+    public static List<String> of(String heap, List<String> options, String... arguments) {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         List<String> command =
                 new ArrayList<>(
@@ -28,7 +28,7 @@
                         System.getProperty(
                                 "surefire.test.class.path", System.getProperty("java.class.path")),
                         "holdproxy.Main"));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         return command;
     }
 }
--- a/src/main/java/holdproxy/rig/RigCommand.java
+++ b/src/main/java/holdproxy/rig/RigCommand.java
@@ -31,7 +31,7 @@
             RigCommand.Keep.class
         })
 public final class RigCommand {
-    private static final int SHOWN = 10;
+    private static final int MAX_SHOWN = 10;
     private static final String HEAP = "80m";
 
     private RigCommand() {}
@@ -44,27 +44,28 @@
     }
 
     /** The command line that starts this program again with other arguments. */
-    static List<String> self(String... words) {
-        return ProgramLine.of(HEAP, List.of("-XX:TieredStopAtLevel=1"), words);
+    static List<String> ownCommand(String... arguments) {
+        return ProgramLine.of(HEAP, List.of("-XX:TieredStopAtLevel=1"), arguments);
     }
 
-    private static RigTown.Outcome play(Schedule schedule, Path folder) throws Exception {
-        try (Keeper keeper = Keeper.start(self("rig", "keep"));
-                RigTown town = new RigTown(schedule, folder, keeper, RigCommand::self)) {
-            return town.play();
+    private static ScheduleRun.Outcome play(Schedule schedule, Path folder) throws Exception {
+        try (Keeper keeper = Keeper.start(ownCommand("rig", "keep"));
+                ScheduleRun run =
+                        new ScheduleRun(schedule, folder, keeper, RigCommand::ownCommand)) {
+            return run.play();
         }
     }
 
-    private static int report(RigTown.Outcome outcome) {
+    private static int report(ScheduleRun.Outcome outcome) {
         outcome.late().stream()
-                .limit(SHOWN)
+                .limit(MAX_SHOWN)
                 .forEach(b -> System.out.println("  timing rule broken, not counted: " + b));
         if (outcome.broken().isEmpty()) {
             System.out.println("all rules kept");
             return 0;
         }
         System.out.println(outcome.broken().size() + " times a rule was broken:");
-        outcome.broken().stream().limit(SHOWN).forEach(b -> System.out.println("  " + b));
+        outcome.broken().stream().limit(MAX_SHOWN).forEach(b -> System.out.println("  " + b));
         return 1;
     }
 
@@ -88,7 +89,7 @@
         public Integer call() throws Exception {
             Schedule schedule = Schedule.read(file);
             Path folder = folder(out);
-            RigTown.Outcome outcome = play(schedule, folder);
+            ScheduleRun.Outcome outcome = play(schedule, folder);
             System.out.printf(
                     Locale.ROOT,
                     "%s, seed %d: %.0f s of %d processes and %d nodes; history and logs in %s%n",
@@ -177,9 +178,9 @@
                         "--seeds, --proxies (to 40) and --nodes (to 100) must be at least 1,"
                                 + " --seconds above 1");
             }
-            boolean possible =
+            boolean valid =
                     voters == 0 ? drills == 0 : (voters == 3 || voters == 5) && voters <= proxies;
-            if (!possible || drills < 0 || drills > 20 || leaseMs < 200) {
+            if (!valid || drills < 0 || drills > 20 || leaseMs < 200) {
                 throw new BadInput(
                         "--voters must be 0, 3 or 5 and at most --proxies, --drills (to 20) need"
                                 + " voters, --lease-ms must be at least 200");
@@ -187,7 +188,7 @@
             Path folder = folder(out);
             for (long seed = from; seed < from + seeds; seed++) {
                 Schedule schedule =
-                        Schedule.drawn(
+                        Schedule.random(
                                 seed,
                                 daemons || voters > 0,
                                 new Schedule.Fleet(voters, drills, leaseMs, quiet),
@@ -195,7 +196,7 @@
                                 nodes,
                                 seconds);
                 Path each = folder.resolve("seed-" + seed);
-                RigTown.Outcome outcome = play(schedule, each);
+                ScheduleRun.Outcome outcome = play(schedule, each);
                 Files.writeString(each.resolve("schedule.toml"), schedule.toml());
                 System.out.printf(
                         Locale.ROOT,
@@ -238,7 +239,7 @@
             Path folder = folder(out);
             int broken = 0;
             for (int i = 1; i <= times; i++) {
-                RigTown.Outcome outcome = play(schedule, folder.resolve("play-" + i));
+                ScheduleRun.Outcome outcome = play(schedule, folder.resolve("play-" + i));
                 broken += outcome.broken().isEmpty() ? 0 : 1;
                 System.out.println(
                         "play "
--- a/src/main/java/holdproxy/rig/RigFault.java
+++ b/src/main/java/holdproxy/rig/RigFault.java
@@ -45,29 +45,30 @@
         /** A daemon is killed, and started again after {@code forS} with an empty data folder. */
         LOSE;
 
-        String word() {
+        String configName() {
             return name().toLowerCase(Locale.ROOT);
         }
 
-        boolean ofProxy() {
+        boolean targetsProxy() {
             return this == KILL || this == HOLD || this == RESTART || this == LOSE;
         }
 
         /** Whether the front or discovery notices it only after {@code noticedS}. */
-        boolean noticed() {
+        boolean hasNoticeDelay() {
             return this == KILL || this == CRASH || this == LOSE;
         }
 
-        boolean ofLinks() {
+        boolean targetsLinks() {
             return this == LINK || this == REFUSE || this == RESET;
         }
 
-        static final List<String> WORDS = Arrays.stream(values()).map(Kind::word).toList();
+        static final List<String> CONFIG_NAMES =
+                Arrays.stream(values()).map(Kind::configName).toList();
     }
 
     static RigFault process(Kind kind, double atS, double forS, double noticedS, int target) {
         return new RigFault(
-                kind, atS, forS, noticedS, target, "", "", LinkState.SOUND, LinkState.SOUND);
+                kind, atS, forS, noticedS, target, "", "", LinkState.HEALTHY, LinkState.HEALTHY);
     }
 
     static RigFault links(
--- a/src/main/java/holdproxy/rig/Schedule.java
+++ b/src/main/java/holdproxy/rig/Schedule.java
@@ -39,7 +39,7 @@
         int nodes,
         Load load,
         List<RigFault> faults,
-        List<Expected> expected,
+        List<ExpectedEvent> expected,
         List<Publication> publications) {
     /**
      * Settings of the daemons.
@@ -68,12 +68,12 @@
      */
     record Publication(double atS, Map<String, Object> settings, int exitCode) {}
 
-    private static final double LONGEST_S = 3600;
-    private static final int MOST_MS = 60_000;
-    private static final int MOST_BYTES = 1 << 30;
-    private static final int MOST_RELAYS = 5;
-    private static final int MOST_EXIT_CODE = 4;
-    private static final int MOST_FAULTS = 6;
+    private static final double MAX_SECONDS = 3600;
+    private static final int MAX_MS = 60_000;
+    private static final int MAX_BYTES = 1 << 30;
+    private static final int MAX_RELAYS = 5;
+    private static final int MAX_EXIT_CODE = 4;
+    private static final int MAX_FAULTS = 6;
     private static final double FIRST_FAULT_S = 1;
 
     Schedule {
@@ -93,7 +93,7 @@
             int nodes,
             Load load,
             List<RigFault> faults,
-            List<Expected> expected) {
+            List<ExpectedEvent> expected) {
         this(
                 name, seed, seconds, daemons, fleet, proxies, nodes, load, faults, expected,
                 List.of());
@@ -113,45 +113,45 @@
         TomlPart top = TomlPart.parse(file, "the schedule", text);
         String name = top.text("name", file);
         long seed = (long) top.number("seed", 1, 0, Long.MAX_VALUE);
-        double seconds = top.number("seconds", 15, 1, LONGEST_S);
-        TomlPart town = top.part("town");
-        boolean daemons = town.flag("daemons");
-        int proxies = town.whole("proxies", 5, 1, 40);
+        double seconds = top.number("seconds", 15, 1, MAX_SECONDS);
+        TomlPart section = top.part("town");
+        boolean daemons = section.flag("daemons");
+        int proxies = section.whole("proxies", 5, 1, 40);
         Fleet fleet =
                 new Fleet(
-                        town.whole("voters", 0, 0, 5),
-                        town.whole("drills", 0, 0, 20),
-                        town.whole("lease_ms", 1_000, 200, MOST_MS),
-                        town.flag("quiet"),
-                        town.whole("relays", 0, 0, MOST_RELAYS));
-        boolean possible =
+                        section.whole("voters", 0, 0, 5),
+                        section.whole("drills", 0, 0, 20),
+                        section.whole("lease_ms", 1_000, 200, MAX_MS),
+                        section.flag("quiet"),
+                        section.whole("relays", 0, 0, MAX_RELAYS));
+        boolean valid =
                 fleet.voters == 0
                         ? fleet.drills == 0 && fleet.relays == 0
                         : daemons
                                 && (fleet.voters == 3 || fleet.voters == 5)
                                 && fleet.voters + fleet.relays <= proxies;
-        if (!possible) {
-            throw town.bad(
-                    town.at("voters"),
+        if (!valid) {
+            throw section.bad(
+                    section.at("voters"),
                     "voters must be 3 or 5, need daemons, and with the relays must not exceed"
                             + " proxies; drills and relays need voters");
         }
-        int nodes = town.whole("nodes", 6, 1, 100);
-        town.done();
+        int nodes = section.whole("nodes", 6, 1, 100);
+        section.done();
         Load load = Load.read(top.part("load"));
         List<RigFault> faults = new ArrayList<>();
         for (TomlPart fault : top.parts("fault")) {
             faults.add(fault(fault, proxies, nodes, seconds));
         }
-        List<Expected> expected = new ArrayList<>();
+        List<ExpectedEvent> expected = new ArrayList<>();
         for (TomlPart each : top.parts("expect")) {
             expected.add(
-                    new Expected(
+                    new ExpectedEvent(
                             each.flag("any"),
                             each.text("by", "*"),
                             each.read("said", t -> t),
                             each.number("after_s", 0, 0, seconds),
-                            each.number("within_s", 60, 0, LONGEST_S)));
+                            each.number("within_s", 60, 0, MAX_SECONDS)));
             each.done();
         }
         List<Publication> publications = new ArrayList<>();
@@ -181,21 +181,22 @@
                 new Publication(
                         part.needed("at_s", 0, seconds),
                         part.map("settings"),
-                        part.whole("exit_code", 0, 0, MOST_EXIT_CODE));
+                        part.whole("exit_code", 0, 0, MAX_EXIT_CODE));
         part.done();
         return publication;
     }
 
     private static RigFault fault(TomlPart p, int proxies, int nodes, double seconds) {
         RigFault.Kind kind =
-                RigFault.Kind.valueOf(p.word("kind", RigFault.Kind.WORDS).toUpperCase(Locale.ROOT));
+                RigFault.Kind.valueOf(
+                        p.word("kind", RigFault.Kind.CONFIG_NAMES).toUpperCase(Locale.ROOT));
         double atS = p.needed("at_s", 0, seconds);
-        double forS = kind == RigFault.Kind.RESET ? 0 : p.number("for_s", 0, 0, LONGEST_S);
+        double forS = kind == RigFault.Kind.RESET ? 0 : p.number("for_s", 0, 0, MAX_SECONDS);
         RigFault fault;
-        if (kind.ofLinks()) {
+        if (kind.targetsLinks()) {
             String from = p.text("from", "*");
             String to = p.text("to", "*");
-            boolean stated = kind == RigFault.Kind.LINK;
+            boolean hasStates = kind == RigFault.Kind.LINK;
             fault =
                     RigFault.links(
                             kind,
@@ -203,11 +204,11 @@
                             forS,
                             from,
                             to,
-                            stated ? state(p.part("there")) : LinkState.SOUND,
-                            stated ? state(p.part("back")) : LinkState.SOUND);
+                            hasStates ? state(p.part("there")) : LinkState.HEALTHY,
+                            hasStates ? state(p.part("back")) : LinkState.HEALTHY);
         } else {
             int target =
-                    kind.ofProxy()
+                    kind.targetsProxy()
                             ? (int) p.needed("proxy", 0, proxies - 1)
                             : (int) p.needed("node", 0, nodes - 1);
             fault =
@@ -215,7 +216,7 @@
                             kind,
                             atS,
                             forS,
-                            kind.noticed() ? p.number("noticed_s", 2, 0, LONGEST_S) : 0,
+                            kind.hasNoticeDelay() ? p.number("noticed_s", 2, 0, MAX_SECONDS) : 0,
                             target);
         }
         p.done();
@@ -227,11 +228,11 @@
                 new LinkState(
                         p.flag("cut"),
                         p.flag("unread"),
-                        p.whole("delay_ms", 0, 0, MOST_MS),
-                        p.whole("jitter_ms", 0, 0, MOST_MS),
-                        p.whole("growth_ms", 0, 0, MOST_MS),
-                        p.whole("bytes_per_s", 0, 0, MOST_BYTES),
-                        p.whole("tear_after", 0, 0, MOST_BYTES));
+                        p.whole("delay_ms", 0, 0, MAX_MS),
+                        p.whole("jitter_ms", 0, 0, MAX_MS),
+                        p.whole("growth_ms", 0, 0, MAX_MS),
+                        p.whole("bytes_per_s", 0, 0, MAX_BYTES),
+                        p.whole("tear_after", 0, 0, MAX_BYTES));
         p.done();
         return state;
     }
@@ -260,12 +261,12 @@
         line(out, "clubs", load.clubs());
         for (RigFault f : faults) {
             out.append("\n[[fault]]\n");
-            line(out, "kind", "\"" + f.kind().word() + "\"");
+            line(out, "kind", "\"" + f.kind().configName() + "\"");
             line(out, "at_s", f.atS());
             if (f.kind() != RigFault.Kind.RESET) {
                 line(out, "for_s", f.forS());
             }
-            if (f.kind().ofLinks()) {
+            if (f.kind().targetsLinks()) {
                 line(out, "from", "\"" + f.from() + "\"");
                 line(out, "to", "\"" + f.to() + "\"");
                 if (f.kind() == RigFault.Kind.LINK) {
@@ -273,17 +274,17 @@
                     line(out, "back", state(f.back()));
                 }
             } else {
-                line(out, f.kind().ofProxy() ? "proxy" : "node", f.target());
-                if (f.kind().noticed()) {
+                line(out, f.kind().targetsProxy() ? "proxy" : "node", f.target());
+                if (f.kind().hasNoticeDelay()) {
                     line(out, "noticed_s", f.noticedS());
                 }
             }
         }
-        for (Expected each : expected) {
+        for (ExpectedEvent each : expected) {
             out.append("\n[[expect]]\n");
             line(out, "any", each.any());
             line(out, "by", TomlText.quoted(each.by()));
-            line(out, "said", TomlText.quoted(each.said()));
+            line(out, "said", TomlText.quoted(each.text()));
             line(out, "after_s", each.afterS());
             line(out, "within_s", each.withinS());
         }
@@ -319,13 +320,13 @@
     }
 
     /** A schedule with random faults, which may overlap. */
-    static Schedule drawn(
+    static Schedule random(
             long seed, boolean daemons, Fleet fleet, int proxies, int nodes, double seconds) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RigFault> faults = new ArrayList<>();
-        for (int i = 1 + random.nextInt(MOST_FAULTS); i > 0; i--) {
+        for (int i = 1 + random.nextInt(MAX_FAULTS); i > 0; i--) {
             faults.add(
-                    drawnFault(
+                    randomFault(
                             random,
                             daemons,
                             proxies,
@@ -345,32 +346,32 @@
                 List.of());
     }
 
-    private static RigFault drawnFault(
+    private static RigFault randomFault(
             SplittableRandom random, boolean daemons, int proxies, int nodes, double atS) {
         RigFault.Kind[] kinds = RigFault.Kind.values();
         // the last kind applies to daemons only
         RigFault.Kind kind = kinds[random.nextInt(daemons ? kinds.length : kinds.length - 1)];
         double forS = random.nextDouble(0.2, 5);
-        if (!kind.ofLinks()) {
+        if (!kind.targetsLinks()) {
             double noticedS = random.nextDouble(0.5, 3);
             return RigFault.process(
                     kind,
                     atS,
                     forS,
-                    kind.noticed() ? noticedS : 0,
-                    random.nextInt(kind.ofProxy() ? proxies : nodes));
+                    kind.hasNoticeDelay() ? noticedS : 0,
+                    random.nextInt(kind.targetsProxy() ? proxies : nodes));
         }
         String proxy = "proxy-" + random.nextInt(proxies);
         String node = random.nextBoolean() ? "s-*" : "s-" + random.nextInt(nodes);
-        int way = random.nextInt(daemons ? 6 : 4);
-        String from = way == 0 ? "clients" : proxy;
+        int route = random.nextInt(daemons ? 6 : 4);
+        String from = route == 0 ? "clients" : proxy;
         String to =
-                way == 0
+                route == 0
                         ? proxy
-                        : way == 1
+                        : route == 1
                                 ? "discovery"
-                                : way == 4 ? "proxy-*" : way == 5 ? GuardedResource.NAME : node;
-        LinkState wrong = kind == RigFault.Kind.LINK ? drawnState(random) : LinkState.SOUND;
+                                : route == 4 ? "proxy-*" : route == 5 ? GuardedResource.NAME : node;
+        LinkState faulty = kind == RigFault.Kind.LINK ? randomState(random) : LinkState.HEALTHY;
         int direction = random.nextInt(3);
         return RigFault.links(
                 kind,
@@ -378,11 +379,11 @@
                 kind == RigFault.Kind.RESET ? 0 : forS,
                 from,
                 to,
-                direction == 1 ? LinkState.SOUND : wrong,
-                direction == 0 ? LinkState.SOUND : wrong);
+                direction == 1 ? LinkState.HEALTHY : faulty,
+                direction == 0 ? LinkState.HEALTHY : faulty);
     }
 
-    private static LinkState drawnState(SplittableRandom random) {
+    private static LinkState randomState(SplittableRandom random) {
         return switch (random.nextInt(5)) {
             case 0 -> LinkState.CUT;
             case 1 -> LinkState.UNREAD;
@@ -390,7 +391,7 @@
                     LinkState.delayed(
                             random.nextInt(300), random.nextInt(300), random.nextInt(100));
             case 3 -> LinkState.throttled(500 + random.nextInt(20_000));
-            default -> LinkState.torn(1 + random.nextInt(2_000));
+            default -> LinkState.resetAfter(1 + random.nextInt(2_000));
         };
     }
 }
--- a/src/main/java/holdproxy/rig/RigTown.java
+++ b/src/main/java/holdproxy/rig/ScheduleRun.java
@@ -39,31 +39,31 @@
 
 /**
  * Plays a schedule with real proxies. Each proxy is a process of the built program; clients, cache nodes and
- * discovery are emulated on real sockets, with a relay between any two endpoints that communicate. All events
- * go into one record. Everything but the proxy processes runs on one event loop.
+ * discovery are emulated on real sockets, with a {@link Link} between any two endpoints that communicate. All
+ * events go into one record. Everything but the proxy processes runs on one event loop.
  */
-final class RigTown implements AutoCloseable {
-    private static final long CALL_US = 30_000;
+final class ScheduleRun implements AutoCloseable {
+    private static final long DISCOVERY_CALL_US = 30_000;
 
     /** Delay until discovery lists a started node. */
-    private static final double ADDED_S = 1.5;
+    private static final double LISTING_DELAY_S = 1.5;
 
     /** Time for the last request, retries included, to finish. */
-    private static final double LAST_TRIES_S = 12;
+    private static final double LAST_REQUESTS_S = 12;
 
     /** Limit of a start, or an exit after SIGTERM: a second or two, longer on a busy machine. */
-    private static final long PATIENCE_S = 120;
+    private static final long PROCESS_TIMEOUT_S = 120;
 
     /** Interval of the checks for expected events. */
-    private static final long LOOK_MS = 100;
+    private static final long CHECK_INTERVAL_MS = 100;
 
-    private static final int MOST_SEEDS = 3;
+    private static final int MAX_SEEDS = 3;
     private static final int REGISTER_SLOTS = 40;
     private static final long REGISTER_US = 60_000;
     private static final int KEYS_KEPT = 4000;
     private static final double COLD_FROM = 0.2;
     private static final double COLD_S = 20;
-    private static final double QUOTA_PART = 0.83;
+    private static final double QUOTA_SHARE = 0.83;
     private static final String CLIENTS = "clients";
     private static final String DISCOVERY = "discovery";
     private static final String LISTENING = "listening on ";
@@ -80,25 +80,25 @@
     private final Links links;
     private final Front front = new Front();
     private final List<CacheNode> nodes = new ArrayList<>();
-    private final Map<InetSocketAddress, String> nodeAt = new HashMap<>();
+    private final Map<InetSocketAddress, String> nodeNames = new HashMap<>();
     private final List<ServeProcess> proxies = new ArrayList<>();
 
     /** The address at which each daemon listens for the others. */
-    private final List<InetSocketAddress> meets = new ArrayList<>();
+    private final List<InetSocketAddress> peerAddresses = new ArrayList<>();
 
     /** Why each ending process was made to end; an exit without an entry is a crash. */
-    private final Map<ServeProcess, String> endsBy = new HashMap<>();
+    private final Map<ServeProcess, String> endReasons = new HashMap<>();
 
     private final Map<ServeProcess, CompletableFuture<Void>> ready = new HashMap<>();
-    private final Map<ServeProcess, CompletableFuture<Void>> over = new HashMap<>();
+    private final Map<ServeProcess, CompletableFuture<Void>> exited = new HashMap<>();
     private final List<String> crashes = new ArrayList<>();
     private DiscoveryService discovery;
     private Clients clients;
 
     /** Null if nothing is published. */
-    private DistributionRig distribution;
+    private DistributionSetup distribution;
 
-    private boolean ending;
+    private boolean closing;
 
     /** When all processes listened and the schedule began. */
     private long startUs;
@@ -107,7 +107,8 @@
      * {@code program} makes the command line that starts holdproxy with the given arguments; {@code folder}
      * is for configurations, logs and the history.
      */
-    RigTown(Schedule schedule, Path folder, Keeper keeper, Function<String[], List<String>> program)
+    ScheduleRun(
+            Schedule schedule, Path folder, Keeper keeper, Function<String[], List<String>> program)
             throws IOException {
         this.schedule = schedule;
         this.folder = Files.createDirectories(folder);
@@ -125,60 +126,61 @@
     Outcome play() throws InterruptedException, ExecutionException, TimeoutException {
         loop.submit(this::build).get();
         for (ServeProcess p : proxies) {
-            ready.get(p).get(PATIENCE_S, TimeUnit.SECONDS);
+            ready.get(p).get(PROCESS_TIMEOUT_S, TimeUnit.SECONDS);
         }
-        CompletableFuture<Void> asked = new CompletableFuture<>();
+        CompletableFuture<Void> finished = new CompletableFuture<>();
         loop.execute(
                 () -> {
                     startUs = time.nowUs();
-                    schedule.faults().forEach(f -> after(f.atS(), () -> happen(f)));
+                    schedule.faults().forEach(f -> after(f.atS(), () -> inject(f)));
                     schedule.publications()
                             .forEach(p -> after(p.atS(), () -> distribution.publish(p)));
                     if (!schedule.fleet().quiet()) {
                         clients.ask(time.nowUs() + (long) (schedule.seconds() * 1e6));
                     }
                     after(
-                            schedule.seconds() + (schedule.fleet().quiet() ? 0 : LAST_TRIES_S),
-                            () -> asked.complete(null));
+                            schedule.seconds() + (schedule.fleet().quiet() ? 0 : LAST_REQUESTS_S),
+                            () -> finished.complete(null));
                 });
-        asked.get();
-        List<Expected> unmet = unmet();
-        List<Auditors.Broken> unpublished = distribution == null ? List.of() : distribution.await();
-        loop.submit(this::end).get();
+        finished.get();
+        List<ExpectedEvent> unmet = unmet();
+        List<Auditors.Broken> unpublished =
+                distribution == null ? List.of() : distribution.awaitCommands();
+        loop.submit(this::terminateAll).get();
         for (ServeProcess p : proxies) {
-            over.get(p).get(PATIENCE_S, TimeUnit.SECONDS);
+            exited.get(p).get(PROCESS_TIMEOUT_S, TimeUnit.SECONDS);
         }
-        return loop.submit(() -> judge(unmet, unpublished)).get();
+        return loop.submit(() -> checkRules(unmet, unpublished)).get();
     }
 
     /** Awaits the events that the schedule expects; returns those that did not occur in time. */
-    private List<Expected> unmet() throws InterruptedException, ExecutionException {
-        List<Expected> unmet = new ArrayList<>(schedule.expected());
+    private List<ExpectedEvent> unmet() throws InterruptedException, ExecutionException {
+        List<ExpectedEvent> unmet = new ArrayList<>(schedule.expected());
         long fromUs = time.nowUs();
         while (true) {
             loop.submit(
                             () -> {
                                 List<String> running =
                                         proxies.stream()
-                                                .filter(ServeProcess::runs)
+                                                .filter(ServeProcess::isRunning)
                                                 .map(p -> p.name)
                                                 .toList();
-                                unmet.removeIf(e -> e.met(running, record.events(), startUs));
+                                unmet.removeIf(e -> e.isMet(running, record.events(), startUs));
                             })
                     .get();
             if (unmet.stream().allMatch(e -> time.nowUs() - fromUs > e.withinS() * 1e6)) {
                 return unmet;
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(CHECK_INTERVAL_MS);
         }
     }
 
-    private Outcome judge(List<Expected> unmet, List<Auditors.Broken> unpublished) {
+    private Outcome checkRules(List<ExpectedEvent> unmet, List<Auditors.Broken> unpublished) {
         history.flush();
         List<Event> events = record.events();
         List<Auditors.Broken> broken = Auditors.brokenWhateverTheTime(events);
         broken.addAll(LeaseAuditor.broken(events));
-        broken.addAll(ConfigurationJudge.broken(events));
+        broken.addAll(ConfigurationAuditor.broken(events));
         broken.addAll(unpublished);
         crashes.forEach(c -> broken.add(new Auditors.Broken("no crash", c)));
         unmet.forEach(
@@ -189,7 +191,7 @@
                                         "expected event of "
                                                 + e.by()
                                                 + " did not occur: "
-                                                + e.said())));
+                                                + e.text())));
         List<Auditors.Broken> late = new ArrayList<>(Auditors.broken(events));
         late.removeAll(broken);
         return new Outcome(new Service(events), broken, late);
@@ -199,7 +201,7 @@
         time.after((long) (seconds * 1e6), task);
     }
 
-    private static SplittableRandom stream(long seed, String part, int number) {
+    private static SplittableRandom random(long seed, String part, int number) {
         return new SplittableRandom(seed * 0x9e3779b97f4a7c15L + part.hashCode() * 31L + number);
     }
 
@@ -212,10 +214,10 @@
                 new DiscoveryService(
                         time,
                         record,
-                        CALL_US,
+                        DISCOVERY_CALL_US,
                         proxy -> false,
-                        (proxy, node) -> links.between(proxy, nodeAt.get(node)).address());
-        discovery.start(links.part(DISCOVERY, names), known(1, 0));
+                        (proxy, node) -> links.get(proxy, nodeNames.get(node)).address());
+        discovery.start(links.networkFor(DISCOVERY, names), placeholderAddress(1, 0));
         MemberRegister register =
                 new MemberRegister(
                         time, record, REGISTER_SLOTS, REGISTER_US, ProxyConfig.REPEATS_DROPPED_US);
@@ -235,9 +237,9 @@
                         700,
                         2_500);
         for (int i = 0; i < schedule.nodes(); i++) {
-            InetSocketAddress address = known(2, i);
+            InetSocketAddress address = placeholderAddress(2, i);
             String name = "s-" + i;
-            nodeAt.put(address, name);
+            nodeNames.put(address, name);
             CacheNode node =
                     new CacheNode(
                             name,
@@ -245,46 +247,46 @@
                             address,
                             kind,
                             time,
-                            links.part(name, names),
+                            links.networkFor(name, names),
                             record,
                             register,
-                            stream(schedule.seed(), "node", i));
+                            random(schedule.seed(), "node", i));
             nodes.add(node);
             node.startWarm(schedule.load().keys());
-            list(node, "SERVING");
+            setListed(node, "SERVING");
         }
         if (schedule.fleet().drills() > 0) {
-            new GuardedResource(time, record, links.part(GuardedResource.NAME, names), true)
-                    .start(known(3, 0));
+            new GuardedResource(time, record, links.networkFor(GuardedResource.NAME, names), true)
+                    .start(placeholderAddress(3, 0));
         }
         clients =
                 new Clients(
                         time,
-                        List.of(links.part(CLIENTS, List.of())),
+                        List.of(links.networkFor(CLIENTS, List.of())),
                         record,
-                        stream(schedule.seed(), CLIENTS, 0),
+                        random(schedule.seed(), CLIENTS, 0),
                         schedule.load(),
                         ProxyConfig.clubNames(schedule.load().clubs().size()),
                         front,
                         schedule.proxies());
         clients.takenWhenWritten();
         for (int i = 0; i < schedule.proxies(); i++) {
-            meets.add(links.free());
+            peerAddresses.add(links.freeAddress());
         }
         if (schedule.fleet().relays() > 0) {
             distribution =
-                    new DistributionRig(schedule, folder, links, keeper, program, time, record);
+                    new DistributionSetup(schedule, folder, links, keeper, program, time, record);
         }
         for (int i = 0; i < schedule.proxies(); i++) {
-            proxies.add(proxy(i, names.get(i)));
+            proxies.add(createProxy(i, names.get(i)));
         }
-        found();
+        createConsensusGroup();
         proxies.forEach(this::start);
     }
 
     /** Initializes the disk of each voter with the command that operators use. */
-    private void found() {
-        List<Process> founding = new ArrayList<>();
+    private void createConsensusGroup() {
+        List<Process> commands = new ArrayList<>();
         try {
             for (int i = 0; i < schedule.fleet().voters(); i++) {
                 String file = folder.resolve("proxy-" + i + ".toml").toString();
@@ -294,9 +296,9 @@
                                 .redirectOutput(folder.resolve("found-" + i + ".log").toFile())
                                 .start();
                 keeper.keeps(each.toHandle());
-                founding.add(each);
+                commands.add(each);
             }
-            for (Process each : founding) {
+            for (Process each : commands) {
                 if (each.waitFor() != 0) {
                     throw new IllegalStateException(
                             "the consensus group cannot be created: see found-*.log in " + folder);
@@ -310,7 +312,7 @@
     }
 
     /** A made-up address that identifies an emulated endpoint; nothing listens there. */
-    private static InetSocketAddress known(int net, int host) {
+    private static InetSocketAddress placeholderAddress(int net, int host) {
         try {
             byte[] bytes = {10, (byte) net, (byte) (host >> 8), (byte) host};
             return new InetSocketAddress(InetAddress.getByAddress(bytes), 1);
@@ -319,7 +321,7 @@
         }
     }
 
-    private void list(CacheNode node, String state) {
+    private void setListed(CacheNode node, String state) {
         long agoMs = (time.nowUs() - node.startedUs()) / 1000;
         discovery.set(
                 node.name,
@@ -330,9 +332,9 @@
                 node.startedUs() == 0 ? 0 : System.currentTimeMillis() - agoMs);
     }
 
-    private ServeProcess proxy(int i, String name) {
-        InetSocketAddress listens = links.free();
-        front.door(links.link(CLIENTS, name, listens), 0);
+    private ServeProcess createProxy(int i, String name) {
+        InetSocketAddress listenAddress = links.freeAddress();
+        front.door(links.open(CLIENTS, name, listenAddress), 0);
         ProxyConfig config =
                 new ProxyConfig(
                         i,
@@ -342,14 +344,14 @@
                         COLD_FROM,
                         COLD_S,
                         schedule.load().clubs(),
-                        schedule.nodes() / schedule.load().workMs() * 1000 * QUOTA_PART);
+                        schedule.nodes() / schedule.load().workMs() * 1000 * QUOTA_SHARE);
         String platforms =
                 config.json(
                         name,
-                        stream(schedule.seed(), "proxy", i).nextLong(),
+                        random(schedule.seed(), "proxy", i).nextLong(),
                         discovery.whole(name),
                         ProxyConfig.ATTEMPTS);
-        String discoveryAt = DiscoveryService.text(links.between(name, DISCOVERY).address());
+        String discoveryAt = DiscoveryService.text(links.get(name, DISCOVERY).address());
         Path file = folder.resolve(name + (schedule.daemons() ? ".toml" : ".json"));
         try {
             Files.writeString(
@@ -358,12 +360,12 @@
                             ? platforms
                             : DaemonText.of(
                                             name,
-                                            DiscoveryService.text(listens),
+                                            DiscoveryService.text(listenAddress),
                                             discoveryAt,
                                             folder.resolve(name),
-                                            cooperation(i),
+                                            peerSettings(i),
                                             platforms)
-                                    + (distribution == null ? "" : distribution.section(i)));
+                                    + (distribution == null ? "" : distribution.configSection(i)));
         } catch (IOException e) {
             throw new UncheckedIOException(
                     "the configuration of " + name + " cannot be written", e);
@@ -375,7 +377,7 @@
                                 "LB_NAME",
                                 name,
                                 "LB_LISTEN",
-                                DiscoveryService.text(listens),
+                                DiscoveryService.text(listenAddress),
                                 "LB_DISCOVERY",
                                 discoveryAt,
                                 "LB_CONFIG",
@@ -388,25 +390,26 @@
         return new ServeProcess(name, command, env, folder.resolve(name + ".log"), keeper, loop);
     }
 
-    /** A daemon's settings for its peers, with a relay to each of them. */
-    private DaemonText.CooperationText cooperation(int i) {
+    /** A daemon's settings for its peers, with a link to each of them. */
+    private DaemonText.CooperationText peerSettings(int i) {
         Map<String, String> routes = new LinkedHashMap<>();
         for (int other = 0; other < schedule.proxies(); other++) {
             if (other != i) {
                 String name = "proxy-" + other;
                 routes.put(
                         name,
-                        DiscoveryService.text(links.link("proxy-" + i, name, meets.get(other))));
+                        DiscoveryService.text(
+                                links.open("proxy-" + i, name, peerAddresses.get(other))));
             }
         }
-        List<String> seeds = routes.values().stream().limit(MOST_SEEDS).toList();
+        List<String> seeds = routes.values().stream().limit(MAX_SEEDS).toList();
         String resource =
                 schedule.fleet().drills() == 0
                         ? ""
                         : DiscoveryService.text(
-                                links.between("proxy-" + i, GuardedResource.NAME).address());
+                                links.get("proxy-" + i, GuardedResource.NAME).address());
         return new DaemonText.CooperationText(
-                DiscoveryService.text(meets.get(i)),
+                DiscoveryService.text(peerAddresses.get(i)),
                 seeds,
                 routes,
                 IntStream.range(0, schedule.fleet().voters()).mapToObj(v -> "proxy-" + v).toList(),
@@ -418,12 +421,12 @@
     // ---- processes ----
 
     private void start(ServeProcess p) {
-        if (p.runs() || ending) {
+        if (p.isRunning() || closing) {
             return;
         }
         ready.put(p, new CompletableFuture<>());
-        over.put(p, new CompletableFuture<>());
-        endsBy.remove(p);
+        exited.put(p, new CompletableFuture<>());
+        endReasons.remove(p);
         p.start(
                 line -> {
                     DaemonText.said(line)
@@ -436,18 +439,18 @@
                                                     said.clockUs(),
                                                     said.what()));
                     if (line.contains(LISTENING) && !ready.get(p).isDone()) {
-                        put(p, "started");
+                        recordFault(p, "started");
                         front.use(proxies.indexOf(p), true);
                         ready.get(p).complete(null);
                     }
                 },
-                code -> ended(p, code));
+                code -> onExit(p, code));
     }
 
-    private void ended(ServeProcess p, int code) {
-        String by = endsBy.remove(p);
+    private void onExit(ServeProcess p, int code) {
+        String by = endReasons.remove(p);
         if (!"killed".equals(by)) {
-            put(p, by == null ? "ended by itself with " + code : by);
+            recordFault(p, by == null ? "ended by itself with " + code : by);
         }
         if (by == null || by.equals("ended") && code != 0) {
             crashes.add(
@@ -461,65 +464,65 @@
             front.use(proxies.indexOf(p), false);
         }
         ready.get(p).complete(null); // ends the wait for its start; the exit is recorded above
-        over.get(p).complete(null);
+        exited.get(p).complete(null);
     }
 
-    private void put(ServeProcess p, String what) {
+    private void recordFault(ServeProcess p, String what) {
         record.add(time.nowUs(), Event.Kind.FAULT, p.name, "", what);
     }
 
     /** Terminates every process, once. */
-    private void end() {
-        ending = true;
+    private void terminateAll() {
+        closing = true;
         for (ServeProcess p : proxies) {
             p.resume();
-            tellToEnd(p, () -> {});
+            terminate(p, () -> {});
         }
     }
 
     /**
      * Sends SIGTERM once the process listens: before that it has no handler, and the signal would kill it.
-     * {@code told} runs after the signal, unless the process was already ending.
+     * {@code onSignal} runs after the signal, unless the process was already ending.
      */
-    private void tellToEnd(ServeProcess p, Runnable told) {
-        if (!p.runs()) {
+    private void terminate(ServeProcess p, Runnable onSignal) {
+        if (!p.isRunning()) {
             return;
         }
         ready.get(p)
                 .thenRun(
                         () -> {
-                            if (p.runs() && endsBy.putIfAbsent(p, "ended") == null) {
+                            if (p.isRunning() && endReasons.putIfAbsent(p, "ended") == null) {
                                 p.end();
-                                told.run();
+                                onSignal.run();
                             }
                         });
     }
 
     // ---- faults ----
 
-    private void happen(RigFault f) {
+    private void inject(RigFault f) {
         switch (f.kind()) {
             case KILL, LOSE -> kill(f);
-            case HOLD -> hold(f);
+            case HOLD -> suspend(f);
             case RESTART -> restart(f);
             case CRASH -> crash(f);
-            default -> links(f);
+            default -> injectLinkFault(f);
         }
     }
 
     private void kill(RigFault f) {
         ServeProcess p = proxies.get(f.target());
-        if (!p.runs()) {
+        if (!p.isRunning()) {
             return;
         }
-        endsBy.put(p, "killed");
-        put(p, "killed"); // recorded now, as the exit is noticed a moment later
+        endReasons.put(p, "killed");
+        recordFault(p, "killed"); // recorded now, as the exit is noticed a moment later
         p.kill();
-        CompletableFuture<Void> gone = over.get(p);
+        CompletableFuture<Void> exit = exited.get(p);
         after(
                 f.noticedS(),
                 () -> {
-                    if (!p.runs()) {
+                    if (!p.isRunning()) {
                         front.use(f.target(), false);
                     }
                 });
@@ -527,10 +530,10 @@
             after(
                     f.forS(),
                     () ->
-                            gone.thenRun(
+                            exit.thenRun(
                                     () -> {
                                         if (f.kind() == RigFault.Kind.LOSE) {
-                                            forget(p);
+                                            deleteData(p);
                                         }
                                         start(p);
                                     }));
@@ -538,8 +541,8 @@
     }
 
     /** Deletes the process's data folder. */
-    private void forget(ServeProcess p) {
-        put(p, "lost its disk");
+    private void deleteData(ServeProcess p) {
+        recordFault(p, "lost its disk");
         try (Stream<Path> files = Files.walk(folder.resolve(p.name))) {
             files.sorted(Comparator.reverseOrder()).map(Path::toFile).forEach(File::delete);
         } catch (IOException e) {
@@ -547,11 +550,11 @@
         }
     }
 
-    private void hold(RigFault f) {
+    private void suspend(RigFault f) {
         ServeProcess p = proxies.get(f.target());
-        if (p.runs()) {
-            put(p, "held " + (long) (f.forS() * 1e6));
-            p.hold();
+        if (p.isRunning()) {
+            recordFault(p, "held " + (long) (f.forS() * 1e6));
+            p.suspend();
             if (f.forS() > 0) {
                 after(f.forS(), p::resume);
             }
@@ -560,12 +563,12 @@
 
     private void restart(RigFault f) {
         ServeProcess p = proxies.get(f.target());
-        tellToEnd(
+        terminate(
                 p,
                 () -> {
-                    put(p, "told to end");
+                    recordFault(p, "told to end");
                     front.use(f.target(), false);
-                    over.get(p).thenRun(() -> after(f.forS(), () -> start(p)));
+                    exited.get(p).thenRun(() -> after(f.forS(), () -> start(p)));
                 });
     }
 
@@ -576,7 +579,7 @@
                 f.noticedS(),
                 () -> {
                     if (!node.up()) {
-                        list(node, "DELETED");
+                        setListed(node, "DELETED");
                     }
                 });
         if (f.forS() > 0) {
@@ -585,24 +588,24 @@
                     () -> {
                         if (!node.up()) {
                             node.startCold();
-                            after(ADDED_S, () -> list(node, "SERVING"));
+                            after(LISTING_DELAY_S, () -> setListed(node, "SERVING"));
                         }
                     });
         }
     }
 
-    private void links(RigFault f) {
-        List<Relay> met = links.matching(f.from(), f.to());
+    private void injectLinkFault(RigFault f) {
+        List<Link> affected = links.matching(f.from(), f.to());
         record.add(
                 time.nowUs(),
                 Event.Kind.FAULT,
                 f.from() + ">" + f.to(),
                 "",
-                f.kind().word() + " " + f.there() + " " + f.back());
+                f.kind().configName() + " " + f.there() + " " + f.back());
         switch (f.kind()) {
-            case REFUSE -> met.forEach(r -> r.refuse(true));
-            case RESET -> met.forEach(Relay::reset);
-            default -> met.forEach(r -> r.state(f.there(), f.back()));
+            case REFUSE -> affected.forEach(r -> r.refuse(true));
+            case RESET -> affected.forEach(Link::reset);
+            default -> affected.forEach(r -> r.state(f.there(), f.back()));
         }
         if (f.forS() > 0 && f.kind() != RigFault.Kind.RESET) {
             after(
@@ -614,12 +617,12 @@
                                 f.from() + ">" + f.to(),
                                 "",
                                 "sound");
-                        met.forEach(
+                        affected.forEach(
                                 r -> {
                                     if (f.kind() == RigFault.Kind.REFUSE) {
                                         r.refuse(false);
                                     } else {
-                                        r.state(LinkState.SOUND, LinkState.SOUND);
+                                        r.state(LinkState.HEALTHY, LinkState.HEALTHY);
                                     }
                                 });
                     });
@@ -632,7 +635,7 @@
         try {
             loop.submit(
                             () -> {
-                                ending = true;
+                                closing = true;
                                 if (distribution != null) {
                                     distribution.close();
                                 }
--- a/src/main/java/holdproxy/rig/ServeProcess.java
+++ b/src/main/java/holdproxy/rig/ServeProcess.java
@@ -29,7 +29,7 @@
     private final Keeper keeper;
     private final Executor loop;
     private Process process;
-    private int life;
+    private int runNumber;
 
     /** {@code log}: the output file; each run appends to it. */
     public ServeProcess(
@@ -47,9 +47,9 @@
         this.loop = loop;
     }
 
-    /** Starts a run; {@code said} gets each output line, {@code ended} the exit code of the latest run. */
-    public void start(Consumer<String> said, IntConsumer ended) {
-        int mine = ++life;
+    /** Starts a run; {@code onLine} gets each output line, {@code onExit} the exit code of the latest run. */
+    public void start(Consumer<String> onLine, IntConsumer onExit) {
+        int thisRun = ++runNumber;
         try {
             ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
             builder.environment().keySet().removeIf(key -> key.startsWith("LB_"));
@@ -65,7 +65,7 @@
         Thread reading =
                 new Thread(
                         () -> {
-                            read(started, line -> loop.execute(() -> said.accept(line)));
+                            readOutput(started, line -> loop.execute(() -> onLine.accept(line)));
                             allRead.complete(null);
                         },
                         "output of " + name);
@@ -78,14 +78,14 @@
                         p ->
                                 loop.execute(
                                         () -> {
-                                            if (life == mine) {
+                                            if (runNumber == thisRun) {
                                                 process = null;
-                                                ended.accept(p.exitValue());
+                                                onExit.accept(p.exitValue());
                                             }
                                         }));
     }
 
-    private void read(Process from, Consumer<String> said) {
+    private void readOutput(Process from, Consumer<String> onLine) {
         try (BufferedReader lines =
                         new BufferedReader(
                                 new InputStreamReader(
@@ -96,21 +96,21 @@
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 file.write(line + "\n");
                 file.flush();
-                said.accept(line);
+                onLine.accept(line);
             }
         } catch (IOException e) {
-            said.accept("the process output cannot be read or stored: " + e);
+            onLine.accept("the process output cannot be read or stored: " + e);
         }
     }
 
     /** Whether a process has been started and its exit has not been handled yet. */
-    public boolean runs() {
+    public boolean isRunning() {
         return process != null;
     }
 
     /** SIGKILL; works on a stopped process too. */
     public void kill() {
-        if (runs()) {
+        if (isRunning()) {
             process.destroyForcibly();
         }
     }
@@ -122,14 +122,14 @@
 
     /** SIGTERM. */
     public void end() {
-        if (runs()) {
+        if (isRunning()) {
             // Process.destroy would also close the pipe with the last output; the handle's does not
             process.toHandle().destroy();
         }
     }
 
     /** SIGSTOP: stops the process until {@link #resume}. */
-    public void hold() {
+    public void suspend() {
         signal("STOP");
     }
 
@@ -140,7 +140,7 @@
 
     /** Runs the program kill, as Java has no API for these signals. */
     private void signal(String signal) {
-        if (runs()) {
+        if (isRunning()) {
             try {
                 new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                         .start()
--- a/src/test/java/holdproxy/rig/DistributionScheduleTest.java
+++ b/src/test/java/holdproxy/rig/DistributionScheduleTest.java
@@ -18,9 +18,10 @@
     @Test
     void proxiesEndAtTheNewestVersionThoughEachRelayIsKilled() throws Exception {
         Schedule schedule = Schedule.read(Path.of("rig/distribution/relays-killed.toml"));
-        try (Keeper keeper = Keeper.start(RigCommand.self("rig", "keep"));
-                RigTown town = new RigTown(schedule, folder, keeper, RigCommand::self)) {
-            assertEquals(List.of(), town.play().broken());
+        try (Keeper keeper = Keeper.start(RigCommand.ownCommand("rig", "keep"));
+                ScheduleRun run =
+                        new ScheduleRun(schedule, folder, keeper, RigCommand::ownCommand)) {
+            assertEquals(List.of(), run.play().broken());
         }
         String history = Files.readString(folder.resolve("history.txt"));
         assertTrue(history.contains("proxy-6"), history);
@@ -31,23 +32,23 @@
     }
 
     @Test
-    void anOlderVersionAfterANewerOneIsFound() {
+    void anOlderVersionAfterANewerOneIsReported() {
         List<Event> events =
                 List.of(
-                        said("starting name=a pid=1"),
-                        said("configuration in force epoch=5 number=2 sections=1"),
-                        said("configuration in force epoch=5 number=3 sections=1"),
-                        said("starting name=a pid=2"),
-                        said("configuration in force epoch=5 number=1 sections=1"));
-        assertEquals(List.of(), ConfigurationJudge.broken(events));
+                        logged("starting name=a pid=1"),
+                        logged("configuration in force epoch=5 number=2 sections=1"),
+                        logged("configuration in force epoch=5 number=3 sections=1"),
+                        logged("starting name=a pid=2"),
+                        logged("configuration in force epoch=5 number=1 sections=1"));
+        assertEquals(List.of(), ConfigurationAuditor.broken(events));
         for (String late : List.of("epoch=5 number=1", "epoch=5 number=0", "epoch=4 number=9")) {
             List<Event> broken = new ArrayList<>(events);
-            broken.add(said("configuration in force " + late + " sections=1"));
-            assertEquals(1, ConfigurationJudge.broken(broken).size(), late);
+            broken.add(logged("configuration in force " + late + " sections=1"));
+            assertEquals(1, ConfigurationAuditor.broken(broken).size(), late);
         }
     }
 
-    private static Event said(String what) {
+    private static Event logged(String what) {
         return new Event(0, Event.Kind.SAID, "a", "", what);
     }
 }
--- a/src/test/java/holdproxy/rig/LeaseSchedulesTest.java
+++ b/src/test/java/holdproxy/rig/LeaseSchedulesTest.java
@@ -20,51 +20,51 @@
 
 /** Plays the lease schedules with real processes: each lease has one holder, and there is progress. */
 class LeaseSchedulesTest {
-    private static final int AT_ONCE = 4;
+    private static final int PARALLEL_RUNS = 4;
 
     @TempDir Path folder;
 
     @Test
-    void aDutyHasOneHolderWhateverTheSchedule() throws Exception {
+    void eachLeaseHasOneHolderInEverySchedule() throws Exception {
         List<Path> files;
         try (Stream<Path> all = Files.list(Path.of("rig/leases"))) {
             files = all.sorted().toList();
         }
         assertEquals(12, files.size());
-        ExecutorService players = Executors.newFixedThreadPool(AT_ONCE);
+        ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_RUNS);
         Map<String, List<Auditors.Broken>> broken = new TreeMap<>();
         int acts = 0;
         try {
-            List<Future<RigTown.Outcome>> plays = new ArrayList<>();
-            files.forEach(f -> plays.add(players.submit(() -> play(f))));
+            List<Future<ScheduleRun.Outcome>> runs = new ArrayList<>();
+            files.forEach(f -> runs.add(executor.submit(() -> play(f))));
             for (int i = 0; i < files.size(); i++) {
                 String name = files.get(i).getFileName().toString();
-                List<Auditors.Broken> found = plays.get(i).get().broken();
+                List<Auditors.Broken> found = runs.get(i).get().broken();
                 if (!found.isEmpty()) {
                     broken.put(name, found);
                 }
-                acts += acts(name);
+                acts += acceptedActs(name);
             }
         } finally {
-            players.shutdownNow();
+            executor.shutdownNow();
         }
         assertEquals(Map.of(), broken);
         assertTrue(acts > 1_000, acts + " acts");
     }
 
-    private RigTown.Outcome play(Path file) throws Exception {
-        try (Keeper keeper = Keeper.start(RigCommand.self("rig", "keep"));
-                RigTown town =
-                        new RigTown(
+    private ScheduleRun.Outcome play(Path file) throws Exception {
+        try (Keeper keeper = Keeper.start(RigCommand.ownCommand("rig", "keep"));
+                ScheduleRun run =
+                        new ScheduleRun(
                                 Schedule.read(file),
                                 folder.resolve(file.getFileName()),
                                 keeper,
-                                RigCommand::self)) {
-            return town.play();
+                                RigCommand::ownCommand)) {
+            return run.play();
         }
     }
 
-    private int acts(String name) throws IOException {
+    private int acceptedActs(String name) throws IOException {
         try (Stream<String> lines = Files.lines(folder.resolve(name).resolve("history.txt"))) {
             return (int) lines.filter(l -> l.contains(" ACTED ") && l.endsWith(" taken")).count();
         }
--- a/src/test/java/holdproxy/rig/RelayTest.java
+++ b/src/test/java/holdproxy/rig/LinkTest.java
@@ -22,28 +22,28 @@
 import org.junit.jupiter.api.Test;
 
 /** Each link fault, between two blocking sockets; waits end on a condition, or fail after 30 s. */
-class RelayTest {
-    private static final int END_MS = 30_000;
+class LinkTest {
+    private static final int TIMEOUT_MS = 30_000;
 
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private ServerSocket server;
-    private Relay relay;
+    private Link link;
     private Socket caller;
     private Socket callee;
 
     @BeforeEach
     void connected() throws IOException {
         server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-        server.setSoTimeout(END_MS);
-        relay = Relay.open(loop, free(), (InetSocketAddress) server.getLocalSocketAddress(), 1);
-        caller = call();
-        callee = taken();
+        server.setSoTimeout(TIMEOUT_MS);
+        link = Link.open(loop, free(), (InetSocketAddress) server.getLocalSocketAddress(), 1);
+        caller = connect();
+        callee = accept();
     }
 
     @AfterEach
-    void end() throws IOException {
-        relay.close();
+    void close() throws IOException {
+        link.close();
         caller.close();
         callee.close();
         server.close();
@@ -56,21 +56,21 @@
         }
     }
 
-    private Socket call() throws IOException {
+    private Socket connect() throws IOException {
         Socket socket = new Socket();
-        socket.connect(relay.address(), END_MS);
-        socket.setSoTimeout(END_MS);
+        socket.connect(link.address(), TIMEOUT_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         return socket;
     }
 
-    private Socket taken() throws IOException {
+    private Socket accept() throws IOException {
         Socket socket = server.accept();
-        socket.setSoTimeout(END_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         return socket;
     }
 
     private static void await(BooleanSupplier condition) {
-        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(END_MS);
+        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < endNs, "the condition was not met in time");
             Thread.onSpinWait();
@@ -83,7 +83,7 @@
         return bytes;
     }
 
-    private void passes(Socket from, Socket to, byte[] bytes) throws IOException {
+    private void assertPasses(Socket from, Socket to, byte[] bytes) throws IOException {
         Thread sending =
                 new Thread(
                         () -> {
@@ -97,7 +97,7 @@
         assertArrayEquals(bytes, to.getInputStream().readNBytes(bytes.length));
     }
 
-    private static void ended(Socket socket) {
+    private static void assertClosed(Socket socket) {
         // a reset, or an ordinary end if all bytes before it were read already
         try {
             assertEquals(-1, socket.getInputStream().read());
@@ -107,79 +107,79 @@
     }
 
     @Test
-    void aSoundLinkPassesEverythingBothWaysAndTheEndOfEachSide() throws IOException {
-        passes(caller, callee, bytes(3_000_000));
-        passes(callee, caller, bytes(3_000_000));
+    void aHealthyLinkPassesAllBytesAndTheEndOfEachSide() throws IOException {
+        assertPasses(caller, callee, bytes(3_000_000));
+        assertPasses(callee, caller, bytes(3_000_000));
         caller.shutdownOutput();
         assertEquals(-1, callee.getInputStream().read());
-        passes(callee, caller, bytes(10_000)); // the other direction goes on
+        assertPasses(callee, caller, bytes(10_000)); // the other direction goes on
         callee.close();
         assertEquals(-1, caller.getInputStream().read());
     }
 
     @Test
-    void aCutLinkIsSilentInItsDirectionAndResetsWhatItHoledOnceItIsSound() throws IOException {
-        relay.state(LinkState.CUT, LinkState.SOUND);
+    void aCutLinkDropsBytesAndResetsTheConnectionAfterwards() throws IOException {
+        link.state(LinkState.CUT, LinkState.HEALTHY);
         caller.getOutputStream().write(bytes(100));
-        await(() -> relay.dropped() == 100);
-        passes(callee, caller, bytes(100)); // the opposite direction has no fault
-        relay.state(LinkState.SOUND, LinkState.SOUND);
-        ended(caller);
-        ended(callee);
-        try (Socket again = call();
-                Socket there = taken()) {
-            passes(again, there, bytes(100));
+        await(() -> link.dropped() == 100);
+        assertPasses(callee, caller, bytes(100)); // the opposite direction has no fault
+        link.state(LinkState.HEALTHY, LinkState.HEALTHY);
+        assertClosed(caller);
+        assertClosed(callee);
+        try (Socket again = connect();
+                Socket there = accept()) {
+            assertPasses(again, there, bytes(100));
         }
     }
 
     @Test
-    void aCutLinkThatKeptNothingBackGoesOn() throws IOException {
-        relay.state(LinkState.CUT, LinkState.CUT);
-        relay.state(LinkState.SOUND, LinkState.SOUND);
-        passes(caller, callee, bytes(100));
+    void aConnectionThatLostNothingSurvivesACut() throws IOException {
+        link.state(LinkState.CUT, LinkState.CUT);
+        link.state(LinkState.HEALTHY, LinkState.HEALTHY);
+        assertPasses(caller, callee, bytes(100));
     }
 
     @Test
-    void whatIsNotReadWaitsWithItsSender() throws IOException {
-        relay.state(LinkState.UNREAD, LinkState.SOUND);
+    void anUnreadLinkDelaysBytesAndLosesNone() throws IOException {
+        link.state(LinkState.UNREAD, LinkState.HEALTHY);
         byte[] bytes = bytes(100_000);
         caller.getOutputStream().write(bytes);
-        passes(callee, caller, bytes(100));
+        assertPasses(callee, caller, bytes(100));
         assertEquals(0, callee.getInputStream().available());
-        relay.state(LinkState.SOUND, LinkState.SOUND);
+        link.state(LinkState.HEALTHY, LinkState.HEALTHY);
         assertArrayEquals(bytes, callee.getInputStream().readNBytes(bytes.length));
     }
 
     @Test
-    void aLinkThatRefusesTakesNothingNewAndLeavesWhatIsOpen() throws IOException {
-        relay.refuse(true);
-        assertThrows(ConnectException.class, this::call);
-        passes(caller, callee, bytes(100));
-        relay.refuse(false);
-        try (Socket again = call();
-                Socket there = taken()) {
-            passes(there, again, bytes(100));
+    void aRefusingLinkRejectsNewConnectionsAndKeepsOpenOnes() throws IOException {
+        link.refuse(true);
+        assertThrows(ConnectException.class, this::connect);
+        assertPasses(caller, callee, bytes(100));
+        link.refuse(false);
+        try (Socket again = connect();
+                Socket there = accept()) {
+            assertPasses(there, again, bytes(100));
         }
     }
 
     @Test
-    void aResetEndsWhatIsOpenOnBothSides() throws IOException {
-        relay.reset();
-        ended(caller);
-        ended(callee);
+    void aResetClosesBothSidesOfAConnection() throws IOException {
+        link.reset();
+        assertClosed(caller);
+        assertClosed(callee);
     }
 
     @Test
     void aCallerWhoseTargetRefusesIsReset() throws IOException {
         server.close();
-        try (Socket vain = call()) {
-            ended(vain);
+        try (Socket refused = connect()) {
+            assertClosed(refused);
         }
     }
 
     @Test
     void aDelayIsNoShorterThanItsTimeAndKeepsTheOrder() throws IOException {
-        relay.state(LinkState.delayed(120, 60, 0), LinkState.SOUND);
+        link.state(LinkState.delayed(120, 60, 0), LinkState.HEALTHY);
         byte[] bytes = bytes(50);
         long startNs = System.nanoTime();
         for (byte b : bytes) {
@@ -196,26 +196,26 @@
 
     @Test
     void aThrottledLinkTakesAtLeastItsTimeAndLosesNothing() throws IOException {
-        relay.state(LinkState.throttled(50_000), LinkState.SOUND);
+        link.state(LinkState.throttled(50_000), LinkState.HEALTHY);
         long startNs = System.nanoTime();
-        passes(caller, callee, bytes(20_000)); // takes 0.4 s, less the first step
+        assertPasses(caller, callee, bytes(20_000)); // takes 0.4 s, less the first step
         assertTrue(
                 System.nanoTime() - startNs >= TimeUnit.MILLISECONDS.toNanos(300),
                 "the bytes came too early");
     }
 
     @Test
-    void aTornLinkEndsInTheMiddle() throws IOException {
-        relay.state(LinkState.SOUND, LinkState.torn(10));
+    void aLinkWithAByteLimitIsResetAfterThoseBytes() throws IOException {
+        link.state(LinkState.HEALTHY, LinkState.resetAfter(10));
         callee.getOutputStream().write(bytes(25));
         byte[] came = new byte[10];
         assertEquals(10, caller.getInputStream().readNBytes(came, 0, 10));
-        ended(caller);
-        ended(callee);
+        assertClosed(caller);
+        assertClosed(callee);
     }
 
     @Test
-    void whatWaitsForASlowReaderIsBounded() throws IOException {
+    void bytesQueuedForASlowReaderAreBounded() throws IOException {
         byte[] bytes = bytes(16 << 20);
         Thread sending =
                 new Thread(
@@ -227,13 +227,13 @@
                             }
                         });
         sending.start();
-        relay.state(LinkState.delayed(50, 0, 0), LinkState.SOUND);
+        link.state(LinkState.delayed(50, 0, 0), LinkState.HEALTHY);
         assertArrayEquals(bytes, callee.getInputStream().readNBytes(bytes.length));
-        assertTrue(relay.mostHeld() < 2 << 20, relay.mostHeld() + " bytes were held");
+        assertTrue(link.maxQueuedBytes() < 2 << 20, link.maxQueuedBytes() + " bytes were held");
     }
 
     @Test
-    void figuresBelowZeroAreTurnedDown() {
+    void negativeDelaysAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> LinkState.delayed(-1, 0, 0));
     }
 }
--- a/src/test/java/holdproxy/rig/RigTest.java
+++ b/src/test/java/holdproxy/rig/RigTest.java
@@ -24,7 +24,7 @@
 
 /** Faults in real processes of this program, the checks of the history, and the end of a killed rig. */
 class RigTest {
-    private static final long END_S = 120;
+    private static final long TIMEOUT_S = 120;
 
     /** Longer than any test, so that no process ends because its schedule is over. */
     private static final double LONG_S = 600;
@@ -49,11 +49,11 @@
         return RigFault.process(kind, atS, forS, 0.5, target);
     }
 
-    private RigTown.Outcome play(Schedule schedule, Function<String[], List<String>> program)
+    private ScheduleRun.Outcome play(Schedule schedule, Function<String[], List<String>> program)
             throws Exception {
-        try (Keeper keeper = Keeper.start(RigCommand.self("rig", "keep"));
-                RigTown town = new RigTown(schedule, folder, keeper, program)) {
-            return town.play();
+        try (Keeper keeper = Keeper.start(RigCommand.ownCommand("rig", "keep"));
+                ScheduleRun run = new ScheduleRun(schedule, folder, keeper, program)) {
+            return run.play();
         }
     }
 
@@ -63,7 +63,7 @@
 
     @Test
     void proxiesThatAreKilledStoppedAndRestartedWhileLinksFailKeepTheRules() throws Exception {
-        RigTown.Outcome outcome =
+        ScheduleRun.Outcome outcome =
                 play(
                         schedule(
                                 6,
@@ -79,32 +79,32 @@
                                         "proxy-2",
                                         "s-*",
                                         LinkState.CUT,
-                                        LinkState.SOUND),
+                                        LinkState.HEALTHY),
                                 RigFault.links(
                                         RigFault.Kind.LINK,
                                         1,
                                         3,
                                         "proxy-1",
                                         "s-1",
-                                        LinkState.SOUND,
-                                        LinkState.torn(40)),
+                                        LinkState.HEALTHY,
+                                        LinkState.resetAfter(40)),
                                 RigFault.links(
                                         RigFault.Kind.REFUSE,
                                         3,
                                         1,
                                         "proxy-*",
                                         "s-2",
-                                        LinkState.SOUND,
-                                        LinkState.SOUND),
+                                        LinkState.HEALTHY,
+                                        LinkState.HEALTHY),
                                 RigFault.links(
                                         RigFault.Kind.RESET,
                                         4,
                                         0,
                                         "clients",
                                         "proxy-1",
-                                        LinkState.SOUND,
-                                        LinkState.SOUND)),
-                        RigCommand::self);
+                                        LinkState.HEALTHY,
+                                        LinkState.HEALTHY)),
+                        RigCommand::ownCommand);
         assertEquals(List.of(), outcome.broken());
         assertTrue(outcome.service().served() > 50, outcome.service().figures().toString());
         String history = history();
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void daemonsKeepTheRulesAndSayWhatTheyDo() throws Exception {
+    void daemonsKeepTheRulesAndLogTheirEvents() throws Exception {
         Schedule schedule =
                 new Schedule(
                         "test",
@@ -142,29 +142,33 @@
                                 process(RigFault.Kind.KILL, 1, 12, 0),
                                 process(RigFault.Kind.RESTART, 2, 0.2, 1)),
                         List.of(
-                                new Expected(
+                                new ExpectedEvent(
                                         false,
                                         "proxy-2",
                                         "member member=proxy-1 state=LEFT before=",
                                         0,
-                                        END_S),
-                                new Expected(
+                                        TIMEOUT_S),
+                                new ExpectedEvent(
                                         false,
                                         "proxy-2",
                                         "member member=proxy-0 state=DEAD before=SUSPECT",
                                         0,
-                                        END_S),
-                                new Expected(
+                                        TIMEOUT_S),
+                                new ExpectedEvent(
                                         false,
                                         "proxy-2",
                                         "member member=proxy-0 state=ALIVE before=DEAD",
                                         0,
-                                        END_S),
-                                new Expected(false, "proxy-*", "member member=proxy-", 0, END_S),
-                                new Expected(true, "*", "lease granted role=drill-0", 0, END_S),
-                                new Expected(true, "*", "lease granted role=drill-1", 0, END_S),
-                                new Expected(false, "proxy-2", "member member=proxy-9", 0, 0)));
-        RigTown.Outcome outcome = play(schedule, RigCommand::self);
+                                        TIMEOUT_S),
+                                new ExpectedEvent(
+                                        false, "proxy-*", "member member=proxy-", 0, TIMEOUT_S),
+                                new ExpectedEvent(
+                                        true, "*", "lease granted role=drill-0", 0, TIMEOUT_S),
+                                new ExpectedEvent(
+                                        true, "*", "lease granted role=drill-1", 0, TIMEOUT_S),
+                                new ExpectedEvent(
+                                        false, "proxy-2", "member member=proxy-9", 0, 0)));
+        ScheduleRun.Outcome outcome = play(schedule, RigCommand::ownCommand);
         // the last one cannot occur: that it is reported shows that the others were checked
         assertEquals(
                 List.of(
@@ -189,8 +193,8 @@
 
     /** The schedule ends while a process starts, before a Java program can have a SIGTERM handler. */
     @Test
-    void aProcessThatStillStartsAtTheEndIsAwaitedAndThenTold() throws Exception {
-        RigTown.Outcome outcome =
+    void aProcessStartingAtTheEndIsTerminatedOnceItListens() throws Exception {
+        ScheduleRun.Outcome outcome =
                 play(
                         new Schedule(
                                 "test",
@@ -203,7 +207,7 @@
                                 Load.PLAIN,
                                 List.of(process(RigFault.Kind.KILL, 0.1, 2.85, 0)),
                                 List.of()),
-                        RigCommand::self);
+                        RigCommand::ownCommand);
         assertEquals(List.of(), outcome.broken());
         assertEquals(
                 List.of("started", "killed", "started", "ended"),
@@ -215,7 +219,7 @@
     }
 
     @Test
-    void twoHoldersAreFound() {
+    void twoHoldersOfALeaseAreReported() {
         assertEquals(
                 List.of(),
                 LeaseAuditor.broken(
@@ -261,7 +265,7 @@
     @Test
     void aProcessThatEndsByItselfIsACrash() throws Exception {
         List<String> ends = List.of("sh", "-c", "echo 'listening on nothing'; exit 3");
-        RigTown.Outcome outcome = play(schedule(1, 1), words -> ends);
+        ScheduleRun.Outcome outcome = play(schedule(1, 1), words -> ends);
         assertEquals(
                 List.of("no crash"), outcome.broken().stream().map(Auditors.Broken::rule).toList());
         assertTrue(
@@ -270,7 +274,7 @@
     }
 
     @Test
-    void whatIsBrokenWhateverTheTimeIsFound() {
+    void rulesIndependentOfTimingAreChecked() {
         List<Event> events =
                 List.of(
                         new Event(1, Event.Kind.ASKED, "proxy-0", "a1", "enrolment ka 2000"),
@@ -289,27 +293,27 @@
     }
 
     @Test
-    void aRigThatIsKilledTakesItsProcessesAlong() throws Exception {
+    void childProcessesEndWhenTheRigIsKilled() throws Exception {
         Path file = folder.resolve("long.toml");
         Files.writeString(file, schedule(LONG_S, 2, process(RigFault.Kind.HOLD, 0, 0, 1)).toml());
         Process rig =
                 new ProcessBuilder(
-                                RigCommand.self(
+                                RigCommand.ownCommand(
                                         "rig", "run", file.toString(), "--out", folder.toString()))
                         .redirectErrorStream(true)
                         .redirectOutput(folder.resolve("out.txt").toFile())
                         .start();
         try {
             await(
-                    END_S,
+                    TIMEOUT_S,
                     () ->
                             Files.exists(folder.resolve("history.txt"))
-                                    && ofRig().size() == 2
+                                    && rigProcesses().size() == 2
                                     && IntStream.range(0, 2).allMatch(this::listens));
-            Set<ProcessHandle> started = ofRig();
+            Set<ProcessHandle> started = rigProcesses();
             assertEquals(2, started.size());
             rig.destroyForcibly().waitFor();
-            await(END_S, () -> started.stream().noneMatch(ProcessHandle::isAlive));
+            await(TIMEOUT_S, () -> started.stream().noneMatch(ProcessHandle::isAlive));
         } finally {
             rig.destroyForcibly();
         }
@@ -325,7 +329,7 @@
     }
 
     /** Processes whose LB_CONFIG is in this test's folder, as far as their environment can be read. */
-    private Set<ProcessHandle> ofRig() {
+    private Set<ProcessHandle> rigProcesses() {
         return ProcessHandle.allProcesses()
                 .filter(
                         p -> {
@@ -340,10 +344,10 @@
     }
 
     @Test
-    void aScheduleIsWrittenAsItIsReadAndMistakesAreNamedWithTheirLine() {
+    void schedulesRoundTripAndErrorsNameTheirLine() {
         for (long seed = 1; seed <= 50; seed++) {
-            Schedule drawn =
-                    Schedule.drawn(
+            Schedule schedule =
+                    Schedule.random(
                             seed,
                             seed % 2 == 0,
                             seed % 2 == 0
@@ -352,7 +356,7 @@
                             5,
                             6,
                             10);
-            assertEquals(drawn, Schedule.read("f", drawn.toml()), "seed " + seed);
+            assertEquals(schedule, Schedule.read("f", schedule.toml()), "seed " + seed);
         }
         assertBad(
                 "[town]\nproxies = 41",
@@ -367,8 +371,8 @@
                 "[[fault]]\nkind = \"reset\"\nat_s = 1\nproxy = 0",
                 "f line 4: proxy is unknown in [[fault]]");
         assertFalse(
-                Schedule.drawn(1, false, Schedule.Fleet.NONE, 5, 6, 10)
-                        .equals(Schedule.drawn(2, false, Schedule.Fleet.NONE, 5, 6, 10)));
+                Schedule.random(1, false, Schedule.Fleet.NONE, 5, 6, 10)
+                        .equals(Schedule.random(2, false, Schedule.Fleet.NONE, 5, 6, 10)));
     }
 
     private static void assertBad(String text, String why) {
