--- a/src/main/java/holdproxy/rig/Links.java
+++ b/src/main/java/holdproxy/rig/Links.java
@@ -158,8 +158,7 @@
                 all.add(last.channel());
                 get(each.getKey(), name).refuse(false);
             }
-            // closing the returned channel closes all of them and makes the relays refuse
-            // connections
+            // closing the returned channel closes all of them; the links then refuse connections
             last.channel()
                     .closeFuture()
                     .addListener(
