--- a/src/main/java/holdproxy/rig/DistributionRig.java
+++ b/src/main/java/holdproxy/rig/DistributionSetup.java
@@ -22,20 +22,20 @@
 import java.util.stream.Stream;
 
 /**
- * The distribution of published changes among a rig's daemons: the voters are control machines, those after
- * them relays of one site, and the others its proxies; and what operators publish, by the command that they
- * have for it.
+ * Distribution of published changes among a rig's daemons. The voters are control machines, the daemons after
+ * them are relays of one site, and the others are the proxies of that site. Changes are published with the
+ * command that operators use.
  */
-final class DistributionRig {
-    /** Ends what a process's name has in the name of its link for changes. */
-    private static final String CHANGES = ".changes";
+final class DistributionSetup {
+    /** Suffix of a process's name in the name of its link for published changes. */
+    private static final String CHANGE_LINK_SUFFIX = ".changes";
 
     private static final String OPERATORS = "operators";
     private static final String SITE = "site-0";
-    private static final int PUBLISH_WITHIN_S = 60;
-    private static final long PATIENCE_S = 150;
+    private static final int PUBLISH_TIMEOUT_S = 60;
+    private static final long EXIT_TIMEOUT_S = 150;
 
-    private record Publishing(Schedule.Publication publication, int number, Process process) {}
+    private record PublishCommand(Schedule.Publication publication, int number, Process process) {}
 
     private final Schedule schedule;
     private final Path folder;
@@ -44,14 +44,14 @@
     private final Function<String[], List<String>> program;
     private final Timeline time;
     private final TownRecord record;
-    private final List<InetSocketAddress> listens = new ArrayList<>();
-    private final List<InetSocketAddress> admins = new ArrayList<>();
-    private final List<Publishing> published = new ArrayList<>();
+    private final List<InetSocketAddress> listenAddresses = new ArrayList<>();
+    private final List<InetSocketAddress> adminAddresses = new ArrayList<>();
+    private final List<PublishCommand> commands = new ArrayList<>();
 
-    /** Completes when the last command has ended. */
-    private CompletableFuture<Void> last = CompletableFuture.completedFuture(null);
+    /** Completes when the last command has exited. */
+    private CompletableFuture<Void> lastExit = CompletableFuture.completedFuture(null);
 
-    DistributionRig(
+    DistributionSetup(
             Schedule schedule,
             Path folder,
             Links links,
@@ -66,37 +66,37 @@
         this.program = program;
         this.time = time;
         this.record = record;
-        for (int i = 0; i < controls() + relays(); i++) {
-            listens.add(links.free());
+        for (int i = 0; i < controlCount() + relayCount(); i++) {
+            listenAddresses.add(links.freeAddress());
         }
-        for (int i = 0; i < controls(); i++) {
-            admins.add(links.free());
+        for (int i = 0; i < controlCount(); i++) {
+            adminAddresses.add(links.freeAddress());
         }
     }
 
-    private int controls() {
+    private int controlCount() {
         return schedule.fleet().voters();
     }
 
-    private int relays() {
+    private int relayCount() {
         return schedule.fleet().relays();
     }
 
-    /** Of a daemon's file. */
-    String section(int daemon) {
+    /** The {@code [distribution]} section of a daemon's file. */
+    String configSection(int daemon) {
         String role =
-                daemon < controls()
+                daemon < controlCount()
                         ? "control"
-                        : daemon < controls() + relays() ? "relay" : "proxy";
+                        : daemon < controlCount() + relayCount() ? "relay" : "proxy";
         StringBuilder text = new StringBuilder("[distribution]\n");
         line(text, "role", role);
         line(text, "site", SITE);
         text.append("lease_ms = ").append(schedule.fleet().leaseMs()).append('\n');
         if (!role.equals("proxy")) {
-            line(text, "listen", DiscoveryService.text(listens.get(daemon)));
+            line(text, "listen", DiscoveryService.text(listenAddresses.get(daemon)));
         }
         if (role.equals("control")) {
-            line(text, "admin", DiscoveryService.text(admins.get(daemon)));
+            line(text, "admin", DiscoveryService.text(adminAddresses.get(daemon)));
         } else {
             text.append("upstream = ")
                     .append(upstream(daemon, role).map(TomlText::quoted).toList())
@@ -109,49 +109,50 @@
         text.append(key).append(" = ").append(TomlText.quoted(value)).append('\n');
     }
 
-    /** Its links to those that may serve it. */
+    /** Opens links to the daemons that may serve this one; returns their addresses. */
     private Stream<String> upstream(int daemon, String role) {
-        IntStream above =
+        IntStream parents =
                 role.equals("relay")
-                        ? IntStream.range(0, controls())
-                        : IntStream.range(controls(), controls() + relays());
-        return above.mapToObj(
+                        ? IntStream.range(0, controlCount())
+                        : IntStream.range(controlCount(), controlCount() + relayCount());
+        return parents.mapToObj(
                 other ->
                         DiscoveryService.text(
-                                links.link(
+                                links.open(
                                         "proxy-" + daemon,
-                                        "proxy-" + other + CHANGES,
-                                        listens.get(other))));
+                                        "proxy-" + other + CHANGE_LINK_SUFFIX,
+                                        listenAddresses.get(other))));
     }
 
-    /** Has operators publish, once what they published before has come to its end; on the rig's loop. */
+    /** Publishes once the commands for earlier publications have exited. Called on the event loop. */
     void publish(Schedule.Publication publication) {
-        last =
-                last.thenCompose(
+        lastExit =
+                lastExit.thenCompose(
                         before -> {
-                            CompletableFuture<Void> ended = new CompletableFuture<>();
+                            CompletableFuture<Void> exited = new CompletableFuture<>();
                             start(publication)
                                     .onExit()
-                                    .thenRun(() -> time.after(0, () -> ended.complete(null)));
-                            return ended;
+                                    .thenRun(() -> time.after(0, () -> exited.complete(null)));
+                            return exited;
                         });
     }
 
     private Process start(Schedule.Publication publication) {
-        int number = published.size();
+        int number = commands.size();
         Path file = folder.resolve("publish-" + number + ".toml");
-        List<String> words = new ArrayList<>(List.of("daemon", "publish"));
-        admins.forEach(each -> words.addAll(List.of("--control", DiscoveryService.text(each))));
-        words.addAll(List.of("--wait", Integer.toString(PUBLISH_WITHIN_S), file.toString()));
+        List<String> arguments = new ArrayList<>(List.of("daemon", "publish"));
+        adminAddresses.forEach(
+                each -> arguments.addAll(List.of("--control", DiscoveryService.text(each))));
+        arguments.addAll(List.of("--wait", Integer.toString(PUBLISH_TIMEOUT_S), file.toString()));
         try {
             Files.writeString(file, "settings = " + DaemonText.toml(publication.settings()) + "\n");
             Process process =
-                    new ProcessBuilder(program.apply(words.toArray(String[]::new)))
+                    new ProcessBuilder(program.apply(arguments.toArray(String[]::new)))
                             .redirectErrorStream(true)
                             .redirectOutput(log(number).toFile())
                             .start();
             keeper.keeps(process.toHandle());
-            published.add(new Publishing(publication, number, process));
+            commands.add(new PublishCommand(publication, number, process));
             record.add(
                     time.nowUs(),
                     Event.Kind.FAULT,
@@ -160,7 +161,7 @@
                     "publish " + publication.settings());
             return process;
         } catch (IOException e) {
-            throw new UncheckedIOException("the command to publish cannot be started", e);
+            throw new UncheckedIOException("the publish command cannot be started", e);
         }
     }
 
@@ -168,22 +169,22 @@
         return folder.resolve("publish-" + number + ".log");
     }
 
-    /** Awaits the end of all that was to be published; each command that did not end as the schedule says. */
-    List<Auditors.Broken> await()
+    /** Awaits all publish commands; returns a broken rule for each unexpected exit code. */
+    List<Auditors.Broken> awaitCommands()
             throws InterruptedException, ExecutionException, TimeoutException {
-        last.get(PATIENCE_S, TimeUnit.SECONDS);
+        lastExit.get(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
         List<Auditors.Broken> broken = new ArrayList<>();
-        for (Publishing each : published) {
-            int code = each.process.onExit().get(PATIENCE_S, TimeUnit.SECONDS).exitValue();
+        for (PublishCommand each : commands) {
+            int code = each.process.onExit().get(EXIT_TIMEOUT_S, TimeUnit.SECONDS).exitValue();
             if (code != each.publication.exitCode()) {
                 broken.add(
                         new Auditors.Broken(
                                 "published",
                                 "publication "
                                         + each.number
-                                        + " ended with "
+                                        + " exited with code "
                                         + code
-                                        + ", not "
+                                        + ", expected "
                                         + each.publication.exitCode()
                                         + ": see "
                                         + log(each.number)));
@@ -192,8 +193,8 @@
         return broken;
     }
 
-    /** Whatever command still runs is ended. */
+    /** Kills the publish commands that still run. */
     void close() {
-        published.forEach(each -> each.process.destroyForcibly());
+        commands.forEach(each -> each.process.destroyForcibly());
     }
 }
--- a/src/main/java/holdproxy/rig/Links.java
+++ b/src/main/java/holdproxy/rig/Links.java
@@ -30,25 +30,26 @@
 import java.util.function.Supplier;
 
 /**
- * All relays of a rig, one for each ordered pair of those that talk, and the ports behind them. Names are the
- * town's: {@code proxy-0}, {@code s-3}, {@code discovery}, {@code clients}. On one event loop.
+ * All links of a rig, one for each ordered pair of endpoints that communicate, and the ports behind them.
+ * Endpoints are named as in the history: {@code proxy-0}, {@code s-3}, {@code discovery}, {@code clients}.
+ * Everything runs on one event loop.
  */
 final class Links implements AutoCloseable {
-    /** Below what systems give out by themselves, so that nobody else comes by a port between two binds. */
+    /** The ports are below the usual ephemeral range, so that none is taken between two binds. */
     private static final int FIRST_PORT = 20_000;
 
     private static final int LAST_PORT = 32_000;
 
-    /** Of all rigs in this process; those of two processes begin at different places. */
+    /** Shared by all rigs of this process; the pid spreads the first ports of different processes. */
     private static final AtomicInteger NEXT_PORT =
             new AtomicInteger(Long.hashCode(ProcessHandle.current().pid() * 7919) & 0xffffff);
 
-    /** Who calls, and who is called. */
-    record Pair(String from, String to) {}
+    /** Names of the calling and of the called endpoint. */
+    record Endpoints(String from, String to) {}
 
     private final EventLoop loop;
     private final long seed;
-    private final Map<Pair, Relay> relays = new LinkedHashMap<>();
+    private final Map<Endpoints, Link> links = new LinkedHashMap<>();
     private final Map<Integer, String> callers = new HashMap<>();
 
     Links(EventLoop loop, long seed) {
@@ -56,8 +57,8 @@
         this.seed = seed;
     }
 
-    /** A loopback address at which nobody listens. */
-    InetSocketAddress free() {
+    /** A loopback address with a free port. */
+    InetSocketAddress freeAddress() {
         for (int tries = 0; tries < LAST_PORT - FIRST_PORT; tries++) {
             int port =
                     FIRST_PORT + Math.floorMod(NEXT_PORT.getAndIncrement(), LAST_PORT - FIRST_PORT);
@@ -68,28 +69,28 @@
                 probe.bind(address);
                 return address;
             } catch (IOException e) {
-                continue; // somebody has it
+                continue; // the port is in use
             }
         }
         throw new UncheckedIOException(
                 new IOException("no port from " + FIRST_PORT + " to " + LAST_PORT + " is free"));
     }
 
-    /** A relay from one to another that listens at {@code target}; returns where the caller finds it. */
-    InetSocketAddress link(String from, String to, InetSocketAddress target) {
-        Pair pair = new Pair(from, to);
-        Relay relay = Relay.open(loop, free(), target, seed ^ pair.hashCode());
-        relays.put(pair, relay);
-        return relay.address();
+    /** Opens a link to an endpoint that listens at {@code target}; returns the address for the caller. */
+    InetSocketAddress open(String from, String to, InetSocketAddress target) {
+        Endpoints endpoints = new Endpoints(from, to);
+        Link link = Link.open(loop, freeAddress(), target, seed ^ endpoints.hashCode());
+        links.put(endpoints, link);
+        return link.address();
     }
 
-    /** Those whose ends match: a name, or * for all. */
-    List<Relay> matching(String from, String to) {
-        List<Relay> found = new ArrayList<>();
-        relays.forEach(
-                (pair, relay) -> {
-                    if (matches(from, pair.from) && matches(to, pair.to)) {
-                        found.add(relay);
+    /** The links whose endpoints match; a pattern is a name, a prefix with *, or * for all. */
+    List<Link> matching(String from, String to) {
+        List<Link> found = new ArrayList<>();
+        links.forEach(
+                (endpoints, link) -> {
+                    if (matches(from, endpoints.from) && matches(to, endpoints.to)) {
+                        found.add(link);
                     }
                 });
         return found;
@@ -102,35 +103,35 @@
                         && name.startsWith(pattern.substring(0, pattern.length() - 1));
     }
 
-    Relay between(String from, String to) {
-        return relays.get(new Pair(from, to));
+    Link get(String from, String to) {
+        return links.get(new Endpoints(from, to));
     }
 
     @Override
     public void close() {
-        relays.values().forEach(Relay::close);
+        links.values().forEach(Link::close);
     }
 
-    /** What a part of the town listens with: a port and a relay for each of those that may call. */
-    TownNetwork part(String name, List<String> from) {
-        return new Part(name, from);
+    /** The network of a modelled endpoint: a port and a link for each of its possible callers. */
+    TownNetwork networkFor(String name, List<String> from) {
+        return new EndpointNetwork(name, from);
     }
 
-    private final class Part implements TownNetwork {
+    private final class EndpointNetwork implements TownNetwork {
         private final String name;
         private final Map<String, InetSocketAddress> ports = new LinkedHashMap<>();
 
-        Part(String name, List<String> from) {
+        EndpointNetwork(String name, List<String> from) {
             this.name = name;
             for (String caller : from) {
-                InetSocketAddress port = free();
+                InetSocketAddress port = freeAddress();
                 ports.put(caller, port);
                 callers.put(port.getPort(), caller);
-                link(caller, name, port);
+                open(caller, name, port);
             }
         }
 
-        /** {@code address} is what the town knows the part by; the ports are those of its relays. */
+        /** Binds the ports behind the links; {@code address} is only the endpoint's name in the model. */
         @Override
         public ChannelFuture listen(
                 InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
@@ -148,23 +149,22 @@
                                             @Override
                                             protected void initChannel(SocketChannel ch) {
                                                 ch.pipeline()
-                                                        .addLast(new Flushing())
+                                                        .addLast(new FlushingHandler())
                                                         .addLast(handlers.get())
-                                                        .addLast(new Resets());
+                                                        .addLast(new ErrorHandler());
                                             }
                                         })
                                 .bind(each.getValue());
                 all.add(last.channel());
-                between(each.getKey(), name).refuse(false);
+                get(each.getKey(), name).refuse(false);
             }
-            // who closes the one that is returned closes all, and calls are refused from then on
+            // closing the returned channel closes all of them; the links then refuse connections
             last.channel()
                     .closeFuture()
                     .addListener(
                             f -> {
                                 all.forEach(Channel::close);
-                                ports.keySet()
-                                        .forEach(caller -> between(caller, name).refuse(true));
+                                ports.keySet().forEach(caller -> get(caller, name).refuse(true));
                             });
             return last;
         }
@@ -186,26 +186,26 @@
         }
     }
 
-    /** Parts of a town write, and leave it to their network when that goes out: here at once. */
-    private static final class Flushing extends ChannelOutboundHandlerAdapter {
+    /** Flushes each write at once: the model's endpoints write without flushing. */
+    private static final class FlushingHandler extends ChannelOutboundHandlerAdapter {
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             ctx.writeAndFlush(message, promise);
         }
     }
 
-    /** A connection that is reset is over, and nothing to be told of: that is what a rig is for. */
-    private static final class Resets extends ChannelInboundHandlerAdapter {
+    /** Closes a connection after an error. I/O errors are not reported: the rig causes them on purpose. */
+    private static final class ErrorHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                System.err.println("holdproxy: a part of the town failed: " + cause);
+                System.err.println("holdproxy: an endpoint of the test harness failed: " + cause);
             }
             ctx.close();
         }
     }
 
-    /** An ordinary connection. */
+    /** Connects directly, without a link. */
     private static ChannelFuture dial(
             EventLoop loop, InetSocketAddress to, int timeoutMs, ChannelHandler... handlers) {
         return new Bootstrap()
@@ -217,7 +217,7 @@
                         new ChannelInitializer<SocketChannel>() {
                             @Override
                             protected void initChannel(SocketChannel ch) {
-                                ch.pipeline().addLast(handlers).addLast(new Resets());
+                                ch.pipeline().addLast(handlers).addLast(new ErrorHandler());
                             }
                         })
                 .connect(to);
--- a/src/main/java/holdproxy/rig/ProgramLine.java
+++ b/src/main/java/holdproxy/rig/ProgramLine.java
@@ -4,12 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The command line by which this program starts itself once more: the same Java, the same classes. */
+/** Builds command lines that start this program again with the same Java and class path. */
 public final class ProgramLine {
     private ProgramLine() {}
 
-    /** {@code heap}: as {@code -Xmx} takes it; {@code options}: further ones of the JVM. */
-    public static List<String> of(String heap, List<String> options, String... words) {
+    /** {@code heap}: in the format of {@code -Xmx}; {@code options}: further JVM options. */
+    public static List<String> of(String heap, List<String> options, String... arguments) {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         List<String> command =
                 new ArrayList<>(
@@ -20,14 +20,15 @@
                                 "-Djava.net.preferIPv4Stack=true",
                                 "-Dio.netty.leakDetection.level=disabled"));
         command.addAll(options);
-        // where tests run in a jar that only names others, this names those
+        // surefire may run tests from a jar with only a manifest; this property has the real class
+        // path
         command.addAll(
                 List.of(
                         "-cp",
                         System.getProperty(
                                 "surefire.test.class.path", System.getProperty("java.class.path")),
                         "holdproxy.Main"));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         return command;
     }
 }
--- a/src/main/java/holdproxy/rig/RigCommand.java
+++ b/src/main/java/holdproxy/rig/RigCommand.java
@@ -17,12 +17,12 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code holdproxy rig}: real processes under faults, judged. Exit codes: 0 all rules kept, 1 a rule was
- * broken, 2 the command or a file of it was wrong.
+ * {@code holdproxy rig}: runs real processes under faults and checks rules. Exit codes: 0 all rules kept, 1 a
+ * rule was broken, 2 the command line or an input file was invalid.
  */
 @Command(
         name = "rig",
-        description = "Starts real processes, causes faults between them and judges them.",
+        description = "Starts real processes, injects faults and checks the rules.",
         mixinStandardHelpOptions = true,
         subcommands = {
             RigCommand.Run.class,
@@ -31,7 +31,7 @@
             RigCommand.Keep.class
         })
 public final class RigCommand {
-    private static final int SHOWN = 10;
+    private static final int MAX_SHOWN = 10;
     private static final String HEAP = "80m";
 
     private RigCommand() {}
@@ -39,32 +39,33 @@
     /** Runs a command line; returns its exit code. */
     public static int run(String[] args) {
         InternalLoggerFactory.setDefaultFactory(
-                JdkLoggerFactory.INSTANCE); // the JSON lines are the daemon's
+                JdkLoggerFactory.INSTANCE); // JSON log lines are for the daemon only
         return Commands.run(new RigCommand(), args);
     }
 
-    /** This program with other arguments: the same Java, the same classes. */
-    static List<String> self(String... words) {
-        return ProgramLine.of(HEAP, List.of("-XX:TieredStopAtLevel=1"), words);
+    /** The command line that starts this program again with other arguments. */
+    static List<String> ownCommand(String... arguments) {
+        return ProgramLine.of(HEAP, List.of("-XX:TieredStopAtLevel=1"), arguments);
     }
 
-    private static RigTown.Outcome play(Schedule schedule, Path folder) throws Exception {
-        try (Keeper keeper = Keeper.start(self("rig", "keep"));
-                RigTown town = new RigTown(schedule, folder, keeper, RigCommand::self)) {
-            return town.play();
+    private static ScheduleRun.Outcome play(Schedule schedule, Path folder) throws Exception {
+        try (Keeper keeper = Keeper.start(ownCommand("rig", "keep"));
+                ScheduleRun run =
+                        new ScheduleRun(schedule, folder, keeper, RigCommand::ownCommand)) {
+            return run.play();
         }
     }
 
-    private static int report(RigTown.Outcome outcome) {
+    private static int report(ScheduleRun.Outcome outcome) {
         outcome.late().stream()
-                .limit(SHOWN)
-                .forEach(b -> System.out.println("  in its time, not judged: " + b));
+                .limit(MAX_SHOWN)
+                .forEach(b -> System.out.println("  timing rule broken, not counted: " + b));
         if (outcome.broken().isEmpty()) {
             System.out.println("all rules kept");
             return 0;
         }
         System.out.println(outcome.broken().size() + " times a rule was broken:");
-        outcome.broken().stream().limit(SHOWN).forEach(b -> System.out.println("  " + b));
+        outcome.broken().stream().limit(MAX_SHOWN).forEach(b -> System.out.println("  " + b));
         return 1;
     }
 
@@ -72,7 +73,7 @@
         return out == null ? Files.createTempDirectory("rig") : out;
     }
 
-    /** {@code rig run FILE}: one schedule, and how it went. */
+    /** {@code rig run FILE}: plays one schedule and reports the result. */
     @Command(
             name = "run",
             description = "Plays a schedule and reports.",
@@ -81,14 +82,14 @@
         @Parameters(paramLabel = "SCHEDULE.toml")
         private Path file;
 
-        @Option(names = "--out", description = "a folder for configurations, logs and the history")
+        @Option(names = "--out", description = "folder for configurations, logs and the history")
         private Path out;
 
         @Override
         public Integer call() throws Exception {
             Schedule schedule = Schedule.read(file);
             Path folder = folder(out);
-            RigTown.Outcome outcome = play(schedule, folder);
+            ScheduleRun.Outcome outcome = play(schedule, folder);
             System.out.printf(
                     Locale.ROOT,
                     "%s, seed %d: %.0f s of %d processes and %d nodes; history and logs in %s%n",
@@ -105,46 +106,49 @@
         }
     }
 
-    /** {@code rig hunt}: schedules drawn by seeds. */
+    /** {@code rig hunt}: plays random schedules, one per seed. */
     @Command(
             name = "hunt",
-            description = "Plays schedules drawn by seeds; ends at the first broken rule.",
+            description = "Plays random schedules, one per seed; ends at the first broken rule.",
             mixinStandardHelpOptions = true)
     static final class Hunt implements Callable<Integer> {
-        @Option(names = "--seeds", defaultValue = "10", description = "how many (${DEFAULT-VALUE})")
+        @Option(
+                names = "--seeds",
+                defaultValue = "10",
+                description = "number of seeds (${DEFAULT-VALUE})")
         private int seeds;
 
-        @Option(names = "--from", defaultValue = "1", description = "the first (${DEFAULT-VALUE})")
+        @Option(names = "--from", defaultValue = "1", description = "first seed (${DEFAULT-VALUE})")
         private long from;
 
         @Option(
                 names = "--proxies",
                 defaultValue = "5",
-                description = "processes (${DEFAULT-VALUE})")
+                description = "proxy processes (${DEFAULT-VALUE})")
         private int proxies;
 
-        @Option(names = "--daemons", description = "start them as daemon instead of serve")
+        @Option(names = "--daemons", description = "run proxies as daemon instead of serve")
         private boolean daemons;
 
         @Option(
                 names = "--voters",
                 defaultValue = "0",
-                description = "that make a consensus group: 3 or 5")
+                description = "size of the consensus group: 0, 3 or 5")
         private int voters;
 
         @Option(
                 names = "--drills",
                 defaultValue = "0",
-                description = "leases at a guarded resource")
+                description = "number of leases at the guarded resource")
         private int drills;
 
         @Option(
                 names = "--lease-ms",
                 defaultValue = "1000",
-                description = "of those (${DEFAULT-VALUE})")
+                description = "lease duration (${DEFAULT-VALUE})")
         private int leaseMs;
 
-        @Option(names = "--quiet", description = "no client asks for anything")
+        @Option(names = "--quiet", description = "no client load")
         private boolean quiet;
 
         @Option(
@@ -156,10 +160,10 @@
         @Option(
                 names = "--seconds",
                 defaultValue = "10",
-                description = "of each (${DEFAULT-VALUE})")
+                description = "length of a schedule (${DEFAULT-VALUE})")
         private double seconds;
 
-        @Option(names = "--out", description = "a folder for what breaks a rule")
+        @Option(names = "--out", description = "folder for configurations, logs and histories")
         private Path out;
 
         @Override
@@ -174,17 +178,17 @@
                         "--seeds, --proxies (to 40) and --nodes (to 100) must be at least 1,"
                                 + " --seconds above 1");
             }
-            boolean possible =
+            boolean valid =
                     voters == 0 ? drills == 0 : (voters == 3 || voters == 5) && voters <= proxies;
-            if (!possible || drills < 0 || drills > 20 || leaseMs < 200) {
+            if (!valid || drills < 0 || drills > 20 || leaseMs < 200) {
                 throw new BadInput(
-                        "--voters are 3 or 5 of the processes, --drills (to 20) need them,"
-                                + " --lease-ms is at least 200");
+                        "--voters must be 0, 3 or 5 and at most --proxies, --drills (to 20) need"
+                                + " voters, --lease-ms must be at least 200");
             }
             Path folder = folder(out);
             for (long seed = from; seed < from + seeds; seed++) {
                 Schedule schedule =
-                        Schedule.drawn(
+                        Schedule.random(
                                 seed,
                                 daemons || voters > 0,
                                 new Schedule.Fleet(voters, drills, leaseMs, quiet),
@@ -192,7 +196,7 @@
                                 nodes,
                                 seconds);
                 Path each = folder.resolve("seed-" + seed);
-                RigTown.Outcome outcome = play(schedule, each);
+                ScheduleRun.Outcome outcome = play(schedule, each);
                 Files.writeString(each.resolve("schedule.toml"), schedule.toml());
                 System.out.printf(
                         Locale.ROOT,
@@ -202,7 +206,7 @@
                         outcome.service().share(),
                         outcome.broken().size());
                 if (!outcome.broken().isEmpty()) {
-                    System.out.println("again with: rig replay " + each.resolve("schedule.toml"));
+                    System.out.println("replay with: rig replay " + each.resolve("schedule.toml"));
                     return RigCommand.report(outcome);
                 }
             }
@@ -211,7 +215,7 @@
         }
     }
 
-    /** {@code rig replay FILE}: a schedule several times. */
+    /** {@code rig replay FILE}: plays a schedule several times. */
     @Command(
             name = "replay",
             description = "Plays a schedule several times and compares the verdicts.",
@@ -220,10 +224,13 @@
         @Parameters(paramLabel = "SCHEDULE.toml")
         private Path file;
 
-        @Option(names = "--times", defaultValue = "3", description = "how often (${DEFAULT-VALUE})")
+        @Option(
+                names = "--times",
+                defaultValue = "3",
+                description = "number of plays (${DEFAULT-VALUE})")
         private int times;
 
-        @Option(names = "--out", description = "a folder for configurations, logs and histories")
+        @Option(names = "--out", description = "folder for configurations, logs and histories")
         private Path out;
 
         @Override
@@ -232,7 +239,7 @@
             Path folder = folder(out);
             int broken = 0;
             for (int i = 1; i <= times; i++) {
-                RigTown.Outcome outcome = play(schedule, folder.resolve("play-" + i));
+                ScheduleRun.Outcome outcome = play(schedule, folder.resolve("play-" + i));
                 broken += outcome.broken().isEmpty() ? 0 : 1;
                 System.out.println(
                         "play "
@@ -250,7 +257,7 @@
         }
     }
 
-    /** For the rig's own use. */
+    /** Internal: the process of {@link Keeper}. */
     @Command(name = "keep", hidden = true)
     static final class Keep implements Callable<Integer> {
         @Override
--- a/src/main/java/holdproxy/rig/ServeProcess.java
+++ b/src/main/java/holdproxy/rig/ServeProcess.java
@@ -17,9 +17,9 @@
 import java.util.function.IntConsumer;
 
 /**
- * One proxy of a rig through all its lives, each a real process of the built program. What it prints goes to
- * a file and to the rig; what is done to it is done by signals. Called on the rig's event loop, it calls back
- * there.
+ * One proxy of a rig across restarts; each run is a real process of the built program. Its output goes to a
+ * file and to a callback. It is controlled by signals. Methods are called, and call back, on the rig's event
+ * loop.
  */
 public final class ServeProcess {
     public final String name;
@@ -29,9 +29,9 @@
     private final Keeper keeper;
     private final Executor loop;
     private Process process;
-    private int life;
+    private int runNumber;
 
-    /** {@code log}: a file that all its lives write to, one after another. */
+    /** {@code log}: the output file; each run appends to it. */
     public ServeProcess(
             String name,
             List<String> command,
@@ -47,9 +47,9 @@
         this.loop = loop;
     }
 
-    /** Starts a life; {@code said} gets each line, {@code ended} the exit code unless another has begun. */
-    public void start(Consumer<String> said, IntConsumer ended) {
-        int mine = ++life;
+    /** Starts a run; {@code onLine} gets each output line, {@code onExit} the exit code of the latest run. */
+    public void start(Consumer<String> onLine, IntConsumer onExit) {
+        int thisRun = ++runNumber;
         try {
             ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
             builder.environment().keySet().removeIf(key -> key.startsWith("LB_"));
@@ -65,27 +65,27 @@
         Thread reading =
                 new Thread(
                         () -> {
-                            read(started, line -> loop.execute(() -> said.accept(line)));
+                            readOutput(started, line -> loop.execute(() -> onLine.accept(line)));
                             allRead.complete(null);
                         },
                         "output of " + name);
         reading.setDaemon(true);
         reading.start();
-        // its last words come before its end
+        // the last output is delivered before the exit code
         started.onExit()
                 .thenCombine(allRead, (p, read) -> p)
                 .thenAccept(
                         p ->
                                 loop.execute(
                                         () -> {
-                                            if (life == mine) {
+                                            if (runNumber == thisRun) {
                                                 process = null;
-                                                ended.accept(p.exitValue());
+                                                onExit.accept(p.exitValue());
                                             }
                                         }));
     }
 
-    private void read(Process from, Consumer<String> said) {
+    private void readOutput(Process from, Consumer<String> onLine) {
         try (BufferedReader lines =
                         new BufferedReader(
                                 new InputStreamReader(
@@ -96,21 +96,21 @@
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 file.write(line + "\n");
                 file.flush();
-                said.accept(line);
+                onLine.accept(line);
             }
         } catch (IOException e) {
-            said.accept("its output cannot be read or kept: " + e);
+            onLine.accept("the process output cannot be read or stored: " + e);
         }
     }
 
-    /** Whether a process has been started that has not ended. */
-    public boolean runs() {
+    /** Whether a process has been started and its exit has not been handled yet. */
+    public boolean isRunning() {
         return process != null;
     }
 
-    /** SIGKILL, whatever state it is in. */
+    /** SIGKILL; works on a stopped process too. */
     public void kill() {
-        if (runs()) {
+        if (isRunning()) {
             process.destroyForcibly();
         }
     }
@@ -122,15 +122,14 @@
 
     /** SIGTERM. */
     public void end() {
-        if (runs()) {
-            // by its handle: the process itself would also close the pipe that its last words come
-            // by
+        if (isRunning()) {
+            // Process.destroy would also close the pipe with the last output; the handle's does not
             process.toHandle().destroy();
         }
     }
 
-    /** SIGSTOP: it stands still until {@link #resume}. */
-    public void hold() {
+    /** SIGSTOP: stops the process until {@link #resume}. */
+    public void suspend() {
         signal("STOP");
     }
 
@@ -139,9 +138,9 @@
         signal("CONT");
     }
 
-    /** Java has no way to send these. */
+    /** Runs the program kill, as Java has no API for these signals. */
     private void signal(String signal) {
-        if (runs()) {
+        if (isRunning()) {
             try {
                 new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                         .start()
