--- a/src/main/java/holdproxy/scale/AddressConverter.java
+++ b/src/main/java/holdproxy/scale/AddressConverter.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import picocli.CommandLine.ITypeConverter;
 
-/** Reads an address of digits and its port. */
+/** Converts a command-line option of the form {@code IP:PORT}. */
 final class AddressConverter implements ITypeConverter<InetSocketAddress> {
     @Override
     public InetSocketAddress convert(String text) {
--- a/src/main/java/holdproxy/scale/AskersChild.java
+++ b/src/main/java/holdproxy/scale/AskersChild.java
@@ -19,23 +19,23 @@
 import picocli.CommandLine.Option;
 
 /**
- * Hollow askers: each runs the real lease client and the part of the consensus group that asks its voters, on
- * connections of its own, and is no member. Commands: stats.
+ * Child process with many simulated lease clients ("askers"). Each runs the real lease client and a
+ * non-voting instance of the consensus group on connections of its own. Commands: stats.
  */
 @Command(name = "askers", hidden = true)
 final class AskersChild extends ChildCommand {
-    /** As every daemon asks for. */
+    /** The lease that every daemon requests. */
     private static final String ROLE = "planner";
 
     private static final int LEASE_MS = 3_000;
 
-    /** The first byte of a frame for the consensus group, as the daemon writes it. */
+    /** First byte of a consensus frame, as in the daemon's format. */
     private static final byte OF_GROUP = 0;
 
     @Option(names = "--count", required = true)
     private int count;
 
-    /** Where the first of them listens; the others do at the addresses after it. */
+    /** Selects the range of listen addresses, see {@link #address}. */
     @Option(names = "--fleet", required = true)
     private int fleet;
 
@@ -46,7 +46,7 @@
     private long startNs;
     private long refused;
 
-    /** Where an asker is reached. */
+    /** Listen address of an asker. */
     static InetSocketAddress address(int fleet, int asker) {
         return LoopbackNetwork.address(
                 5 + fleet, asker / 250, asker % 250 + 1, Port.ASKERS.number());
@@ -94,7 +94,7 @@
             group = new RaftGroup(name(number), names, this, new Random(number), table);
             LeaseClient client =
                     new LeaseClient(name(number), 1, group, table, this, new Random(number));
-            // spread, as processes start
+            // spread over one lease period, as separate processes start at different times
             loop.schedule(
                     () -> client.want(ROLE, LEASE_MS),
                     (long) number * LEASE_MS / Math.max(1, count),
@@ -134,22 +134,22 @@
 
         @Override
         public void leads(boolean now) {
-            // it has no vote
+            // cannot happen: it has no vote
         }
 
         @Override
         public void failed(RuntimeException failure) {
-            // it has no part of the library that could
+            // cannot happen: without a vote it runs no Raft library code
         }
 
         @Override
         public void out(String why) {
-            // it has no vote
+            // cannot happen: it has no vote
         }
 
         @Override
         public void notifyFree(String to, String duty, long token) {
-            // only a voter's lease client tells others
+            // only a voter's lease client notifies others
         }
 
         @Override
--- a/src/main/java/holdproxy/scale/ChildCommand.java
+++ b/src/main/java/holdproxy/scale/ChildCommand.java
@@ -14,18 +14,18 @@
 import java.util.concurrent.Callable;
 
 /**
- * What the processes of a run have in common: an event loop, and an answer of one JSON object to each line of
- * standard input, until that ends.
+ * Base of the child processes of a run: has an event loop, and answers each command line on standard input
+ * with one JSON object on standard output. The process exits at the end of its input.
  */
 abstract class ChildCommand implements Callable<Integer> {
     private static final double BYTES_PER_MB = 1 << 20;
 
     final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
 
-    /** Opens what it needs; on the event loop. */
+    /** Opens sockets and schedules the start; called on the event loop. */
     abstract void begin() throws Exception;
 
-    /** Does what a line says, split at its blanks, and puts the answer together; on the event loop. */
+    /** Executes a command, split at its blanks, and fills in the answer; called on the event loop. */
     abstract void handle(String[] words, Map<String, Object> answer) throws Exception;
 
     @Override
@@ -41,7 +41,7 @@
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             System.out.println(JSON.std.asString(answer(line)));
         }
-        Runtime.getRuntime().halt(0); // thousands of connections are not worth closing one by one
+        Runtime.getRuntime().halt(0); // skips closing thousands of connections one by one
         return 0;
     }
 
@@ -65,6 +65,6 @@
     }
 
     static IOException unknown(String[] words) {
-        return new IOException("no such command: " + String.join(" ", words));
+        return new IOException("unknown command: " + String.join(" ", words));
     }
 }
--- a/src/main/java/holdproxy/scale/ChildProcess.java
+++ b/src/main/java/holdproxy/scale/ChildProcess.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process of this program that holds a part of a run: asked on its standard input, line by line, it answers
- * each line with one JSON object. It ends when that input does.
+ * A child process that runs a part of a measurement. It takes commands on standard input, one a line, answers
+ * each with one JSON object, and exits at the end of its input.
  */
 final class ChildProcess implements AutoCloseable {
     private static final long ANSWER_S = 180;
@@ -39,7 +39,7 @@
         reading.start();
     }
 
-    /** Starts {@code scale child KIND OPTIONS}; its standard error goes to a file in the folder. */
+    /** Starts {@code scale child KIND OPTIONS}; its standard error goes to a log file in {@code folder}. */
     static ChildProcess start(
             String name, Path folder, String heap, Keeper keeper, String... words) {
         List<String> all = new ArrayList<>(List.of("scale", "child"));
@@ -55,7 +55,7 @@
             keeper.keeps(process.toHandle());
             return new ChildProcess(name, log, process);
         } catch (IOException e) {
-            throw new UncheckedIOException("the process " + name + " cannot be started", e);
+            throw new UncheckedIOException("cannot start the process " + name, e);
         }
     }
 
@@ -67,23 +67,23 @@
                 answers.add(line);
             }
         } catch (IOException e) {
-            answers.add("its output cannot be read: " + e.getMessage());
+            answers.add("cannot read the output: " + e.getMessage());
         }
     }
 
-    /** Asks, and waits for the answer. */
+    /** Sends a command and waits for its answer. */
     JsonPart ask(String command) {
         tell(command);
         return answer(command);
     }
 
-    /** Asks without waiting; {@link #answer} has to follow. */
+    /** Sends a command without waiting; {@link #answer} must be called next. */
     void tell(String command) {
         try {
             asking.write((command + "\n").getBytes(StandardCharsets.UTF_8));
             asking.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException(name + " has ended; its log is " + log, e);
+            throw new UncheckedIOException("process " + name + " has exited; see " + log, e);
         }
     }
 
@@ -93,11 +93,11 @@
             if (line == null) {
                 throw new IllegalStateException(
                         name
-                                + " has not answered "
+                                + " did not answer "
                                 + command
                                 + " within "
                                 + ANSWER_S
-                                + " s; its log is "
+                                + " s; see "
                                 + log);
             }
             return JsonPart.parse(name + "'s answer to " + command, line);
@@ -115,7 +115,7 @@
         return process.pid();
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL. */
     void kill() {
         process.destroyForcibly();
     }
--- a/src/main/java/holdproxy/scale/CommitStamp.java
+++ b/src/main/java/holdproxy/scale/CommitStamp.java
@@ -4,13 +4,14 @@
 import java.time.Instant;
 
 /**
- * What a change of a run says: its number and when it was committed, filled up to the size of a change.
+ * Number and commit time of a change, encoded in the changed value. The value is padded to the size of a
+ * usual change. Receivers compute the delivery latency from it.
  *
  * @param number of the change
- * @param committedUnixUs by the wall clock, which all processes of a run share
+ * @param committedUnixUs wall-clock time, which all processes of a run share
  */
 record CommitStamp(long number, long committedUnixUs) {
-    /** Bytes of a change of the configuration, as the target fleet's are. */
+    /** Size of a configuration change in the target fleet. */
     static final int CHANGE_BYTES = 200;
 
     private static final String PREFIX = "change-";
@@ -21,7 +22,7 @@
         return now.getEpochSecond() * US + now.getNano() / 1000;
     }
 
-    /** Whether the value of this key is one; others are settings, for real daemons to take. */
+    /** Whether the value of this key is a stamp; other keys are settings that real daemons apply. */
     static boolean isOne(String key) {
         return key.startsWith(PREFIX);
     }
--- a/src/main/java/holdproxy/scale/ConnectionsByNodes.java
+++ b/src/main/java/holdproxy/scale/ConnectionsByNodes.java
@@ -17,14 +17,14 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** Connections between real proxies under load and all nodes, by the number of nodes. */
+/** Measures the connections between real proxies under load and all nodes, by the number of nodes. */
 final class ConnectionsByNodes implements Measurement {
     private static final String ALL_TO_ALL = "every proxy may connect to every node";
 
-    /** Of a proxy's configuration: what it may have open together. */
+    /** Limit of open sockets in a proxy's configuration. */
     private static final double MOST_SOCKETS = 1024;
 
-    /** Of all proxies together, what one of the target fleet has to serve. */
+    /** Rate of all proxies together: that of one proxy in the target fleet. */
     private static final double REQUESTS_PER_S = 738;
 
     private static final Load LOAD = new Load(REQUESTS_PER_S, 1, 20_000, 0.9, 0, List.of(1.0));
@@ -78,7 +78,7 @@
                 role, quantity, "connections", "nodes", ALL_TO_ALL, TargetFleet.NODES, budget);
     }
 
-    /** Emulated nodes, each at an address of its own, with discovery and clients. */
+    /** Emulated nodes, each with an address of its own, with discovery and clients. */
     private static final class NodeCluster implements AutoCloseable {
         private static final int KEYS_KEPT = 2_000;
         private static final int CONNECTIONS = 20_000;
--- a/src/main/java/holdproxy/scale/ConsensusByAskers.java
+++ b/src/main/java/holdproxy/scale/ConsensusByAskers.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The leader of the consensus group by the number of processes that ask it for a lease. */
+/** Measures the cost of the consensus group's leader by the number of processes that ask it for a lease. */
 final class ConsensusByAskers implements Measurement {
     private static final String RAFT = "Raft group with leases; every process asks";
     private static final int VOTERS = 3;
@@ -13,7 +13,7 @@
     private static final String HEAP = "300m";
     private static final String LINKS = "links ";
 
-    /** Daemons say so often what they have sent. */
+    /** Interval at which daemons log their link counters. */
     private static final double LINKS_EVERY_S = 10;
 
     private static final double SETTLE_S = 6;
@@ -28,7 +28,7 @@
         Series asking = findings.add(series("one asker's bytes sent", "B/s"));
         int fleet = FIRST_FLEET;
         for (int size : spec.sizes()) {
-            context.say("%s: %d askers of %d voters", spec.kind().word, size, VOTERS);
+            context.say("%s: %d askers, %d voters", spec.kind().word, size, VOTERS);
             at(
                     size,
                     fleet++,
@@ -70,7 +70,7 @@
                 words.add("--voter");
                 words.add(HollowWatches.text(fleet.memberAddress(i)));
             }
-            context.await("somebody leads", () -> leader(fleet) != null);
+            context.await("the consensus group has a leader", () -> leader(fleet) != null);
             try (ChildProcess askers =
                     ChildProcess.start(
                             "askers-" + number,
@@ -118,12 +118,12 @@
         return null;
     }
 
-    /** The next time that it says what it has sent. */
+    /** Waits for the next log event with the link counters. */
     private static DaemonText.Said next(DaemonFleet.Daemon daemon, RunContext context)
             throws InterruptedException {
         DaemonText.Said held = daemon.last(LINKS);
         context.await(
-                "the leader counts its frames",
+                "the leader logs its link counters",
                 () -> daemon.last(LINKS) != null && !daemon.last(LINKS).equals(held));
         return daemon.last(LINKS);
     }
--- a/src/main/java/holdproxy/scale/ControlChild.java
+++ b/src/main/java/holdproxy/scale/ControlChild.java
@@ -13,13 +13,15 @@
 import java.util.TreeSet;
 import picocli.CommandLine.Command;
 
-/** A control machine: the log of changes, in memory, and a relay of it. Commands: commit, stats. */
+/**
+ * Child process of a control machine: an in-memory change log and a relay for it. Commands: commit, stats.
+ */
 @Command(name = "control", hidden = true)
 final class ControlChild extends FanoutChild {
-    /** The state is a configuration of 5 kB. */
+    /** With values of 200 bytes the state has 5 kB, the size of a configuration. */
     static final int KEYS = 25;
 
-    /** One that real daemons take from what is published, another value with each change. */
+    /** A setting that real daemons apply; its value alternates with each change. */
     private static final String SETTING = "settings/tickMs";
 
     private static final long TOKEN = 1;
@@ -59,7 +61,7 @@
         AppendResult result =
                 log.append(new Publication(TOKEN, "change-" + number, puts, new TreeSet<>()));
         if (!(result instanceof AppendResult.Appended)) {
-            throw new IllegalStateException("the log refuses: " + result);
+            throw new IllegalStateException("the change log rejected an append: " + result);
         }
     }
 
--- a/src/main/java/holdproxy/scale/CpuClock.java
+++ b/src/main/java/holdproxy/scale/CpuClock.java
@@ -3,7 +3,7 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 
-/** Processor time of the calling thread, whatever else the machine does. */
+/** CPU time of the calling thread, unaffected by other load on the machine. */
 final class CpuClock {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
--- a/src/main/java/holdproxy/scale/DaemonFleet.java
+++ b/src/main/java/holdproxy/scale/DaemonFleet.java
@@ -21,13 +21,12 @@
 import java.util.function.IntFunction;
 import java.util.function.Predicate;
 
-/** Real daemons, one process each, with their configurations and what they log. */
+/** Real daemons, one process each, with their configuration files and log lines. */
 final class DaemonFleet implements AutoCloseable {
     private static final String HEAP = "80m";
     private static final String LISTENING = "listening on ";
     private static final long END_S = 20;
 
-    /** One of them. */
     static final class Daemon {
         final String name;
         final InetSocketAddress clients;
@@ -55,7 +54,7 @@
             }
         }
 
-        /** How many lines there are of which this is so. */
+        /** Counts the log lines that match. */
         long count(Predicate<String> so) {
             synchronized (lines) {
                 return lines.stream().filter(so).count();
@@ -68,7 +67,7 @@
             }
         }
 
-        /** The last event whose text begins so; null where there is none. */
+        /** The last event whose text starts with {@code beginning}, or null. */
         DaemonText.Said last(String beginning) {
             synchronized (lines) {
                 for (int i = lines.size() - 1; i >= 0; i--) {
@@ -96,20 +95,20 @@
     private final List<Daemon> daemons = new ArrayList<>();
     private final Map<String, String> routes = new LinkedHashMap<>();
 
-    /** The text of each daemon's configuration, by the attempts that it allows. */
+    /** Generates each daemon's configuration file from the number of attempts that it allows. */
     private final Map<Daemon, IntFunction<String>> writing = new LinkedHashMap<>();
 
     private final int number;
     private IntFunction<String> section = i -> "";
 
-    /** {@code number}: of this fleet among those of a run, for its addresses. */
+    /** {@code number}: distinguishes the addresses of this fleet from those of others in the run. */
     DaemonFleet(RunContext context, int number) throws IOException {
         this.number = number;
         folder = Files.createDirectories(context.folder().resolve("daemons-" + number));
         keeper = context.keeper();
     }
 
-    /** What their files say besides, by their numbers. */
+    /** Appends a section to each daemon's configuration, by the daemon's number. */
     void section(IntFunction<String> section) {
         this.section = section;
     }
@@ -124,12 +123,12 @@
         throw new IllegalStateException("no " + name + " in the event " + text);
     }
 
-    /** Where a process that is none of these is reached. */
+    /** Adds the address of a process outside this fleet to the daemons' configurations. */
     void route(String name, InetSocketAddress address) {
         routes.put(name, HollowWatches.text(address));
     }
 
-    /** {@code voters}: how many of them form the consensus group. */
+    /** {@code voters}: how many of the daemons form the consensus group. */
     void start(int count, int voters, InetSocketAddress discovery, RunContext context)
             throws Exception {
         List<String> names = new ArrayList<>();
@@ -220,13 +219,12 @@
         return daemon;
     }
 
-    /** Writes its configuration, with so many attempts. */
+    /** Writes the configuration file of a daemon, with this number of attempts. */
     void write(Daemon daemon, int attempts) {
         try {
             Files.writeString(daemon.file, writing.get(daemon).apply(attempts));
         } catch (IOException e) {
-            throw new UncheckedIOException(
-                    "the configuration of " + daemon.name + " cannot be written", e);
+            throw new UncheckedIOException("cannot write the configuration of " + daemon.name, e);
         }
     }
 
@@ -241,7 +239,7 @@
         keeper.keeps(founding.toHandle());
         if (founding.waitFor() != 0) {
             throw new IllegalStateException(
-                    "no consensus group can be founded: see the logs in " + folder);
+                    "cannot found the consensus group; see the logs in " + folder);
         }
     }
 
--- a/src/main/java/holdproxy/scale/DecisionByNodes.java
+++ b/src/main/java/holdproxy/scale/DecisionByNodes.java
@@ -8,7 +8,7 @@
 import java.util.Queue;
 import java.util.SplittableRandom;
 
-/** The decision module by the number of nodes: processor time of a request, heap for a node. */
+/** Measures the decision module by the number of nodes: CPU time of a request, of a list, and heap. */
 final class DecisionByNodes implements Measurement {
     private static final String MODULE = "decision module, two hashed candidates a key";
     private static final int WARM_UP = 200_000;
@@ -75,7 +75,7 @@
 
     private record Answer(long atUs, long request) {}
 
-    /** Requests one after another at the rate of a proxy of the target fleet, each answered after 5 ms. */
+    /** Requests at the rate of one proxy of the target fleet, each answered after 5 ms of simulated time. */
     private static final class Load implements Router.Actions {
         private final SplittableRandom random = new SplittableRandom(1);
         private final Choice module;
@@ -144,47 +144,47 @@
 
         @Override
         public void refuse(long refused, long retryAfterUs) {
-            // nobody waits for it
+            // no client waits for it
         }
 
         @Override
         public void fail(long failed) {
-            // nobody waits for it
+            // no client waits for it
         }
 
         @Override
         public void cancel(long cancelled, int attempt) {
-            // the answer comes all the same
+            // the answer arrives all the same
         }
 
         @Override
         public void probe(int node) {
-            // there are none
+            // probes are not simulated
         }
 
         @Override
         public void closeIdle(int node) {
-            // there are no connections
+            // connections are not simulated
         }
 
         @Override
         public void subscribe() {
-            // the list is given
+            // the list is passed in directly
         }
 
         @Override
         public void fetchNodes() {
-            // the list is given
+            // the list is passed in directly
         }
 
         @Override
         public void tell(int router, byte[] data) {
-            // there is no other
+            // there is no other proxy
         }
 
         @Override
         public void log(String line) {
-            // nobody reads it
+            // discarded
         }
     }
 }
--- a/src/main/java/holdproxy/scale/DeliveryCheck.java
+++ b/src/main/java/holdproxy/scale/DeliveryCheck.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * Whether what a proxy is offered is the history: each state newer than the one before, each change
- * right after its predecessor. Only a snapshot, which comes without changes, may leave some out.
+ * Checks the updates that are offered to a proxy: each state must be newer than the one before, and each
+ * change must directly follow its predecessor. Only a snapshot, which comes without changes, may skip some.
  */
 final class DeliveryCheck {
     private Position last = Position.NONE;
 
-    /** Of the state that was offered last. */
+    /** Position of the last state offered. */
     Position last() {
         return last;
     }
 
-    /** Takes what was offered; false where it is not what had to follow. */
+    /** Records an update; false if it does not correctly follow the one before. */
     boolean follows(Position position, List<Change> changes) {
         Position next = last;
         boolean follows = position.isAfter(last);
--- a/src/main/java/holdproxy/scale/DiscoveryByNodes.java
+++ b/src/main/java/holdproxy/scale/DiscoveryByNodes.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-/** Whole lists by the number of nodes in them, at a fixed number of hollow proxies. */
+/** Measures whole lists by the number of nodes in them, at a fixed number of hollow proxies. */
 final class DiscoveryByNodes implements Measurement {
     static final int WATCHES = 200;
     private static final String WHOLE_LIST =
@@ -9,7 +9,7 @@
     private static final int MOST_LIST_BYTES = 1 << 20;
     private static final double START_OVER_S = 1;
 
-    /** Rounds until the code is compiled. */
+    /** Rounds before the measured one, for the JIT compiler. */
     private static final int WARM_UP = 4;
 
     @Override
--- a/src/main/java/holdproxy/scale/DiscoveryByProxies.java
+++ b/src/main/java/holdproxy/scale/DiscoveryByProxies.java
@@ -3,8 +3,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Today's way of the list of nodes, by the number of proxies: each watches discovery itself. Measured: the
- * idle watches, changes in force everywhere, all starting at once, and a restart of discovery.
+ * Measures the distribution of the list of nodes without fan-out, where each proxy watches discovery itself,
+ * by the number of proxies: idle watches, changes until they are in force everywhere, a start of all proxies
+ * at once, and a restart of discovery.
  */
 final class DiscoveryByProxies implements Measurement {
     private static final String WATCH = "watch of discovery by each proxy, whole list after a gap";
@@ -109,7 +110,7 @@
         return Series.of(role, quantity, unit, PROXIES, WATCH, TargetFleet.PROXIES, budget);
     }
 
-    /** What changes cost beyond the idle watches. */
+    /** Measures the cost of changes, less that of the idle watches. */
     private static void changes(
             MeasureSpec spec,
             int size,
@@ -141,15 +142,17 @@
         serving.add(size, (watches.discovery.usage().cpuS() - discovery.cpuS()) * 1e3 / changes);
     }
 
-    /** Discovery ends all watches and is away for a second; one change happens meanwhile. */
+    /** Discovery closes all watches and is down for a second, with one change in that time. */
     private static long restart(int size, HollowWatches watches, RunContext context, Series back)
             throws InterruptedException {
         watches.discovery.ask("down");
         long version = watches.discovery.ask("change").whole("version");
         RunContext.pause(1);
         watches.discovery.ask("up");
-        back.add(size, context.await("all watches are back", () -> watches.allAt(version)));
-        context.say("%d watches are back", size);
+        back.add(
+                size,
+                context.await("all watches are connected again", () -> watches.allAt(version)));
+        context.say("%d watches are connected again", size);
         return version;
     }
 }
--- a/src/main/java/holdproxy/scale/DiscoveryChild.java
+++ b/src/main/java/holdproxy/scale/DiscoveryChild.java
@@ -29,7 +29,7 @@
 
     @Override
     void begin() {
-        // nobody is put down as told: the record of thousands of watches would be what grows
+        // deliveries are not recorded: with thousands of watches the record would keep growing
         discovery =
                 new DiscoveryService(
                         new LoopTimeline(loop),
--- a/src/main/java/holdproxy/scale/FanoutByProxies.java
+++ b/src/main/java/holdproxy/scale/FanoutByProxies.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** The fan-out of versioned changes by the number of proxies, without and with faults. */
+/** Measures the fan-out of versioned changes by the number of proxies, without and with faults. */
 final class FanoutByProxies implements Measurement {
     private static final String FANOUT = "fan-out tree of versioned changes, a relay for each zone";
     private static final double START_OVER_S = 5;
@@ -25,13 +25,13 @@
             try (HollowFanout fanout =
                     new HollowFanout(context, size, spec.proxies(), START_OVER_S)) {
                 context.say(
-                        "%s: %d proxies, %d relays start",
+                        "%s: %d proxies, %d relays starting",
                         spec.kind().word, size, fanout.topology.relays());
                 long startNs = System.nanoTime();
                 context.await("all proxies hold the state", () -> fanout.allAt(ControlChild.KEYS));
                 awaitCalm(context, fanout);
                 slopes.started.add(size, RunContext.secondsSince(startNs));
-                context.say("%d proxies stay where they are", size);
+                context.say("%d proxies no longer move between relays", size);
                 slopes.held(size, fanout);
                 watch(Load.IDLE, spec, size, fanout, slopes);
                 fanout.latencies(fanout.proxies());
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Until no proxy has moved from one relay to another for a while. */
+    /** Waits until no proxy has moved to another relay for {@link #SETTLE_S}. */
     private static void awaitCalm(RunContext context, HollowFanout fanout)
             throws InterruptedException {
         long[] last = {-1, System.nanoTime()};
@@ -100,7 +100,7 @@
                         + " moves");
     }
 
-    /** Watches for a while, with changes or without; returns the number of the last change. */
+    /** Measures the usage of all roles, idle or with changes; returns the number of the last change. */
     private static long watch(
             Load load, MeasureSpec spec, int size, HollowFanout fanout, Slopes slopes)
             throws InterruptedException {
@@ -122,7 +122,7 @@
         return number;
     }
 
-    /** What each role has used so far. */
+    /** Resources used by each role so far. */
     private record Reading(
             ProcessUsage proxies,
             ProcessUsage relays,
@@ -148,7 +148,7 @@
         }
     }
 
-    /** The slopes of all roles. */
+    /** The series of all roles. */
     private static final class Slopes {
         private final Series started;
         private final Series proxyHeap;
--- a/src/main/java/holdproxy/scale/FanoutChild.java
+++ b/src/main/java/holdproxy/scale/FanoutChild.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import picocli.CommandLine.Option;
 
-/** What the processes of a run of the fan-out have in common. */
+/** Base of the child processes of a fan-out measurement. */
 abstract class FanoutChild extends ChildCommand {
     @Option(names = "--run", required = true)
     private int run;
--- a/src/main/java/holdproxy/scale/FanoutFault.java
+++ b/src/main/java/holdproxy/scale/FanoutFault.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What is done to the fan-out while changes go on. */
+/** Faults that are injected into the fan-out while changes are committed. */
 enum FanoutFault {
     RELAY_KILLED("relay-killed", "a relay killed"),
     RELAY_STOPPED("relay-stopped", "a relay stopped for 10 s"),
@@ -14,10 +14,10 @@
 
     static final List<String> WORDS = Arrays.stream(values()).map(fault -> fault.word).toList();
 
-    /** As in a file. */
+    /** Name in a run's TOML file. */
     final String word;
 
-    /** For the record. */
+    /** Text in the result. */
     final String description;
 
     FanoutFault(String word, String description) {
@@ -30,6 +30,11 @@
                 .filter(fault -> fault.word.equals(word))
                 .findFirst()
                 .orElseThrow(
-                        () -> new BadInput("no fault is called " + word + "; known are " + WORDS));
+                        () ->
+                                new BadInput(
+                                        "no fault is called "
+                                                + word
+                                                + "; the known ones are "
+                                                + WORDS));
     }
 }
--- a/src/main/java/holdproxy/scale/FanoutFaults.java
+++ b/src/main/java/holdproxy/scale/FanoutFaults.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Faults of the fan-out while changes go on, one after another; each is over before the next. */
+/**
+ * Injects faults into the fan-out one after another while changes are committed; each ends before the next.
+ */
 final class FanoutFaults {
     private static final double BETWEEN_CHANGES_S = 0.5;
     private static final double BEFORE_S = 2;
@@ -45,7 +47,7 @@
         void run() throws Exception;
     }
 
-    /** Changes before, while and after; what is stopped goes on when the time is over. */
+    /** Commits changes before, during and after a fault; a stopped process is resumed at its end. */
     private void phase(FanoutFault fault, Action action, double seconds) throws Exception {
         String name = fault.description;
         context.say("%d proxies: %s", size, name);
@@ -71,13 +73,13 @@
         FanoutByProxies.judge(findings, "with " + name, size, number, fanout);
     }
 
-    /** The others are not delayed by those that take nothing. */
+    /** Measures that the other proxies are not delayed by those that read nothing. */
     private void slowReader(long startNs) throws InterruptedException {
         long number = fanout.commit();
         double seconds =
                 context.await("all others hold the last change", () -> fanout.manyAt(number));
         context.say(
-                "others hold it %.2f s later, %.1f s after the stop",
+                "the others hold it %.2f s after the commit, %.1f s after the stop",
                 seconds, RunContext.secondsSince(startNs));
         FanoutByProxies.add(
                 findings, "others beside a slow reader", size, fanout.latencies(fanout.many()));
@@ -107,11 +109,11 @@
         }
     }
 
-    /** Java has no way to send these. */
+    /** Sends a signal with the program {@code kill}; Java has no API for SIGSTOP and SIGCONT. */
     private static void signal(ChildProcess child, String signal) throws Exception {
         Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(child.pid())).start();
         if (!kill.waitFor(10, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("the program kill does not end");
+            throw new IllegalStateException("the program kill did not exit within 10 s");
         }
     }
 }
--- a/src/main/java/holdproxy/scale/FanoutTopology.java
+++ b/src/main/java/holdproxy/scale/FanoutTopology.java
@@ -7,14 +7,14 @@
 import java.util.List;
 
 /**
- * Who is where in a run of the fan-out: one control machine, a relay for each zone, and the proxies of the
- * zones one after another.
+ * Addresses and zones of a fan-out measurement: one control machine, a relay for each zone, and the proxies,
+ * assigned to zones in order of their numbers.
  *
- * @param run its number, so that no two runs use the same addresses
- * @param proxies hollow ones
+ * @param run number of the measurement, so that no two use the same addresses
+ * @param proxies number of hollow proxies
  */
 record FanoutTopology(int run, int proxies) {
-    /** As in the target fleet. */
+    /** As many as in the target fleet: 13,000 proxies in 94 zones. */
     static final int PROXIES_PER_ZONE = 138;
 
     static final String CONTROL = "control";
@@ -47,7 +47,7 @@
         return List.of(new RelayCandidate(CONTROL, HollowWatches.text(control()), ""));
     }
 
-    /** Its own zone's relay first, then those of the zones that follow. */
+    /** Relays for a proxy: its own zone's first, then those of the following zones in rendezvous order. */
     List<RelayCandidate> ofProxy(String name, int zone) {
         List<RelayCandidate> candidates = new ArrayList<>();
         for (int i = 0; i < Math.min(RELAYS_PER_PROXY, relays()); i++) {
--- a/src/main/java/holdproxy/scale/Findings.java
+++ b/src/main/java/holdproxy/scale/Findings.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a measurement has found: slopes, times and verdicts. */
+/** Results of measurements: series, latencies and verdicts. */
 record Findings(List<Series> series, List<Latencies> latencies, List<Verdict> verdicts) {
     Findings() {
         this(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
--- a/src/main/java/holdproxy/scale/Fit.java
+++ b/src/main/java/holdproxy/scale/Fit.java
@@ -5,16 +5,16 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A line {@code a + b x n} by least squares.
+ * A line {@code a + b * n}, fitted by least squares.
  *
- * @param a its value at 0
+ * @param a intercept
  * @param aError standard error of {@code a}
- * @param b its slope
+ * @param b slope
  * @param bError standard error of {@code b}
- * @param r2 the part of the variance that the line explains
- * @param points how many it was fitted to
+ * @param r2 coefficient of determination
+ * @param points number of points fitted
  * @param residual standard deviation of the points about the line
- * @param meanX mean of the points' x
+ * @param meanX mean of x
  * @param sumX2 sum of squared distances of x from its mean
  */
 record Fit(
@@ -29,7 +29,7 @@
         double sumX2) {
     private static final double CONFIDENCE = 0.95;
 
-    /** {@code NaN} for what too few points do not determine. */
+    /** Fits a line; fields that too few points leave undetermined are {@code NaN}. */
     static Fit of(List<Point> points) {
         SimpleRegression line = new SimpleRegression();
         points.forEach(p -> line.addData(p.x(), p.y()));
@@ -50,7 +50,7 @@
         return a + b * x;
     }
 
-    /** Half the width of the 95% interval of the line at x. */
+    /** Half the width of the line's 95% confidence interval at x. */
     double errorAt(double x) {
         if (points < 3) {
             return Double.NaN;
--- a/src/main/java/holdproxy/scale/Heap.java
+++ b/src/main/java/holdproxy/scale/Heap.java
@@ -2,13 +2,13 @@
 
 import java.lang.management.ManagementFactory;
 
-/** What this process holds on its heap. */
+/** Heap use of this process. */
 final class Heap {
     private static final int COLLECTIONS = 2;
 
     private Heap() {}
 
-    /** After collections. */
+    /** Bytes in use after garbage collections. */
     static long usedBytes() {
         for (int i = 0; i < COLLECTIONS; i++) {
             System.gc();
--- a/src/main/java/holdproxy/scale/HollowFanout.java
+++ b/src/main/java/holdproxy/scale/HollowFanout.java
@@ -10,8 +10,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A control machine, a relay for each zone, and the hollow proxies behind them. The first zone's relay has a
- * process of its own, to be killed or stopped, as have the last few proxies.
+ * A control machine, a relay for each zone, and the hollow proxies that subscribe to the relays. The first
+ * zone's relay and the last {@link #SLOW} proxies have processes of their own, which can be killed or
+ * stopped.
  */
 final class HollowFanout implements AutoCloseable {
     private static final AtomicInteger NEXT_RUN = new AtomicInteger();
@@ -20,7 +21,7 @@
     private static final String HEAP = "900m";
     private static final String RELAY_HEAP = "400m";
 
-    /** Proxies in a process of their own, which can be stopped. */
+    /** Number of proxies in the process that is stopped as a slow reader. */
     static final int SLOW = 10;
 
     final FanoutTopology topology;
@@ -33,13 +34,13 @@
     private final RealSubscribers real;
     private ChildProcess firstRelay;
 
-    /** So many hollow proxies, started over some seconds, and real ones. */
+    /** Starts {@code size} hollow proxies over {@code startOverS} seconds, and the real ones. */
     HollowFanout(RunContext context, int size, int realProxies, double startOverS)
             throws Exception {
         this.context = context;
         topology = new FanoutTopology(NEXT_RUN.getAndIncrement(), size);
         control = child("control", RELAY_HEAP, List.of("control"));
-        control.ask("stats"); // it listens when it answers
+        control.ask("stats"); // an answer shows that it listens
         startFirstRelay();
         int others = topology.relays() - 1;
         int processes = Math.min(RELAY_PROCESSES, others);
@@ -58,7 +59,9 @@
         real = new RealSubscribers(context, topology, realProxies);
     }
 
-    /** One of so many parts of {@code count} from {@code first} on, about the same for each. */
+    /**
+     * Starts the process for one of {@code parts} equal ranges of {@code count} numbers from {@code first}.
+     */
     private ChildProcess part(
             String kind,
             String heap,
@@ -99,7 +102,7 @@
         return slow;
     }
 
-    /** All that serve, those of the first zone too. */
+    /** The processes of all relays, with the first zone's. */
     List<ChildProcess> relays() {
         List<ChildProcess> all = new ArrayList<>(relays);
         all.add(firstRelay);
@@ -120,9 +123,12 @@
     }
 
     /**
-     * What all hollow proxies together count.
+     * Counters summed over hollow proxies.
      *
-     * @param received bytes of the fan-out that came, and {@code sent} that went
+     * @param least lowest number of the last change in force at a proxy
+     * @param most highest number of the last change in force at a proxy
+     * @param received bytes of the fan-out protocol
+     * @param sent bytes of the fan-out protocol
      */
     record Stats(
             long least,
@@ -138,7 +144,7 @@
         return stats(proxies());
     }
 
-    /** Of those that run on while the last few are stopped. */
+    /** Counters without those of the stoppable proxies. */
     Stats statsOfMany() {
         return stats(proxies);
     }
@@ -175,14 +181,14 @@
         return stats.least() == number && stats.most() == number;
     }
 
-    /** All values since this was asked last. */
+    /** Latencies since the last call. */
     Histogram latencies(List<ChildProcess> children) {
         Histogram all = Latencies.histogram();
         ask(children, "latencies").forEach(a -> all.add(Latencies.decoded(a.text("histogram"))));
         return all;
     }
 
-    /** Of the real proxies, of all changes so far. */
+    /** Latencies of all changes so far at the real proxies. */
     Histogram realLatencies() {
         return real.latencies(committedUnixUs);
     }
@@ -191,12 +197,14 @@
         return real;
     }
 
-    /** Those of the proxies that can be stopped are not among them. */
+    /** The processes of the proxies, without the one that can be stopped. */
     List<ChildProcess> many() {
         return List.copyOf(proxies);
     }
 
-    /** Proxies of these numbers begin anew, with nothing kept. */
+    /**
+     * Restarts the proxies with numbers from {@code from} up to {@code to}, exclusive, without stored state.
+     */
     void restart(int from, int to) {
         ask(proxies(), "restart " + from + " " + to);
     }
--- a/src/main/java/holdproxy/scale/HollowWatches.java
+++ b/src/main/java/holdproxy/scale/HollowWatches.java
@@ -8,12 +8,12 @@
 import java.util.function.ToLongFunction;
 import org.HdrHistogram.Histogram;
 
-/** An emulated discovery service and the hollow proxies that watch it, in processes of their own. */
+/** An emulated discovery service and the hollow proxies that watch it, in child processes. */
 final class HollowWatches implements AutoCloseable {
     private static final int MOST_PER_PROCESS = 3_300;
     private static final String HEAP = "900m";
 
-    /** So that no address is used again while connections of the run before wait for their last packets. */
+    /** A new address for each instance, since the connections of the last may still be in TIME_WAIT. */
     private static final AtomicInteger NEXT = new AtomicInteger(2);
 
     final ChildProcess discovery;
@@ -33,7 +33,7 @@
                         text(address),
                         "--nodes",
                         Integer.toString(nodes));
-        discovery.ask("stats"); // it listens when it answers
+        discovery.ask("stats"); // an answer shows that it listens
         int processes = (watches + MOST_PER_PROCESS - 1) / MOST_PER_PROCESS;
         for (int i = 0; i < processes; i++) {
             int count = watches * (i + 1) / processes - watches * i / processes;
@@ -59,7 +59,7 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** What all hollow processes together count. */
+    /** Counters summed over all hollow processes. */
     record Stats(
             long leastVersion,
             long mostVersion,
@@ -86,13 +86,13 @@
         return all.stream().mapToLong(figure).sum();
     }
 
-    /** Whether every watch holds this version and none another. */
+    /** Whether every watch holds exactly this version. */
     boolean allAt(long version) {
         Stats stats = stats();
         return stats.leastVersion() == version && stats.mostVersion() == version;
     }
 
-    /** Every watch begins anew with nothing held, as a proxy that has been restarted. */
+    /** Restarts every watch without a list, as a restarted proxy has none. */
     void again() {
         hollow.forEach(child -> child.tell("again"));
         hollow.forEach(child -> child.answer("again"));
@@ -108,7 +108,7 @@
         return hollow.stream().map(ChildProcess::usage).reduce(ProcessUsage::plus).orElseThrow();
     }
 
-    /** Held by the hollow proxies, after a collection. */
+    /** Heap use of the hollow processes, after a garbage collection. */
     double heapMb() {
         return hollow.stream().mapToDouble(child -> child.ask("heap").number("heap_mb")).sum();
     }
--- a/src/main/java/holdproxy/scale/JsonPart.java
+++ b/src/main/java/holdproxy/scale/JsonPart.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** An object of a result file: gives out its values checked, each mistake with its place. */
+/** A JSON object with checked access to its values; errors name the place in the file or answer. */
 final class JsonPart {
     private final String where;
     private final Map<?, ?> object;
@@ -25,7 +25,7 @@
                     file.getFileName().toString(), JSON.std.mapFrom(Files.readString(file)));
         } catch (IOException e) {
             throw new BadInput(
-                    "the result " + file + " cannot be read: " + e.getClass().getSimpleName());
+                    "cannot read the result " + file + ": " + e.getClass().getSimpleName());
         }
     }
 
@@ -33,7 +33,7 @@
         try {
             return new JsonPart(where, JSON.std.mapFrom(text));
         } catch (IOException e) {
-            throw new BadInput(where + " is no JSON object: " + text);
+            throw new BadInput(where + " is not a JSON object: " + text);
         }
     }
 
--- a/src/main/java/holdproxy/scale/Latencies.java
+++ b/src/main/java/holdproxy/scale/Latencies.java
@@ -10,15 +10,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Times from a commit until it is in force, all of them, in microseconds.
+ * Times from a commit until it is in force, in microseconds.
  *
- * @param what was timed, and of how many
- * @param values every one
+ * @param what was timed, at how many proxies
+ * @param values histogram of all times
  */
 record Latencies(String what, Histogram values) {
     private static final int DIGITS = 3;
 
-    /** An hour: what is longer counts as that. */
+    /** One hour; longer times are recorded as this. */
     private static final long LONGEST_US = 3_600_000_000L;
 
     static Latencies of(String what) {
@@ -33,7 +33,7 @@
         into.recordValue(Math.max(1, Math.min(LONGEST_US, us)));
     }
 
-    /** As text that {@link #decoded} reads. */
+    /** Encodes a histogram as text for {@link #decoded}. */
     static String encoded(Histogram values) {
         ByteBuffer buffer = ByteBuffer.allocate(values.getNeededByteBufferCapacity());
         int length = values.encodeIntoCompressedByteBuffer(buffer);
@@ -45,7 +45,7 @@
             return Histogram.decodeFromCompressedByteBuffer(
                     ByteBuffer.wrap(Base64.getDecoder().decode(text)), 0);
         } catch (DataFormatException | IllegalArgumentException e) {
-            throw new BadInput("a histogram cannot be read: " + e.getMessage());
+            throw new BadInput("cannot decode a histogram: " + e.getMessage());
         }
     }
 
--- a/src/main/java/holdproxy/scale/LoopbackNetwork.java
+++ b/src/main/java/holdproxy/scale/LoopbackNetwork.java
@@ -21,7 +21,7 @@
 import java.net.UnknownHostException;
 import java.util.function.Supplier;
 
-/** Plain TCP on one event loop, with all bytes and connections counted. */
+/** TCP on one event loop, which counts bytes and accepted connections. */
 final class LoopbackNetwork implements TownNetwork {
     private static final int BACKLOG = 4096;
     private static final int LOOPBACK = 127;
@@ -33,7 +33,7 @@
     private int accepted;
     private int mostAccepted;
 
-    /** {@code local}: what connections are opened from; each address has its own ephemeral ports. */
+    /** {@code local}: source address of connections, or null; each address has its own ephemeral ports. */
     LoopbackNetwork(EventLoop loop, InetSocketAddress local) {
         this.loop = loop;
         this.local = local;
@@ -45,7 +45,7 @@
             byte[] bytes = {LOOPBACK, (byte) a, (byte) b, (byte) c};
             return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException("four bytes are an address", e);
+            throw new IllegalStateException("four bytes are always a valid address", e);
         }
     }
 
@@ -97,7 +97,7 @@
         return String.valueOf(channel.remoteAddress());
     }
 
-    /** On the loop, as the others below. */
+    /** Bytes read; like the other counters, to be called on the event loop. */
     long readBytes() {
         return readBytes;
     }
@@ -106,7 +106,7 @@
         return writtenBytes;
     }
 
-    /** Connections that came and are open. */
+    /** Accepted connections that are open. */
     int accepted() {
         return accepted;
     }
@@ -125,7 +125,7 @@
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             writtenBytes += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
-            // the emulator's parts leave flushing to their network
+            // the emulator's handlers rely on the network to flush
             ctx.writeAndFlush(message, promise);
         }
     }
--- a/src/main/java/holdproxy/scale/Machine.java
+++ b/src/main/java/holdproxy/scale/Machine.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What this machine grants a process, as the kernel states it. */
+/** Resources and limits of this machine, read from {@code /proc}. */
 final class Machine {
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final Path MEMORY = Path.of("/proc/meminfo");
@@ -16,7 +16,7 @@
 
     private Machine() {}
 
-    /** Files and sockets that a process may have open. */
+    /** Soft limit of open files and sockets per process. */
     static long openFiles() {
         for (String line : lines(LIMITS)) {
             if (line.startsWith("Max open files")) {
@@ -24,20 +24,20 @@
                 return soft.equals("unlimited") ? Long.MAX_VALUE : Long.parseLong(soft);
             }
         }
-        throw new BadInput(LIMITS + " states no limit of open files");
+        throw new BadInput(LIMITS + " has no line with the open-files limit");
     }
 
-    /** Memory that new processes can have, in GB. */
+    /** Memory available to new processes, in GB. */
     static double availableGb() {
         for (String line : lines(MEMORY)) {
             if (line.startsWith("MemAvailable:")) {
                 return Double.parseDouble(line.split("\\s+")[1]) / KB_PER_GB;
             }
         }
-        throw new BadInput(MEMORY + " states no available memory");
+        throw new BadInput(MEMORY + " has no line with the available memory");
     }
 
-    /** In words, for the record; the load is what else runs here as well. */
+    /** Text for the result file; the load average includes other work on the machine. */
     static String description() {
         return String.format(
                 Locale.ROOT,
@@ -48,7 +48,7 @@
                 openFiles());
     }
 
-    /** The load average of the last minute. */
+    /** Load average of the last minute. */
     static String load() {
         return lines(LOAD).get(0).split(" ")[0];
     }
@@ -57,7 +57,7 @@
         try {
             return Files.readAllLines(file);
         } catch (IOException e) {
-            throw new BadInput(file + " cannot be read: " + e.getClass().getSimpleName());
+            throw new BadInput("cannot read " + file + ": " + e.getClass().getSimpleName());
         }
     }
 }
--- a/src/main/java/holdproxy/scale/MeasureSpec.java
+++ b/src/main/java/holdproxy/scale/MeasureSpec.java
@@ -7,15 +7,15 @@
 import org.tomlj.TomlArray;
 
 /**
- * One measurement of a run.
+ * One measurement of a run: a {@code [[measure]]} entry of its file.
  *
  * @param kind what is measured
- * @param sizes at each of which it is
- * @param seconds for which a size is watched once it is steady
- * @param nodes cache nodes in discovery's list
- * @param proxies real ones
- * @param faults that are caused one after another, where the kind knows some
- * @param line of the file where it stands
+ * @param sizes at which it is measured
+ * @param seconds how long each size is measured once it is steady
+ * @param nodes number of cache nodes in discovery's list
+ * @param proxies number of real proxies
+ * @param faults injected one after another; ignored by kinds without faults
+ * @param line line in the file, for errors
  */
 record MeasureSpec(
         MeasurementKind kind,
--- a/src/main/java/holdproxy/scale/Measurement.java
+++ b/src/main/java/holdproxy/scale/Measurement.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-/** Measures one part of the program at the sizes of a {@link MeasureSpec}. */
+/** Measures one part of the program at each size of a {@link MeasureSpec}. */
 interface Measurement {
     void measure(MeasureSpec spec, RunContext context, Findings findings) throws Exception;
 }
--- a/src/main/java/holdproxy/scale/MeasurementKind.java
+++ b/src/main/java/holdproxy/scale/MeasurementKind.java
@@ -5,7 +5,7 @@
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToLongFunction;
 
-/** What can be measured, and what the largest process of it needs. */
+/** Kinds of measurements, with estimates of the descriptors and memory that they need. */
 enum MeasurementKind {
     DISCOVERY_PROXIES(
             "discovery-proxies",
@@ -43,15 +43,15 @@
 
     static final List<String> NAMES = Arrays.stream(values()).map(kind -> kind.word).toList();
 
-    /** What processes need, about, so that a run which cannot fit is refused. */
+    /** Estimated needs, by which a run that does not fit the machine is refused. */
     private static final class Need {
-        /** Descriptors of any process besides its connections. */
+        /** Descriptors of a process besides its connections. */
         static final int SPARE = 300;
 
-        /** Of all processes together besides what grows. */
+        /** Fixed part for all processes together. */
         static final double GB = 1.5;
 
-        /** A connection, its pipeline at both ends, and what it holds. */
+        /** For a connection with its pipeline and state at both ends. */
         static final double GB_PER_CONNECTION = 120e3 / 1e9;
 
         static final double GB_PER_NAME = 400 / 1e9;
@@ -81,12 +81,12 @@
                 .orElseThrow();
     }
 
-    /** Descriptors of the process that needs the most of them. */
+    /** Estimated descriptors of the process that needs the most. */
     long descriptors(MeasureSpec spec) {
         return descriptors.applyAsLong(spec);
     }
 
-    /** Memory of all processes together, about. */
+    /** Estimated memory of all processes together. */
     double memoryGb(MeasureSpec spec) {
         return memoryGb.applyAsDouble(spec);
     }
--- a/src/main/java/holdproxy/scale/MembershipBySize.java
+++ b/src/main/java/holdproxy/scale/MembershipBySize.java
@@ -13,8 +13,8 @@
 import java.util.Random;
 
 /**
- * Membership by the number of members: the real rules and codec of every member in one thread, in virtual
- * time; then a third of them ends at once.
+ * Measures membership by the number of members: runs the real protocol rules and codec of all members on one
+ * thread in virtual time, then stops a third of the members at once.
  */
 final class MembershipBySize implements Measurement {
     private static final String SWIM = "gossip membership (SWIM with Lifeguard), flat";
@@ -25,12 +25,12 @@
     private static final int DELAY_SPREAD_US = 2_000;
     private static final long LONGEST_US = 600 * SECOND_US;
 
-    /** Of a frame besides its message, as {@code Links} writes it. */
+    /** Frame overhead added to a message by {@code Links}. */
     private static final int FRAME_BYTES = 6;
 
     private static final int LOST_PART = 3;
 
-    /** From here on the trial of a loss takes more time than it tells. */
+    /** The loss is not simulated at larger sizes, where it takes too long. */
     private static final int MOST_FOR_LOSS = 400;
 
     @Override
@@ -190,7 +190,7 @@
 
             @Override
             public void changed(Change change) {
-                // who lives is asked of the rules
+                // live members are read from the rules
             }
 
             @Override
--- a/src/main/java/holdproxy/scale/Point.java
+++ b/src/main/java/holdproxy/scale/Point.java
@@ -1,4 +1,4 @@
 package holdproxy.scale;
 
-/** One measured value at one size. */
+/** A measured value y at size x. */
 record Point(double x, double y) {}
--- a/src/main/java/holdproxy/scale/Port.java
+++ b/src/main/java/holdproxy/scale/Port.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The ports of a run. Each run has its own, so that two of them on one machine do not meet. */
+/** Ports of a run. They depend on the process id, so that two runs on one machine do not clash. */
 enum Port {
     DISCOVERY,
     CLIENTS,
@@ -11,10 +11,10 @@
     NODES,
     RELAYS;
 
-    /** By which a run tells its processes. */
+    /** System property that passes the base port to child processes. */
     private static final String PROPERTY = "holdproxy.scale.port";
 
-    /** Below what systems give out by themselves. */
+    /** All ports are below the range of ephemeral ports. */
     private static final int FIRST = 12_000;
 
     private static final int RUNS = 2_000;
@@ -27,7 +27,7 @@
         return BASE + ordinal();
     }
 
-    /** Options of the JVM of a process of this run. */
+    /** JVM options for child processes of this run. */
     static List<String> options() {
         return List.of("-D" + PROPERTY + "=" + BASE);
     }
--- a/src/main/java/holdproxy/scale/ProcessUsage.java
+++ b/src/main/java/holdproxy/scale/ProcessUsage.java
@@ -6,14 +6,14 @@
 import java.nio.file.Path;
 
 /**
- * What processes have used so far.
+ * CPU time and memory of one or more processes.
  *
- * @param atNs when that was read
- * @param cpuS processor time, user's and system's, in seconds
+ * @param atNs when this was read
+ * @param cpuS user and system CPU time since the start
  * @param residentMb resident memory
  */
 record ProcessUsage(long atNs, double cpuS, double residentMb) {
-    /** The kernel counts in these, whatever its own ticks are. */
+    /** Unit of the CPU times in {@code /proc} (USER_HZ), independent of the kernel's own tick rate. */
     private static final double TICKS_PER_S = 100;
 
     private static final int USER_FIELD = 11;
@@ -23,7 +23,8 @@
     static ProcessUsage of(long pid) {
         try {
             String stat = Files.readString(Path.of("/proc", Long.toString(pid), "stat"));
-            // the name, in brackets, may hold anything
+            // fields are split after the last bracket, since the process name may contain blanks
+            // and brackets
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             double cpuS =
                     (Long.parseLong(fields[USER_FIELD]) + Long.parseLong(fields[SYSTEM_FIELD]))
@@ -36,7 +37,7 @@
                             .orElse(0.0);
             return new ProcessUsage(System.nanoTime(), cpuS, residentMb);
         } catch (IOException e) {
-            throw new UncheckedIOException("the usage of process " + pid + " cannot be read", e);
+            throw new UncheckedIOException("cannot read the usage of process " + pid, e);
         }
     }
 
@@ -45,7 +46,7 @@
                 Math.max(atNs, other.atNs), cpuS + other.cpuS, residentMb + other.residentMb);
     }
 
-    /** Processor time since another reading, in percent of a core. */
+    /** CPU time since an earlier reading, in percent of a core. */
     double cpuPercentSince(ProcessUsage before) {
         return 100 * (cpuS - before.cpuS) / ((atNs - before.atNs) / 1e9);
     }
--- a/src/main/java/holdproxy/scale/RealSubscribers.java
+++ b/src/main/java/holdproxy/scale/RealSubscribers.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 import org.HdrHistogram.Histogram;
 
-/** Real daemons that follow the fan-out as proxies, each at the relays of a zone. */
+/** Real daemons in the role of proxies, which subscribe to the fan-out; they are spread over the zones. */
 final class RealSubscribers implements AutoCloseable {
     private static final InetSocketAddress NOWHERE = LoopbackNetwork.address(0, 0, 1, 1);
     private static final int FIRST_FLEET = 100;
@@ -18,7 +18,7 @@
 
     private final DaemonFleet fleet;
 
-    /** Starts so many. */
+    /** Starts {@code count} daemons. */
     RealSubscribers(RunContext context, FanoutTopology topology, int count) throws Exception {
         fleet = new DaemonFleet(context, FIRST_FLEET + topology.run());
         fleet.section(i -> section(topology, i));
@@ -38,12 +38,12 @@
                 + "\n";
     }
 
-    /** Whether each has this change in force, and has had no older one after a newer. */
+    /** Whether this change is the last in force at each daemon, and none took a change out of order. */
     boolean allAt(long number) {
         return fleet.daemons().stream().allMatch(daemon -> at(daemon) == number);
     }
 
-    /** Of the last change that it has said to be in force; -1: they went backwards. */
+    /** Number of the last change that a daemon logged as in force; -1 if the numbers did not increase. */
     private static long at(DaemonFleet.Daemon daemon) {
         long[] last = {0};
         daemon.lines(
@@ -57,7 +57,12 @@
         return last[0];
     }
 
-    /** Each change's time until it was in force at each of them, of those committed then (by number, us). */
+    /**
+     * Time from the commit of each change until it was in force at each daemon. A daemon's first
+     * configuration is not counted.
+     *
+     * @param committedUnixUs commit times by the number of the change
+     */
     Histogram latencies(Map<Long, Long> committedUnixUs) {
         Histogram all = Latencies.histogram();
         for (DaemonFleet.Daemon daemon : fleet.daemons()) {
--- a/src/main/java/holdproxy/scale/RelaysChild.java
+++ b/src/main/java/holdproxy/scale/RelaysChild.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Relays of some zones, each with a listening address of its own. Commands: stats. */
+/** Child process with the relays of some zones, each with its own listen address. Commands: stats. */
 @Command(name = "relays", hidden = true)
 final class RelaysChild extends FanoutChild {
     @Option(names = "--first", required = true)
--- a/src/main/java/holdproxy/scale/ReloadByCount.java
+++ b/src/main/java/holdproxy/scale/ReloadByCount.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** Today's way of the configuration: a whole file for each process, and SIGHUP; by the number of reloads. */
+/** Measures configuration reloads without fan-out, by a whole file and SIGHUP, by the number of reloads. */
 final class ReloadByCount implements Measurement {
     private static final String FILE = "whole file and SIGHUP, by hand";
     private static final String TAKEN = "settings taken";
     private static final InetSocketAddress NOWHERE = LoopbackNetwork.address(0, 0, 1, 1);
     private static final int FLEET = 1;
 
-    /** A daemon's log holds back what comes more often. */
+    /** A daemon's log suppresses lines that repeat more often. */
     private static final double BETWEEN_S = 0.3;
 
-    /** Reloads until the code is compiled. */
+    /** Reloads before the measured ones, for the JIT compiler. */
     private static final int WARM_UP = 60;
 
     @Override
@@ -61,7 +61,7 @@
                 Double.NaN);
     }
 
-    /** Every daemon once, one after another; returns the bytes that were read. */
+    /** Reloads each daemon once, one after another; returns the bytes of the files read. */
     private static long reload(DaemonFleet fleet, int number, RunContext context, Histogram inForce)
             throws Exception {
         long bytes = 0;
@@ -71,7 +71,7 @@
             fleet.write(daemon, 2 + number % 2);
             daemon.hangUp();
             context.await(
-                    daemon.name + " has taken its settings",
+                    daemon.name + " has applied its settings",
                     () -> daemon.count(line -> line.contains(TAKEN)) > taken);
             Latencies.record(inForce, (System.nanoTime() - startNs) / 1000);
             bytes += Files.size(daemon.file);
--- a/src/main/java/holdproxy/scale/ResultFile.java
+++ b/src/main/java/holdproxy/scale/ResultFile.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 
 /**
- * The result of one run as it is kept.
+ * The result of one run, stored as a JSON file.
  *
- * @param run its name
- * @param began when, in UTC
- * @param machine what it ran on, and how busy that was with other work
- * @param findings what was measured and judged
+ * @param run name of the run
+ * @param began start time, in UTC
+ * @param machine cores, memory, limits and load average of the machine
+ * @param findings measured values and verdicts
  */
 record ResultFile(String run, String began, String machine, Findings findings) {
     void write(Path file) {
--- a/src/main/java/holdproxy/scale/RunContext.java
+++ b/src/main/java/holdproxy/scale/RunContext.java
@@ -8,11 +8,11 @@
 import java.util.function.Consumer;
 
 /**
- * What a measurement works with.
+ * Environment of a measurement.
  *
  * @param folder for logs and configurations
- * @param keeper of all processes that are started
- * @param progress takes a line on how far it is
+ * @param keeper ends the processes that were started if this process ends without doing so
+ * @param progress takes progress lines
  */
 record RunContext(Path folder, Keeper keeper, Consumer<String> progress) {
     private static final long LOOK_MS = 50;
@@ -22,15 +22,15 @@
         progress.accept(String.format(Locale.ROOT, text, values));
     }
 
-    /** Waits until this is so, and returns for how many seconds; an error says what did not come about. */
+    /** Waits for a condition; returns the seconds waited. {@code what} describes it in the error. */
     double await(String what, BooleanSupplier so) throws InterruptedException {
         long startNs = System.nanoTime();
         while (!so.getAsBoolean()) {
             if (secondsSince(startNs) > LONGEST_WAIT_S) {
                 throw new IllegalStateException(
-                        "within "
+                        "timed out after "
                                 + LONGEST_WAIT_S
-                                + " s it did not come about that "
+                                + " s waiting until "
                                 + what
                                 + "; logs are in "
                                 + folder);
--- a/src/main/java/holdproxy/scale/ScaleCommand.java
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -20,8 +20,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code holdproxy scale}: how each part grows with the fleet. Exit codes: 0 all rules kept, 1 a rule was
- * broken, 2 the command, a file of it or the machine was wrong.
+ * {@code holdproxy scale}: measures how the cost of each part grows with the size of the fleet. Exit codes: 0
+ * all rules kept, 1 a rule was broken, 2 invalid arguments or files, or a machine too small for the run.
  */
 @Command(
         name = "scale",
@@ -42,7 +42,7 @@
         return Commands.run(new ScaleCommand(), args);
     }
 
-    /** Plays a run whose machine has been checked; {@code kept} takes what is known after each part. */
+    /** Executes a run; {@code kept} receives the findings so far after each measurement. */
     static Findings play(ScaleFile file, Path folder, Consumer<Findings> kept) throws Exception {
         long startNs = System.nanoTime();
         Findings findings = new Findings();
@@ -65,22 +65,24 @@
         return findings;
     }
 
-    /** {@code scale run FILE}: measures what a file names. */
+    /** {@code scale run FILE}: executes the measurements of a file. */
     @Command(
             name = "run",
-            description = "Measures what a file names, and keeps the result.",
+            description = "Executes the measurements of a file and writes the result.",
             mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "FILE.toml")
         private Path file;
 
-        @Option(names = "--out", description = "where the result goes (scale/results/NAME.json)")
+        @Option(names = "--out", description = "result file (default: scale/results/NAME.json)")
         private Path out;
 
-        @Option(names = "--plot", description = "a picture of the slopes, PNG")
+        @Option(names = "--plot", description = "also writes a plot of the series, PNG")
         private Path plot;
 
-        @Option(names = "--logs", description = "a folder for logs and configurations")
+        @Option(
+                names = "--logs",
+                description = "folder for logs and configurations (default: temporary)")
         private Path logs;
 
         @Override
@@ -115,7 +117,7 @@
         }
     }
 
-    /** {@code scale tables RESULT...}: the tables of docs/CAPACITY.md. */
+    /** {@code scale tables RESULT...}: prints the tables of docs/CAPACITY.md. */
     @Command(
             name = "tables",
             description = "Prints the tables of docs/CAPACITY.md from results.",
@@ -132,7 +134,7 @@
         }
     }
 
-    /** For the program's own use. */
+    /** Child processes of a run; internal. */
     @Command(
             name = "child",
             hidden = true,
@@ -147,11 +149,13 @@
     static final class Child implements Callable<Integer> {
         @Override
         public Integer call() {
-            throw new BadInput("scale child has no use by itself");
+            throw new BadInput("scale child is internal and needs a kind of process");
         }
     }
 
-    /** For the program's own use. */
+    /**
+     * The process that ends the child processes of a run if the run itself ends without doing so; internal.
+     */
     @Command(name = "keep", hidden = true)
     static final class Keep implements Callable<Integer> {
         @Override
--- a/src/main/java/holdproxy/scale/ScaleFile.java
+++ b/src/main/java/holdproxy/scale/ScaleFile.java
@@ -10,12 +10,12 @@
 import java.util.Locale;
 
 /**
- * A run as a TOML file states it; whatever is wrong is a {@link BadInput} with its line.
+ * A run, read from a TOML file. Errors are thrown as {@link BadInput} with the line.
  *
- * @param file its name, for errors
+ * @param file file name, for errors
  * @param name of the run and of its result
- * @param memoryGb that all processes of the run may have together
- * @param measurements in their order
+ * @param memoryGb limit for the memory of all processes of the run together
+ * @param measurements in the order of the file
  */
 record ScaleFile(String file, String name, double memoryGb, List<MeasureSpec> measurements) {
     private static final double MEMORY_GB = 12;
@@ -24,8 +24,7 @@
         try {
             return read(path.getFileName().toString(), Files.readString(path));
         } catch (IOException e) {
-            throw new BadInput(
-                    "the run " + path + " cannot be read: " + e.getClass().getSimpleName());
+            throw new BadInput("cannot read the run " + path + ": " + e.getClass().getSimpleName());
         }
     }
 
@@ -42,7 +41,7 @@
         return new ScaleFile(file, name, memoryGb, List.copyOf(measurements));
     }
 
-    /** Before anything is started: a run that the machine cannot bear is refused, with what is too low. */
+    /** Refuses a run that needs more descriptors or memory than available; called before anything starts. */
     void check(long openFiles, double availableGb) {
         for (MeasureSpec each : measurements) {
             String where = file + " line " + each.line() + ": ";
--- a/src/main/java/holdproxy/scale/Series.java
+++ b/src/main/java/holdproxy/scale/Series.java
@@ -8,14 +8,14 @@
 /**
  * One quantity of one role, measured at several sizes.
  *
- * @param role whose it is
- * @param quantity what was measured
+ * @param role role that it was measured at
+ * @param quantity name of what was measured
  * @param unit of the values
  * @param variable what the sizes count
- * @param mechanism that carries it, by its name in the field
- * @param target the size of the target fleet
- * @param budget the most that the target fleet has for it, in the same unit; {@code NaN}: none is stated
- * @param points measured
+ * @param mechanism protocol or method that was measured
+ * @param target value of the variable in the target fleet
+ * @param budget limit at the target, in the same unit; {@code NaN} if none is stated
+ * @param points measured points
  */
 record Series(
         String role,
--- a/src/main/java/holdproxy/scale/SlopePicture.java
+++ b/src/main/java/holdproxy/scale/SlopePicture.java
@@ -3,7 +3,7 @@
 import holdproxy.command.Plot;
 import java.nio.file.Path;
 
-/** A picture of a run's slopes: each series in percent of its largest value, with its line beside it. */
+/** Plots the series of a run, each in percent of its largest value, with its fitted line. */
 final class SlopePicture {
     private static final double WHOLE = 100;
 
--- a/src/main/java/holdproxy/scale/SlopeTables.java
+++ b/src/main/java/holdproxy/scale/SlopeTables.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** The tables of {@code docs/CAPACITY.md}, in Markdown: the same text for the same results. */
+/** Generates the Markdown tables of {@code docs/CAPACITY.md}; the output depends on the results alone. */
 final class SlopeTables {
     private static final int LEAST_POINTS = 3;
 
@@ -148,7 +148,7 @@
         text.append("| ").append(String.join(" | ", cells)).append(" |\n");
     }
 
-    /** With three significant digits, and whole from 1,000 on. */
+    /** Formats a value with three significant digits, or as a whole number from 1,000 on. */
     static String figure(double value) {
         if (Double.isNaN(value)) {
             return "?";
--- a/src/main/java/holdproxy/scale/StateByNodes.java
+++ b/src/main/java/holdproxy/scale/StateByNodes.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** What a whole real proxy holds on its heap for each node of its list, before it has connected to any. */
+/** Measures the heap of a real proxy by the number of nodes in its list, before it has any connections. */
 final class StateByNodes implements Measurement {
     private static final int PROXIES = 10;
     private static final InetSocketAddress NOWHERE = LoopbackNetwork.address(0, 0, 1, 1);
@@ -35,7 +35,7 @@
                                 TargetFleet.PROXY_MB * 1024));
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         try {
-            start(loop, config(1)); // what the classes themselves hold is not a node's
+            start(loop, config(1)); // loads the classes, whose heap must not count
             for (int size : spec.sizes()) {
                 List<Config> configs = new ArrayList<>();
                 for (int i = 0; i < PROXIES; i++) {
--- a/src/main/java/holdproxy/scale/SubscribersChild.java
+++ b/src/main/java/holdproxy/scale/SubscribersChild.java
@@ -22,8 +22,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * Thousands of hollow proxies that follow the fan-out: each has a connection and runs the real subscriber.
- * What comes is checked: nothing twice, out of order or left out. Commands: stats, latencies, restart.
+ * Child process with thousands of hollow proxies that subscribe to the fan-out, each with a connection and
+ * the real subscriber. Counts updates that are repeated, out of order or skipped. Commands: stats, latencies,
+ * restart.
  */
 @Command(name = "subscribers", hidden = true)
 final class SubscribersChild extends FanoutChild {
@@ -121,7 +122,7 @@
             client.candidates(topology.ofProxy("proxy-" + number, topology.zone(number)));
         }
 
-        /** A new process of the same proxy, with nothing kept. */
+        /** Simulates a restart of the proxy's process, without stored state. */
         HollowProxy restarted() {
             endedMoves += status().moves();
             client.close();
@@ -157,7 +158,9 @@
             return Optional.empty();
         }
 
-        /** Of what a process that has just begun finds, nothing was committed while it lived. */
+        /**
+         * Records latencies, but not of the first state after a start, which may be older than the process.
+         */
         private void inForceSince(long before, SortedMap<String, Value> values, long unixUs) {
             values.forEach(
                     (key, value) -> {
--- a/src/main/java/holdproxy/scale/TargetFleet.java
+++ b/src/main/java/holdproxy/scale/TargetFleet.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-/** The fleet that operators want, and what they set aside for its control. */
+/** Size of the target fleet, and the resources that may be spent on its control. */
 final class TargetFleet {
     static final double PROXIES = 13_000;
     static final double SITES = 980;
@@ -16,7 +16,7 @@
     static final double FAILURES_PER_DAY = 37;
     static final double RESTARTS_PER_DAY = 1_700;
 
-    /** Of one proxy: percent of a core, megabytes, bytes a second. */
+    /** Budget for control in one proxy: percent of a core, megabytes, bytes per second. */
     static final double PROXY_CPU_PERCENT = 1.1;
 
     static final double PROXY_MB = 64;
--- a/src/main/java/holdproxy/scale/Verdict.java
+++ b/src/main/java/holdproxy/scale/Verdict.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * A rule, and whether a run kept it.
+ * A rule that was checked in a run, and the outcome.
  *
- * @param rule in words
- * @param kept whether it was
- * @param detail what was looked at, or what broke it
+ * @param rule description of the rule
+ * @param kept whether the run kept it
+ * @param detail observed values
  */
 record Verdict(String rule, boolean kept, String detail) {
     Map<String, Object> json() {
--- a/src/main/java/holdproxy/scale/WatchesChild.java
+++ b/src/main/java/holdproxy/scale/WatchesChild.java
@@ -15,12 +15,12 @@
 import picocli.CommandLine.Option;
 
 /**
- * Thousands of hollow proxies that watch discovery: each has a connection and runs the real watch, and
- * asks again after a pause drawn at random when it ends. Commands: stats, latencies, again.
+ * Child process with thousands of hollow proxies that watch discovery, each with a connection and the real
+ * watch. A watch that ends is opened again after a random delay. Commands: stats, latencies, again.
  */
 @Command(name = "watches", hidden = true)
 final class WatchesChild extends ChildCommand {
-    /** In place of the decision module's, which spreads calls by the number of proxies. */
+    /** Stands in for the delay of the decision module, which depends on the number of proxies. */
     private static final long MOST_PAUSE_US = 2_000_000;
 
     private static final long US = 1_000_000;
--- a/src/main/java/holdproxy/scale/package-info.java
+++ b/src/main/java/holdproxy/scale/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Measurements of how each part of a fleet grows: thousands of hollow proxies, which run the control code and
- * no data path, beside a few real ones; slopes by least squares, and the tables of {@code docs/CAPACITY.md}.
+ * Measures how the cost of each role grows with the size of the fleet. Runs thousands of hollow proxies,
+ * which execute the real control code without a data path, beside a few real ones; fits lines by least
+ * squares and prints the tables of {@code docs/CAPACITY.md}.
  */
 package holdproxy.scale;
--- a/src/test/java/holdproxy/scale/ScaleFileTest.java
+++ b/src/test/java/holdproxy/scale/ScaleFileTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is wrong in a run's file is named with its line, and what the machine cannot bear before anything starts. */
+/**
+ * Errors in a run's file name the line, and a run that does not fit the machine is refused before it starts.
+ */
 class ScaleFileTest {
     private static final String RUN = "[[measure]]\nkind = \"fanout\"\nsizes = [100, 13000]\n";
 
--- a/src/test/java/holdproxy/scale/ScaleRunTest.java
+++ b/src/test/java/holdproxy/scale/ScaleRunTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A small run over real sockets, judged by what every proxy holds and was offered, whatever the time it took. */
+/** A small run over real sockets; checks the updates that each proxy received, not how long they took. */
 class ScaleRunTest {
     @TempDir Path folder;
 
--- a/src/test/java/holdproxy/scale/SlopesTest.java
+++ b/src/test/java/holdproxy/scale/SlopesTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Lines through measured points, the tables of them, and the check of what a proxy is offered. */
+/** Line fits, result files, the tables, and {@link DeliveryCheck}. */
 class SlopesTest {
     private static final String BEGIN =
             "<!-- tables: holdproxy scale tables scale/results/*.json -->\n";
@@ -34,7 +34,7 @@
         assertEquals(3, exact.a(), 1e-9);
         assertEquals(2, exact.b(), 1e-9);
         assertEquals(0, exact.errorAt(100), 1e-9);
-        // by hand: slope 0.9, residuals 0.2, -0.7, 0.8, -0.3 and 1.26 / 2 as their variance
+        // calculated by hand: slope 0.9, residuals 0.2, -0.7, 0.8, -0.3, variance 1.26 / 2
         Fit loose =
                 Fit.of(
                         List.of(
