--- a/src/main/java/holdproxy/scale/ChildProcess.java
+++ b/src/main/java/holdproxy/scale/ChildProcess.java
@@ -55,7 +55,7 @@
             keeper.keeps(process.toHandle());
             return new ChildProcess(name, log, process);
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot start the process " + name, e);
+            throw new UncheckedIOException("the process " + name + " cannot be started", e);
         }
     }
 
@@ -83,7 +83,7 @@
             asking.write((command + "\n").getBytes(StandardCharsets.UTF_8));
             asking.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("process " + name + " has exited; see " + log, e);
+            throw new UncheckedIOException(name + " has exited; see " + log, e);
         }
     }
 
--- a/src/main/java/holdproxy/scale/DaemonFleet.java
+++ b/src/main/java/holdproxy/scale/DaemonFleet.java
@@ -224,7 +224,8 @@
         try {
             Files.writeString(daemon.file, writing.get(daemon).apply(attempts));
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot write the configuration of " + daemon.name, e);
+            throw new UncheckedIOException(
+                    "the configuration of " + daemon.name + " cannot be written", e);
         }
     }
 
--- a/src/main/java/holdproxy/scale/JsonPart.java
+++ b/src/main/java/holdproxy/scale/JsonPart.java
@@ -25,7 +25,7 @@
                     file.getFileName().toString(), JSON.std.mapFrom(Files.readString(file)));
         } catch (IOException e) {
             throw new BadInput(
-                    "cannot read the result " + file + ": " + e.getClass().getSimpleName());
+                    "the result " + file + " cannot be read: " + e.getClass().getSimpleName());
         }
     }
 
--- a/src/main/java/holdproxy/scale/Machine.java
+++ b/src/main/java/holdproxy/scale/Machine.java
@@ -57,7 +57,7 @@
         try {
             return Files.readAllLines(file);
         } catch (IOException e) {
-            throw new BadInput("cannot read " + file + ": " + e.getClass().getSimpleName());
+            throw new BadInput(file + " cannot be read: " + e.getClass().getSimpleName());
         }
     }
 }
--- a/src/main/java/holdproxy/scale/ProcessUsage.java
+++ b/src/main/java/holdproxy/scale/ProcessUsage.java
@@ -37,7 +37,7 @@
                             .orElse(0.0);
             return new ProcessUsage(System.nanoTime(), cpuS, residentMb);
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot read the usage of process " + pid, e);
+            throw new UncheckedIOException("the usage of process " + pid + " cannot be read", e);
         }
     }
 
--- a/src/main/java/holdproxy/scale/ScaleFile.java
+++ b/src/main/java/holdproxy/scale/ScaleFile.java
@@ -24,7 +24,8 @@
         try {
             return read(path.getFileName().toString(), Files.readString(path));
         } catch (IOException e) {
-            throw new BadInput("cannot read the run " + path + ": " + e.getClass().getSimpleName());
+            throw new BadInput(
+                    "the run " + path + " cannot be read: " + e.getClass().getSimpleName());
         }
     }
 
