--- a/src/main/java/holdproxy/scale/AskersChild.java
+++ b/src/main/java/holdproxy/scale/AskersChild.java
@@ -30,7 +30,7 @@
     private static final int LEASE_MS = 3_000;
 
     /** First byte of a consensus frame, as in the daemon's format. */
-    private static final byte OF_GROUP = 0;
+    private static final byte CONSENSUS_FRAME = 0;
 
     @Option(names = "--count", required = true)
     private int count;
@@ -44,7 +44,7 @@
 
     private final List<Asker> askers = new ArrayList<>();
     private long startNs;
-    private long refused;
+    private long rejectedFrames;
 
     /** Listen address of an asker. */
     static InetSocketAddress address(int fleet, int asker) {
@@ -57,7 +57,7 @@
     }
 
     @Override
-    void begin() {
+    void start() {
         startNs = System.nanoTime();
         Map<String, InetSocketAddress> routes = new HashMap<>();
         List<String> names = new ArrayList<>();
@@ -73,18 +73,18 @@
     @Override
     void handle(String[] words, Map<String, Object> answer) throws Exception {
         if (!words[0].equals("stats")) {
-            throw unknown(words);
+            throw unknownCommand(words);
         }
         answer.put("frames", askers.stream().mapToLong(a -> a.links.sentFrames()).sum());
         answer.put("bytes", askers.stream().mapToLong(a -> a.links.sentBytes()).sum());
-        answer.put("holding", askers.stream().filter(a -> a.holds).count());
-        answer.put("unread", refused);
+        answer.put("holding", askers.stream().filter(a -> a.holdsLease).count());
+        answer.put("unread", rejectedFrames);
     }
 
     private final class Asker implements RaftGroup.Host, LeaseClient.Host {
         private final Links links;
         private final RaftGroup group;
-        private boolean holds;
+        private boolean holdsLease;
 
         Asker(int number, List<String> names, Map<String, InetSocketAddress> routes) {
             links = new Links(loop, routes, text -> Config.address(text, "an address"), line -> {});
@@ -102,13 +102,13 @@
         }
 
         private void received(byte[] frame) {
-            if (frame.length > 0 && frame[0] == OF_GROUP) {
+            if (frame.length > 0 && frame[0] == CONSENSUS_FRAME) {
                 byte[] rest = new byte[frame.length - 1];
                 System.arraycopy(frame, 1, rest, 0, rest.length);
                 try {
                     group.received(rest);
                 } catch (BadInput e) {
-                    refused++;
+                    rejectedFrames++;
                 }
             }
         }
@@ -129,7 +129,7 @@
                     to,
                     "",
                     MembershipService.CONSENSUS,
-                    ByteBuffer.allocate(1 + frame.length).put(OF_GROUP).put(frame).array());
+                    ByteBuffer.allocate(1 + frame.length).put(CONSENSUS_FRAME).put(frame).array());
         }
 
         @Override
@@ -154,12 +154,12 @@
 
         @Override
         public void granted(String duty, long token) {
-            holds = true;
+            holdsLease = true;
         }
 
         @Override
         public void ended(String duty, long token, String why) {
-            holds = false;
+            holdsLease = false;
         }
     }
 }
--- a/src/main/java/holdproxy/scale/ChildCommand.java
+++ b/src/main/java/holdproxy/scale/ChildCommand.java
@@ -23,7 +23,7 @@
     final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
 
     /** Opens sockets and schedules the start; called on the event loop. */
-    abstract void begin() throws Exception;
+    abstract void start() throws Exception;
 
     /** Executes a command, split at its blanks, and fills in the answer; called on the event loop. */
     abstract void handle(String[] words, Map<String, Object> answer) throws Exception;
@@ -32,7 +32,7 @@
     public final Integer call() throws Exception {
         loop.submit(
                         () -> {
-                            begin();
+                            start();
                             return null;
                         })
                 .get();
@@ -64,7 +64,7 @@
         return answer;
     }
 
-    static IOException unknown(String[] words) {
+    static IOException unknownCommand(String[] words) {
         return new IOException("unknown command: " + String.join(" ", words));
     }
 }
--- a/src/main/java/holdproxy/scale/ChildProcess.java
+++ b/src/main/java/holdproxy/scale/ChildProcess.java
@@ -20,46 +20,48 @@
  * each with one JSON object, and exits at the end of its input.
  */
 final class ChildProcess implements AutoCloseable {
-    private static final long ANSWER_S = 180;
-    private static final long END_S = 20;
+    private static final long ANSWER_TIMEOUT_S = 180;
+    private static final long EXIT_TIMEOUT_S = 20;
 
     private final String name;
     private final Path log;
     private final Process process;
-    private final OutputStream asking;
+    private final OutputStream commands;
     private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
 
     private ChildProcess(String name, Path log, Process process) {
         this.name = name;
         this.log = log;
         this.process = process;
-        asking = process.getOutputStream();
-        Thread reading = new Thread(this::read, "answers of " + name);
-        reading.setDaemon(true);
-        reading.start();
+        commands = process.getOutputStream();
+        Thread reader = new Thread(this::readAnswers, "answers of " + name);
+        reader.setDaemon(true);
+        reader.start();
     }
 
     /** Starts {@code scale child KIND OPTIONS}; its standard error goes to a log file in {@code folder}. */
     static ChildProcess start(
-            String name, Path folder, String heap, Keeper keeper, String... words) {
-        List<String> all = new ArrayList<>(List.of("scale", "child"));
-        all.addAll(List.of(words));
+            String name, Path folder, String heap, Keeper reaper, String... arguments) {
+        List<String> commandLine = new ArrayList<>(List.of("scale", "child"));
+        commandLine.addAll(List.of(arguments));
         Path log = folder.resolve(name + ".log");
         try {
             Process process =
                     new ProcessBuilder(
                                     ProgramLine.of(
-                                            heap, Port.options(), all.toArray(String[]::new)))
+                                            heap,
+                                            Port.options(),
+                                            commandLine.toArray(String[]::new)))
                             .redirectError(log.toFile())
                             .start();
-            keeper.keeps(process.toHandle());
+            reaper.keeps(process.toHandle());
             return new ChildProcess(name, log, process);
         } catch (IOException e) {
             throw new UncheckedIOException("the process " + name + " cannot be started", e);
         }
     }
 
-    private void read() {
+    private void readAnswers() {
         try (BufferedReader lines =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
@@ -73,15 +75,15 @@
 
     /** Sends a command and waits for its answer. */
     JsonPart ask(String command) {
-        tell(command);
+        send(command);
         return answer(command);
     }
 
     /** Sends a command without waiting; {@link #answer} must be called next. */
-    void tell(String command) {
+    void send(String command) {
         try {
-            asking.write((command + "\n").getBytes(StandardCharsets.UTF_8));
-            asking.flush();
+            commands.write((command + "\n").getBytes(StandardCharsets.UTF_8));
+            commands.flush();
         } catch (IOException e) {
             throw new UncheckedIOException(name + " has exited; see " + log, e);
         }
@@ -89,14 +91,14 @@
 
     JsonPart answer(String command) {
         try {
-            String line = answers.poll(ANSWER_S, TimeUnit.SECONDS);
+            String line = answers.poll(ANSWER_TIMEOUT_S, TimeUnit.SECONDS);
             if (line == null) {
                 throw new IllegalStateException(
                         name
                                 + " did not answer "
                                 + command
                                 + " within "
-                                + ANSWER_S
+                                + ANSWER_TIMEOUT_S
                                 + " s; see "
                                 + log);
             }
@@ -123,8 +125,8 @@
     @Override
     public void close() {
         try {
-            asking.close();
-            if (!process.waitFor(END_S, TimeUnit.SECONDS)) {
+            commands.close();
+            if (!process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
         } catch (IOException e) {
--- a/src/main/java/holdproxy/scale/CommitStamp.java
+++ b/src/main/java/holdproxy/scale/CommitStamp.java
@@ -15,15 +15,15 @@
     static final int CHANGE_BYTES = 200;
 
     private static final String PREFIX = "change-";
-    private static final long US = 1_000_000;
+    private static final long US_PER_S = 1_000_000;
 
     static long unixUs() {
         Instant now = Instant.now();
-        return now.getEpochSecond() * US + now.getNano() / 1000;
+        return now.getEpochSecond() * US_PER_S + now.getNano() / 1000;
     }
 
     /** Whether the value of this key is a stamp; other keys are settings that real daemons apply. */
-    static boolean isOne(String key) {
+    static boolean isStampKey(String key) {
         return key.startsWith(PREFIX);
     }
 
--- a/src/main/java/holdproxy/scale/ConnectionsByNodes.java
+++ b/src/main/java/holdproxy/scale/ConnectionsByNodes.java
@@ -19,10 +19,10 @@
 
 /** Measures the connections between real proxies under load and all nodes, by the number of nodes. */
 final class ConnectionsByNodes implements Measurement {
-    private static final String ALL_TO_ALL = "every proxy may connect to every node";
+    private static final String MECHANISM = "every proxy may connect to every node";
 
     /** Limit of open sockets in a proxy's configuration. */
-    private static final double MOST_SOCKETS = 1024;
+    private static final double MAX_SOCKETS = 1024;
 
     /** Rate of all proxies together: that of one proxy in the target fleet. */
     private static final double REQUESTS_PER_S = 738;
@@ -34,7 +34,7 @@
 
     @Override
     public void measure(MeasureSpec spec, RunContext context, Findings findings) throws Exception {
-        Series perProxy = findings.add(series("proxy", "open connections to nodes", MOST_SOCKETS));
+        Series perProxy = findings.add(series("proxy", "open connections to nodes", MAX_SOCKETS));
         Series perNode =
                 findings.add(series("cache node", "open connections for each proxy", Double.NaN));
         Series resident =
@@ -44,16 +44,17 @@
                                 "whole daemon under load",
                                 "MB resident",
                                 "nodes",
-                                ALL_TO_ALL,
+                                MECHANISM,
                                 TargetFleet.NODES,
                                 Double.NaN));
         int number = FIRST_FLEET;
         for (int size : spec.sizes()) {
-            context.say("%s: %d nodes, %d real proxies", spec.kind().word, size, spec.proxies());
+            context.logProgress(
+                    "%s: %d nodes, %d real proxies", spec.kind().configName, size, spec.proxies());
             try (NodeCluster cluster = new NodeCluster(size, number);
                     DaemonFleet fleet = new DaemonFleet(context, number)) {
                 fleet.start(spec.proxies(), 0, cluster.discovery, context);
-                cluster.ask(fleet, spec.seconds());
+                cluster.startLoad(fleet, spec.seconds());
                 RunContext.pause(spec.seconds());
                 double open = cluster.openConnections();
                 perProxy.add(size, open / spec.proxies());
@@ -64,9 +65,9 @@
                                 .mapToDouble(d -> d.usage().residentMb())
                                 .average()
                                 .orElse(0));
-                findings.judge(
+                findings.addVerdict(
                         "no proxy holds more connections than its bound at " + size + " nodes",
-                        open / spec.proxies() <= MOST_SOCKETS,
+                        open / spec.proxies() <= MAX_SOCKETS,
                         open + " at " + spec.proxies() + " proxies");
             }
             number++;
@@ -75,7 +76,7 @@
 
     private static Series series(String role, String quantity, double budget) {
         return Series.of(
-                role, quantity, "connections", "nodes", ALL_TO_ALL, TargetFleet.NODES, budget);
+                role, quantity, "connections", "nodes", MECHANISM, TargetFleet.NODES, budget);
     }
 
     /** Emulated nodes, each with an address of its own, with discovery and clients. */
@@ -86,8 +87,8 @@
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         private final LoopTimeline time = new LoopTimeline(loop);
         private final TownRecord record = new TownRecord();
-        private final LoopbackNetwork nodes = new LoopbackNetwork(loop, null);
-        private final LoopbackNetwork others = new LoopbackNetwork(loop, null);
+        private final LoopbackNetwork nodeNetwork = new LoopbackNetwork(loop, null);
+        private final LoopbackNetwork clientNetwork = new LoopbackNetwork(loop, null);
         private final InetSocketAddress discovery;
 
         NodeCluster(int size, int number) throws Exception {
@@ -131,17 +132,17 @@
                                 address,
                                 kind,
                                 time,
-                                nodes,
+                                nodeNetwork,
                                 record,
                                 register,
                                 new SplittableRandom(i));
                 node.startCold();
                 service.set(node.name, address, DiscoveryChild.ZONE, kind.name(), "SERVING", 0);
             }
-            service.start(others, discovery);
+            service.start(clientNetwork, discovery);
         }
 
-        void ask(DaemonFleet fleet, double seconds) throws Exception {
+        void startLoad(DaemonFleet fleet, double seconds) throws Exception {
             loop.submit(
                             () -> {
                                 Front front = new Front();
@@ -150,7 +151,7 @@
                                 Clients clients =
                                         new Clients(
                                                 time,
-                                                List.of(others),
+                                                List.of(clientNetwork),
                                                 record,
                                                 new SplittableRandom(1),
                                                 LOAD,
@@ -164,7 +165,7 @@
         }
 
         int openConnections() throws Exception {
-            return loop.submit(nodes::accepted).get();
+            return loop.submit(nodeNetwork::accepted).get();
         }
 
         @Override
--- a/src/main/java/holdproxy/scale/ConsensusByAskers.java
+++ b/src/main/java/holdproxy/scale/ConsensusByAskers.java
@@ -7,14 +7,14 @@
 
 /** Measures the cost of the consensus group's leader by the number of processes that ask it for a lease. */
 final class ConsensusByAskers implements Measurement {
-    private static final String RAFT = "Raft group with leases; every process asks";
+    private static final String MECHANISM = "Raft group with leases; every process asks";
     private static final int VOTERS = 3;
-    private static final InetSocketAddress NOWHERE = LoopbackNetwork.address(0, 0, 1, 1);
+    private static final InetSocketAddress UNUSED_ADDRESS = LoopbackNetwork.address(0, 0, 1, 1);
     private static final String HEAP = "300m";
-    private static final String LINKS = "links ";
+    private static final String LINKS_EVENT = "links ";
 
     /** Interval at which daemons log their link counters. */
-    private static final double LINKS_EVERY_S = 10;
+    private static final double LINKS_INTERVAL_S = 10;
 
     private static final double SETTLE_S = 6;
     private static final int FIRST_FLEET = 10;
@@ -25,17 +25,17 @@
         Series frames = findings.add(series("frames sent by the leader", "1/s"));
         Series cpu = findings.add(series("the leader's whole process", "% of a core"));
         Series resident = findings.add(series("the leader's whole process", "MB resident"));
-        Series asking = findings.add(series("one asker's bytes sent", "B/s"));
+        Series askerBytes = findings.add(series("one asker's bytes sent", "B/s"));
         int fleet = FIRST_FLEET;
         for (int size : spec.sizes()) {
-            context.say("%s: %d askers, %d voters", spec.kind().word, size, VOTERS);
-            at(
+            context.logProgress("%s: %d askers, %d voters", spec.kind().configName, size, VOTERS);
+            measureSize(
                     size,
                     fleet++,
                     spec,
                     context,
                     findings,
-                    List.of(bytes, frames, cpu, resident, asking));
+                    List.of(bytes, frames, cpu, resident, askerBytes));
         }
     }
 
@@ -45,30 +45,30 @@
                 quantity,
                 unit,
                 "askers",
-                RAFT,
+                MECHANISM,
                 TargetFleet.PROXIES,
                 Double.NaN);
     }
 
-    private static void at(
+    private static void measureSize(
             int size,
             int number,
             MeasureSpec spec,
             RunContext context,
             Findings findings,
-            List<Series> to)
+            List<Series> series)
             throws Exception {
         try (DaemonFleet fleet = new DaemonFleet(context, number)) {
             for (int i = 0; i < size; i++) {
                 fleet.route(AskersChild.name(i), AskersChild.address(number, i));
             }
-            fleet.start(VOTERS, VOTERS, NOWHERE, context);
+            fleet.start(VOTERS, VOTERS, UNUSED_ADDRESS, context);
             List<String> words =
                     new ArrayList<>(
                             List.of("askers", "--count", "" + size, "--fleet", "" + number));
             for (int i = 0; i < VOTERS; i++) {
                 words.add("--voter");
-                words.add(HollowWatches.text(fleet.memberAddress(i)));
+                words.add(HollowWatches.addressText(fleet.memberAddress(i)));
             }
             context.await("the consensus group has a leader", () -> leader(fleet) != null);
             try (ChildProcess askers =
@@ -76,31 +76,31 @@
                             "askers-" + number,
                             context.folder(),
                             HEAP,
-                            context.keeper(),
+                            context.reaper(),
                             words.toArray(String[]::new))) {
                 RunContext.pause(SETTLE_S);
                 DaemonFleet.Daemon leader = leader(fleet);
-                DaemonText.Said first = next(leader, context);
+                DaemonText.Said first = awaitLinksEvent(leader, context);
                 ProcessUsage before = leader.usage();
-                JsonPart asked = askers.ask("stats");
-                RunContext.pause(Math.max(spec.seconds(), LINKS_EVERY_S));
-                DaemonText.Said last = next(leader, context);
+                JsonPart askersBefore = askers.ask("stats");
+                RunContext.pause(Math.max(spec.seconds(), LINKS_INTERVAL_S));
+                DaemonText.Said last = awaitLinksEvent(leader, context);
                 ProcessUsage after = leader.usage();
-                JsonPart askedThen = askers.ask("stats");
+                JsonPart askersAfter = askers.ask("stats");
                 double seconds =
                         (Long.parseLong(last.clockUs()) - Long.parseLong(first.clockUs())) / 1e6;
-                to.get(0).add(size, grown(first, last, "bytes") / seconds);
-                to.get(1).add(size, grown(first, last, "frames") / seconds);
-                to.get(2).add(size, after.cpuPercentSince(before));
-                to.get(3).add(size, after.residentMb());
+                series.get(0).add(size, increase(first, last, "bytes") / seconds);
+                series.get(1).add(size, increase(first, last, "frames") / seconds);
+                series.get(2).add(size, after.cpuPercentSince(before));
+                series.get(3).add(size, after.residentMb());
                 double usageS = (after.atNs() - before.atNs()) / 1e9;
-                to.get(4)
+                series.get(4)
                         .add(
                                 size,
-                                (askedThen.number("bytes") - asked.number("bytes"))
+                                (askersAfter.number("bytes") - askersBefore.number("bytes"))
                                         / usageS
                                         / size);
-                findings.judge(
+                findings.addVerdict(
                         "one process leads throughout at " + size + " askers",
                         leader(fleet) == leader,
                         leader.name + " leads");
@@ -119,16 +119,18 @@
     }
 
     /** Waits for the next log event with the link counters. */
-    private static DaemonText.Said next(DaemonFleet.Daemon daemon, RunContext context)
+    private static DaemonText.Said awaitLinksEvent(DaemonFleet.Daemon daemon, RunContext context)
             throws InterruptedException {
-        DaemonText.Said held = daemon.last(LINKS);
+        DaemonText.Said previous = daemon.last(LINKS_EVENT);
         context.await(
                 "the leader logs its link counters",
-                () -> daemon.last(LINKS) != null && !daemon.last(LINKS).equals(held));
-        return daemon.last(LINKS);
+                () ->
+                        daemon.last(LINKS_EVENT) != null
+                                && !daemon.last(LINKS_EVENT).equals(previous));
+        return daemon.last(LINKS_EVENT);
     }
 
-    private static double grown(DaemonText.Said first, DaemonText.Said last, String field) {
+    private static double increase(DaemonText.Said first, DaemonText.Said last, String field) {
         return Long.parseLong(DaemonFleet.field(last.what(), field))
                 - Long.parseLong(DaemonFleet.field(first.what(), field));
     }
--- a/src/main/java/holdproxy/scale/ControlChild.java
+++ b/src/main/java/holdproxy/scale/ControlChild.java
@@ -30,7 +30,7 @@
     private RelayServer server;
 
     @Override
-    void begin() {
+    void start() {
         log.found(1);
         for (int i = 0; i < KEYS; i++) {
             append(0);
@@ -74,8 +74,8 @@
                 server.advanced();
                 answer.put("committed_us", unixUs);
             }
-            case "stats" -> count(answer);
-            default -> throw unknown(words);
+            case "stats" -> putCounters(answer);
+            default -> throw unknownCommand(words);
         }
         answer.put("number", log.position().number());
         answer.put("in_force", server.relay().report().inForceAt(log.position()));
--- a/src/main/java/holdproxy/scale/DaemonFleet.java
+++ b/src/main/java/holdproxy/scale/DaemonFleet.java
@@ -25,7 +25,7 @@
 final class DaemonFleet implements AutoCloseable {
     private static final String HEAP = "80m";
     private static final String LISTENING = "listening on ";
-    private static final long END_S = 20;
+    private static final long EXIT_TIMEOUT_S = 20;
 
     static final class Daemon {
         final String name;
@@ -43,7 +43,7 @@
             this.process = process;
         }
 
-        private void said(String line) {
+        private void receiveLine(String line) {
             synchronized (lines) {
                 lines.add(line);
             }
@@ -55,9 +55,9 @@
         }
 
         /** Counts the log lines that match. */
-        long count(Predicate<String> so) {
+        long count(Predicate<String> predicate) {
             synchronized (lines) {
-                return lines.stream().filter(so).count();
+                return lines.stream().filter(predicate).count();
             }
         }
 
@@ -84,33 +84,33 @@
             return ProcessUsage.of(pid);
         }
 
-        void hangUp() {
+        void sendHangup() {
             process.hangUp();
         }
     }
 
     private final Path folder;
-    private final Keeper keeper;
+    private final Keeper reaper;
     private final ExecutorService loop = Executors.newSingleThreadExecutor();
     private final List<Daemon> daemons = new ArrayList<>();
     private final Map<String, String> routes = new LinkedHashMap<>();
 
     /** Generates each daemon's configuration file from the number of attempts that it allows. */
-    private final Map<Daemon, IntFunction<String>> writing = new LinkedHashMap<>();
+    private final Map<Daemon, IntFunction<String>> configurations = new LinkedHashMap<>();
 
     private final int number;
-    private IntFunction<String> section = i -> "";
+    private IntFunction<String> extraSection = i -> "";
 
     /** {@code number}: distinguishes the addresses of this fleet from those of others in the run. */
     DaemonFleet(RunContext context, int number) throws IOException {
         this.number = number;
         folder = Files.createDirectories(context.folder().resolve("daemons-" + number));
-        keeper = context.keeper();
+        reaper = context.reaper();
     }
 
     /** Appends a section to each daemon's configuration, by the daemon's number. */
-    void section(IntFunction<String> section) {
-        this.section = section;
+    void extraSection(IntFunction<String> extraSection) {
+        this.extraSection = extraSection;
     }
 
     /** The value of {@code name=value} in an event's text. */
@@ -125,7 +125,7 @@
 
     /** Adds the address of a process outside this fleet to the daemons' configurations. */
     void route(String name, InetSocketAddress address) {
-        routes.put(name, HollowWatches.text(address));
+        routes.put(name, HollowWatches.addressText(address));
     }
 
     /** {@code voters}: how many of the daemons form the consensus group. */
@@ -139,10 +139,11 @@
             daemons.add(daemon(i, names, names.subList(0, voters), discovery));
         }
         for (Daemon each : daemons.subList(0, voters)) {
-            found(each);
+            foundGroup(each);
         }
         for (Daemon each : daemons) {
-            loop.submit(() -> each.process.start(each::said, code -> each.ended = true)).get();
+            loop.submit(() -> each.process.start(each::receiveLine, code -> each.ended = true))
+                    .get();
         }
         context.await(
                 "all daemons listen",
@@ -157,23 +158,23 @@
             int i, List<String> names, List<String> voters, InetSocketAddress discovery) {
         InetSocketAddress clients =
                 LoopbackNetwork.address(4, number, i + 1, Port.CLIENTS.number());
-        Map<String, String> ways = new LinkedHashMap<>(routes);
+        Map<String, String> peerRoutes = new LinkedHashMap<>(routes);
         for (int other = 0; other < names.size(); other++) {
             if (other != i) {
-                ways.put(names.get(other), HollowWatches.text(memberAddress(other)));
+                peerRoutes.put(names.get(other), HollowWatches.addressText(memberAddress(other)));
             }
         }
         DaemonText.CooperationText peers =
                 new DaemonText.CooperationText(
-                        HollowWatches.text(memberAddress(i)),
-                        List.of(HollowWatches.text(memberAddress(0))),
-                        ways,
+                        HollowWatches.addressText(memberAddress(i)),
+                        List.of(HollowWatches.addressText(memberAddress(0))),
+                        peerRoutes,
                         voters,
                         0,
                         1_000,
                         "");
         Path file = folder.resolve(names.get(i) + ".toml");
-        Path own = folder.resolve(names.get(i));
+        Path dataFolder = folder.resolve(names.get(i));
         Daemon daemon =
                 new Daemon(
                         names.get(i),
@@ -189,16 +190,16 @@
                                         file.toString()),
                                 Map.of(),
                                 folder.resolve(names.get(i) + ".log"),
-                                keeper,
+                                reaper,
                                 loop));
-        writing.put(
+        configurations.put(
                 daemon,
                 attempts ->
                         DaemonText.of(
                                         daemon.name,
-                                        HollowWatches.text(clients),
-                                        HollowWatches.text(discovery),
-                                        own,
+                                        HollowWatches.addressText(clients),
+                                        HollowWatches.addressText(discovery),
+                                        dataFolder,
                                         peers,
                                         new ProxyConfig(
                                                         i,
@@ -214,7 +215,7 @@
                                                         1,
                                                         ProxyConfig.NO_LIST,
                                                         attempts))
-                                + section.apply(i));
+                                + extraSection.apply(i));
         write(daemon, ProxyConfig.ATTEMPTS);
         return daemon;
     }
@@ -222,23 +223,23 @@
     /** Writes the configuration file of a daemon, with this number of attempts. */
     void write(Daemon daemon, int attempts) {
         try {
-            Files.writeString(daemon.file, writing.get(daemon).apply(attempts));
+            Files.writeString(daemon.file, configurations.get(daemon).apply(attempts));
         } catch (IOException e) {
             throw new UncheckedIOException(
                     "the configuration of " + daemon.name + " cannot be written", e);
         }
     }
 
-    private void found(Daemon daemon) throws IOException, InterruptedException {
-        Process founding =
+    private void foundGroup(Daemon daemon) throws IOException, InterruptedException {
+        Process process =
                 new ProcessBuilder(
                                 ProgramLine.of(
                                         HEAP, List.of(), "daemon", "found", daemon.file.toString()))
                         .redirectErrorStream(true)
                         .redirectOutput(folder.resolve("found-" + daemon.name + ".log").toFile())
                         .start();
-        keeper.keeps(founding.toHandle());
-        if (founding.waitFor() != 0) {
+        reaper.keeps(process.toHandle());
+        if (process.waitFor() != 0) {
             throw new IllegalStateException(
                     "cannot found the consensus group; see the logs in " + folder);
         }
@@ -251,7 +252,7 @@
     @Override
     public void close() throws Exception {
         loop.submit(() -> daemons.forEach(d -> d.process.end())).get();
-        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(END_S);
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(EXIT_TIMEOUT_S);
         while (!daemons.stream().allMatch(d -> d.ended) && System.nanoTime() < endNs) {
             RunContext.pause(0.05);
         }
--- a/src/main/java/holdproxy/scale/DecisionByNodes.java
+++ b/src/main/java/holdproxy/scale/DecisionByNodes.java
@@ -10,48 +10,49 @@
 
 /** Measures the decision module by the number of nodes: CPU time of a request, of a list, and heap. */
 final class DecisionByNodes implements Measurement {
-    private static final String MODULE = "decision module, two hashed candidates a key";
+    private static final String MECHANISM = "decision module, two hashed candidates a key";
     private static final int WARM_UP = 200_000;
     private static final int REQUESTS = 300_000;
     private static final int KEYS = 1_000_000;
     private static final double REQUESTS_PER_S = TargetFleet.REQUESTS_PER_S / TargetFleet.PROXIES;
-    private static final long ANSWER_US = 5_000;
+    private static final long RESPONSE_US = 5_000;
     private static final long MS = 1_000;
-    private static final int HELD = 20;
+    private static final int COPIES = 20;
 
     @Override
     public void measure(MeasureSpec spec, RunContext context, Findings findings) {
-        Series cost = findings.add(series("one request decided", "us of CPU"));
-        Series list = findings.add(series("one whole list taken", "us of CPU"));
+        Series requestCpu = findings.add(series("one request decided", "us of CPU"));
+        Series listCpu = findings.add(series("one whole list taken", "us of CPU"));
         Series heap = findings.add(series("nodes held by the module", "kB"));
         for (int size : spec.sizes()) {
-            context.say("%s: %d nodes", spec.kind().word, size);
-            Load load = new Load(size);
-            load.requests(WARM_UP);
+            context.logProgress("%s: %d nodes", spec.kind().configName, size);
+            Workload load = new Workload(size);
+            load.runRequests(WARM_UP);
             long startNs = CpuClock.ns();
-            load.requests(REQUESTS);
-            cost.add(size, (CpuClock.ns() - startNs) / 1e3 / REQUESTS);
+            load.runRequests(REQUESTS);
+            requestCpu.add(size, (CpuClock.ns() - startNs) / 1e3 / REQUESTS);
             startNs = CpuClock.ns();
-            for (int i = 0; i < HELD; i++) {
-                load.list();
+            for (int i = 0; i < COPIES; i++) {
+                load.sendList();
             }
-            list.add(size, (CpuClock.ns() - startNs) / 1e3 / HELD);
-            heap.add(size, heldKb(size));
+            listCpu.add(size, (CpuClock.ns() - startNs) / 1e3 / COPIES);
+            heap.add(size, heapKb(size));
         }
     }
 
     private static Series series(String quantity, String unit) {
-        return Series.of("proxy", quantity, unit, "nodes", MODULE, TargetFleet.NODES, Double.NaN);
+        return Series.of(
+                "proxy", quantity, unit, "nodes", MECHANISM, TargetFleet.NODES, Double.NaN);
     }
 
-    private static double heldKb(int size) {
+    private static double heapKb(int size) {
         long before = Heap.usedBytes();
-        Load[] loads = new Load[HELD];
-        for (int i = 0; i < HELD; i++) {
-            loads[i] = new Load(size);
+        Workload[] loads = new Workload[COPIES];
+        for (int i = 0; i < COPIES; i++) {
+            loads[i] = new Workload(size);
         }
-        double held = (Heap.usedBytes() - before) / 1024.0 / HELD;
-        return loads[HELD - 1] == null ? 0 : held;
+        double held = (Heap.usedBytes() - before) / 1024.0 / COPIES;
+        return loads[COPIES - 1] == null ? 0 : held;
     }
 
     private static Router.Settings settings() {
@@ -76,7 +77,7 @@
     private record Answer(long atUs, long request) {}
 
     /** Requests at the rate of one proxy of the target fleet, each answered after 5 ms of simulated time. */
-    private static final class Load implements Router.Actions {
+    private static final class Workload implements Router.Actions {
         private final SplittableRandom random = new SplittableRandom(1);
         private final Choice module;
         private final Router.Node[] nodes;
@@ -88,24 +89,24 @@
         private long nowUs;
         private long id;
 
-        Load(int size) {
+        Workload(int size) {
             nodes = new Router.Node[size];
             for (int i = 0; i < size; i++) {
                 nodes[i] = new Router.Node();
                 nodes[i].id = random.nextInt();
             }
             module = new Choice(settings(), 1, 0, this);
-            list();
+            sendList();
         }
 
-        void list() {
+        void sendList() {
             module.onNodes(nowUs, Router.ListKind.FULL, nodes, nodes.length, this);
         }
 
-        void requests(int count) {
+        void runRequests(int count) {
             for (int i = 0; i < count; i++) {
                 nowUs += (long) (1e6 / REQUESTS_PER_S);
-                due();
+                runDueEvents();
                 request.id = ++id;
                 request.key = 1 + random.nextInt(KEYS);
                 request.dueUs = nowUs + 1_000 * MS;
@@ -113,7 +114,7 @@
             }
         }
 
-        private void due() {
+        private void runDueEvents() {
             while (!timers.isEmpty() && timers.peek().atUs <= nowUs) {
                 module.onTimer(nowUs, timers.poll().label, this);
             }
@@ -124,7 +125,7 @@
                         answer.request,
                         0,
                         Router.Outcome.OK,
-                        ANSWER_US,
+                        RESPONSE_US,
                         true,
                         Router.CacheNote.HIT,
                         report,
@@ -134,7 +135,7 @@
 
         @Override
         public void send(long to, int node, long timeoutUs) {
-            answers.add(new Answer(nowUs + ANSWER_US, to));
+            answers.add(new Answer(nowUs + RESPONSE_US, to));
         }
 
         @Override
--- a/src/main/java/holdproxy/scale/DeliveryCheck.java
+++ b/src/main/java/holdproxy/scale/DeliveryCheck.java
@@ -17,15 +17,15 @@
     }
 
     /** Records an update; false if it does not correctly follow the one before. */
-    boolean follows(Position position, List<Change> changes) {
+    boolean accept(Position position, List<Change> changes) {
         Position next = last;
-        boolean follows = position.isAfter(last);
+        boolean valid = position.isAfter(last);
         for (Change change : changes) {
-            follows &= change.position().equals(next.next());
+            valid &= change.position().equals(next.next());
             next = change.position();
         }
-        follows &= changes.isEmpty() || next.equals(position);
+        valid &= changes.isEmpty() || next.equals(position);
         last = position;
-        return follows;
+        return valid;
     }
 }
--- a/src/main/java/holdproxy/scale/DiscoveryChild.java
+++ b/src/main/java/holdproxy/scale/DiscoveryChild.java
@@ -28,7 +28,7 @@
     private long version;
 
     @Override
-    void begin() {
+    void start() {
         // deliveries are not recorded: with thousands of watches the record would keep growing
         discovery =
                 new DiscoveryService(
@@ -61,7 +61,7 @@
             case "down" -> discovery.down(true);
             case "up" -> discovery.down(false);
             case "stats" -> {}
-            default -> throw unknown(words);
+            default -> throw unknownCommand(words);
         }
         answer.put("version", version);
         answer.put("connections", network.accepted());
--- a/src/main/java/holdproxy/scale/FanoutByProxies.java
+++ b/src/main/java/holdproxy/scale/FanoutByProxies.java
@@ -6,10 +6,11 @@
 
 /** Measures the fan-out of versioned changes by the number of proxies, without and with faults. */
 final class FanoutByProxies implements Measurement {
-    private static final String FANOUT = "fan-out tree of versioned changes, a relay for each zone";
-    private static final double START_OVER_S = 5;
+    private static final String MECHANISM =
+            "fan-out tree of versioned changes, a relay for each zone";
+    private static final double START_SPREAD_S = 5;
     private static final double SETTLE_S = 5;
-    private static final double BETWEEN_CHANGES_S = 0.5;
+    private static final double CHANGE_INTERVAL_S = 0.5;
 
     private static final double RELAYS = TargetFleet.ZONES;
 
@@ -20,34 +21,34 @@
 
     @Override
     public void measure(MeasureSpec spec, RunContext context, Findings findings) throws Exception {
-        Slopes slopes = new Slopes(findings);
+        RoleSeries slopes = new RoleSeries(findings);
         for (int size : spec.sizes()) {
             try (HollowFanout fanout =
-                    new HollowFanout(context, size, spec.proxies(), START_OVER_S)) {
-                context.say(
+                    new HollowFanout(context, size, spec.proxies(), START_SPREAD_S)) {
+                context.logProgress(
                         "%s: %d proxies, %d relays starting",
-                        spec.kind().word, size, fanout.topology.relays());
+                        spec.kind().configName, size, fanout.topology.relays());
                 long startNs = System.nanoTime();
                 context.await("all proxies hold the state", () -> fanout.allAt(ControlChild.KEYS));
-                awaitCalm(context, fanout);
+                awaitNoMoves(context, fanout);
                 slopes.started.add(size, RunContext.secondsSince(startNs));
-                context.say("%d proxies no longer move between relays", size);
-                slopes.held(size, fanout);
-                watch(Load.IDLE, spec, size, fanout, slopes);
+                context.logProgress("%d proxies no longer move between relays", size);
+                slopes.addMemory(size, fanout);
+                measureUsage(Load.IDLE, spec, size, fanout, slopes);
                 fanout.latencies(fanout.proxies());
-                long number = watch(Load.CHANGING, spec, size, fanout, slopes);
+                long number = measureUsage(Load.CHANGING, spec, size, fanout, slopes);
                 context.await("all proxies hold the last change", () -> fanout.allAt(number));
-                add(findings, "without faults", size, fanout.latencies(fanout.proxies()));
-                judge(findings, "without faults", size, number, fanout);
-                new FanoutFaults(spec, context, findings, fanout).cause();
+                addLatencies(findings, "without faults", size, fanout.latencies(fanout.proxies()));
+                checkDelivery(findings, "without faults", size, number, fanout);
+                new FanoutFaults(spec, context, findings, fanout).injectAll();
                 Histogram real = fanout.realLatencies();
-                addReal(findings, spec, size, real);
+                addRealLatencies(findings, spec, size, real);
             }
         }
     }
 
     /** Waits until no proxy has moved to another relay for {@link #SETTLE_S}. */
-    private static void awaitCalm(RunContext context, HollowFanout fanout)
+    private static void awaitNoMoves(RunContext context, HollowFanout fanout)
             throws InterruptedException {
         long[] last = {-1, System.nanoTime()};
         context.await(
@@ -62,7 +63,8 @@
                 });
     }
 
-    private static void addReal(Findings findings, MeasureSpec spec, int size, Histogram values) {
+    private static void addRealLatencies(
+            Findings findings, MeasureSpec spec, int size, Histogram values) {
         String what =
                 "fan-out: commit to in force at %d real daemons beside %d hollow proxies, all"
                         + " phases";
@@ -70,7 +72,7 @@
                 .add(new Latencies(String.format(Locale.ROOT, what, spec.proxies(), size), values));
     }
 
-    static void add(Findings findings, String when, int size, Histogram values) {
+    static void addLatencies(Findings findings, String when, int size, Histogram values) {
         findings.latencies()
                 .add(
                         new Latencies(
@@ -81,13 +83,14 @@
                                 values));
     }
 
-    static void judge(Findings findings, String when, int size, long number, HollowFanout fanout) {
+    static void checkDelivery(
+            Findings findings, String when, int size, long number, HollowFanout fanout) {
         HollowFanout.Stats stats = fanout.stats();
-        findings.judge(
+        findings.addVerdict(
                 "every proxy holds exactly the last version at " + size + ", " + when,
-                stats.least() == number && stats.most() == number,
-                "numbers " + stats.least() + " to " + stats.most() + " of " + number);
-        findings.judge(
+                stats.leastNumber() == number && stats.mostNumber() == number,
+                "numbers " + stats.leastNumber() + " to " + stats.mostNumber() + " of " + number);
+        findings.addVerdict(
                 "no change skipped, twice or out of order at " + size + ", " + when,
                 stats.disorders() == 0 && stats.rejected() == 0,
                 stats.disorders()
@@ -101,8 +104,8 @@
     }
 
     /** Measures the usage of all roles, idle or with changes; returns the number of the last change. */
-    private static long watch(
-            Load load, MeasureSpec spec, int size, HollowFanout fanout, Slopes slopes)
+    private static long measureUsage(
+            Load load, MeasureSpec spec, int size, HollowFanout fanout, RoleSeries slopes)
             throws InterruptedException {
         Reading before = Reading.of(fanout);
         long number = 0;
@@ -111,13 +114,13 @@
             if (load == Load.CHANGING) {
                 number = fanout.commit();
             }
-            RunContext.pause(BETWEEN_CHANGES_S);
+            RunContext.pause(CHANGE_INTERVAL_S);
         }
         Reading after = Reading.of(fanout);
         if (load == Load.IDLE) {
-            slopes.idle(size, fanout.topology.relays(), before, after);
+            slopes.addIdle(size, fanout.topology.relays(), before, after);
         } else {
-            slopes.changing(size, fanout.topology.relays(), before, after);
+            slopes.addChanging(size, fanout.topology.relays(), before, after);
         }
         return number;
     }
@@ -149,7 +152,7 @@
     }
 
     /** The series of all roles. */
-    private static final class Slopes {
+    private static final class RoleSeries {
         private final Series started;
         private final Series proxyHeap;
         private final Series proxyIdleBytes;
@@ -168,8 +171,8 @@
         private final Series controlCpu;
         private final Series controlResident;
 
-        Slopes(Findings findings) {
-            double cores = TargetFleet.PROXY_CPU_PERCENT * TargetFleet.PROXIES;
+        RoleSeries(Findings findings) {
+            double cpuPercent = TargetFleet.PROXY_CPU_PERCENT * TargetFleet.PROXIES;
             double bytes = TargetFleet.PROXY_BYTES_PER_S * TargetFleet.PROXIES;
             double megabytes = TargetFleet.PROXY_MB * TargetFleet.PROXIES;
             started =
@@ -180,9 +183,14 @@
                             Double.NaN);
             proxyHeap = proxy(findings, "subscribers held, all together", "MB", megabytes);
             proxyIdleBytes = proxy(findings, "idle, all together", "B/s", bytes);
-            proxyIdleCpu = proxy(findings, "idle, all together", "% of a core", cores);
+            proxyIdleCpu = proxy(findings, "idle, all together", "% of a core", cpuPercent);
             proxyBytes = proxy(findings, "2 changes/s of 200 B, all together", "B/s", bytes);
-            proxyCpu = proxy(findings, "2 changes/s of 200 B, all together", "% of a core", cores);
+            proxyCpu =
+                    proxy(
+                            findings,
+                            "2 changes/s of 200 B, all together",
+                            "% of a core",
+                            cpuPercent);
             relayHeap = relay(findings, "relays held, all together", "MB");
             relayResident = relay(findings, "their processes, all together", "MB resident");
             relayIdleBytes = relay(findings, "idle, all together", "B/s");
@@ -204,7 +212,7 @@
                             quantity,
                             unit,
                             "proxies",
-                            FANOUT,
+                            MECHANISM,
                             TargetFleet.PROXIES,
                             budget));
         }
@@ -216,7 +224,7 @@
                             quantity,
                             unit,
                             "relays",
-                            FANOUT,
+                            MECHANISM,
                             RELAYS,
                             Double.NaN));
         }
@@ -228,12 +236,12 @@
                             quantity,
                             unit,
                             "relays",
-                            FANOUT,
+                            MECHANISM,
                             RELAYS,
                             Double.NaN));
         }
 
-        void held(int size, HollowFanout fanout) {
+        void addMemory(int size, HollowFanout fanout) {
             int relays = fanout.topology.relays();
             proxyHeap.add(size, HollowFanout.heapMb(fanout.proxies()));
             relayHeap.add(relays, HollowFanout.heapMb(fanout.relays()));
@@ -241,7 +249,7 @@
             controlResident.add(relays, fanout.control.usage().residentMb());
         }
 
-        void idle(int size, int relays, Reading before, Reading after) {
+        void addIdle(int size, int relays, Reading before, Reading after) {
             double seconds = after.secondsSince(before);
             proxyIdleBytes.add(size, (after.proxyBytes() - before.proxyBytes()) / seconds);
             proxyIdleCpu.add(size, after.proxies().cpuPercentSince(before.proxies()));
@@ -251,7 +259,7 @@
             controlIdleCpu.add(relays, after.control().cpuPercentSince(before.control()));
         }
 
-        void changing(int size, int relays, Reading before, Reading after) {
+        void addChanging(int size, int relays, Reading before, Reading after) {
             double seconds = after.secondsSince(before);
             proxyBytes.add(size, (after.proxyBytes() - before.proxyBytes()) / seconds);
             proxyCpu.add(size, after.proxies().cpuPercentSince(before.proxies()));
--- a/src/main/java/holdproxy/scale/FanoutChild.java
+++ b/src/main/java/holdproxy/scale/FanoutChild.java
@@ -32,7 +32,7 @@
                 line -> {});
     }
 
-    final void count(Map<String, Object> answer) {
+    final void putCounters(Map<String, Object> answer) {
         TransportCounters.Snapshot now = counters.snapshot();
         answer.put("received", now.bytesReceived());
         answer.put("sent", now.bytesSent());
--- a/src/main/java/holdproxy/scale/FanoutFault.java
+++ b/src/main/java/holdproxy/scale/FanoutFault.java
@@ -12,22 +12,23 @@
     ZONE_RESTARTED("zone-restarted", "a zone's proxies restarted"),
     ALL_RESTARTED("all-restarted", "all proxies started at once");
 
-    static final List<String> WORDS = Arrays.stream(values()).map(fault -> fault.word).toList();
+    static final List<String> NAMES =
+            Arrays.stream(values()).map(fault -> fault.configName).toList();
 
     /** Name in a run's TOML file. */
-    final String word;
+    final String configName;
 
     /** Text in the result. */
     final String description;
 
     FanoutFault(String word, String description) {
-        this.word = word;
+        this.configName = word;
         this.description = description;
     }
 
     static FanoutFault named(String word) {
         return Arrays.stream(values())
-                .filter(fault -> fault.word.equals(word))
+                .filter(fault -> fault.configName.equals(word))
                 .findFirst()
                 .orElseThrow(
                         () ->
@@ -35,6 +36,6 @@
                                         "no fault is called "
                                                 + word
                                                 + "; the known ones are "
-                                                + WORDS));
+                                                + NAMES));
     }
 }
--- a/src/main/java/holdproxy/scale/FanoutFaults.java
+++ b/src/main/java/holdproxy/scale/FanoutFaults.java
@@ -7,8 +7,8 @@
  * Injects faults into the fan-out one after another while changes are committed; each ends before the next.
  */
 final class FanoutFaults {
-    private static final double BETWEEN_CHANGES_S = 0.5;
-    private static final double BEFORE_S = 2;
+    private static final double CHANGE_INTERVAL_S = 0.5;
+    private static final double BEFORE_FAULT_S = 2;
     private static final double STOPPED_S = 10;
 
     private final MeasureSpec spec;
@@ -16,7 +16,7 @@
     private final Findings findings;
     private final HollowFanout fanout;
     private final int size;
-    private ChildProcess stopped;
+    private ChildProcess stoppedProcess;
 
     FanoutFaults(MeasureSpec spec, RunContext context, Findings findings, HollowFanout fanout) {
         this.spec = spec;
@@ -26,20 +26,20 @@
         size = fanout.topology.proxies();
     }
 
-    void cause() throws Exception {
+    void injectAll() throws Exception {
         for (FanoutFault fault : spec.faults()) {
             switch (fault) {
                 case RELAY_KILLED -> killRelay();
-                case RELAY_STOPPED -> phase(fault, () -> stop(fanout.firstRelay()), STOPPED_S);
-                case SLOW_READER -> phase(fault, () -> stop(fanout.slow()), STOPPED_S);
-                case ZONE_RESTARTED -> phase(fault, this::restartZone, spec.seconds());
-                default -> phase(fault, () -> fanout.restart(0, size), spec.seconds());
+                case RELAY_STOPPED -> runPhase(fault, () -> stop(fanout.firstRelay()), STOPPED_S);
+                case SLOW_READER -> runPhase(fault, () -> stop(fanout.slow()), STOPPED_S);
+                case ZONE_RESTARTED -> runPhase(fault, this::restartZone, spec.seconds());
+                default -> runPhase(fault, () -> fanout.restart(0, size), spec.seconds());
             }
         }
     }
 
     private void killRelay() throws Exception {
-        phase(FanoutFault.RELAY_KILLED, () -> fanout.firstRelay().kill(), spec.seconds());
+        runPhase(FanoutFault.RELAY_KILLED, () -> fanout.firstRelay().kill(), spec.seconds());
         fanout.startFirstRelay();
     }
 
@@ -48,48 +48,51 @@
     }
 
     /** Commits changes before, during and after a fault; a stopped process is resumed at its end. */
-    private void phase(FanoutFault fault, Action action, double seconds) throws Exception {
+    private void runPhase(FanoutFault fault, Action action, double seconds) throws Exception {
         String name = fault.description;
-        context.say("%d proxies: %s", size, name);
+        context.logProgress("%d proxies: %s", size, name);
         fanout.latencies(fanout.proxies());
-        commit(BEFORE_S);
+        commitFor(BEFORE_FAULT_S);
         long startNs = System.nanoTime();
         action.run();
-        commit(seconds);
+        commitFor(seconds);
         boolean slow = fault == FanoutFault.SLOW_READER;
         if (slow) {
-            slowReader(startNs);
+            measureOthers(startNs);
         }
         resume();
         long number = fanout.commit();
         double backS =
                 context.await("all hold the last change after " + name, () -> fanout.allAt(number));
-        context.say("all hold the last change %.2f s after the end of: %s", backS, name);
-        FanoutByProxies.add(
+        context.logProgress("all hold the last change %.2f s after the end of: %s", backS, name);
+        FanoutByProxies.addLatencies(
                 findings,
                 "with " + name,
                 size,
                 fanout.latencies(slow ? List.of(fanout.slow()) : fanout.proxies()));
-        FanoutByProxies.judge(findings, "with " + name, size, number, fanout);
+        FanoutByProxies.checkDelivery(findings, "with " + name, size, number, fanout);
     }
 
     /** Measures that the other proxies are not delayed by those that read nothing. */
-    private void slowReader(long startNs) throws InterruptedException {
+    private void measureOthers(long startNs) throws InterruptedException {
         long number = fanout.commit();
         double seconds =
-                context.await("all others hold the last change", () -> fanout.manyAt(number));
-        context.say(
+                context.await("all others hold the last change", () -> fanout.othersAt(number));
+        context.logProgress(
                 "the others hold it %.2f s after the commit, %.1f s after the stop",
                 seconds, RunContext.secondsSince(startNs));
-        FanoutByProxies.add(
-                findings, "others beside a slow reader", size, fanout.latencies(fanout.many()));
+        FanoutByProxies.addLatencies(
+                findings,
+                "others beside a slow reader",
+                size,
+                fanout.latencies(fanout.otherProxies()));
     }
 
-    private void commit(double seconds) throws InterruptedException {
+    private void commitFor(double seconds) throws InterruptedException {
         long startNs = System.nanoTime();
         do {
             fanout.commit();
-            RunContext.pause(BETWEEN_CHANGES_S);
+            RunContext.pause(CHANGE_INTERVAL_S);
         } while (RunContext.secondsSince(startNs) < seconds);
     }
 
@@ -98,14 +101,14 @@
     }
 
     private void stop(ChildProcess child) throws Exception {
-        stopped = child;
+        stoppedProcess = child;
         signal(child, "STOP");
     }
 
     private void resume() throws Exception {
-        if (stopped != null) {
-            signal(stopped, "CONT");
-            stopped = null;
+        if (stoppedProcess != null) {
+            signal(stoppedProcess, "CONT");
+            stoppedProcess = null;
         }
     }
 
--- a/src/main/java/holdproxy/scale/FanoutTopology.java
+++ b/src/main/java/holdproxy/scale/FanoutTopology.java
@@ -19,7 +19,7 @@
 
     static final String CONTROL = "control";
     private static final int FIRST_NETWORK = 64;
-    private static final int HOSTS = 250;
+    private static final int HOSTS_PER_NETWORK = 250;
     private static final int RELAYS_PER_PROXY = 4;
 
     int relays() {
@@ -36,25 +36,30 @@
 
     InetSocketAddress relay(int zone) {
         return LoopbackNetwork.address(
-                FIRST_NETWORK + run, zone / HOSTS, zone % HOSTS + 1, Port.RELAYS.number());
+                FIRST_NETWORK + run,
+                zone / HOSTS_PER_NETWORK,
+                zone % HOSTS_PER_NETWORK + 1,
+                Port.RELAYS.number());
     }
 
     static String zoneName(int zone) {
         return "zone-" + zone;
     }
 
-    List<RelayCandidate> ofRelays() {
-        return List.of(new RelayCandidate(CONTROL, HollowWatches.text(control()), ""));
+    List<RelayCandidate> relayUpstreams() {
+        return List.of(new RelayCandidate(CONTROL, HollowWatches.addressText(control()), ""));
     }
 
     /** Relays for a proxy: its own zone's first, then those of the following zones in rendezvous order. */
-    List<RelayCandidate> ofProxy(String name, int zone) {
+    List<RelayCandidate> proxyUpstreams(String name, int zone) {
         List<RelayCandidate> candidates = new ArrayList<>();
         for (int i = 0; i < Math.min(RELAYS_PER_PROXY, relays()); i++) {
             int other = (zone + i) % relays();
             candidates.add(
                     new RelayCandidate(
-                            "relay-" + other, HollowWatches.text(relay(other)), zoneName(other)));
+                            "relay-" + other,
+                            HollowWatches.addressText(relay(other)),
+                            zoneName(other)));
         }
         return RendezvousOrder.of(name, zoneName(zone), candidates);
     }
--- a/src/main/java/holdproxy/scale/Findings.java
+++ b/src/main/java/holdproxy/scale/Findings.java
@@ -14,11 +14,11 @@
         return one;
     }
 
-    void judge(String rule, boolean kept, String detail) {
+    void addVerdict(String rule, boolean kept, String detail) {
         verdicts.add(new Verdict(rule, kept, detail));
     }
 
-    boolean kept() {
+    boolean allRulesKept() {
         return verdicts.stream().allMatch(Verdict::kept);
     }
 }
--- a/src/main/java/holdproxy/scale/HollowFanout.java
+++ b/src/main/java/holdproxy/scale/HollowFanout.java
@@ -16,13 +16,13 @@
  */
 final class HollowFanout implements AutoCloseable {
     private static final AtomicInteger NEXT_RUN = new AtomicInteger();
-    private static final int MOST_PER_PROCESS = 3_300;
+    private static final int MAX_PROXIES_PER_PROCESS = 3_300;
     private static final int RELAY_PROCESSES = 3;
     private static final String HEAP = "900m";
     private static final String RELAY_HEAP = "400m";
 
     /** Number of proxies in the process that is stopped as a slow reader. */
-    static final int SLOW = 10;
+    static final int SLOW_PROXIES = 10;
 
     final FanoutTopology topology;
     final ChildProcess control;
@@ -31,7 +31,7 @@
     private final List<ChildProcess> proxies = new ArrayList<>();
     private final ChildProcess slow;
     private final Map<Long, Long> committedUnixUs = new HashMap<>();
-    private final RealSubscribers real;
+    private final RealSubscribers realSubscribers;
     private ChildProcess firstRelay;
 
     /** Starts {@code size} hollow proxies over {@code startOverS} seconds, and the real ones. */
@@ -39,58 +39,58 @@
             throws Exception {
         this.context = context;
         topology = new FanoutTopology(NEXT_RUN.getAndIncrement(), size);
-        control = child("control", RELAY_HEAP, List.of("control"));
+        control = startChild("control", RELAY_HEAP, List.of("control"));
         control.ask("stats"); // an answer shows that it listens
         startFirstRelay();
         int others = topology.relays() - 1;
         int processes = Math.min(RELAY_PROCESSES, others);
         for (int i = 0; i < processes; i++) {
-            relays.add(part("relays", RELAY_HEAP, 1, others, i, processes, List.of()));
+            relays.add(startRange("relays", RELAY_HEAP, 1, others, i, processes, List.of()));
         }
         relays.forEach(relay -> relay.ask("stats"));
-        List<String> pace =
+        List<String> startOptions =
                 List.of("--start-over-s", String.format(Locale.ROOT, "%.3f", startOverS));
-        int many = size - SLOW;
-        int parts = (many + MOST_PER_PROCESS - 1) / MOST_PER_PROCESS;
+        int many = size - SLOW_PROXIES;
+        int parts = (many + MAX_PROXIES_PER_PROCESS - 1) / MAX_PROXIES_PER_PROCESS;
         for (int i = 0; i < parts; i++) {
-            proxies.add(part("subscribers", HEAP, 0, many, i, parts, pace));
+            proxies.add(startRange("subscribers", HEAP, 0, many, i, parts, startOptions));
         }
-        slow = part("subscribers", RELAY_HEAP, many, SLOW, 0, 1, pace);
-        real = new RealSubscribers(context, topology, realProxies);
+        slow = startRange("subscribers", RELAY_HEAP, many, SLOW_PROXIES, 0, 1, startOptions);
+        realSubscribers = new RealSubscribers(context, topology, realProxies);
     }
 
     /**
      * Starts the process for one of {@code parts} equal ranges of {@code count} numbers from {@code first}.
      */
-    private ChildProcess part(
+    private ChildProcess startRange(
             String kind,
             String heap,
             int first,
             int count,
             int part,
             int parts,
-            List<String> more) {
+            List<String> options) {
         int from = first + count * part / parts;
         int to = first + count * (part + 1) / parts;
         List<String> words =
                 new ArrayList<>(List.of(kind, "--first", "" + from, "--count", "" + (to - from)));
-        words.addAll(more);
-        return child(kind + "-" + from, heap, words);
+        words.addAll(options);
+        return startChild(kind + "-" + from, heap, words);
     }
 
-    private ChildProcess child(String name, String heap, List<String> words) {
+    private ChildProcess startChild(String name, String heap, List<String> words) {
         List<String> all = new ArrayList<>(words);
         all.addAll(List.of("--run", "" + topology.run(), "--proxies", "" + topology.proxies()));
         return ChildProcess.start(
                 "fanout-" + topology.run() + "-" + name,
                 context.folder(),
                 heap,
-                context.keeper(),
+                context.reaper(),
                 all.toArray(String[]::new));
     }
 
     void startFirstRelay() {
-        firstRelay = part("relays", RELAY_HEAP, 0, 1, 0, 1, List.of());
+        firstRelay = startRange("relays", RELAY_HEAP, 0, 1, 0, 1, List.of());
         firstRelay.ask("stats");
     }
 
@@ -131,8 +131,8 @@
      * @param sent bytes of the fan-out protocol
      */
     record Stats(
-            long least,
-            long most,
+            long leastNumber,
+            long mostNumber,
             long disorders,
             long moves,
             long snapshots,
@@ -145,7 +145,7 @@
     }
 
     /** Counters without those of the stoppable proxies. */
-    Stats statsOfMany() {
+    Stats statsOfOthers() {
         return stats(proxies);
     }
 
@@ -163,7 +163,7 @@
     }
 
     static List<JsonPart> ask(List<ChildProcess> children, String command) {
-        children.forEach(child -> child.tell(command));
+        children.forEach(child -> child.send(command));
         return children.stream().map(child -> child.answer(command)).toList();
     }
 
@@ -173,12 +173,14 @@
 
     boolean allAt(long number) {
         Stats stats = stats();
-        return stats.least() == number && stats.most() == number && real.allAt(number);
+        return stats.leastNumber() == number
+                && stats.mostNumber() == number
+                && realSubscribers.allAt(number);
     }
 
-    boolean manyAt(long number) {
-        Stats stats = statsOfMany();
-        return stats.least() == number && stats.most() == number;
+    boolean othersAt(long number) {
+        Stats stats = statsOfOthers();
+        return stats.leastNumber() == number && stats.mostNumber() == number;
     }
 
     /** Latencies since the last call. */
@@ -190,15 +192,15 @@
 
     /** Latencies of all changes so far at the real proxies. */
     Histogram realLatencies() {
-        return real.latencies(committedUnixUs);
+        return realSubscribers.latencies(committedUnixUs);
     }
 
     RealSubscribers real() {
-        return real;
+        return realSubscribers;
     }
 
     /** The processes of the proxies, without the one that can be stopped. */
-    List<ChildProcess> many() {
+    List<ChildProcess> otherProxies() {
         return List.copyOf(proxies);
     }
 
@@ -219,7 +221,7 @@
 
     @Override
     public void close() throws Exception {
-        real.close();
+        realSubscribers.close();
         proxies().forEach(ChildProcess::close);
         relays().forEach(ChildProcess::close);
         control.close();
--- a/src/main/java/holdproxy/scale/HollowWatches.java
+++ b/src/main/java/holdproxy/scale/HollowWatches.java
@@ -10,31 +10,31 @@
 
 /** An emulated discovery service and the hollow proxies that watch it, in child processes. */
 final class HollowWatches implements AutoCloseable {
-    private static final int MOST_PER_PROCESS = 3_300;
+    private static final int MAX_WATCHES_PER_PROCESS = 3_300;
     private static final String HEAP = "900m";
 
     /** A new address for each instance, since the connections of the last may still be in TIME_WAIT. */
-    private static final AtomicInteger NEXT = new AtomicInteger(2);
+    private static final AtomicInteger NEXT_NUMBER = new AtomicInteger(2);
 
     final ChildProcess discovery;
     private final List<ChildProcess> hollow = new ArrayList<>();
 
     HollowWatches(RunContext context, int watches, int nodes, double startOverS) {
-        int number = NEXT.getAndIncrement();
+        int number = NEXT_NUMBER.getAndIncrement();
         InetSocketAddress address = LoopbackNetwork.address(0, 1, number, Port.DISCOVERY.number());
         discovery =
                 ChildProcess.start(
                         "discovery-" + number,
                         context.folder(),
                         HEAP,
-                        context.keeper(),
+                        context.reaper(),
                         "discovery",
                         "--listen",
-                        text(address),
+                        addressText(address),
                         "--nodes",
                         Integer.toString(nodes));
         discovery.ask("stats"); // an answer shows that it listens
-        int processes = (watches + MOST_PER_PROCESS - 1) / MOST_PER_PROCESS;
+        int processes = (watches + MAX_WATCHES_PER_PROCESS - 1) / MAX_WATCHES_PER_PROCESS;
         for (int i = 0; i < processes; i++) {
             int count = watches * (i + 1) / processes - watches * i / processes;
             hollow.add(
@@ -42,12 +42,12 @@
                             "watches-" + number + "-" + i,
                             context.folder(),
                             HEAP,
-                            context.keeper(),
+                            context.reaper(),
                             "watches",
                             "--discovery",
-                            text(address),
+                            addressText(address),
                             "--local",
-                            text(LoopbackNetwork.address(2, number, i + 1, 0)),
+                            addressText(LoopbackNetwork.address(2, number, i + 1, 0)),
                             "--count",
                             Integer.toString(count),
                             "--start-over-s",
@@ -55,7 +55,7 @@
         }
     }
 
-    static String text(InetSocketAddress address) {
+    static String addressText(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -70,7 +70,7 @@
             long bytes) {}
 
     Stats stats() {
-        hollow.forEach(child -> child.tell("stats"));
+        hollow.forEach(child -> child.send("stats"));
         List<JsonPart> all = hollow.stream().map(child -> child.answer("stats")).toList();
         return new Stats(
                 all.stream().mapToLong(s -> s.whole("least_version")).min().orElse(0),
@@ -93,8 +93,8 @@
     }
 
     /** Restarts every watch without a list, as a restarted proxy has none. */
-    void again() {
-        hollow.forEach(child -> child.tell("again"));
+    void restartAll() {
+        hollow.forEach(child -> child.send("again"));
         hollow.forEach(child -> child.answer("again"));
     }
 
--- a/src/main/java/holdproxy/scale/Latencies.java
+++ b/src/main/java/holdproxy/scale/Latencies.java
@@ -19,18 +19,18 @@
     private static final int DIGITS = 3;
 
     /** One hour; longer times are recorded as this. */
-    private static final long LONGEST_US = 3_600_000_000L;
+    private static final long MAX_US = 3_600_000_000L;
 
     static Latencies of(String what) {
         return new Latencies(what, histogram());
     }
 
     static Histogram histogram() {
-        return new Histogram(1, LONGEST_US, DIGITS);
+        return new Histogram(1, MAX_US, DIGITS);
     }
 
     static void record(Histogram into, long us) {
-        into.recordValue(Math.max(1, Math.min(LONGEST_US, us)));
+        into.recordValue(Math.max(1, Math.min(MAX_US, us)));
     }
 
     /** Encodes a histogram as text for {@link #decoded}. */
--- a/src/main/java/holdproxy/scale/MeasureSpec.java
+++ b/src/main/java/holdproxy/scale/MeasureSpec.java
@@ -25,17 +25,17 @@
         int proxies,
         List<FanoutFault> faults,
         int line) {
-    private static final int MOST_SIZE = 1_000_000;
-    private static final int MOST_NODES = 5_000;
-    private static final int MOST_REAL_PROXIES = 10;
-    private static final double LONGEST_S = 3_600;
+    private static final int MAX_SIZE = 1_000_000;
+    private static final int MAX_NODES = 5_000;
+    private static final int MAX_REAL_PROXIES = 10;
+    private static final double MAX_SECONDS = 3_600;
 
     static MeasureSpec read(TomlPart part) {
         MeasurementKind kind = MeasurementKind.named(part.word("kind", MeasurementKind.NAMES));
         List<Integer> sizes = sizes(part);
-        double seconds = part.number("seconds", 10, 0.1, LONGEST_S);
-        int nodes = part.whole("nodes", 100, 1, MOST_NODES);
-        int proxies = part.whole("proxies", 3, 1, MOST_REAL_PROXIES);
+        double seconds = part.number("seconds", 10, 0.1, MAX_SECONDS);
+        int nodes = part.whole("nodes", 100, 1, MAX_NODES);
+        int proxies = part.whole("proxies", 3, 1, MAX_REAL_PROXIES);
         List<FanoutFault> faults =
                 part.texts("faults", FanoutFault::named).stream().map(FanoutFault::named).toList();
         int line = part.at("kind").line();
@@ -50,14 +50,14 @@
         }
         List<Integer> sizes = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
-            if (!(array.get(i) instanceof Long size) || size < 1 || size > MOST_SIZE) {
+            if (!(array.get(i) instanceof Long size) || size < 1 || size > MAX_SIZE) {
                 throw part.bad(
                         array.inputPositionOf(i),
                         String.format(
                                 Locale.ROOT,
                                 "sizes in [[measure]] has an entry that is no whole number from 1"
                                         + " to %d: %s",
-                                MOST_SIZE,
+                                MAX_SIZE,
                                 array.get(i)));
             }
             sizes.add(size.intValue());
--- a/src/main/java/holdproxy/scale/MeasurementKind.java
+++ b/src/main/java/holdproxy/scale/MeasurementKind.java
@@ -10,55 +10,65 @@
     DISCOVERY_PROXIES(
             "discovery-proxies",
             new DiscoveryByProxies(),
-            s -> s.largest() + s.nodes() + Need.SPARE,
-            s -> Need.GB + s.largest() * Need.GB_PER_CONNECTION),
+            s -> s.largest() + s.nodes() + Estimate.OTHER_DESCRIPTORS,
+            s -> Estimate.BASE_GB + s.largest() * Estimate.GB_PER_CONNECTION),
     DISCOVERY_NODES(
             "discovery-nodes",
             new DiscoveryByNodes(),
-            s -> DiscoveryByNodes.WATCHES + Need.SPARE,
-            s -> Need.GB + (double) s.largest() * DiscoveryByNodes.WATCHES * Need.GB_PER_NAME),
+            s -> DiscoveryByNodes.WATCHES + Estimate.OTHER_DESCRIPTORS,
+            s ->
+                    Estimate.BASE_GB
+                            + (double) s.largest()
+                                    * DiscoveryByNodes.WATCHES
+                                    * Estimate.GB_PER_NODE_NAME),
     MEMBERSHIP(
             "membership",
             new MembershipBySize(),
-            s -> Need.SPARE,
-            s -> Need.GB + (double) s.largest() * s.largest() * Need.GB_PER_MEMBER),
+            s -> Estimate.OTHER_DESCRIPTORS,
+            s -> Estimate.BASE_GB + (double) s.largest() * s.largest() * Estimate.GB_PER_MEMBER),
     CONSENSUS(
             "consensus",
             new ConsensusByAskers(),
-            s -> s.largest() * 5 + Need.SPARE,
-            s -> Need.GB + s.largest() * Need.GB_PER_CONNECTION),
-    STATE("state", new StateByNodes(), s -> Need.SPARE, s -> Need.GB),
-    DECISION("decision", new DecisionByNodes(), s -> Need.SPARE, s -> Need.GB),
+            s -> s.largest() * 5 + Estimate.OTHER_DESCRIPTORS,
+            s -> Estimate.BASE_GB + s.largest() * Estimate.GB_PER_CONNECTION),
+    STATE("state", new StateByNodes(), s -> Estimate.OTHER_DESCRIPTORS, s -> Estimate.BASE_GB),
+    DECISION(
+            "decision",
+            new DecisionByNodes(),
+            s -> Estimate.OTHER_DESCRIPTORS,
+            s -> Estimate.BASE_GB),
     CONNECTIONS(
             "connections",
             new ConnectionsByNodes(),
-            s -> s.largest() * (1 + s.proxies()) + Need.SPARE,
-            s -> Need.GB + (double) s.largest() * s.proxies() * Need.GB_PER_CONNECTION),
-    RELOAD("reload", new ReloadByCount(), s -> Need.SPARE, s -> Need.GB),
+            s -> s.largest() * (1 + s.proxies()) + Estimate.OTHER_DESCRIPTORS,
+            s ->
+                    Estimate.BASE_GB
+                            + (double) s.largest() * s.proxies() * Estimate.GB_PER_CONNECTION),
+    RELOAD("reload", new ReloadByCount(), s -> Estimate.OTHER_DESCRIPTORS, s -> Estimate.BASE_GB),
     FANOUT(
             "fanout",
             new FanoutByProxies(),
-            s -> s.largest() + Need.SPARE,
-            s -> Need.GB + s.largest() * Need.GB_PER_CONNECTION);
+            s -> s.largest() + Estimate.OTHER_DESCRIPTORS,
+            s -> Estimate.BASE_GB + s.largest() * Estimate.GB_PER_CONNECTION);
 
-    static final List<String> NAMES = Arrays.stream(values()).map(kind -> kind.word).toList();
+    static final List<String> NAMES = Arrays.stream(values()).map(kind -> kind.configName).toList();
 
     /** Estimated needs, by which a run that does not fit the machine is refused. */
-    private static final class Need {
+    private static final class Estimate {
         /** Descriptors of a process besides its connections. */
-        static final int SPARE = 300;
+        static final int OTHER_DESCRIPTORS = 300;
 
         /** Fixed part for all processes together. */
-        static final double GB = 1.5;
+        static final double BASE_GB = 1.5;
 
         /** For a connection with its pipeline and state at both ends. */
         static final double GB_PER_CONNECTION = 120e3 / 1e9;
 
-        static final double GB_PER_NAME = 400 / 1e9;
+        static final double GB_PER_NODE_NAME = 400 / 1e9;
         static final double GB_PER_MEMBER = 1_500 / 1e9;
     }
 
-    final String word;
+    final String configName;
     final Measurement measurement;
     private final ToLongFunction<MeasureSpec> descriptors;
     private final ToDoubleFunction<MeasureSpec> memoryGb;
@@ -68,7 +78,7 @@
             Measurement measurement,
             ToLongFunction<MeasureSpec> descriptors,
             ToDoubleFunction<MeasureSpec> memoryGb) {
-        this.word = word;
+        this.configName = word;
         this.measurement = measurement;
         this.descriptors = descriptors;
         this.memoryGb = memoryGb;
@@ -76,7 +86,7 @@
 
     static MeasurementKind named(String word) {
         return Arrays.stream(values())
-                .filter(kind -> kind.word.equals(word))
+                .filter(kind -> kind.configName.equals(word))
                 .findFirst()
                 .orElseThrow();
     }
--- a/src/main/java/holdproxy/scale/MembershipBySize.java
+++ b/src/main/java/holdproxy/scale/MembershipBySize.java
@@ -17,21 +17,21 @@
  * thread in virtual time, then stops a third of the members at once.
  */
 final class MembershipBySize implements Measurement {
-    private static final String SWIM = "gossip membership (SWIM with Lifeguard), flat";
+    private static final String MECHANISM = "gossip membership (SWIM with Lifeguard), flat";
     private static final String ROLE = "member (every process)";
     private static final int SEEDS = 3;
     private static final long SECOND_US = 1_000_000;
-    private static final long LEAST_DELAY_US = 200;
+    private static final long MIN_DELAY_US = 200;
     private static final int DELAY_SPREAD_US = 2_000;
-    private static final long LONGEST_US = 600 * SECOND_US;
+    private static final long MAX_WAIT_US = 600 * SECOND_US;
 
     /** Frame overhead added to a message by {@code Links}. */
     private static final int FRAME_BYTES = 6;
 
-    private static final int LOST_PART = 3;
+    private static final int LOSS_DIVISOR = 3;
 
     /** The loss is not simulated at larger sizes, where it takes too long. */
-    private static final int MOST_FOR_LOSS = 400;
+    private static final int MAX_SIZE_FOR_LOSS = 400;
 
     @Override
     public void measure(MeasureSpec spec, RunContext context, Findings findings) {
@@ -51,7 +51,7 @@
             long heapBefore = Heap.usedBytes();
             Fleet fleet = new Fleet(size);
             joined.add(size, fleet.runUntilAllKnowAll());
-            context.say("%s: %d members know each other", spec.kind().word, size);
+            context.logProgress("%s: %d members know each other", spec.kind().configName, size);
             fleet.run(SECOND_US * 5);
             fleet.resetCounts();
             long cpuNs = CpuClock.ns();
@@ -61,26 +61,26 @@
             messages.add(size, fleet.messages * perProcess);
             bytes.add(size, fleet.bytes * perProcess);
             heap.add(size, (Heap.usedBytes() - heapBefore) / 1024.0 / size);
-            findings.judge(
+            findings.addVerdict(
                     "every member knows every other at " + size,
                     fleet.allKnowAll(),
                     size + " members");
-            if (size <= MOST_FOR_LOSS) {
-                lost.add(size, fleet.loseSome());
+            if (size <= MAX_SIZE_FOR_LOSS) {
+                lost.add(size, fleet.secondsToDetectLoss());
             }
         }
     }
 
     private static Series series(String quantity, String unit, double budget) {
-        return Series.of(ROLE, quantity, unit, "members", SWIM, TargetFleet.PROXIES, budget);
+        return Series.of(ROLE, quantity, unit, "members", MECHANISM, TargetFleet.PROXIES, budget);
     }
 
     /** All members, in virtual time. */
     private static final class Fleet {
         private final SimulatedClock time = new SimulatedClock();
         private final Random random = new Random(1);
-        private final Map<String, Process> byAddress = new HashMap<>();
-        private final List<Process> processes = new ArrayList<>();
+        private final Map<String, SimulatedMember> byAddress = new HashMap<>();
+        private final List<SimulatedMember> processes = new ArrayList<>();
         private long messages;
         private long bytes;
 
@@ -90,7 +90,7 @@
                 seeds.add(address(i));
             }
             for (int i = 0; i < size; i++) {
-                processes.add(new Process(i, seeds));
+                processes.add(new SimulatedMember(i, seeds));
             }
         }
 
@@ -108,31 +108,31 @@
         }
 
         boolean allKnowAll() {
-            long alive = processes.stream().filter(p -> !p.over).count();
-            return processes.stream().filter(p -> !p.over).allMatch(p -> p.live() == alive - 1);
+            long alive = processes.stream().filter(p -> !p.stopped).count();
+            return processes.stream().filter(p -> !p.stopped).allMatch(p -> p.live() == alive - 1);
         }
 
         double runUntilAllKnowAll() {
             long startUs = time.nowUs();
-            while (!allKnowAll() && time.nowUs() - startUs < LONGEST_US) {
+            while (!allKnowAll() && time.nowUs() - startUs < MAX_WAIT_US) {
                 run(SECOND_US / 2);
             }
             return (time.nowUs() - startUs) / (double) SECOND_US;
         }
 
-        double loseSome() {
-            for (int i = 0; i < processes.size() / LOST_PART; i++) {
-                processes.get(processes.size() - 1 - i).over = true;
+        double secondsToDetectLoss() {
+            for (int i = 0; i < processes.size() / LOSS_DIVISOR; i++) {
+                processes.get(processes.size() - 1 - i).stopped = true;
             }
             return runUntilAllKnowAll();
         }
 
-        private final class Process implements Membership.Output {
+        private final class SimulatedMember implements Membership.Output {
             private final Membership rules;
-            private boolean over;
-            private long wakingUs = Long.MAX_VALUE;
+            private boolean stopped;
+            private long timerUs = Long.MAX_VALUE;
 
-            Process(int number, List<String> seeds) {
+            SimulatedMember(int number, List<String> seeds) {
                 String address = address(number);
                 byAddress.put(address, this);
                 rules =
@@ -145,30 +145,30 @@
                                 new Random(random.nextLong()),
                                 time.nowUs(),
                                 this);
-                wake();
+                scheduleTick();
             }
 
             int live() {
                 return (int) rules.others().stream().filter(Member::live).count();
             }
 
-            private void wake() {
+            private void scheduleTick() {
                 long dueUs = Math.max(rules.dueUs(), time.nowUs());
-                if (dueUs < wakingUs) {
-                    wakingUs = dueUs;
-                    time.after(dueUs - time.nowUs(), () -> woken(dueUs));
+                if (dueUs < timerUs) {
+                    timerUs = dueUs;
+                    time.after(dueUs - time.nowUs(), () -> onTimer(dueUs));
                 }
             }
 
-            private void woken(long dueUs) {
-                if (dueUs != wakingUs || over) {
+            private void onTimer(long dueUs) {
+                if (dueUs != timerUs || stopped) {
                     return;
                 }
-                wakingUs = Long.MAX_VALUE;
+                timerUs = Long.MAX_VALUE;
                 if (rules.dueUs() <= time.nowUs()) {
                     rules.tick(time.nowUs());
                 }
-                wake();
+                scheduleTick();
             }
 
             @Override
@@ -176,15 +176,15 @@
                 byte[] frame = MessageCodec.bytes(message);
                 messages++;
                 bytes += frame.length + FRAME_BYTES;
-                Process to = byAddress.get(address);
+                SimulatedMember to = byAddress.get(address);
                 time.after(
-                        LEAST_DELAY_US + random.nextInt(DELAY_SPREAD_US), () -> to.received(frame));
+                        MIN_DELAY_US + random.nextInt(DELAY_SPREAD_US), () -> to.received(frame));
             }
 
             private void received(byte[] frame) {
-                if (!over) {
+                if (!stopped) {
                     rules.received(time.nowUs(), MessageCodec.message(frame));
-                    wake();
+                    scheduleTick();
                 }
             }
 
@@ -195,7 +195,7 @@
 
             @Override
             public void superseded(Member by) {
-                over = true;
+                stopped = true;
             }
         }
     }
--- a/src/main/java/holdproxy/scale/RealSubscribers.java
+++ b/src/main/java/holdproxy/scale/RealSubscribers.java
@@ -10,7 +10,7 @@
 
 /** Real daemons in the role of proxies, which subscribe to the fan-out; they are spread over the zones. */
 final class RealSubscribers implements AutoCloseable {
-    private static final InetSocketAddress NOWHERE = LoopbackNetwork.address(0, 0, 1, 1);
+    private static final InetSocketAddress UNUSED_ADDRESS = LoopbackNetwork.address(0, 0, 1, 1);
     private static final int FIRST_FLEET = 100;
     private static final Pattern IN_FORCE =
             Pattern.compile(
@@ -21,14 +21,14 @@
     /** Starts {@code count} daemons. */
     RealSubscribers(RunContext context, FanoutTopology topology, int count) throws Exception {
         fleet = new DaemonFleet(context, FIRST_FLEET + topology.run());
-        fleet.section(i -> section(topology, i));
-        fleet.start(count, 0, NOWHERE, context);
+        fleet.extraSection(i -> section(topology, i));
+        fleet.start(count, 0, UNUSED_ADDRESS, context);
     }
 
     private static String section(FanoutTopology topology, int number) {
         int zone = number % topology.relays();
         List<String> upstream =
-                topology.ofProxy("daemon-" + number, zone).stream()
+                topology.proxyUpstreams("daemon-" + number, zone).stream()
                         .map(relay -> TomlText.quoted(relay.address()))
                         .toList();
         return "[distribution]\nrole = \"proxy\"\nsite = "
@@ -40,11 +40,11 @@
 
     /** Whether this change is the last in force at each daemon, and none took a change out of order. */
     boolean allAt(long number) {
-        return fleet.daemons().stream().allMatch(daemon -> at(daemon) == number);
+        return fleet.daemons().stream().allMatch(daemon -> numberInForce(daemon) == number);
     }
 
     /** Number of the last change that a daemon logged as in force; -1 if the numbers did not increase. */
-    private static long at(DaemonFleet.Daemon daemon) {
+    private static long numberInForce(DaemonFleet.Daemon daemon) {
         long[] last = {0};
         daemon.lines(
                 line -> {
--- a/src/main/java/holdproxy/scale/RelaysChild.java
+++ b/src/main/java/holdproxy/scale/RelaysChild.java
@@ -25,7 +25,7 @@
     private final List<HollowRelay> relays = new ArrayList<>();
 
     @Override
-    void begin() {
+    void start() {
         TransportContext context = context();
         for (int zone = first; zone < first + count; zone++) {
             relays.add(new HollowRelay(zone, context));
@@ -35,9 +35,9 @@
     @Override
     void handle(String[] words, Map<String, Object> answer) throws Exception {
         if (!words[0].equals("stats")) {
-            throw unknown(words);
+            throw unknownCommand(words);
         }
-        count(answer);
+        putCounters(answer);
         answer.put(
                 "least_number",
                 relays.stream()
@@ -64,7 +64,7 @@
                             new Random(zone));
             server = new RelayServer(context, client.subscriber());
             server.listen(topology().relay(zone));
-            client.candidates(topology().ofRelays());
+            client.candidates(topology().relayUpstreams());
         }
 
         private RelayServer server() {
--- a/src/main/java/holdproxy/scale/ReloadByCount.java
+++ b/src/main/java/holdproxy/scale/ReloadByCount.java
@@ -7,13 +7,13 @@
 
 /** Measures configuration reloads without fan-out, by a whole file and SIGHUP, by the number of reloads. */
 final class ReloadByCount implements Measurement {
-    private static final String FILE = "whole file and SIGHUP, by hand";
-    private static final String TAKEN = "settings taken";
-    private static final InetSocketAddress NOWHERE = LoopbackNetwork.address(0, 0, 1, 1);
+    private static final String MECHANISM = "whole file and SIGHUP, by hand";
+    private static final String SETTINGS_TAKEN = "settings taken";
+    private static final InetSocketAddress UNUSED_ADDRESS = LoopbackNetwork.address(0, 0, 1, 1);
     private static final int FLEET = 1;
 
     /** A daemon's log suppresses lines that repeat more often. */
-    private static final double BETWEEN_S = 0.3;
+    private static final double RELOAD_INTERVAL_S = 0.3;
 
     /** Reloads before the measured ones, for the JIT compiler. */
     private static final int WARM_UP = 60;
@@ -24,13 +24,15 @@
         Series bytes = findings.add(series("files read", "B"));
         Histogram inForce = Latencies.histogram();
         try (DaemonFleet fleet = new DaemonFleet(context, FLEET)) {
-            fleet.start(spec.proxies(), 0, NOWHERE, context);
+            fleet.start(spec.proxies(), 0, UNUSED_ADDRESS, context);
             List<DaemonFleet.Daemon> daemons = fleet.daemons();
             for (int i = 0; i < WARM_UP; i++) {
                 reload(fleet, i, context, Latencies.histogram());
             }
             for (int size : spec.sizes()) {
-                context.say("%s: %d reloads of %d daemons", spec.kind().word, size, daemons.size());
+                context.logProgress(
+                        "%s: %d reloads of %d daemons",
+                        spec.kind().configName, size, daemons.size());
                 double before = daemons.stream().mapToDouble(d -> d.usage().cpuS()).sum();
                 long read = 0;
                 for (int i = 0; i < size; i++) {
@@ -56,7 +58,7 @@
                 quantity,
                 unit,
                 "reloads",
-                FILE,
+                MECHANISM,
                 TargetFleet.CONFIGURATIONS_PER_DAY,
                 Double.NaN);
     }
@@ -66,17 +68,17 @@
             throws Exception {
         long bytes = 0;
         for (DaemonFleet.Daemon daemon : fleet.daemons()) {
-            long taken = daemon.count(line -> line.contains(TAKEN));
+            long taken = daemon.count(line -> line.contains(SETTINGS_TAKEN));
             long startNs = System.nanoTime();
             fleet.write(daemon, 2 + number % 2);
-            daemon.hangUp();
+            daemon.sendHangup();
             context.await(
                     daemon.name + " has applied its settings",
-                    () -> daemon.count(line -> line.contains(TAKEN)) > taken);
+                    () -> daemon.count(line -> line.contains(SETTINGS_TAKEN)) > taken);
             Latencies.record(inForce, (System.nanoTime() - startNs) / 1000);
             bytes += Files.size(daemon.file);
         }
-        RunContext.pause(BETWEEN_S);
+        RunContext.pause(RELOAD_INTERVAL_S);
         return bytes;
     }
 }
--- a/src/main/java/holdproxy/scale/RunContext.java
+++ b/src/main/java/holdproxy/scale/RunContext.java
@@ -11,31 +11,31 @@
  * Environment of a measurement.
  *
  * @param folder for logs and configurations
- * @param keeper ends the processes that were started if this process ends without doing so
+ * @param reaper ends the processes that were started if this process ends without doing so
  * @param progress takes progress lines
  */
-record RunContext(Path folder, Keeper keeper, Consumer<String> progress) {
-    private static final long LOOK_MS = 50;
-    private static final double LONGEST_WAIT_S = 180;
+record RunContext(Path folder, Keeper reaper, Consumer<String> progress) {
+    private static final long POLL_MS = 50;
+    private static final double MAX_WAIT_S = 180;
 
-    void say(String text, Object... values) {
+    void logProgress(String text, Object... values) {
         progress.accept(String.format(Locale.ROOT, text, values));
     }
 
     /** Waits for a condition; returns the seconds waited. {@code what} describes it in the error. */
-    double await(String what, BooleanSupplier so) throws InterruptedException {
+    double await(String what, BooleanSupplier condition) throws InterruptedException {
         long startNs = System.nanoTime();
-        while (!so.getAsBoolean()) {
-            if (secondsSince(startNs) > LONGEST_WAIT_S) {
+        while (!condition.getAsBoolean()) {
+            if (secondsSince(startNs) > MAX_WAIT_S) {
                 throw new IllegalStateException(
                         "timed out after "
-                                + LONGEST_WAIT_S
+                                + MAX_WAIT_S
                                 + " s waiting until "
                                 + what
                                 + "; logs are in "
                                 + folder);
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
         return secondsSince(startNs);
     }
--- a/src/main/java/holdproxy/scale/ScaleCommand.java
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -43,14 +43,15 @@
     }
 
     /** Executes a run; {@code kept} receives the findings so far after each measurement. */
-    static Findings play(ScaleFile file, Path folder, Consumer<Findings> kept) throws Exception {
+    static Findings execute(ScaleFile file, Path folder, Consumer<Findings> onProgress)
+            throws Exception {
         long startNs = System.nanoTime();
         Findings findings = new Findings();
-        try (Keeper keeper = Keeper.start(ProgramLine.of("32m", List.of(), "scale", "keep"))) {
+        try (Keeper reaper = Keeper.start(ProgramLine.of("32m", List.of(), "scale", "keep"))) {
             RunContext context =
                     new RunContext(
                             folder,
-                            keeper,
+                            reaper,
                             text ->
                                     System.err.printf(
                                             Locale.ROOT,
@@ -59,7 +60,7 @@
                                             text));
             for (MeasureSpec each : file.measurements()) {
                 each.kind().measurement.measure(each, context, findings);
-                kept.accept(findings);
+                onProgress.accept(findings);
             }
         }
         return findings;
@@ -100,14 +101,15 @@
                             ? Files.createDirectories(Path.of("scale", "results"))
                                     .resolve(scale.name() + ".json")
                             : out;
-            Findings findings = play(scale, folder, f -> result(scale, began, before, f).write(to));
+            Findings findings =
+                    execute(scale, folder, f -> result(scale, began, before, f).write(to));
             ResultFile result = ResultFile.read(to);
             System.out.print(SlopeTables.of(List.of(result)));
             if (plot != null) {
-                SlopePicture.write(result, plot);
+                SlopePlot.write(result, plot);
             }
             System.out.println("result in " + to + ", logs in " + folder);
-            return findings.kept() ? 0 : 1;
+            return findings.allRulesKept() ? 0 : 1;
         }
 
         private static ResultFile result(
--- a/src/main/java/holdproxy/scale/ScaleFile.java
+++ b/src/main/java/holdproxy/scale/ScaleFile.java
@@ -51,7 +51,7 @@
                 throw new BadInput(
                         where
                                 + "the open-files limit is too low: a process of "
-                                + each.kind().word
+                                + each.kind().configName
                                 + " at "
                                 + each.largest()
                                 + " needs "
@@ -67,7 +67,7 @@
                                 Locale.ROOT,
                                 "%s%s at %d needs about %.1f GB, memory_gb is %.1f",
                                 where,
-                                each.kind().word,
+                                each.kind().configName,
                                 each.largest(),
                                 needGb,
                                 memoryGb));
@@ -78,7 +78,7 @@
                                 Locale.ROOT,
                                 "%s%s at %d needs about %.1f GB, this machine has %.1f GB left",
                                 where,
-                                each.kind().word,
+                                each.kind().configName,
                                 each.largest(),
                                 needGb,
                                 availableGb));
--- a/src/main/java/holdproxy/scale/SlopePicture.java
+++ b/src/main/java/holdproxy/scale/SlopePlot.java
@@ -4,23 +4,22 @@
 import java.nio.file.Path;
 
 /** Plots the series of a run, each in percent of its largest value, with its fitted line. */
-final class SlopePicture {
-    private static final double WHOLE = 100;
+final class SlopePlot {
+    private static final double PERCENT = 100;
 
-    private SlopePicture() {}
+    private SlopePlot() {}
 
     static void write(ResultFile result, Path file) {
         Plot plot = new Plot(result.run(), "n", "% of the series' largest value");
         for (Series series : result.findings().series()) {
-            double most =
-                    series.points().stream().mapToDouble(p -> Math.abs(p.y())).max().orElse(1);
+            double max = series.points().stream().mapToDouble(p -> Math.abs(p.y())).max().orElse(1);
             double[] x = series.points().stream().mapToDouble(Point::x).toArray();
-            double[] y = series.points().stream().mapToDouble(p -> WHOLE * p.y() / most).toArray();
+            double[] y = series.points().stream().mapToDouble(p -> PERCENT * p.y() / max).toArray();
             plot.line(series.role() + ": " + series.quantity() + ", " + series.unit(), x, y);
             Fit fit = series.fit();
             double[] fitted =
                     series.points().stream()
-                            .mapToDouble(p -> WHOLE * fit.at(p.x()) / most)
+                            .mapToDouble(p -> PERCENT * fit.at(p.x()) / max)
                             .toArray();
             plot.line(
                     "line of " + series.role() + ": " + series.quantity() + ", " + series.unit(),
--- a/src/main/java/holdproxy/scale/SlopeTables.java
+++ b/src/main/java/holdproxy/scale/SlopeTables.java
@@ -10,7 +10,7 @@
 
 /** Generates the Markdown tables of {@code docs/CAPACITY.md}; the output depends on the results alone. */
 final class SlopeTables {
-    private static final int LEAST_POINTS = 3;
+    private static final int MIN_FITTED_POINTS = 3;
 
     private static final int FITTED_COLUMNS = 5;
     private static final List<String> SLOPE_COLUMNS =
@@ -66,26 +66,29 @@
         List<String> cells =
                 new ArrayList<>(List.of(s.quantity(), s.unit(), s.variable(), measured(s)));
         Fit fit = s.fit();
-        if (s.points().size() < LEAST_POINTS) {
+        if (s.points().size() < MIN_FITTED_POINTS) {
             cells.addAll(Collections.nCopies(FITTED_COLUMNS, "not fitted"));
         } else {
             double target = fit.at(s.target());
-            cells.add(figure(fit.a()) + " ± " + figure(fit.aError()));
-            cells.add(figure(fit.b()) + " ± " + figure(fit.bError()));
+            cells.add(formatNumber(fit.a()) + " ± " + formatNumber(fit.aError()));
+            cells.add(formatNumber(fit.b()) + " ± " + formatNumber(fit.bError()));
             cells.add(String.format(Locale.ROOT, "%.3f", fit.r2()));
-            cells.add(figure(target) + " ± " + figure(fit.errorAt(s.target())));
-            cells.add(figure(target / s.target()));
+            cells.add(formatNumber(target) + " ± " + formatNumber(fit.errorAt(s.target())));
+            cells.add(formatNumber(target / s.target()));
         }
-        cells.add(figure(s.target()));
-        cells.add(s.largest() >= s.target() ? "no" : figure(s.target() / s.largest()) + " times");
-        cells.add(budget(s, fit, s.points().size() >= LEAST_POINTS));
+        cells.add(formatNumber(s.target()));
+        cells.add(
+                s.largest() >= s.target()
+                        ? "no"
+                        : formatNumber(s.target() / s.largest()) + " times");
+        cells.add(budget(s, fit, s.points().size() >= MIN_FITTED_POINTS));
         cells.add(row.result().run());
         return cells;
     }
 
     private static String measured(Series series) {
         return series.points().stream()
-                .map(point -> figure(point.x()) + ": " + figure(point.y()))
+                .map(point -> formatNumber(point.x()) + ": " + formatNumber(point.y()))
                 .collect(Collectors.joining("; "));
     }
 
@@ -93,7 +96,7 @@
         if (Double.isNaN(s.budget())) {
             return "none stated";
         }
-        String text = figure(s.budget());
+        String text = formatNumber(s.budget());
         return !fitted
                 ? text
                 : fit.at(s.target()) > s.budget() ? "**over** " + text : "within " + text;
@@ -112,9 +115,9 @@
                         text,
                         l.what(),
                         Long.toString(l.values().getTotalCount()),
-                        figure(l.ms(50)),
-                        figure(l.ms(99)),
-                        figure(l.worstMs()),
+                        formatNumber(l.ms(50)),
+                        formatNumber(l.ms(99)),
+                        formatNumber(l.worstMs()),
                         result.run());
             }
         }
@@ -149,7 +152,7 @@
     }
 
     /** Formats a value with three significant digits, or as a whole number from 1,000 on. */
-    static String figure(double value) {
+    static String formatNumber(double value) {
         if (Double.isNaN(value)) {
             return "?";
         }
--- a/src/main/java/holdproxy/scale/StateByNodes.java
+++ b/src/main/java/holdproxy/scale/StateByNodes.java
@@ -18,12 +18,12 @@
 /** Measures the heap of a real proxy by the number of nodes in its list, before it has any connections. */
 final class StateByNodes implements Measurement {
     private static final int PROXIES = 10;
-    private static final InetSocketAddress NOWHERE = LoopbackNetwork.address(0, 0, 1, 1);
+    private static final InetSocketAddress UNUSED_ADDRESS = LoopbackNetwork.address(0, 0, 1, 1);
     private static final InetSocketAddress ANY_PORT = LoopbackNetwork.address(0, 0, 1, 0);
 
     @Override
     public void measure(MeasureSpec spec, RunContext context, Findings findings) throws Exception {
-        Series held =
+        Series heap =
                 findings.add(
                         Series.of(
                                 "proxy",
@@ -46,8 +46,9 @@
                 for (Config each : configs) {
                     proxies.add(start(loop, each));
                 }
-                held.add(size, (Heap.usedBytes() - before) / 1024.0 / PROXIES);
-                context.say("%s: %d proxies of %d nodes", spec.kind().word, proxies.size(), size);
+                heap.add(size, (Heap.usedBytes() - before) / 1024.0 / PROXIES);
+                context.logProgress(
+                        "%s: %d proxies of %d nodes", spec.kind().configName, proxies.size(), size);
                 for (Proxy proxy : proxies) {
                     loop.submit(proxy::end).get();
                 }
@@ -76,7 +77,7 @@
         String json =
                 new ProxyConfig(0, 1, 0, List.of(DiscoveryChild.ZONE), 1, 1, List.of(1.0), 1)
                         .json("proxy", 1, known, ProxyConfig.ATTEMPTS);
-        return Config.of("proxy", ANY_PORT, NOWHERE, json);
+        return Config.of("proxy", ANY_PORT, UNUSED_ADDRESS, json);
     }
 
     private static Proxy start(EventLoop loop, Config config) throws Exception {
--- a/src/main/java/holdproxy/scale/SubscribersChild.java
+++ b/src/main/java/holdproxy/scale/SubscribersChild.java
@@ -28,7 +28,7 @@
  */
 @Command(name = "subscribers", hidden = true)
 final class SubscribersChild extends FanoutChild {
-    private static final long US = 1_000_000;
+    private static final long US_PER_S = 1_000_000;
 
     @Option(names = "--first", required = true)
     private int first;
@@ -39,23 +39,23 @@
     @Option(names = "--start-over-s", defaultValue = "0")
     private double startOverS;
 
-    private final List<HollowProxy> hollow = new ArrayList<>();
+    private final List<HollowProxy> proxies = new ArrayList<>();
     private TransportContext context;
-    private Histogram inForce = Latencies.histogram();
+    private Histogram latencies = Latencies.histogram();
     private long disorders;
     private long endedMoves;
 
     @Override
-    void begin() {
+    void start() {
         context = context();
         for (int i = 0; i < count; i++) {
-            hollow.add(new HollowProxy(first + i));
+            proxies.add(new HollowProxy(first + i));
         }
-        hollow.forEach(
+        proxies.forEach(
                 each ->
                         loop.schedule(
                                 each::start,
-                                (long) ((each.number - first) * startOverS * US / count),
+                                (long) ((each.number - first) * startOverS * US_PER_S / count),
                                 TimeUnit.MICROSECONDS));
     }
 
@@ -64,31 +64,31 @@
         switch (words[0]) {
             case "stats" -> stats(answer);
             case "latencies" -> {
-                answer.put("histogram", Latencies.encoded(inForce));
-                inForce = Latencies.histogram();
+                answer.put("histogram", Latencies.encoded(latencies));
+                latencies = Latencies.histogram();
             }
             case "restart" -> {
                 int from = Integer.parseInt(words[1]);
                 int to = Integer.parseInt(words[2]);
-                for (int i = 0; i < hollow.size(); i++) {
-                    HollowProxy each = hollow.get(i);
+                for (int i = 0; i < proxies.size(); i++) {
+                    HollowProxy each = proxies.get(i);
                     if (each.number >= from && each.number < to) {
-                        hollow.set(i, each.restarted());
+                        proxies.set(i, each.restart());
                     }
                 }
             }
-            default -> throw unknown(words);
+            default -> throw unknownCommand(words);
         }
     }
 
     private void stats(Map<String, Object> answer) {
-        count(answer);
+        putCounters(answer);
         answer.put(
                 "least_number",
-                hollow.stream().mapToLong(p -> p.inForce().number()).min().orElse(0));
+                proxies.stream().mapToLong(p -> p.positionInForce().number()).min().orElse(0));
         answer.put(
                 "most_number",
-                hollow.stream().mapToLong(p -> p.inForce().number()).max().orElse(0));
+                proxies.stream().mapToLong(p -> p.positionInForce().number()).max().orElse(0));
         answer.put("disorders", disorders);
         answer.put("moves", endedMoves + sum(SubscriberStatus::moves));
         answer.put("snapshots", sum(SubscriberStatus::snapshots));
@@ -97,7 +97,7 @@
     }
 
     private long sum(ToLongFunction<SubscriberStatus> figure) {
-        return hollow.stream().mapToLong(p -> figure.applyAsLong(p.status())).sum();
+        return proxies.stream().mapToLong(p -> figure.applyAsLong(p.status())).sum();
     }
 
     private final class HollowProxy implements Subscriber.Consumer {
@@ -119,11 +119,11 @@
 
         void start() {
             FanoutTopology topology = topology();
-            client.candidates(topology.ofProxy("proxy-" + number, topology.zone(number)));
+            client.candidates(topology.proxyUpstreams("proxy-" + number, topology.zone(number)));
         }
 
         /** Simulates a restart of the proxy's process, without stored state. */
-        HollowProxy restarted() {
+        HollowProxy restart() {
             endedMoves += status().moves();
             client.close();
             HollowProxy next = new HollowProxy(number);
@@ -131,7 +131,7 @@
             return next;
         }
 
-        Position inForce() {
+        Position positionInForce() {
             return check.last();
         }
 
@@ -147,13 +147,13 @@
                 List<Change> changes) {
             long unixUs = CommitStamp.unixUs();
             long before = check.last().number();
-            if (!check.follows(position, changes)) {
+            if (!check.accept(position, changes)) {
                 disorders++;
             }
             if (changes.isEmpty()) {
-                inForceSince(before, state, unixUs);
+                recordLatencies(before, state, unixUs);
             } else {
-                changes.forEach(change -> inForceSince(before, change.puts(), unixUs));
+                changes.forEach(change -> recordLatencies(before, change.puts(), unixUs));
             }
             return Optional.empty();
         }
@@ -161,13 +161,13 @@
         /**
          * Records latencies, but not of the first state after a start, which may be older than the process.
          */
-        private void inForceSince(long before, SortedMap<String, Value> values, long unixUs) {
+        private void recordLatencies(long before, SortedMap<String, Value> values, long unixUs) {
             values.forEach(
                     (key, value) -> {
-                        if (before > 0 && CommitStamp.isOne(key)) {
+                        if (before > 0 && CommitStamp.isStampKey(key)) {
                             CommitStamp stamp = CommitStamp.of(value);
                             if (stamp.number() > before) {
-                                Latencies.record(inForce, unixUs - stamp.committedUnixUs());
+                                Latencies.record(latencies, unixUs - stamp.committedUnixUs());
                             }
                         }
                     });
--- a/src/main/java/holdproxy/scale/WatchesChild.java
+++ b/src/main/java/holdproxy/scale/WatchesChild.java
@@ -21,9 +21,9 @@
 @Command(name = "watches", hidden = true)
 final class WatchesChild extends ChildCommand {
     /** Stands in for the delay of the decision module, which depends on the number of proxies. */
-    private static final long MOST_PAUSE_US = 2_000_000;
+    private static final long MAX_RETRY_DELAY_US = 2_000_000;
 
-    private static final long US = 1_000_000;
+    private static final long US_PER_S = 1_000_000;
 
     @Option(names = "--discovery", required = true, converter = AddressConverter.class)
     private InetSocketAddress discovery;
@@ -39,7 +39,7 @@
 
     private final List<HollowWatch> watches = new ArrayList<>();
     private final Random random = new Random(1);
-    private Histogram inForce = Latencies.histogram();
+    private Histogram latencies = Latencies.histogram();
     private LoopbackNetwork network;
     private Config config;
     private long lists;
@@ -48,7 +48,7 @@
     private long disorders;
 
     @Override
-    void begin() {
+    void start() {
         network = new LoopbackNetwork(loop, local);
         config =
                 Config.of(
@@ -73,26 +73,28 @@
             HollowWatch watch = new HollowWatch();
             watches.add(watch);
             loop.schedule(
-                    watch.watch::open, (long) (i * startOverS * US / count), TimeUnit.MICROSECONDS);
+                    watch.watch::open,
+                    (long) (i * startOverS * US_PER_S / count),
+                    TimeUnit.MICROSECONDS);
         }
     }
 
     private static long unixUs() {
         Instant now = Instant.now();
-        return now.getEpochSecond() * US + now.getNano() / 1000;
+        return now.getEpochSecond() * US_PER_S + now.getNano() / 1000;
     }
 
     private final class HollowWatch implements DiscoveryWatch.Listener {
         private final DiscoveryWatch watch;
         private long version;
-        private boolean over;
+        private boolean closed;
 
         HollowWatch() {
             watch = new DiscoveryWatch(config, network, WatchesChild::unixUs, line -> {}, this);
         }
 
         private void end() {
-            over = true;
+            closed = true;
             watch.close();
         }
 
@@ -105,17 +107,18 @@
             }
             version = now;
             if (lastStartedUnixUs > 0) {
-                Latencies.record(inForce, unixUs() - lastStartedUnixUs);
+                Latencies.record(latencies, unixUs() - lastStartedUnixUs);
             }
         }
 
         @Override
         public void failed() {
-            if (over) {
+            if (closed) {
                 return;
             }
             failures++;
-            loop.schedule(watch::open, random.nextInt((int) MOST_PAUSE_US), TimeUnit.MICROSECONDS);
+            loop.schedule(
+                    watch::open, random.nextInt((int) MAX_RETRY_DELAY_US), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -123,8 +126,8 @@
     void handle(String[] words, Map<String, Object> answer) throws Exception {
         switch (words[0]) {
             case "latencies" -> {
-                answer.put("histogram", Latencies.encoded(inForce));
-                inForce = Latencies.histogram();
+                answer.put("histogram", Latencies.encoded(latencies));
+                latencies = Latencies.histogram();
             }
             case "again" -> {
                 watches.forEach(HollowWatch::end);
@@ -144,7 +147,7 @@
                 answer.put("read", network.readBytes());
                 answer.put("written", network.writtenBytes());
             }
-            default -> throw unknown(words);
+            default -> throw unknownCommand(words);
         }
     }
 }
--- a/src/test/java/holdproxy/scale/ScaleFileTest.java
+++ b/src/test/java/holdproxy/scale/ScaleFileTest.java
@@ -37,13 +37,13 @@
                         + "size = 2|run.toml line 4: size is unknown",
                 "memory_gb = 'x'|run.toml line 1: memory_gb"
             })
-    void mistakesAreNamedWithTheirLine(String text, String begins) {
+    void errorsNameTheLine(String text, String begins) {
         String message = error(text.replace("\\n", "\n").replace('\'', '"'));
         assertEquals(begins, message.substring(0, Math.min(begins.length(), message.length())));
     }
 
     @Test
-    void aMachineThatCannotBearARunIsToldWhatIsTooLow() {
+    void runsThatExceedTheMachineAreRefused() {
         ScaleFile file = ScaleFile.read("run.toml", RUN);
         file.check(20_000, 16);
         assertEquals(
--- a/src/test/java/holdproxy/scale/ScaleRunTest.java
+++ b/src/test/java/holdproxy/scale/ScaleRunTest.java
@@ -16,7 +16,7 @@
     void everyProxyFollowsAllChangesWhileARelayIsKilled() throws Exception {
         ScaleFile file = ScaleFile.read(Path.of("scale/small.toml"));
         file.check(Machine.openFiles(), Machine.availableGb());
-        Findings findings = ScaleCommand.play(file, folder, kept -> {});
+        Findings findings = ScaleCommand.execute(file, folder, kept -> {});
         assertEquals(
                 List.of(),
                 findings.verdicts().stream().filter(verdict -> !verdict.kept()).toList());
--- a/src/test/java/holdproxy/scale/SlopesTest.java
+++ b/src/test/java/holdproxy/scale/SlopesTest.java
@@ -29,7 +29,7 @@
     @TempDir Path folder;
 
     @Test
-    void aLineIsFoundWithItsErrors() {
+    void lineFitHasSlopeAndErrors() {
         Fit exact = Fit.of(List.of(new Point(1, 5), new Point(2, 7), new Point(4, 11)));
         assertEquals(3, exact.a(), 1e-9);
         assertEquals(2, exact.b(), 1e-9);
@@ -50,14 +50,14 @@
     }
 
     @Test
-    void aResultIsReadAsItWasWritten() throws IOException {
+    void resultFileIsReadAsWritten() throws IOException {
         Findings findings = new Findings();
         findings.add(Series.of("proxy", "idle", "B/s", "proxies", "watch", 13_000, Double.NaN))
                 .add(2, 3.5);
         Latencies times = Latencies.of("commit to in force");
         Latencies.record(times.values(), 1_500);
         findings.latencies().add(times);
-        findings.judge("all hold it", false, "one does not");
+        findings.addVerdict("all hold it", false, "one does not");
         Path file = folder.resolve("run.json");
         ResultFile written = new ResultFile("run", "2026-12-02T05:00:00Z", "8 cores", findings);
         written.write(file);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void thePageOfCapacityHasTheTablesOfTheResultsThatAreKept() throws IOException {
+    void capacityPageHasTheTablesOfTheStoredResults() throws IOException {
         List<ResultFile> results;
         try (Stream<Path> files = Files.list(Path.of("scale/results"))) {
             results = files.sorted().map(ResultFile::read).toList();
@@ -88,15 +88,15 @@
     }
 
     @Test
-    void whatIsSkippedRepeatedOrOldIsFound() {
+    void deliveryCheckFindsSkippedRepeatedAndOldChanges() {
         DeliveryCheck check = new DeliveryCheck();
-        assertTrue(check.follows(new Position(1, 25), List.of()), "a first snapshot");
-        assertTrue(check.follows(new Position(1, 27), List.of(change(26), change(27))));
-        assertFalse(check.follows(new Position(1, 29), List.of(change(29))), "28 is skipped");
-        assertFalse(check.follows(new Position(1, 29), List.of(change(29))), "29 comes twice");
-        assertFalse(check.follows(new Position(1, 28), List.of()), "an older snapshot");
-        assertFalse(check.follows(new Position(1, 31), List.of(change(30), change(29))));
-        assertFalse(check.follows(new Position(1, 40), List.of(change(32))), "not what it says");
-        assertTrue(check.follows(new Position(2, 3), List.of()), "a newer epoch");
+        assertTrue(check.accept(new Position(1, 25), List.of()), "a first snapshot");
+        assertTrue(check.accept(new Position(1, 27), List.of(change(26), change(27))));
+        assertFalse(check.accept(new Position(1, 29), List.of(change(29))), "28 is skipped");
+        assertFalse(check.accept(new Position(1, 29), List.of(change(29))), "29 comes twice");
+        assertFalse(check.accept(new Position(1, 28), List.of()), "an older snapshot");
+        assertFalse(check.accept(new Position(1, 31), List.of(change(30), change(29))));
+        assertFalse(check.accept(new Position(1, 40), List.of(change(32))), "not what it says");
+        assertTrue(check.accept(new Position(2, 3), List.of()), "a newer epoch");
     }
 }
