--- a/src/main/java/holdproxy/scale/DecisionByNodes.java
+++ b/src/main/java/holdproxy/scale/DecisionByNodes.java
@@ -17,7 +17,7 @@
     private static final double REQUESTS_PER_S = TargetFleet.REQUESTS_PER_S / TargetFleet.PROXIES;
     private static final long RESPONSE_US = 5_000;
     private static final long MS = 1_000;
-    private static final int COPIES = 20;
+    private static final int HELD = 20;
 
     @Override
     public void measure(MeasureSpec spec, RunContext context, Findings findings) {
@@ -32,10 +32,10 @@
             load.runRequests(REQUESTS);
             requestCpu.add(size, (CpuClock.ns() - startNs) / 1e3 / REQUESTS);
             startNs = CpuClock.ns();
-            for (int i = 0; i < COPIES; i++) {
+            for (int i = 0; i < HELD; i++) {
                 load.sendList();
             }
-            listCpu.add(size, (CpuClock.ns() - startNs) / 1e3 / COPIES);
+            listCpu.add(size, (CpuClock.ns() - startNs) / 1e3 / HELD);
             heap.add(size, heapKb(size));
         }
     }
@@ -47,12 +47,12 @@
 
     private static double heapKb(int size) {
         long before = Heap.usedBytes();
-        Workload[] loads = new Workload[COPIES];
-        for (int i = 0; i < COPIES; i++) {
+        Workload[] loads = new Workload[HELD];
+        for (int i = 0; i < HELD; i++) {
             loads[i] = new Workload(size);
         }
-        double held = (Heap.usedBytes() - before) / 1024.0 / COPIES;
-        return loads[COPIES - 1] == null ? 0 : held;
+        double held = (Heap.usedBytes() - before) / 1024.0 / HELD;
+        return loads[HELD - 1] == null ? 0 : held;
     }
 
     private static Router.Settings settings() {
--- a/src/main/java/holdproxy/scale/HollowFanout.java
+++ b/src/main/java/holdproxy/scale/HollowFanout.java
@@ -11,7 +11,7 @@
 
 /**
  * A control machine, a relay for each zone, and the hollow proxies that subscribe to the relays. The first
- * zone's relay and the last {@link #SLOW} proxies have processes of their own, which can be killed or
+ * zone's relay and the last {@link #SLOW_PROXIES} proxies have processes of their own, which can be killed or
  * stopped.
  */
 final class HollowFanout implements AutoCloseable {
@@ -125,8 +125,8 @@
     /**
      * Counters summed over hollow proxies.
      *
-     * @param least lowest number of the last change in force at a proxy
-     * @param most highest number of the last change in force at a proxy
+     * @param leastNumber lowest number of the last change in force at a proxy
+     * @param mostNumber highest number of the last change in force at a proxy
      * @param received bytes of the fan-out protocol
      * @param sent bytes of the fan-out protocol
      */
--- a/src/main/java/holdproxy/scale/ReloadByCount.java
+++ b/src/main/java/holdproxy/scale/ReloadByCount.java
@@ -8,7 +8,7 @@
 /** Measures configuration reloads without fan-out, by a whole file and SIGHUP, by the number of reloads. */
 final class ReloadByCount implements Measurement {
     private static final String MECHANISM = "whole file and SIGHUP, by hand";
-    private static final String SETTINGS_TAKEN = "settings taken";
+    private static final String TAKEN = "settings taken";
     private static final InetSocketAddress UNUSED_ADDRESS = LoopbackNetwork.address(0, 0, 1, 1);
     private static final int FLEET = 1;
 
@@ -68,13 +68,13 @@
             throws Exception {
         long bytes = 0;
         for (DaemonFleet.Daemon daemon : fleet.daemons()) {
-            long taken = daemon.count(line -> line.contains(SETTINGS_TAKEN));
+            long taken = daemon.count(line -> line.contains(TAKEN));
             long startNs = System.nanoTime();
             fleet.write(daemon, 2 + number % 2);
             daemon.sendHangup();
             context.await(
                     daemon.name + " has applied its settings",
-                    () -> daemon.count(line -> line.contains(SETTINGS_TAKEN)) > taken);
+                    () -> daemon.count(line -> line.contains(TAKEN)) > taken);
             Latencies.record(inForce, (System.nanoTime() - startNs) / 1000);
             bytes += Files.size(daemon.file);
         }
--- a/src/main/java/holdproxy/scale/ScaleCommand.java
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -42,7 +42,7 @@
         return Commands.run(new ScaleCommand(), args);
     }
 
-    /** Executes a run; {@code kept} receives the findings so far after each measurement. */
+    /** Executes a run; {@code onProgress} receives the findings so far after each measurement. */
     static Findings execute(ScaleFile file, Path folder, Consumer<Findings> onProgress)
             throws Exception {
         long startNs = System.nanoTime();
--- a/src/main/java/holdproxy/scale/SubscribersChild.java
+++ b/src/main/java/holdproxy/scale/SubscribersChild.java
@@ -41,7 +41,7 @@
 
     private final List<HollowProxy> proxies = new ArrayList<>();
     private TransportContext context;
-    private Histogram latencies = Latencies.histogram();
+    private Histogram inForce = Latencies.histogram();
     private long disorders;
     private long endedMoves;
 
@@ -64,8 +64,8 @@
         switch (words[0]) {
             case "stats" -> stats(answer);
             case "latencies" -> {
-                answer.put("histogram", Latencies.encoded(latencies));
-                latencies = Latencies.histogram();
+                answer.put("histogram", Latencies.encoded(inForce));
+                inForce = Latencies.histogram();
             }
             case "restart" -> {
                 int from = Integer.parseInt(words[1]);
@@ -85,10 +85,10 @@
         putCounters(answer);
         answer.put(
                 "least_number",
-                proxies.stream().mapToLong(p -> p.positionInForce().number()).min().orElse(0));
+                proxies.stream().mapToLong(p -> p.inForce().number()).min().orElse(0));
         answer.put(
                 "most_number",
-                proxies.stream().mapToLong(p -> p.positionInForce().number()).max().orElse(0));
+                proxies.stream().mapToLong(p -> p.inForce().number()).max().orElse(0));
         answer.put("disorders", disorders);
         answer.put("moves", endedMoves + sum(SubscriberStatus::moves));
         answer.put("snapshots", sum(SubscriberStatus::snapshots));
@@ -131,7 +131,7 @@
             return next;
         }
 
-        Position positionInForce() {
+        Position inForce() {
             return check.last();
         }
 
@@ -167,7 +167,7 @@
                         if (before > 0 && CommitStamp.isStampKey(key)) {
                             CommitStamp stamp = CommitStamp.of(value);
                             if (stamp.number() > before) {
-                                Latencies.record(latencies, unixUs - stamp.committedUnixUs());
+                                Latencies.record(inForce, unixUs - stamp.committedUnixUs());
                             }
                         }
                     });
--- a/src/main/java/holdproxy/scale/WatchesChild.java
+++ b/src/main/java/holdproxy/scale/WatchesChild.java
@@ -39,7 +39,7 @@
 
     private final List<HollowWatch> watches = new ArrayList<>();
     private final Random random = new Random(1);
-    private Histogram latencies = Latencies.histogram();
+    private Histogram inForce = Latencies.histogram();
     private LoopbackNetwork network;
     private Config config;
     private long lists;
@@ -107,7 +107,7 @@
             }
             version = now;
             if (lastStartedUnixUs > 0) {
-                Latencies.record(latencies, unixUs() - lastStartedUnixUs);
+                Latencies.record(inForce, unixUs() - lastStartedUnixUs);
             }
         }
 
@@ -126,8 +126,8 @@
     void handle(String[] words, Map<String, Object> answer) throws Exception {
         switch (words[0]) {
             case "latencies" -> {
-                answer.put("histogram", Latencies.encoded(latencies));
-                latencies = Latencies.histogram();
+                answer.put("histogram", Latencies.encoded(inForce));
+                inForce = Latencies.histogram();
             }
             case "again" -> {
                 watches.forEach(HollowWatch::end);
