--- a/src/main/java/holdproxy/scale/AskersChild.java
+++ b/src/main/java/holdproxy/scale/AskersChild.java
@@ -19,23 +19,23 @@
 import picocli.CommandLine.Option;
 
 /**
- * Hollow askers: each runs the real lease client and the part of the consensus group that asks its voters, on
- * connections of its own, and is no member. Commands: stats.
+ * Child process with many simulated lease clients ("askers"). Each runs the real lease client and a
+ * non-voting instance of the consensus group on connections of its own. Commands: stats.
  */
 @Command(name = "askers", hidden = true)
 final class AskersChild extends ChildCommand {
-    /** As every daemon asks for. */
+    /** The lease that every daemon requests. */
     private static final String ROLE = "planner";
 
     private static final int LEASE_MS = 3_000;
 
-    /** The first byte of a frame for the consensus group, as the daemon writes it. */
-    private static final byte OF_GROUP = 0;
+    /** First byte of a consensus frame, as in the daemon's format. */
+    private static final byte CONSENSUS_FRAME = 0;
 
     @Option(names = "--count", required = true)
     private int count;
 
-    /** Where the first of them listens; the others do at the addresses after it. */
+    /** Selects the range of listen addresses, see {@link #address}. */
     @Option(names = "--fleet", required = true)
     private int fleet;
 
@@ -44,9 +44,9 @@
 
     private final List<Asker> askers = new ArrayList<>();
     private long startNs;
-    private long refused;
+    private long rejectedFrames;
 
-    /** Where an asker is reached. */
+    /** Listen address of an asker. */
     static InetSocketAddress address(int fleet, int asker) {
         return LoopbackNetwork.address(
                 5 + fleet, asker / 250, asker % 250 + 1, Port.ASKERS.number());
@@ -57,7 +57,7 @@
     }
 
     @Override
-    void begin() {
+    void start() {
         startNs = System.nanoTime();
         Map<String, InetSocketAddress> routes = new HashMap<>();
         List<String> names = new ArrayList<>();
@@ -73,18 +73,18 @@
     @Override
     void handle(String[] words, Map<String, Object> answer) throws Exception {
         if (!words[0].equals("stats")) {
-            throw unknown(words);
+            throw unknownCommand(words);
         }
         answer.put("frames", askers.stream().mapToLong(a -> a.links.sentFrames()).sum());
         answer.put("bytes", askers.stream().mapToLong(a -> a.links.sentBytes()).sum());
-        answer.put("holding", askers.stream().filter(a -> a.holds).count());
-        answer.put("unread", refused);
+        answer.put("holding", askers.stream().filter(a -> a.holdsLease).count());
+        answer.put("unread", rejectedFrames);
     }
 
     private final class Asker implements RaftGroup.Host, LeaseClient.Host {
         private final Links links;
         private final RaftGroup group;
-        private boolean holds;
+        private boolean holdsLease;
 
         Asker(int number, List<String> names, Map<String, InetSocketAddress> routes) {
             links = new Links(loop, routes, text -> Config.address(text, "an address"), line -> {});
@@ -94,7 +94,7 @@
             group = new RaftGroup(name(number), names, this, new Random(number), table);
             LeaseClient client =
                     new LeaseClient(name(number), 1, group, table, this, new Random(number));
-            // spread, as processes start
+            // spread over one lease period, as separate processes start at different times
             loop.schedule(
                     () -> client.want(ROLE, LEASE_MS),
                     (long) number * LEASE_MS / Math.max(1, count),
@@ -102,13 +102,13 @@
         }
 
         private void received(byte[] frame) {
-            if (frame.length > 0 && frame[0] == OF_GROUP) {
+            if (frame.length > 0 && frame[0] == CONSENSUS_FRAME) {
                 byte[] rest = new byte[frame.length - 1];
                 System.arraycopy(frame, 1, rest, 0, rest.length);
                 try {
                     group.received(rest);
                 } catch (BadInput e) {
-                    refused++;
+                    rejectedFrames++;
                 }
             }
         }
@@ -129,37 +129,37 @@
                     to,
                     "",
                     MembershipService.CONSENSUS,
-                    ByteBuffer.allocate(1 + frame.length).put(OF_GROUP).put(frame).array());
+                    ByteBuffer.allocate(1 + frame.length).put(CONSENSUS_FRAME).put(frame).array());
         }
 
         @Override
         public void leads(boolean now) {
-            // it has no vote
+            // cannot happen: it has no vote
         }
 
         @Override
         public void failed(RuntimeException failure) {
-            // it has no part of the library that could
+            // cannot happen: without a vote it runs no Raft library code
         }
 
         @Override
         public void out(String why) {
-            // it has no vote
+            // cannot happen: it has no vote
         }
 
         @Override
         public void notifyFree(String to, String duty, long token) {
-            // only a voter's lease client tells others
+            // only a voter's lease client notifies others
         }
 
         @Override
         public void granted(String duty, long token) {
-            holds = true;
+            holdsLease = true;
         }
 
         @Override
         public void ended(String duty, long token, String why) {
-            holds = false;
+            holdsLease = false;
         }
     }
 }
--- a/src/main/java/holdproxy/scale/DiscoveryChild.java
+++ b/src/main/java/holdproxy/scale/DiscoveryChild.java
@@ -28,8 +28,8 @@
     private long version;
 
     @Override
-    void begin() {
-        // nobody is put down as told: the record of thousands of watches would be what grows
+    void start() {
+        // deliveries are not recorded: with thousands of watches the record would keep growing
         discovery =
                 new DiscoveryService(
                         new LoopTimeline(loop),
@@ -61,7 +61,7 @@
             case "down" -> discovery.down(true);
             case "up" -> discovery.down(false);
             case "stats" -> {}
-            default -> throw unknown(words);
+            default -> throw unknownCommand(words);
         }
         answer.put("version", version);
         answer.put("connections", network.accepted());
--- a/src/main/java/holdproxy/scale/FanoutChild.java
+++ b/src/main/java/holdproxy/scale/FanoutChild.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import picocli.CommandLine.Option;
 
-/** What the processes of a run of the fan-out have in common. */
+/** Base of the child processes of a fan-out measurement. */
 abstract class FanoutChild extends ChildCommand {
     @Option(names = "--run", required = true)
     private int run;
@@ -32,7 +32,7 @@
                 line -> {});
     }
 
-    final void count(Map<String, Object> answer) {
+    final void putCounters(Map<String, Object> answer) {
         TransportCounters.Snapshot now = counters.snapshot();
         answer.put("received", now.bytesReceived());
         answer.put("sent", now.bytesSent());
--- a/src/main/java/holdproxy/scale/FanoutFault.java
+++ b/src/main/java/holdproxy/scale/FanoutFault.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What is done to the fan-out while changes go on. */
+/** Faults that are injected into the fan-out while changes are committed. */
 enum FanoutFault {
     RELAY_KILLED("relay-killed", "a relay killed"),
     RELAY_STOPPED("relay-stopped", "a relay stopped for 10 s"),
@@ -12,24 +12,30 @@
     ZONE_RESTARTED("zone-restarted", "a zone's proxies restarted"),
     ALL_RESTARTED("all-restarted", "all proxies started at once");
 
-    static final List<String> WORDS = Arrays.stream(values()).map(fault -> fault.word).toList();
+    static final List<String> NAMES =
+            Arrays.stream(values()).map(fault -> fault.configName).toList();
 
-    /** As in a file. */
-    final String word;
+    /** Name in a run's TOML file. */
+    final String configName;
 
-    /** For the record. */
+    /** Text in the result. */
     final String description;
 
     FanoutFault(String word, String description) {
-        this.word = word;
+        this.configName = word;
         this.description = description;
     }
 
     static FanoutFault named(String word) {
         return Arrays.stream(values())
-                .filter(fault -> fault.word.equals(word))
+                .filter(fault -> fault.configName.equals(word))
                 .findFirst()
                 .orElseThrow(
-                        () -> new BadInput("no fault is called " + word + "; known are " + WORDS));
+                        () ->
+                                new BadInput(
+                                        "no fault is called "
+                                                + word
+                                                + "; the known ones are "
+                                                + NAMES));
     }
 }
--- a/src/main/java/holdproxy/scale/FanoutFaults.java
+++ b/src/main/java/holdproxy/scale/FanoutFaults.java
@@ -3,10 +3,12 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Faults of the fan-out while changes go on, one after another; each is over before the next. */
+/**
+ * Injects faults into the fan-out one after another while changes are committed; each ends before the next.
+ */
 final class FanoutFaults {
-    private static final double BETWEEN_CHANGES_S = 0.5;
-    private static final double BEFORE_S = 2;
+    private static final double CHANGE_INTERVAL_S = 0.5;
+    private static final double BEFORE_FAULT_S = 2;
     private static final double STOPPED_S = 10;
 
     private final MeasureSpec spec;
@@ -14,7 +16,7 @@
     private final Findings findings;
     private final HollowFanout fanout;
     private final int size;
-    private ChildProcess stopped;
+    private ChildProcess stoppedProcess;
 
     FanoutFaults(MeasureSpec spec, RunContext context, Findings findings, HollowFanout fanout) {
         this.spec = spec;
@@ -24,20 +26,20 @@
         size = fanout.topology.proxies();
     }
 
-    void cause() throws Exception {
+    void injectAll() throws Exception {
         for (FanoutFault fault : spec.faults()) {
             switch (fault) {
                 case RELAY_KILLED -> killRelay();
-                case RELAY_STOPPED -> phase(fault, () -> stop(fanout.firstRelay()), STOPPED_S);
-                case SLOW_READER -> phase(fault, () -> stop(fanout.slow()), STOPPED_S);
-                case ZONE_RESTARTED -> phase(fault, this::restartZone, spec.seconds());
-                default -> phase(fault, () -> fanout.restart(0, size), spec.seconds());
+                case RELAY_STOPPED -> runPhase(fault, () -> stop(fanout.firstRelay()), STOPPED_S);
+                case SLOW_READER -> runPhase(fault, () -> stop(fanout.slow()), STOPPED_S);
+                case ZONE_RESTARTED -> runPhase(fault, this::restartZone, spec.seconds());
+                default -> runPhase(fault, () -> fanout.restart(0, size), spec.seconds());
             }
         }
     }
 
     private void killRelay() throws Exception {
-        phase(FanoutFault.RELAY_KILLED, () -> fanout.firstRelay().kill(), spec.seconds());
+        runPhase(FanoutFault.RELAY_KILLED, () -> fanout.firstRelay().kill(), spec.seconds());
         fanout.startFirstRelay();
     }
 
@@ -45,49 +47,52 @@
         void run() throws Exception;
     }
 
-    /** Changes before, while and after; what is stopped goes on when the time is over. */
-    private void phase(FanoutFault fault, Action action, double seconds) throws Exception {
+    /** Commits changes before, during and after a fault; a stopped process is resumed at its end. */
+    private void runPhase(FanoutFault fault, Action action, double seconds) throws Exception {
         String name = fault.description;
-        context.say("%d proxies: %s", size, name);
+        context.logProgress("%d proxies: %s", size, name);
         fanout.latencies(fanout.proxies());
-        commit(BEFORE_S);
+        commitFor(BEFORE_FAULT_S);
         long startNs = System.nanoTime();
         action.run();
-        commit(seconds);
+        commitFor(seconds);
         boolean slow = fault == FanoutFault.SLOW_READER;
         if (slow) {
-            slowReader(startNs);
+            measureOthers(startNs);
         }
         resume();
         long number = fanout.commit();
         double backS =
                 context.await("all hold the last change after " + name, () -> fanout.allAt(number));
-        context.say("all hold the last change %.2f s after the end of: %s", backS, name);
-        FanoutByProxies.add(
+        context.logProgress("all hold the last change %.2f s after the end of: %s", backS, name);
+        FanoutByProxies.addLatencies(
                 findings,
                 "with " + name,
                 size,
                 fanout.latencies(slow ? List.of(fanout.slow()) : fanout.proxies()));
-        FanoutByProxies.judge(findings, "with " + name, size, number, fanout);
+        FanoutByProxies.checkDelivery(findings, "with " + name, size, number, fanout);
     }
 
-    /** The others are not delayed by those that take nothing. */
-    private void slowReader(long startNs) throws InterruptedException {
+    /** Measures that the other proxies are not delayed by those that read nothing. */
+    private void measureOthers(long startNs) throws InterruptedException {
         long number = fanout.commit();
         double seconds =
-                context.await("all others hold the last change", () -> fanout.manyAt(number));
-        context.say(
-                "others hold it %.2f s later, %.1f s after the stop",
+                context.await("all others hold the last change", () -> fanout.othersAt(number));
+        context.logProgress(
+                "the others hold it %.2f s after the commit, %.1f s after the stop",
                 seconds, RunContext.secondsSince(startNs));
-        FanoutByProxies.add(
-                findings, "others beside a slow reader", size, fanout.latencies(fanout.many()));
+        FanoutByProxies.addLatencies(
+                findings,
+                "others beside a slow reader",
+                size,
+                fanout.latencies(fanout.otherProxies()));
     }
 
-    private void commit(double seconds) throws InterruptedException {
+    private void commitFor(double seconds) throws InterruptedException {
         long startNs = System.nanoTime();
         do {
             fanout.commit();
-            RunContext.pause(BETWEEN_CHANGES_S);
+            RunContext.pause(CHANGE_INTERVAL_S);
         } while (RunContext.secondsSince(startNs) < seconds);
     }
 
@@ -96,22 +101,22 @@
     }
 
     private void stop(ChildProcess child) throws Exception {
-        stopped = child;
+        stoppedProcess = child;
         signal(child, "STOP");
     }
 
     private void resume() throws Exception {
-        if (stopped != null) {
-            signal(stopped, "CONT");
-            stopped = null;
+        if (stoppedProcess != null) {
+            signal(stoppedProcess, "CONT");
+            stoppedProcess = null;
         }
     }
 
-    /** Java has no way to send these. */
+    /** Sends a signal with the program {@code kill}; Java has no API for SIGSTOP and SIGCONT. */
     private static void signal(ChildProcess child, String signal) throws Exception {
         Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(child.pid())).start();
         if (!kill.waitFor(10, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("the program kill does not end");
+            throw new IllegalStateException("the program kill did not exit within 10 s");
         }
     }
 }
--- a/src/main/java/holdproxy/scale/FanoutTopology.java
+++ b/src/main/java/holdproxy/scale/FanoutTopology.java
@@ -7,19 +7,19 @@
 import java.util.List;
 
 /**
- * Who is where in a run of the fan-out: one control machine, a relay for each zone, and the proxies of the
- * zones one after another.
+ * Addresses and zones of a fan-out measurement: one control machine, a relay for each zone, and the proxies,
+ * assigned to zones in order of their numbers.
  *
- * @param run its number, so that no two runs use the same addresses
- * @param proxies hollow ones
+ * @param run number of the measurement, so that no two use the same addresses
+ * @param proxies number of hollow proxies
  */
 record FanoutTopology(int run, int proxies) {
-    /** As in the target fleet. */
+    /** As many as in the target fleet: 13,000 proxies in 94 zones. */
     static final int PROXIES_PER_ZONE = 138;
 
     static final String CONTROL = "control";
     private static final int FIRST_NETWORK = 64;
-    private static final int HOSTS = 250;
+    private static final int HOSTS_PER_NETWORK = 250;
     private static final int RELAYS_PER_PROXY = 4;
 
     int relays() {
@@ -36,25 +36,30 @@
 
     InetSocketAddress relay(int zone) {
         return LoopbackNetwork.address(
-                FIRST_NETWORK + run, zone / HOSTS, zone % HOSTS + 1, Port.RELAYS.number());
+                FIRST_NETWORK + run,
+                zone / HOSTS_PER_NETWORK,
+                zone % HOSTS_PER_NETWORK + 1,
+                Port.RELAYS.number());
     }
 
     static String zoneName(int zone) {
         return "zone-" + zone;
     }
 
-    List<RelayCandidate> ofRelays() {
-        return List.of(new RelayCandidate(CONTROL, HollowWatches.text(control()), ""));
+    List<RelayCandidate> relayUpstreams() {
+        return List.of(new RelayCandidate(CONTROL, HollowWatches.addressText(control()), ""));
     }
 
-    /** Its own zone's relay first, then those of the zones that follow. */
-    List<RelayCandidate> ofProxy(String name, int zone) {
+    /** Relays for a proxy: its own zone's first, then those of the following zones in rendezvous order. */
+    List<RelayCandidate> proxyUpstreams(String name, int zone) {
         List<RelayCandidate> candidates = new ArrayList<>();
         for (int i = 0; i < Math.min(RELAYS_PER_PROXY, relays()); i++) {
             int other = (zone + i) % relays();
             candidates.add(
                     new RelayCandidate(
-                            "relay-" + other, HollowWatches.text(relay(other)), zoneName(other)));
+                            "relay-" + other,
+                            HollowWatches.addressText(relay(other)),
+                            zoneName(other)));
         }
         return RendezvousOrder.of(name, zoneName(zone), candidates);
     }
--- a/src/main/java/holdproxy/scale/Findings.java
+++ b/src/main/java/holdproxy/scale/Findings.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a measurement has found: slopes, times and verdicts. */
+/** Results of measurements: series, latencies and verdicts. */
 record Findings(List<Series> series, List<Latencies> latencies, List<Verdict> verdicts) {
     Findings() {
         this(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
@@ -14,11 +14,11 @@
         return one;
     }
 
-    void judge(String rule, boolean kept, String detail) {
+    void addVerdict(String rule, boolean kept, String detail) {
         verdicts.add(new Verdict(rule, kept, detail));
     }
 
-    boolean kept() {
+    boolean allRulesKept() {
         return verdicts.stream().allMatch(Verdict::kept);
     }
 }
--- a/src/main/java/holdproxy/scale/JsonPart.java
+++ b/src/main/java/holdproxy/scale/JsonPart.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** An object of a result file: gives out its values checked, each mistake with its place. */
+/** A JSON object with checked access to its values; errors name the place in the file or answer. */
 final class JsonPart {
     private final String where;
     private final Map<?, ?> object;
@@ -33,7 +33,7 @@
         try {
             return new JsonPart(where, JSON.std.mapFrom(text));
         } catch (IOException e) {
-            throw new BadInput(where + " is no JSON object: " + text);
+            throw new BadInput(where + " is not a JSON object: " + text);
         }
     }
 
--- a/src/main/java/holdproxy/scale/ScaleCommand.java
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -20,8 +20,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code holdproxy scale}: how each part grows with the fleet. Exit codes: 0 all rules kept, 1 a rule was
- * broken, 2 the command, a file of it or the machine was wrong.
+ * {@code holdproxy scale}: measures how the cost of each part grows with the size of the fleet. Exit codes: 0
+ * all rules kept, 1 a rule was broken, 2 invalid arguments or files, or a machine too small for the run.
  */
 @Command(
         name = "scale",
@@ -42,15 +42,16 @@
         return Commands.run(new ScaleCommand(), args);
     }
 
-    /** Plays a run whose machine has been checked; {@code kept} takes what is known after each part. */
-    static Findings play(ScaleFile file, Path folder, Consumer<Findings> kept) throws Exception {
+    /** Executes a run; {@code onProgress} receives the findings so far after each measurement. */
+    static Findings execute(ScaleFile file, Path folder, Consumer<Findings> onProgress)
+            throws Exception {
         long startNs = System.nanoTime();
         Findings findings = new Findings();
-        try (Keeper keeper = Keeper.start(ProgramLine.of("32m", List.of(), "scale", "keep"))) {
+        try (Keeper reaper = Keeper.start(ProgramLine.of("32m", List.of(), "scale", "keep"))) {
             RunContext context =
                     new RunContext(
                             folder,
-                            keeper,
+                            reaper,
                             text ->
                                     System.err.printf(
                                             Locale.ROOT,
@@ -59,28 +60,30 @@
                                             text));
             for (MeasureSpec each : file.measurements()) {
                 each.kind().measurement.measure(each, context, findings);
-                kept.accept(findings);
+                onProgress.accept(findings);
             }
         }
         return findings;
     }
 
-    /** {@code scale run FILE}: measures what a file names. */
+    /** {@code scale run FILE}: executes the measurements of a file. */
     @Command(
             name = "run",
-            description = "Measures what a file names, and keeps the result.",
+            description = "Executes the measurements of a file and writes the result.",
             mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "FILE.toml")
         private Path file;
 
-        @Option(names = "--out", description = "where the result goes (scale/results/NAME.json)")
+        @Option(names = "--out", description = "result file (default: scale/results/NAME.json)")
         private Path out;
 
-        @Option(names = "--plot", description = "a picture of the slopes, PNG")
+        @Option(names = "--plot", description = "also writes a plot of the series, PNG")
         private Path plot;
 
-        @Option(names = "--logs", description = "a folder for logs and configurations")
+        @Option(
+                names = "--logs",
+                description = "folder for logs and configurations (default: temporary)")
         private Path logs;
 
         @Override
@@ -98,14 +101,15 @@
                             ? Files.createDirectories(Path.of("scale", "results"))
                                     .resolve(scale.name() + ".json")
                             : out;
-            Findings findings = play(scale, folder, f -> result(scale, began, before, f).write(to));
+            Findings findings =
+                    execute(scale, folder, f -> result(scale, began, before, f).write(to));
             ResultFile result = ResultFile.read(to);
             System.out.print(SlopeTables.of(List.of(result)));
             if (plot != null) {
-                SlopePicture.write(result, plot);
+                SlopePlot.write(result, plot);
             }
             System.out.println("result in " + to + ", logs in " + folder);
-            return findings.kept() ? 0 : 1;
+            return findings.allRulesKept() ? 0 : 1;
         }
 
         private static ResultFile result(
@@ -115,7 +119,7 @@
         }
     }
 
-    /** {@code scale tables RESULT...}: the tables of docs/CAPACITY.md. */
+    /** {@code scale tables RESULT...}: prints the tables of docs/CAPACITY.md. */
     @Command(
             name = "tables",
             description = "Prints the tables of docs/CAPACITY.md from results.",
@@ -132,7 +136,7 @@
         }
     }
 
-    /** For the program's own use. */
+    /** Child processes of a run; internal. */
     @Command(
             name = "child",
             hidden = true,
@@ -147,11 +151,13 @@
     static final class Child implements Callable<Integer> {
         @Override
         public Integer call() {
-            throw new BadInput("scale child has no use by itself");
+            throw new BadInput("scale child is internal and needs a kind of process");
         }
     }
 
-    /** For the program's own use. */
+    /**
+     * The process that ends the child processes of a run if the run itself ends without doing so; internal.
+     */
     @Command(name = "keep", hidden = true)
     static final class Keep implements Callable<Integer> {
         @Override
--- a/src/main/java/holdproxy/scale/WatchesChild.java
+++ b/src/main/java/holdproxy/scale/WatchesChild.java
@@ -15,15 +15,15 @@
 import picocli.CommandLine.Option;
 
 /**
- * Thousands of hollow proxies that watch discovery: each has a connection and runs the real watch, and
- * asks again after a pause drawn at random when it ends. Commands: stats, latencies, again.
+ * Child process with thousands of hollow proxies that watch discovery, each with a connection and the real
+ * watch. A watch that ends is opened again after a random delay. Commands: stats, latencies, again.
  */
 @Command(name = "watches", hidden = true)
 final class WatchesChild extends ChildCommand {
-    /** In place of the decision module's, which spreads calls by the number of proxies. */
-    private static final long MOST_PAUSE_US = 2_000_000;
+    /** Stands in for the delay of the decision module, which depends on the number of proxies. */
+    private static final long MAX_RETRY_DELAY_US = 2_000_000;
 
-    private static final long US = 1_000_000;
+    private static final long US_PER_S = 1_000_000;
 
     @Option(names = "--discovery", required = true, converter = AddressConverter.class)
     private InetSocketAddress discovery;
@@ -48,7 +48,7 @@
     private long disorders;
 
     @Override
-    void begin() {
+    void start() {
         network = new LoopbackNetwork(loop, local);
         config =
                 Config.of(
@@ -73,26 +73,28 @@
             HollowWatch watch = new HollowWatch();
             watches.add(watch);
             loop.schedule(
-                    watch.watch::open, (long) (i * startOverS * US / count), TimeUnit.MICROSECONDS);
+                    watch.watch::open,
+                    (long) (i * startOverS * US_PER_S / count),
+                    TimeUnit.MICROSECONDS);
         }
     }
 
     private static long unixUs() {
         Instant now = Instant.now();
-        return now.getEpochSecond() * US + now.getNano() / 1000;
+        return now.getEpochSecond() * US_PER_S + now.getNano() / 1000;
     }
 
     private final class HollowWatch implements DiscoveryWatch.Listener {
         private final DiscoveryWatch watch;
         private long version;
-        private boolean over;
+        private boolean closed;
 
         HollowWatch() {
             watch = new DiscoveryWatch(config, network, WatchesChild::unixUs, line -> {}, this);
         }
 
         private void end() {
-            over = true;
+            closed = true;
             watch.close();
         }
 
@@ -111,11 +113,12 @@
 
         @Override
         public void failed() {
-            if (over) {
+            if (closed) {
                 return;
             }
             failures++;
-            loop.schedule(watch::open, random.nextInt((int) MOST_PAUSE_US), TimeUnit.MICROSECONDS);
+            loop.schedule(
+                    watch::open, random.nextInt((int) MAX_RETRY_DELAY_US), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -144,7 +147,7 @@
                 answer.put("read", network.readBytes());
                 answer.put("written", network.writtenBytes());
             }
-            default -> throw unknown(words);
+            default -> throw unknownCommand(words);
         }
     }
 }
--- a/src/test/java/holdproxy/scale/ScaleFileTest.java
+++ b/src/test/java/holdproxy/scale/ScaleFileTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is wrong in a run's file is named with its line, and what the machine cannot bear before anything starts. */
+/**
+ * Errors in a run's file name the line, and a run that does not fit the machine is refused before it starts.
+ */
 class ScaleFileTest {
     private static final String RUN = "[[measure]]\nkind = \"fanout\"\nsizes = [100, 13000]\n";
 
@@ -35,13 +37,13 @@
                         + "size = 2|run.toml line 4: size is unknown",
                 "memory_gb = 'x'|run.toml line 1: memory_gb"
             })
-    void mistakesAreNamedWithTheirLine(String text, String begins) {
+    void errorsNameTheLine(String text, String begins) {
         String message = error(text.replace("\\n", "\n").replace('\'', '"'));
         assertEquals(begins, message.substring(0, Math.min(begins.length(), message.length())));
     }
 
     @Test
-    void aMachineThatCannotBearARunIsToldWhatIsTooLow() {
+    void runsThatExceedTheMachineAreRefused() {
         ScaleFile file = ScaleFile.read("run.toml", RUN);
         file.check(20_000, 16);
         assertEquals(
--- a/src/test/java/holdproxy/scale/ScaleRunTest.java
+++ b/src/test/java/holdproxy/scale/ScaleRunTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A small run over real sockets, judged by what every proxy holds and was offered, whatever the time it took. */
+/** A small run over real sockets; checks the updates that each proxy received, not how long they took. */
 class ScaleRunTest {
     @TempDir Path folder;
 
@@ -16,7 +16,7 @@
     void everyProxyFollowsAllChangesWhileARelayIsKilled() throws Exception {
         ScaleFile file = ScaleFile.read(Path.of("scale/small.toml"));
         file.check(Machine.openFiles(), Machine.availableGb());
-        Findings findings = ScaleCommand.play(file, folder, kept -> {});
+        Findings findings = ScaleCommand.execute(file, folder, kept -> {});
         assertEquals(
                 List.of(),
                 findings.verdicts().stream().filter(verdict -> !verdict.kept()).toList());
