--- a/src/main/java/holdproxy/town/RequestClass.java
+++ b/src/main/java/holdproxy/town/RequestClass.java
@@ -28,6 +28,7 @@
                     new RequestClass("renewal", 0.033, 800, 4000, 1.6, 10, "token"),
                     new RequestClass("enrolment", 0.027, 1500, 3000, 2.6, 10, "side_effect"));
 
+    /** The class of this name. */
     public static RequestClass named(String name) {
         return ALL.stream().filter(c -> c.name.equals(name)).findFirst().orElseThrow();
     }
--- a/src/main/java/holdproxy/town/TownRecord.java
+++ b/src/main/java/holdproxy/town/TownRecord.java
@@ -24,6 +24,7 @@
         this.listener = listener;
     }
 
+    /** Appends an event. */
     public void add(long us, Event.Kind kind, String where, String id, String detail) {
         Event event = new Event(us, kind, where, id, detail);
         events.add(event);
