--- a/src/main/java/holdproxy/town/Front.java
+++ b/src/main/java/holdproxy/town/Front.java
@@ -7,7 +7,7 @@
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
 
-/** A simple load balancer in front of the proxies: spreads connections over those that are marked in use. */
+/** A simple load balancer: spreads connections over proxies marked in use; callers update the marks late. */
 public final class Front {
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final List<Boolean> inUse = new ArrayList<>();
