--- a/src/main/java/holdproxy/lab/Cycle.java
+++ b/src/main/java/holdproxy/lab/Cycle.java
@@ -4,20 +4,21 @@
 import java.util.List;
 
 /**
- * Whether a series swings: the highest point of its autocorrelation beyond the first zero, averaged over
- * plays. White noise has none that stands out; a swing has one at its period.
+ * Oscillation of a series: the highest peak of its autocorrelation beyond the first zero crossing,
+ * averaged over simulation runs. White noise has no peak that stands out; an oscillation has one at its
+ * period.
  *
- * @param periodS seconds from one top to the next; 0 where no peak stands out
- * @param strength the autocorrelation there, 1 being a swing that repeats itself exactly
- * @param size standard deviation over mean of counts in half seconds, beyond what chance arrivals would have
+ * @param periodS period in seconds; 0 if no peak stands out
+ * @param strength autocorrelation at that period; 1 for an oscillation that repeats exactly
+ * @param size standard deviation over mean of the half-second counts, beyond that of Poisson arrivals
  */
 record Cycle(double periodS, double strength, double size) {
     private static final double LONGEST_S = 12;
 
-    /** A peak under so many standard errors of white noise's autocorrelation is none. */
+    /** A peak below this many standard errors of the autocorrelation of white noise is ignored. */
     private static final double ERRORS = 2;
 
-    /** Of the parts of several plays' series from this second on. */
+    /** Analyses the series of several runs from this second on. */
     static Cycle of(List<double[]> series, double fromS) {
         int from = (int) (fromS / LoadSeries.BIN_S);
         int length = series.get(0).length - from;
@@ -48,7 +49,7 @@
         return new Cycle(found ? top * LoadSeries.BIN_S : 0, found ? mean[top] : 0, size);
     }
 
-    /** Summed, not averaged; that of lag 0 is the sum of squares. */
+    /** Autocovariances as sums, not means; the one at lag 0 is the sum of squares. */
     private static double[] autocovariance(double[] part, double mean, int lags) {
         double[] r = new double[lags];
         for (int lag = 0; lag < lags; lag++) {
--- a/src/main/java/holdproxy/lab/Fault.java
+++ b/src/main/java/holdproxy/lab/Fault.java
@@ -7,17 +7,17 @@
 import java.util.Set;
 
 /**
- * One thing that goes wrong in a town. Which figures it needs goes by its kind; the others are 0.
+ * One fault in a simulated site. The kind decides which figures apply; the others are 0.
  *
  * @param kind what happens
- * @param atS when, in seconds from the start
- * @param forS for how long, in seconds; 0: to the end
- * @param noticedS how much later discovery (of a node) or the front (of a proxy) notices, in seconds
- * @param target number of the node, the proxy, the club or the zone
- * @param part share of the nodes or proxies instead of one, the first of them being {@code target}; of reads
- *     for a hot key
- * @param times how many times slower, or as many requests
- * @param chance of a message's connection to be reset, or of a message to be lost
+ * @param atS start, in seconds from the start of the run
+ * @param forS duration in seconds; 0: until the end of the run
+ * @param noticedS seconds until discovery (for a node) or the front (for a proxy) notices
+ * @param target number of the node, proxy, club or zone
+ * @param part share of the nodes or proxies affected instead of a single one, starting with {@code
+ *     target}; for a hot key, the share of reads
+ * @param times factor by which a node is slower, or by which requests increase
+ * @param chance probability that a message's connection is reset, or that a message is lost
  */
 record Fault(
         Kind kind,
@@ -28,7 +28,7 @@
         double part,
         double times,
         double chance) {
-    /** A figure beside the time at which it happens. */
+    /** A setting of a fault besides its start time. */
     enum Figure {
         FOR_S,
         NOTICED_S,
@@ -42,54 +42,57 @@
     }
 
     enum Kind {
-        /** A node's process dies, comes back cold after its time. */
+        /** A node's process dies and restarts cold after the duration. */
         CRASH(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.NODE, Figure.PART)),
         /** A node runs slower. */
         SLOW(EnumSet.of(Figure.FOR_S, Figure.NODE, Figure.PART, Figure.TIMES)),
-        /** A node is cut off: nothing comes and nothing goes, and nobody is told. */
+        /** A node is cut off from the network in both directions; no peer is notified. */
         SILENT(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.NODE, Figure.PART)),
-        /** Connections of a node are reset: before, amid or after a command, or amid an answer. */
+        /** Connections of a node are reset: before, during or after a command, or during an answer. */
         RESETS(EnumSet.of(Figure.FOR_S, Figure.NODE, Figure.PART, Figure.CHANCE)),
-        /** A node drains and is replaced by another that starts cold; a part of them one after another. */
+        /**
+         * A node drains and is replaced by another that starts cold; with a share, the nodes drain one
+         * after another.
+         */
         REPLACE(EnumSet.of(Figure.FOR_S, Figure.NODE, Figure.PART)),
-        /** Operators leave a node out at every proxy, start it anew meanwhile, and use it again. */
+        /** Operators leave a node out at every proxy, restart it meanwhile, and use it again. */
         LEAVE_OUT(EnumSet.of(Figure.FOR_S, Figure.NODE, Figure.PART)),
-        /** Every proxy is given settings with one attempt, and afterwards those of before. */
+        /** Every proxy is given settings with one attempt, and later its former settings again. */
         RETUNE(EnumSet.of(Figure.FOR_S)),
-        /** A proxy is told to end (SIGTERM) and started again after its time. */
+        /** A proxy gets SIGTERM and is started again after the duration. */
         RESTART(EnumSet.of(Figure.FOR_S, Figure.PROXY, Figure.PART)),
-        /** A proxy dies and is started again after its time; the front notices later. */
+        /** A proxy dies and is started again after the duration; the front notices later. */
         KILL(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.PROXY, Figure.PART)),
-        /** A proxy's process stands still. */
+        /** A proxy's process is paused. */
         HOLD(EnumSet.of(Figure.FOR_S, Figure.PROXY)),
-        /** Discovery answers 503 and its watches have ended. */
+        /** Discovery answers 503 and its watches are closed. */
         DISCOVERY_DOWN(EnumSet.of(Figure.FOR_S)),
-        /** A club asks so many times as often. */
+        /** A club sends this many times its usual requests. */
         SURGE(EnumSet.of(Figure.FOR_S, Figure.CLUB, Figure.TIMES)),
-        /** One key is asked for by this part of all reads. */
+        /** One key receives this share of all reads. */
         HOT_KEY(EnumSet.of(Figure.FOR_S, Figure.PART)),
-        /** All processes of a zone die, and start cold after their time. */
+        /** All processes of a zone die, and start cold after the duration. */
         ZONE_DEAD(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.ZONE)),
-        /** A zone falls silent, and returns cold: its processes are started anew. */
+        /** A zone is cut off without notice and comes back cold: its processes are restarted. */
         ZONE_LOST(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.ZONE)),
-        /** A zone falls silent, and returns as it was. */
+        /** A zone is cut off without notice and comes back with its state intact. */
         ZONE_SILENT(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.ZONE)),
-        /** A zone is cut off from the others, and works on within itself. */
+        /** A zone is partitioned from the others and keeps working internally. */
         ZONE_CUT(EnumSet.of(Figure.FOR_S, Figure.ZONE)),
-        /** Nothing gets from the others into a zone, while what it says gets out. */
+        /** One-way partition: messages into the zone are dropped, messages out of it are delivered. */
         ZONE_CUT_IN(EnumSet.of(Figure.FOR_S, Figure.ZONE)),
-        /** Nothing gets from a zone to the others, while what they say gets in. */
+        /** One-way partition: messages out of the zone are dropped, messages into it are delivered. */
         ZONE_CUT_OUT(EnumSet.of(Figure.FOR_S, Figure.ZONE)),
         /** A zone's links lose messages and are slow. */
         ZONE_GRAY(EnumSet.of(Figure.FOR_S, Figure.ZONE, Figure.TIMES, Figure.CHANCE));
 
-        /** Those of a town without zones, and those of zones. */
+        /** The kinds for a site without zones, and those that affect zones. */
         static final List<Kind> OF_TOWNS =
                 Arrays.stream(values()).filter(k -> !k.ofZone()).toList();
 
         static final List<Kind> OF_ZONES = Arrays.stream(values()).filter(Kind::ofZone).toList();
 
-        /** What such a fault may state; a node, proxy or club has to be stated. */
+        /** The settings that this kind accepts; the number of a node, proxy or club is required. */
         final Set<Figure> figures;
 
         Kind(Set<Figure> figures) {
@@ -100,13 +103,13 @@
             return figures.contains(Figure.ZONE);
         }
 
-        /** As scenario files have it. */
+        /** The name used in scenario files. */
         String word() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** How many of so many nodes or proxies it meets. */
+    /** How many of this many nodes or proxies are affected. */
     int count(int all) {
         return part == 0 ? 1 : Math.max(1, (int) Math.round(part * all));
     }
--- a/src/main/java/holdproxy/lab/LabCommand.java
+++ b/src/main/java/holdproxy/lab/LabCommand.java
@@ -29,12 +29,12 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code holdproxy lab}: towns in virtual time, played and judged. Exit codes: 0 all rules kept, 1 a rule was
- * broken, 2 the command or a file of it was wrong.
+ * {@code holdproxy lab}: runs simulated sites in virtual time and checks their rules. Exit codes: 0 all
+ * rules kept, 1 a rule was broken, 2 the command line or an input file was wrong.
  */
 @Command(
         name = "lab",
-        description = "Towns in virtual time that run the real proxy and check its rules.",
+        description = "Simulates sites in virtual time with the real proxy and checks its rules.",
         mixinStandardHelpOptions = true,
         subcommands = {
             LabCommand.Run.class,
@@ -51,7 +51,7 @@
 public final class LabCommand {
     private static final int SHOWN = 10;
 
-    /** Commands by the names that they had before; they stay valid and are not listed. */
+    /** Former command names, still accepted but not listed. */
     private static final Map<String, String> FORMER_NAMES =
             Map.of("peers", "membership", "council", "consensus", "duties", "leases");
 
@@ -59,11 +59,12 @@
 
     /** Runs a command line; returns its exit code. */
     public static int run(String[] args) {
-        // a proxy that the town kills leaves its buffers behind, which is no leak of the program's
+        // a proxy killed in a simulation leaves its buffers unreleased, which is no leak of the
+        // program
         ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.DISABLED);
         System.setProperty("logback.configurationFile", "logback-lab.xml");
         InternalLoggerFactory.setDefaultFactory(
-                JdkLoggerFactory.INSTANCE); // the JSON lines are the daemon's
+                JdkLoggerFactory.INSTANCE); // the JSON log lines belong to the daemon
         return Commands.run(new LabCommand(), withCurrentName(args));
     }
 
@@ -75,7 +76,7 @@
         return current;
     }
 
-    /** Says which rules were broken; returns the exit code for it. */
+    /** Prints the broken rules; returns the exit code. */
     static int rules(List<Auditors.Broken> broken) {
         if (broken.isEmpty()) {
             System.out.println("all rules kept");
@@ -100,16 +101,16 @@
                 : String.valueOf(value);
     }
 
-    /** {@code lab run FILE}: one scenario, and how it went. */
+    /** {@code lab run FILE}: runs one scenario and reports its result. */
     @Command(
             name = "run",
-            description = "Plays a scenario file and reports.",
+            description = "Runs a scenario file and reports.",
             mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "SCENARIO.toml")
         private Path file;
 
-        @Option(names = "--seed", description = "instead of the file's")
+        @Option(names = "--seed", description = "seed instead of that in the file")
         private Long seed;
 
         @Option(names = "--json", description = "the report as JSON")
@@ -172,30 +173,31 @@
         }
     }
 
-    /** {@code lab hunt}: many seeds, each a town of its own. */
+    /** {@code lab hunt}: runs many seeds, each with a site of its own. */
     @Command(
             name = "hunt",
-            description = "Plays towns drawn by seeds; ends at the first broken rule.",
+            description = "Runs simulated sites drawn from seeds; stops at the first broken rule.",
             mixinStandardHelpOptions = true)
     static final class Hunt implements Callable<Integer> {
         @Option(
                 names = "--seeds",
                 defaultValue = "200",
-                description = "how many (${DEFAULT-VALUE})")
+                description = "number of seeds (${DEFAULT-VALUE})")
         private int seeds;
 
-        @Option(names = "--from", defaultValue = "1", description = "the first (${DEFAULT-VALUE})")
+        @Option(
+                names = "--from",
+                defaultValue = "1",
+                description = "the first seed (${DEFAULT-VALUE})")
         private long from;
 
         @Option(
                 names = "--seconds",
                 defaultValue = "10",
-                description = "of each town's time (${DEFAULT-VALUE})")
+                description = "virtual seconds per site (${DEFAULT-VALUE})")
         private double seconds;
 
-        @Option(
-                names = "--out",
-                description = "where a town that breaks a rule is written as a scenario")
+        @Option(names = "--out", description = "file for the scenario that broke a rule")
         private Path out;
 
         @Override
@@ -225,7 +227,7 @@
         private void report(List<Play> plays, double tookS) {
             System.out.printf(
                     Locale.ROOT,
-                    "%d towns, %.0f s each, in %.1f s: no rule broken%n",
+                    "%d simulated sites, %.0f s each, in %.1f s: no rule broken%n",
                     plays.size(),
                     seconds,
                     tookS);
@@ -254,16 +256,17 @@
         }
     }
 
-    /** {@code lab shrink FILE}: the smallest scenario that still breaks the same rule. */
+    /** {@code lab shrink FILE}: finds a smaller scenario that still breaks the same rule. */
     @Command(
             name = "shrink",
-            description = "Makes a scenario smaller that still breaks the same rule.",
+            description =
+                    "Reduces a scenario that breaks a rule while it still breaks the same rule.",
             mixinStandardHelpOptions = true)
     static final class Shrink implements Callable<Integer> {
         @Parameters(paramLabel = "SCENARIO.toml")
         private Path file;
 
-        @Option(names = "--out", required = true, description = "where the smaller one is written")
+        @Option(names = "--out", required = true, description = "file for the reduced scenario")
         private Path out;
 
         @Override
@@ -284,10 +287,10 @@
         }
     }
 
-    /** {@code lab compare A B}: two scenarios over the same seeds. */
+    /** {@code lab compare A B}: compares two scenarios over the same seeds. */
     @Command(
             name = "compare",
-            description = "Plays two scenarios over the same seeds, side by side.",
+            description = "Runs two scenarios over the same seeds, side by side.",
             mixinStandardHelpOptions = true)
     static final class Compare implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "A.toml")
@@ -296,7 +299,10 @@
         @Parameters(index = "1", paramLabel = "B.toml")
         private Path b;
 
-        @Option(names = "--seeds", defaultValue = "20", description = "how many (${DEFAULT-VALUE})")
+        @Option(
+                names = "--seeds",
+                defaultValue = "20",
+                description = "number of seeds (${DEFAULT-VALUE})")
         private int seeds;
 
         @Override
@@ -319,7 +325,7 @@
             List<Map<String, Object>> figures = plays.stream().map(Play::figures).toList();
             Set<String> common = new LinkedHashSet<>(figures.get(0).keySet());
             figures.forEach(
-                    f -> common.retainAll(f.keySet())); // towns with other zones have other figures
+                    f -> common.retainAll(f.keySet())); // sites with other zones have other figures
             for (String figure : common) {
                 System.out.printf(
                         "%-28s %s   %s%n",
--- a/src/main/java/holdproxy/lab/Link.java
+++ b/src/main/java/holdproxy/lab/Link.java
@@ -10,10 +10,10 @@
 import java.util.function.Function;
 
 /**
- * The network on one connection, at the end that accepted it: every message comes later by the
- * delay of the host, in order; so does the end that this side brings about. Of a silent host nothing
- * comes and nothing goes, and nobody is told. A host whose connections are reset loses a message whole or
- * in part with its connection, or has it and loses the connection then.
+ * The simulated network on one connection, at the accepting end: every message, and the close from this
+ * side, is delayed by the host's latency and stays in order. A silent host neither sends nor receives,
+ * and its peers are not notified. On a host whose connections are reset, a message may be lost whole or
+ * in part together with its connection, or be delivered just before the reset.
  */
 final class Link extends ChannelDuplexHandler {
     private final VirtualLoop loop;
@@ -25,10 +25,13 @@
     private MemoryNetwork.Way way;
     private boolean closing;
 
-    /** A zone's state has kept back something of it: it is silent until that passes, and is reset then. */
+    /**
+     * The zone's state has held back a message of this connection: the link is silent until the fault
+     * ends, and is then reset.
+     */
     private boolean holed;
 
-    /** {@code ways}: by the name of who connected. */
+    /** {@code ways}: lookup by the name of the connecting process. */
     Link(VirtualLoop loop, MemoryNetwork.Host host, Function<String, MemoryNetwork.Way> ways) {
         this.loop = loop;
         this.host = host;
@@ -42,7 +45,7 @@
         return way;
     }
 
-    /** When what sets out now is there: not before what set out earlier the same way. */
+    /** Arrival time of a message sent now; never before earlier ones in the same direction. */
     private long dueUs(ChannelHandlerContext ctx, boolean toHost, long earlierUs) {
         return Math.max(earlierUs, loop.nowUs() + way(ctx).delayUs(toHost));
     }
@@ -52,7 +55,7 @@
         loop.after(outDueUs - loop.nowUs(), task);
     }
 
-    /** Whether a message gets no further; says so where a zone is why. */
+    /** Whether a message is held back; reports it if a zone is the cause. */
     private boolean gone(ChannelHandlerContext ctx, boolean toHost) {
         boolean gone = way(ctx).gone(toHost);
         if (!host.silent && (gone || way.troubled())) {
@@ -62,7 +65,7 @@
         return gone;
     }
 
-    /** What comes after what was kept back would be taken for something else: TCP ends such a connection. */
+    /** Bytes after a gap would be misread, so the connection is reset, as TCP would. */
     private boolean endsHoled(ChannelHandlerContext ctx, Object message) {
         if (!holed) {
             return false;
@@ -100,7 +103,7 @@
                 });
     }
 
-    /** What has come lies here, as in a kernel's buffer, for as long as nobody reads. */
+    /** Received bytes wait here, as in a kernel's socket buffer, until the reader asks for them. */
     private void handOver(ChannelHandlerContext ctx) {
         while (!here.isEmpty() && ctx.channel().config().isAutoRead()) {
             ctx.fireChannelRead(here.poll());
@@ -128,7 +131,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        // at once: later the channel's handlers would be gone; what was on its way is lost
+        // at once: later the channel's handlers would be gone; messages in flight are lost
         closing = true;
         here.forEach(ReferenceCountUtil::release);
         here.clear();
@@ -139,7 +142,7 @@
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (gone(ctx, false)) {
             ReferenceCountUtil.release(message);
-            return; // neither done nor failed: so it is with a machine that is cut off
+            return; // neither completed nor failed, as with a host that is cut off
         }
         if (endsHoled(ctx, message)) {
             promise.tryFailure(new ClosedChannelException());
@@ -147,7 +150,7 @@
         }
         ByteBuf bytes = (ByteBuf) message;
         if (!bytes.isReadable()) {
-            // nothing to send: it is done once what is before it has gone
+            // nothing to send: complete once the preceding messages have been sent
             bytes.release();
             loop.after(outDueUs - loop.nowUs(), promise::trySuccess);
             return;
@@ -168,7 +171,7 @@
 
     @Override
     public void flush(ChannelHandlerContext ctx) {
-        // what was written goes out when it is due
+        // written messages are delivered when they are due
     }
 
     @Override
--- a/src/main/java/holdproxy/lab/LoadOptions.java
+++ b/src/main/java/holdproxy/lab/LoadOptions.java
@@ -8,14 +8,23 @@
 import java.util.stream.LongStream;
 import picocli.CommandLine.Option;
 
-/** The town that a load experiment is made on: what {@code lab overload} and {@code lab step} share. */
+/**
+ * The simulated site of a load experiment: the options that {@code lab overload} and {@code lab step}
+ * share.
+ */
 final class LoadOptions {
     private static final int MOST_CLUBS = 1000;
 
-    @Option(names = "--proxies", defaultValue = "3", description = "in the town (${DEFAULT-VALUE})")
+    @Option(
+            names = "--proxies",
+            defaultValue = "3",
+            description = "proxies in the simulated site (${DEFAULT-VALUE})")
     private int proxies;
 
-    @Option(names = "--nodes", defaultValue = "8", description = "in the town (${DEFAULT-VALUE})")
+    @Option(
+            names = "--nodes",
+            defaultValue = "8",
+            description = "nodes in the simulated site (${DEFAULT-VALUE})")
     private int nodes;
 
     @Option(
@@ -27,10 +36,13 @@
     @Option(
             names = "--retries",
             defaultValue = "2",
-            description = "of clients after a try that failed (${DEFAULT-VALUE})")
+            description = "client retries after a failed attempt (${DEFAULT-VALUE})")
     private int retries;
 
-    @Option(names = "--seeds", defaultValue = "3", description = "how many (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seeds",
+            defaultValue = "3",
+            description = "number of seeds (${DEFAULT-VALUE})")
     private int seeds;
 
     @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
@@ -39,7 +51,9 @@
     @Option(
             names = "--clubs",
             defaultValue = "3",
-            description = "3: as in the site; else so many of equal shares (${DEFAULT-VALUE})")
+            description =
+                    "3: shares as in the emulator; else this many clubs of equal share"
+                            + " (${DEFAULT-VALUE})")
     private int clubs;
 
     @Option(names = "--json", description = "the report as JSON")
@@ -72,7 +86,7 @@
         return clubs == 3 ? Scenario.PLAIN.clubs() : Collections.nCopies(clubs, 1.0 / clubs);
     }
 
-    /** The town of each seed, asked this part of what its nodes can do. */
+    /** Runs one simulated site for each seed, with load as this share of its nodes' capacity. */
     List<Scenario> towns(double load, double seconds, List<Fault> faults) {
         return LongStream.range(from, from + seeds)
                 .mapToObj(
@@ -102,7 +116,7 @@
         require("--proxies", proxies, 1, 200);
         require("--nodes", nodes, 1, 1000);
         require("--work-ms", workMs, 0.1, 1000);
-        require("--retries", retries, 0, 8); // a try's number is one digit of its id
+        require("--retries", retries, 0, 8); // the attempt number is one digit of the request id
         require("--seeds", seeds, 1, 1000);
         require("--clubs", clubs, 1, MOST_CLUBS);
     }
--- a/src/main/java/holdproxy/lab/LoadSeries.java
+++ b/src/main/java/holdproxy/lab/LoadSeries.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * What a town's clients wanted and had in time, and what its nodes were sent, by bins of half a second. A
- * want counts in the bin in which it began, whenever its answer came; an attempt in the bin in which it
- * reached its node.
+ * Requests wanted and served in time by a site's clients, and attempts sent to its nodes, in bins of half
+ * a second. A wanted request counts in the bin in which it began, whenever its answer came; an attempt
+ * counts in the bin in which it reached its node.
  */
 final class LoadSeries {
     static final double BIN_S = 0.5;
@@ -20,7 +20,7 @@
 
     private record Want(RequestClass type, int club, long us) {}
 
-    /** Requests a second that the nodes can do. */
+    /** Requests per second that the nodes can serve. */
     final double capacityPerS;
 
     final List<Auditors.Broken> broken;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Plays a scenario and its auditors. */
+    /** Runs a scenario with its auditors. */
     static LoadSeries of(Scenario scenario) {
         try (Town town = new Town(scenario)) {
             town.play();
@@ -88,22 +88,22 @@
         return attempts.clone();
     }
 
-    /** What was had in time from this second on, over what the nodes can do. */
+    /** Requests served in time from this second on, over the nodes' capacity. */
     double shareOfCapacity(double fromS) {
         return perS(inTime(), fromS) / capacityPerS;
     }
 
-    /** Part of what a club wanted from this second on that it had in time. */
+    /** Share of a club's wanted requests, from this second on, that were served in time. */
     double share(int club, double fromS) {
         return perS(inTime[club], fromS) / Math.max(1e-9, perS(wanted[club], fromS));
     }
 
-    /** Mean a second from this second on. */
+    /** Mean per second, from this second on. */
     static double perS(double[] bins, double fromS) {
         return Arrays.stream(bins, (int) (fromS / BIN_S), bins.length).average().orElse(0) / BIN_S;
     }
 
-    /** Counts of whole seconds, from this one on. */
+    /** Counts per whole second, from this one on. */
     static double[] bySecond(double[] bins, int fromS) {
         int each = (int) (1 / BIN_S);
         double[] seconds = new double[bins.length / each - fromS];
--- a/src/main/java/holdproxy/lab/OverloadCommand.java
+++ b/src/main/java/holdproxy/lab/OverloadCommand.java
@@ -18,16 +18,17 @@
 import picocli.CommandLine.Option;
 
 /**
- * {@code lab overload}: towns without any fault under a steady load, by how much of what the nodes can do is
- * asked for, and what greedy clubs leave to those within their quota. Open loop; a want counts as served if
- * its answer came in its wanted time from the moment when it was first wanted, whichever try brought it.
+ * {@code lab overload}: fault-free sites under a steady load at several multiples of their nodes'
+ * capacity, and what greedy clubs leave to those within their quota. The load is open loop; a wanted
+ * request counts as served if an answer to any of its attempts came within its deadline from when it was
+ * first wanted.
  */
 @Command(
         name = "overload",
-        description = "Goodput under a steady load, from too little to far too much.",
+        description = "Measures goodput under a steady load, from underload to heavy overload.",
         mixinStandardHelpOptions = true)
 final class OverloadCommand implements Callable<Integer> {
-    /** What the clubs ask for together, of what the nodes can do, before any of them gets greedy. */
+    /** The clubs' total load over the nodes' capacity, before any of them is greedy. */
     private static final double CALM = 0.6;
 
     @Mixin private LoadOptions options;
@@ -36,19 +37,19 @@
             names = "--loads",
             split = ",",
             defaultValue = "0.7,0.9,1,1.2,1.5,2,3,5",
-            description = "over what the nodes can do (${DEFAULT-VALUE})")
+            description = "load over node capacity (${DEFAULT-VALUE})")
     private List<Double> loads;
 
     @Option(
             names = "--seconds",
             defaultValue = "40",
-            description = "of each play (${DEFAULT-VALUE})")
+            description = "virtual seconds per run (${DEFAULT-VALUE})")
     private int seconds;
 
     @Option(
             names = "--warm-up",
             defaultValue = "10",
-            description = "seconds not counted (${DEFAULT-VALUE})")
+            description = "seconds at the start that are not counted (${DEFAULT-VALUE})")
     private int warmUp;
 
     @Option(
@@ -62,8 +63,7 @@
     @Option(
             names = "--greedy-load",
             defaultValue = "1.08",
-            description =
-                    "over what the nodes can do; the default is 10 times the site's last club")
+            description = "load over node capacity; the default is 10 times the site's last club")
     private double greedyLoad;
 
     @Override
@@ -227,10 +227,7 @@
 
     private void plot(List<Map<String, Object>> rows) {
         Plot plot =
-                new Plot(
-                        "Served in time over what the nodes can do",
-                        "load / capacity",
-                        "per capacity");
+                new Plot("Served in time over node capacity", "load / capacity", "per capacity");
         double[] x = column(rows, "load");
         double[] capacity = column(rows, "capacity_per_s");
         plot.line("served in time", x, column(rows, "share"));
--- a/src/main/java/holdproxy/lab/Play.java
+++ b/src/main/java/holdproxy/lab/Play.java
@@ -11,13 +11,13 @@
 import java.util.function.UnaryOperator;
 
 /**
- * How a scenario went.
+ * The result of a simulation run.
  *
- * @param scenario what was played
+ * @param scenario the scenario that was run
  * @param service how its clients were served
- * @param figures of the report, in their order
- * @param broken the rules broken, none if all is well
- * @param hash of all that happened: the same for two plays that went the same way
+ * @param figures the report's figures, in order
+ * @param broken the violated rules; empty if all rules were kept
+ * @param hash hash of all recorded events: equal for two runs with the same course
  */
 record Play(
         Scenario scenario,
@@ -29,7 +29,7 @@
         return of(scenario, t -> t);
     }
 
-    /** {@code planted} stands between the proxies and their network. */
+    /** Runs a scenario; {@code planted} is inserted between the proxies and their network. */
     static Play of(Scenario scenario, UnaryOperator<Transport> planted) {
         try (Town town = new Town(scenario, planted)) {
             town.play();
--- a/src/main/java/holdproxy/lab/Plays.java
+++ b/src/main/java/holdproxy/lab/Plays.java
@@ -9,11 +9,13 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** Plays many scenarios on all cores but one. */
+/** Runs many scenarios in parallel on all cores but one. */
 final class Plays {
     private Plays() {}
 
-    /** What {@code play} makes of each, in their order; ends early where {@code go} says no. */
+    /**
+     * The results of {@code play} for each scenario, in order; stops early when {@code go} returns false.
+     */
     static <T> List<T> all(List<Scenario> scenarios, Function<Scenario, T> play, Predicate<T> go)
             throws InterruptedException, ExecutionException {
         int cores = Math.max(1, Runtime.getRuntime().availableProcessors() - 1);
--- a/src/main/java/holdproxy/lab/ProxyProcess.java
+++ b/src/main/java/holdproxy/lab/ProxyProcess.java
@@ -18,14 +18,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A proxy's process in a town: each life of it runs on an event loop of its own, so that it can stand still,
- * be told to end, or die at any moment, and come back with nothing but its configuration.
+ * A proxy's process in a simulated site. Each start runs on an event loop of its own, so that the process
+ * can be paused, be sent SIGTERM, or die at any moment, and restart with nothing but its configuration.
  */
 final class ProxyProcess {
-    /** Until when the platform lets a process end after SIGTERM: the longest deadline plus 0.7 s. */
+    /** How long the platform lets a process shut down after SIGTERM: the longest deadline plus 0.7 s. */
     private static final long KILLED_AFTER_US = 3_700_000;
 
-    /** New connections still come for so long after SIGTERM. */
+    /** New connections still arrive for this long after SIGTERM. */
     private static final long FRONT_TOLD_US = 300_000;
 
     final String name;
@@ -39,7 +39,7 @@
     private final IntFunction<Config> config;
     private final IntFunction<Config> retuned;
 
-    /** Nodes that operators have left out: this outlives a life, as a folder of the platform's does. */
+    /** Nodes left out by operators; kept across restarts, as in a directory of the platform. */
     private final Set<String> leftOut = new TreeSet<>();
 
     private int attempts = ProxyConfig.ATTEMPTS;
@@ -52,9 +52,9 @@
     private int life;
 
     /**
-     * {@code door}: its number at the front; {@code config}: what each life reads at its start, with so many
-     * attempts; {@code retuned}: what it is given meanwhile; {@code planted} stands between it and its
-     * network.
+     * {@code door}: its index at the front; {@code config}: the configuration read at each start, for a
+     * number of attempts; {@code retuned}: the configuration for a reload; {@code planted} is inserted
+     * between the proxy and its network.
      */
     ProxyProcess(
             String name,
@@ -85,7 +85,7 @@
         this.log = log;
     }
 
-    /** Requests open in it; 0 while it does not run. */
+    /** Number of open requests; 0 while it does not run. */
     int open() {
         return proxy == null ? 0 : proxy.open();
     }
@@ -119,7 +119,7 @@
                 });
     }
 
-    /** Operators' call to leave a node out, or to use it again. */
+    /** Operators' command to leave a node out, or to use it again. */
     void leaveOut(String node, boolean out) {
         if (out) {
             leftOut.add(node);
@@ -137,7 +137,7 @@
         record.add(time.nowUs(), Event.Kind.OUT, name, node, out ? "out" : "back");
     }
 
-    /** SIGHUP, with settings of so many attempts. */
+    /** SIGHUP, with settings that allow this many attempts. */
     void retune(int to) {
         attempts = to;
         if (runs() && proxy != null) {
@@ -151,7 +151,7 @@
         }
     }
 
-    /** Puts down what it shows operators now. */
+    /** Records the metrics that it exposes to operators at this moment. */
     void showFigures() {
         if (!runs() || proxy == null) {
             return;
@@ -174,7 +174,7 @@
                 ok + " " + shed + " " + errors + " " + f.tries.get() + " " + f.active.get());
     }
 
-    /** SIGTERM; it is started again so long after its end, in microseconds. */
+    /** SIGTERM; it is started again this many microseconds after its end. */
     void restart(long downUs) {
         if (!runs() || proxy == null) {
             return;
@@ -201,7 +201,9 @@
         }
     }
 
-    /** It dies; the front sends on to it for a time, and it is started again after another. */
+    /**
+     * The process dies; the front keeps forwarding to it for a time, and it is restarted after another.
+     */
     void kill(long noticedUs, long downUs) {
         if (!runs()) {
             return;
@@ -231,12 +233,12 @@
         proxy = null;
     }
 
-    /** The front sends on to it, or does not, whatever else. */
+    /** Sets whether the front forwards to it, regardless of its state. */
     void believed(boolean up) {
         front.use(door, up && runs());
     }
 
-    /** Nothing of it runs for so long. */
+    /** Pauses the process for this long. */
     void hold(long us) {
         if (runs()) {
             record.add(time.nowUs(), Event.Kind.FAULT, name, "", "held " + us);
@@ -244,7 +246,7 @@
         }
     }
 
-    /** The town is over: so is it, unrecorded. */
+    /** Ends the process at the end of the run, without recording it. */
     void close() {
         if (runs()) {
             loop.end(process::die);
--- a/src/main/java/holdproxy/lab/Scenario.java
+++ b/src/main/java/holdproxy/lab/Scenario.java
@@ -6,15 +6,15 @@
 import java.util.SplittableRandom;
 
 /**
- * What is played: a town, its load, and what goes wrong.
+ * A scenario for a simulation run: a site, its load, and its faults.
  *
- * @param name for the report
- * @param seed of all chance
- * @param seconds for which clients ask
- * @param town how large it is
- * @param load what is asked
+ * @param name name in the report
+ * @param seed seed of all random streams
+ * @param seconds how long clients send requests
+ * @param town size of the site
+ * @param load the clients' load
  * @param faults in any order
- * @param rooms its zones
+ * @param rooms the site's zones
  */
 record Scenario(
         String name,
@@ -25,20 +25,20 @@
         List<Fault> faults,
         Rooms rooms) {
     /**
-     * How large a town is.
+     * Size of a simulated site.
      *
      * @param proxies proxies, 1 to 200
      * @param nodes cache nodes, 1 to 1000
-     * @param slots requests that a node runs at once
-     * @param queue requests that wait at a node
+     * @param slots requests that a node runs concurrently
+     * @param queue requests that may wait at a node
      * @param memory keys that a node holds
-     * @param ttlS seconds for which it holds one
-     * @param connections that a node takes; on more it says busy
-     * @param handshakeMs work that a new connection costs a node, and its first request time
-     * @param coldFrom part of its speed that a node has at its start
-     * @param coldS seconds until it has all of it
-     * @param originMs what the register takes for one
-     * @param originSlots how many it works on at once
+     * @param ttlS seconds for which a node holds a key
+     * @param connections that a node accepts; beyond these it answers busy
+     * @param handshakeMs work that a new connection costs a node, and delay of its first request
+     * @param coldFrom share of its full speed at which a node starts
+     * @param coldS seconds until it reaches full speed
+     * @param originMs service time of the origin for one request
+     * @param originSlots requests that the origin works on concurrently
      */
     record Size(
             int proxies,
@@ -55,11 +55,12 @@
             int originSlots) {}
 
     /**
-     * The zones of a town. Nodes and proxies have theirs in turn; discovery and the register have none.
+     * The zones of a site. Nodes and proxies are assigned round robin; discovery and the origin belong to
+     * none.
      *
      * @param zones how many, 1 to 8
-     * @param delaysMs what one way between two of them takes more, in the order 0-1, 0-2, .., 1-2, ..; or one
-     *     figure for all
+     * @param delaysMs extra one-way delay between two zones, in the order 0-1, 0-2, .., 1-2, ..; or one
+     *     value for all pairs
      */
     record Rooms(int zones, List<Double> delaysMs) {
         static final Rooms ONE = new Rooms(1, List.of(0.0));
@@ -78,7 +79,7 @@
         faults = List.copyOf(faults);
     }
 
-    /** A town without zones. */
+    /** A site without zones. */
     Scenario(String name, long seed, double seconds, Size town, Load load, List<Fault> faults) {
         this(name, seed, seconds, town, load, faults, Rooms.ONE);
     }
@@ -95,7 +96,7 @@
         return new Scenario(name, seed, other, town, load, faults, rooms);
     }
 
-    /** The same town with so many proxies and nodes. */
+    /** The same site with this many proxies and nodes. */
     Scenario withTown(int proxies, int nodes) {
         return new Scenario(
                 name,
@@ -136,7 +137,7 @@
                 rooms);
     }
 
-    /** A small town of which a seed draws all: sizes, load, and faults that may overlap. */
+    /** A small site drawn from a seed: sizes, load, and faults that may overlap. */
     static Scenario drawn(long seed, double seconds) {
         SplittableRandom random = new SplittableRandom(seed);
         Size size =
@@ -154,7 +155,7 @@
                         random.nextDouble(30, 120),
                         40);
         double workMs = random.nextDouble(8, 60);
-        // from a third of what the nodes can do to a little more than all of it
+        // from a third of the nodes' capacity to a little more than all of it
         double ratePerS = Math.min(200, random.nextDouble(0.3, 1.1) * size.nodes / workMs * 1000);
         Load load =
                 new Load(
@@ -214,7 +215,7 @@
             case SURGE ->
                     new Fault(kind, atS, forS, 0, random.nextInt(load.clubs().size()), 0, times, 0);
             case HOT_KEY -> new Fault(kind, atS, forS, 0, 0, random.nextDouble(0.1, 0.5), 0, 0);
-            default -> throw new IllegalStateException(kind + " is of zones");
+            default -> throw new IllegalStateException(kind + " is a fault of zones");
         };
     }
 }
--- a/src/main/java/holdproxy/lab/ScenarioFile.java
+++ b/src/main/java/holdproxy/lab/ScenarioFile.java
@@ -15,8 +15,8 @@
 import org.tomlj.TomlArray;
 
 /**
- * Scenarios as TOML. Every figure has a default but a fault's place; whatever is unknown, of the wrong
- * kind or out of its bounds is a {@link BadInput} that names the line.
+ * Reads and writes scenarios as TOML. Every setting has a default but a fault's target; an unknown key, a
+ * value of the wrong type or one out of bounds is a {@link BadInput} that names the line.
  */
 final class ScenarioFile {
     private static final double LONGEST_S = 3600;
@@ -33,7 +33,7 @@
         }
     }
 
-    /** {@code file}: its name, for errors and where the scenario states none. */
+    /** {@code file}: the file name, for errors and as the default scenario name. */
     static Scenario read(String file, String text) {
         TomlPart top = TomlPart.parse(file, "the scenario", text);
         String name = top.text("name", file);
@@ -135,7 +135,7 @@
         return new Fault(kind, atS, forS, noticedS, target, part, times, chance);
     }
 
-    /** As {@link #read} takes it. */
+    /** Writes a scenario in the form that {@link #read} accepts. */
     static String write(Scenario s) {
         StringBuilder out = new StringBuilder();
         out.append("name = ").append(TomlText.quoted(s.name())).append('\n');
--- a/src/main/java/holdproxy/lab/Shrinker.java
+++ b/src/main/java/holdproxy/lab/Shrinker.java
@@ -5,8 +5,8 @@
 import java.util.function.Predicate;
 
 /**
- * Makes a scenario smaller as long as it still breaks the same rule: fewer faults, less time, fewer nodes,
- * proxies and requests. What breaks is asked of whoever calls, so that this decides without playing.
+ * Reduces a scenario as long as it still breaks the same rule: fewer faults, less time, fewer nodes,
+ * proxies and requests. The caller decides what breaks, so this class runs no simulation itself.
  */
 final class Shrinker {
     private final Predicate<Scenario> breaks;
@@ -17,11 +17,11 @@
         least = whole;
     }
 
-    /** The smallest found from one that {@code breaks}. */
+    /** The smallest scenario found, starting from one for which {@code breaks} holds. */
     static Scenario shrink(Scenario whole, Predicate<Scenario> breaks) {
         Shrinker s = new Shrinker(whole, breaks);
         while (s.withoutAFault() | s.shorter() | s.fewerNodes() | s.fewerProxies() | s.lessLoad()) {
-            continue; // what one step took away may let another go further
+            continue; // one reduction may make another possible
         }
         return s.least;
     }
@@ -61,7 +61,7 @@
         return leavesTargets(fewer) && take(least.withTown(fewer, least.town().nodes()));
     }
 
-    /** Whether with so many every fault still has its node or proxy. */
+    /** Whether every fault's target still exists with this many nodes or proxies. */
     private boolean leavesTargets(int fewer) {
         return fewer >= 1
                 && least.faults().stream().allMatch(f -> f.kind().ofZone() || f.target() < fewer);
--- a/src/main/java/holdproxy/lab/StepCommand.java
+++ b/src/main/java/holdproxy/lab/StepCommand.java
@@ -17,21 +17,24 @@
 import picocli.CommandLine.Option;
 
 /**
- * {@code lab step}: what follows a step in load up and one down again. All figures are of the mean over the
- * seeds, each counted over what its nodes can do, in a window of one second.
+ * {@code lab step}: response to a step in load up and one down again. All figures are means over the
+ * seeds, each relative to its nodes' capacity, in a window of one second.
  */
 @Command(
         name = "step",
-        description = "The answer to a step in load up and down.",
+        description = "Measures the response to a step in load up and down.",
         mixinStandardHelpOptions = true)
 final class StepCommand implements Callable<Integer> {
-    /** Settled: from here on within this of the level that it settles at, of which seconds are the mean. */
+    /**
+     * Settled: from here on within this distance of the final level, which is the mean of this many
+     * seconds.
+     */
     private static final double WITHIN = 0.15;
 
     private static final double LEVEL_S = 10;
     private static final double RISEN = 0.9;
 
-    /** Down: settled once the share served is back at its level before less this. */
+    /** After the step down: settled once the share served is back at its level before, less this. */
     private static final double LESS = 0.05;
 
     private static final int WINDOW = (int) (1 / LoadSeries.BIN_S);
@@ -65,7 +68,7 @@
     @Option(
             names = "--after",
             defaultValue = "20",
-            description = "seconds after it (${DEFAULT-VALUE})")
+            description = "seconds after the step down (${DEFAULT-VALUE})")
     private int afterS;
 
     @Override
@@ -117,7 +120,7 @@
                                             : v));
         }
         if (options.plot != null) {
-            Plot plot = new Plot("A step in load", "second", "over what the nodes can do");
+            Plot plot = new Plot("A step in load", "second", "relative to node capacity");
             double[] x =
                     IntStream.range(0, wanted.length)
                             .mapToDouble(i -> i * LoadSeries.BIN_S)
@@ -174,7 +177,7 @@
         return f;
     }
 
-    /** Seconds after the first bin from which on nothing is above 0. */
+    /** Seconds after the first bin from which on no value is above 0. */
     private static double settled(int from, int to, IntToDoubleFunction beyond) {
         int last =
                 IntStream.range(from, to - WINDOW + 1)
--- a/src/main/java/holdproxy/lab/Town.java
+++ b/src/main/java/holdproxy/lab/Town.java
@@ -25,31 +25,31 @@
 import java.util.stream.IntStream;
 
 /**
- * A town in virtual time: unchanged proxies, each on an event loop of its own, with cache nodes, the
- * register, discovery and clients around them on another. Each part draws from a stream of its own, so that
- * one more part shifts no other's.
+ * A simulated site in virtual time: the unmodified proxies, each on an event loop of its own, and on
+ * another loop the cache nodes, the origin, discovery and clients. Each part draws from a random stream
+ * of its own, so that adding a part does not shift the others' draws.
  */
 final class Town implements AutoCloseable {
-    /** A month into 1970, so that no start is taken for long ago. */
+    /** Start time, a month into 1970, so that the start times of nodes don't look long past. */
     private static final long UNIX_MS = 2_592_000_000L;
 
     private static final long CALL_US = 30_000;
 
-    /** After the last request, until the last of its tries is over. */
+    /** Time after the last request until the last of its attempts has ended. */
     private static final double LAST_TRIES_S = 12;
 
-    /** Share of nodes of the fast kind; what a core of either does, in standard cores. */
+    /** Share of fast nodes; speed of one core of either kind, in standard cores. */
     private static final double FAST_SHARE = 0.4;
 
     private static final double[] FAST = {1.3, 1.7};
     private static final double[] STANDARD = {0.85, 1.1};
 
-    /** Part of what the nodes can do that the clubs may ask for together. */
+    /** Share of the nodes' capacity that the clubs together may request. */
     private static final double QUOTA_PART = 0.83;
 
     final VirtualTime time = new VirtualTime();
 
-    /** The loop of all but the proxies. */
+    /** The event loop of everything but the proxies. */
     final VirtualLoop loop = time.loop(true);
 
     final TownRecord record = new TownRecord();
@@ -57,13 +57,13 @@
     final MemoryNetwork network;
     final DiscoveryService discovery;
 
-    /** By place; a node that is replaced leaves its place to another. */
+    /** By position; a replaced node leaves its position to its successor. */
     final List<CacheNode> nodes = new ArrayList<>();
 
     final List<ProxyProcess> proxies = new ArrayList<>();
     final Clients clients;
 
-    /** What the proxies wrote to their logs. */
+    /** Log lines of the proxies. */
     final List<String> logs = new ArrayList<>();
 
     private final Scenario scenario;
@@ -77,7 +77,10 @@
         this(scenario, t -> t);
     }
 
-    /** {@code planted} stands between the proxies and their network: what an auditor is to catch. */
+    /**
+     * {@code planted} is inserted between the proxies and their network: a fault that an auditor must
+     * catch.
+     */
     Town(Scenario scenario, UnaryOperator<Transport> planted) {
         this.scenario = scenario;
         Scenario.Size size = scenario.town();
@@ -188,7 +191,7 @@
                 logs::add);
     }
 
-    /** One more node, not up yet. */
+    /** Adds a node that is not up yet. */
     private CacheNode node(int zone) {
         int number = made++;
         Scenario.Size size = scenario.town();
@@ -233,7 +236,9 @@
         return random.nextDouble(speeds[0], speeds[1]);
     }
 
-    /** Requests a second that all nodes of a scenario's town can do, of the mix that its clients ask. */
+    /**
+     * Requests per second that all nodes of a scenario's site can serve, for the clients' mix of classes.
+     */
     static double capacityPerS(Scenario scenario) {
         double cores = 0;
         for (int i = 0; i < scenario.town().nodes(); i++) {
@@ -244,14 +249,14 @@
         return cores * 1000 / (scenario.load().workMs() * work);
     }
 
-    /** The node that takes over a place, not up yet. */
+    /** The node that takes over a position; not up yet. */
     CacheNode successor(int place) {
         CacheNode node = node(zones.of(place));
         nodes.set(place, node);
         return node;
     }
 
-    /** A stream of chance of one part's own. */
+    /** The random stream of one part. */
     private SplittableRandom stream(String part, int number) {
         return stream(scenario.seed(), part, number);
     }
@@ -260,7 +265,7 @@
         return new SplittableRandom(seed * 0x9e3779b97f4a7c15L + (part.hashCode() * 31L + number));
     }
 
-    /** Discovery looks at a node and tells what it sees, if it is something new. */
+    /** Discovery checks a node and publishes its state if it has changed. */
     void relist(CacheNode node) {
         boolean gone = !node.up() || hosts.get(node).silent || zones.silent(node.zone);
         String state = gone ? "DELETED" : node.drains() ? "DRAINING" : "SERVING";
@@ -273,13 +278,13 @@
         }
     }
 
-    /** Cuts a node's host off from the network, or lets it back. */
+    /** Cuts a node's host off from the network, or reconnects it. */
     void cut(CacheNode node, boolean off) {
         record.add(loop.nowUs(), Event.Kind.FAULT, node.name, "", off ? "silent" : "back");
         hosts.get(node).silent = off;
     }
 
-    /** From now on each message's connection at a node's host is reset with this chance. */
+    /** From now on each message at a node's host resets its connection with this probability. */
     void resets(CacheNode node, double chance) {
         record.add(loop.nowUs(), Event.Kind.FAULT, node.name, "", "resets " + chance);
         hosts.get(node).resetChance = chance;
@@ -289,7 +294,7 @@
         loop.after((long) (seconds * 1e6) - loop.nowUs(), happening);
     }
 
-    /** Clients ask for as long as the scenario says; then what is out comes to its end. */
+    /** Runs the clients for the scenario's duration, then waits for open requests to complete. */
     void play() {
         long endUs = (long) (scenario.seconds() * 1e6);
         clients.ask(endUs);
@@ -297,12 +302,12 @@
         proxies.forEach(ProxyProcess::showFigures);
     }
 
-    /** Ends every process; the town is over. */
+    /** Ends every process at the end of the run. */
     @Override
     public void close() {
         proxies.forEach(ProxyProcess::close);
-        loop.end(network::close); // else Netty's table of local addresses would hold the town for
-        // good
+        loop.end(network::close); // else Netty's table of local addresses would keep this site
+        // reachable
     }
 
     static InetSocketAddress address(int net, int host, int port) {
@@ -310,7 +315,7 @@
             byte[] bytes = {10, (byte) net, (byte) (host >> 8), (byte) host};
             return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException("four bytes are an address", e);
+            throw new IllegalStateException("a four-byte address was rejected", e);
         }
     }
 }
--- a/src/main/java/holdproxy/lab/Troubles.java
+++ b/src/main/java/holdproxy/lab/Troubles.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Lets the faults of a scenario happen in a town. */
+/** Schedules and applies the faults of a scenario in a simulated site. */
 final class Troubles {
-    /** A drained node's process ends so long after, and its successor starts so long after that. */
+    /** Delay from a drain to the end of the node's process, and from there to its successor's start. */
     private static final double DRAIN_S = 3;
 
     private static final double SUCCEEDS_S = 0.5;
 
-    /** Discovery lists a started node so long after, and a drain. */
+    /** Delay after which discovery lists a started node, or a drain. */
     private static final double ADDED_S = 1.5;
 
     private static final double TOLD_S = 0.1;
@@ -29,12 +29,12 @@
         faults.forEach(f -> town.at(f.atS(), () -> troubles.happen(f)));
     }
 
-    /** So many seconds from now. */
+    /** Schedules a task this many seconds from now. */
     private void later(double seconds, Runnable task) {
         town.loop.after((long) (seconds * 1e6), task);
     }
 
-    /** At the fault's end, unless it has none. */
+    /** Schedules a task at the fault's end, unless it has none. */
     private void after(Fault f, Runnable task) {
         if (f.forS() > 0) {
             later(f.forS(), task);
@@ -122,7 +122,10 @@
                 });
     }
 
-    /** Dead, or silent and back cold or as it was. Discovery and the front notice later. */
+    /**
+     * The processes are killed, or cut off and back cold or with their state. Discovery and the front
+     * notice later.
+     */
     private void loseZone(Fault f) {
         boolean dead = f.kind() == Fault.Kind.ZONE_DEAD;
         List<CacheNode> nodes =
@@ -156,7 +159,7 @@
                         proxies.forEach(p -> p.believed(true));
                     }
                     if (f.kind() != Fault.Kind.ZONE_SILENT) {
-                        // a place may have another node by now, and that one may be up
+                        // the position may have another node by now, which may already be up
                         nodes.stream()
                                 .filter(n -> !n.up() && town.nodes.contains(n))
                                 .forEach(CacheNode::startCold);
--- a/src/main/java/holdproxy/lab/VirtualLoop.java
+++ b/src/main/java/holdproxy/lab/VirtualLoop.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An event loop in virtual time: that of the town, or of one life of a proxy, which can stand still or
- * end. Netty's own {@code ManualIoEventLoop} takes its thread for its identity, and here all loops share
- * one: what one does to another's channels has to wait for that one's turn, as between processes.
+ * An event loop in virtual time: that of the site, or that of one start of a proxy, which can be paused
+ * or ended. Netty's {@code ManualIoEventLoop} is identified by its thread, but here all loops share one
+ * thread: a task for another loop's channels has to wait until that loop runs, as between processes.
  */
 final class VirtualLoop extends AbstractScheduledEventExecutor implements IoEventLoop, Timeline {
     private final VirtualTime time;
@@ -33,7 +33,9 @@
     private boolean ended;
     private long heldUntilNs = Long.MIN_VALUE;
 
-    /** {@code strict}: what a task throws ends the play; else it is logged, as in service. */
+    /**
+     * {@code strict}: an exception from a task ends the run; otherwise it is logged, as in production.
+     */
     VirtualLoop(VirtualTime time, boolean strict) {
         this.time = time;
         this.strict = strict;
@@ -50,12 +52,12 @@
         schedule(task, Math.max(0, delayUs), TimeUnit.MICROSECONDS);
     }
 
-    /** It stands still for so long from now, in microseconds: nothing on it runs, whatever is due. */
+    /** Pauses the loop for this many microseconds from now: no task runs, whatever is due. */
     void hold(long us) {
         heldUntilNs = Math.max(heldUntilNs, time.nowNs() + us * 1000);
     }
 
-    /** The process is over: this task runs, at once and with what it brings about, and nothing after. */
+    /** Ends the process: this task and those that it triggers run at once, and nothing runs after. */
     void end(Runnable last) {
         if (!ended) {
             tasks.clear();
@@ -72,7 +74,7 @@
         return ended;
     }
 
-    /** When it has something to do, on the ticker's time. */
+    /** Time of the next task, by the ticker. */
     long nextNs() {
         if (ended) {
             return Long.MAX_VALUE;
@@ -85,7 +87,7 @@
         return Math.max(dueNs, heldUntilNs);
     }
 
-    /** Runs what is due; returns whether there was anything. */
+    /** Runs the tasks that are due; returns whether there were any. */
     boolean runDue() {
         if (nextNs() > time.nowNs()) {
             return false;
@@ -120,7 +122,7 @@
         }
     }
 
-    // ---- as Netty wants it ----
+    // ---- Netty's EventLoop interface ----
 
     @Override
     public Ticker ticker() {
@@ -211,16 +213,19 @@
     @Override
     @Deprecated
     public void shutdown() {
-        throw new UnsupportedOperationException("a loop in virtual time ends with its process");
+        throw new UnsupportedOperationException(
+                "a virtual-time event loop cannot be shut down; it ends with its process");
     }
 
     @Override
     public Future<?> shutdownGracefully(long quietPeriod, long timeout, TimeUnit unit) {
-        throw new UnsupportedOperationException("a loop in virtual time ends with its process");
+        throw new UnsupportedOperationException(
+                "a virtual-time event loop cannot be shut down; it ends with its process");
     }
 
     @Override
     public Future<?> terminationFuture() {
-        throw new UnsupportedOperationException("a loop in virtual time ends with its process");
+        throw new UnsupportedOperationException(
+                "a virtual-time event loop cannot be shut down; it ends with its process");
     }
 }
--- a/src/main/java/holdproxy/lab/VirtualTime.java
+++ b/src/main/java/holdproxy/lab/VirtualTime.java
@@ -7,16 +7,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The time of a town and the event loops that live by it: what is due runs, loop after loop in the order of
- * their making, then time jumps to the next timer. One thread and one order, so that a seed gives the same
- * run each time.
+ * The clock of a simulated site and its event loops: tasks that are due run, loop by loop in order of
+ * creation, then time advances to the next timer. With one thread and a fixed order, a seed gives the
+ * same run each time.
  */
 final class VirtualTime {
     private final MockTicker ticker = Ticker.newMockTicker();
     private final long startNs = ticker.nanoTime();
     private final List<VirtualLoop> loops = new ArrayList<>();
 
-    /** One more event loop, of the calling thread; {@code strict}: what a task throws ends the play. */
+    /**
+     * Adds an event loop of the calling thread; {@code strict}: an exception from a task ends the run.
+     */
     VirtualLoop loop(boolean strict) {
         VirtualLoop loop = new VirtualLoop(this, strict);
         loops.add(loop);
@@ -36,12 +38,12 @@
         return ticker.nanoTime();
     }
 
-    /** Runs until this time, in microseconds since the start; what is due then has run. */
+    /** Runs until this time, in microseconds since the start, including the tasks due then. */
     void runUntil(long us) {
         long endNs = startNs + us * 1000;
         while (true) {
             while (runDue()) {
-                continue; // one loop's work may have handed some to another
+                continue; // a task of one loop may have scheduled tasks on another
             }
             long nextNs = Long.MAX_VALUE;
             for (int i = 0; i < loops.size(); i++) {
@@ -58,7 +60,7 @@
     private boolean runDue() {
         boolean ran = false;
         boolean ended = false;
-        for (int i = 0; i < loops.size(); i++) { // a loop may be made meanwhile
+        for (int i = 0; i < loops.size(); i++) { // a loop may be added during the iteration
             ran |= loops.get(i).runDue();
             ended |= loops.get(i).ended();
         }
--- a/src/main/java/holdproxy/lab/Zones.java
+++ b/src/main/java/holdproxy/lab/Zones.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 
 /**
- * The zones of a town, and the state of the links between them. A zone can fall silent whole; the link from
- * one to another, which is not the one back, can be cut, lose messages or be slow. {@link #NOWHERE} is what
- * belongs to no zone: it is as near to all, and only a zone's own silence keeps anyone from it.
+ * The zones of a simulated site, and the state of the links between them. A whole zone can be silent;
+ * each link has a direction, and can be cut, lose messages or be slow. {@link #NOWHERE} stands for hosts
+ * outside all zones: they are equally near to all, and only a zone's own silence cuts it off from them.
  */
 final class Zones {
     static final int NOWHERE = -1;
@@ -23,12 +23,12 @@
                     "room-school",
                     "room-market");
 
-    /** What a lost message takes more, as TCP sends it again: at first, and twice as long each time. */
+    /** Extra delay of a lost message for TCP's retransmission: the first, doubled at each repetition. */
     private static final long AGAIN_US = 200_000;
 
     private static final int AGAIN_MOST = 6;
 
-    /** A link as it is now. */
+    /** The present state of a link. */
     private static final class Way {
         private long delayUs;
         private boolean cut;
@@ -40,7 +40,9 @@
     private final boolean[] silent;
     private final SplittableRandom random;
 
-    /** {@code delaysMs}: of each pair, in the order 0-1, 0-2, .., 1-2, ..; or one figure for all. */
+    /**
+     * {@code delaysMs}: for each pair, in the order 0-1, 0-2, .., 1-2, ..; or one value for all pairs.
+     */
     Zones(int count, List<Double> delaysMs, SplittableRandom random) {
         this.random = random;
         silent = new boolean[count];
@@ -70,7 +72,7 @@
         return NAMES.subList(0, count);
     }
 
-    /** The zone of the i-th of something: in turn, so that each has a part of any row of neighbours. */
+    /** The zone of the i-th item: round robin, so that consecutive items spread over all zones. */
     int of(int i) {
         return i % silent.length;
     }
@@ -83,12 +85,12 @@
         return zone != NOWHERE && silent[zone];
     }
 
-    /** Nothing gets from a zone to any other, or nothing from the others to it. */
+    /** Cuts all links out of a zone, or all links into it. */
     void cut(int zone, boolean inwards, boolean now) {
         eachOther(zone, inwards, way -> way.cut = now);
     }
 
-    /** Each message from and to a zone is lost with this chance, and its way takes so many times as long. */
+    /** Each message from and to a zone is lost with this probability, and its delay is multiplied. */
     void gray(int zone, double lost, double times) {
         for (boolean inwards : new boolean[] {true, false}) {
             eachOther(
@@ -113,7 +115,7 @@
         return from != NOWHERE && to != NOWHERE && ways[from][to].cut;
     }
 
-    /** What the way between two zones adds to a message's {@code ownUs}, in microseconds. */
+    /** Extra delay between two zones for a message with its {@code ownUs}, in microseconds. */
     long addedUs(int from, int to, long ownUs) {
         if (from == NOWHERE || to == NOWHERE) {
             return 0;
@@ -126,7 +128,7 @@
         return us;
     }
 
-    /** Whether what comes late this way, or never, is the town's doing. */
+    /** Whether a late or lost message is due to a simulated fault. */
     boolean troubled(int from, int to) {
         return silent(from)
                 || silent(to)
