--- a/src/main/java/holdproxy/lab/LabCommand.java
+++ b/src/main/java/holdproxy/lab/LabCommand.java
@@ -59,8 +59,7 @@
 
     /** Runs a command line; returns its exit code. */
     public static int run(String[] args) {
-        // a proxy killed in a simulation leaves its buffers unreleased, which is no leak of the
-        // program
+        // buffers that a killed proxy leaves unreleased are no leak of the program
         ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.DISABLED);
         System.setProperty("logback.configurationFile", "logback-lab.xml");
         InternalLoggerFactory.setDefaultFactory(
--- a/src/main/java/holdproxy/lab/Link.java
+++ b/src/main/java/holdproxy/lab/Link.java
@@ -55,7 +55,7 @@
         loop.after(outDueUs - loop.nowUs(), task);
     }
 
-    /** Whether a message is held back; reports it if a zone is the cause. */
+    /** Whether a message is not delivered; reports it if a zone is the cause. */
     private boolean gone(ChannelHandlerContext ctx, boolean toHost) {
         boolean gone = way(ctx).gone(toHost);
         if (!host.silent && (gone || way.troubled())) {
--- a/src/main/java/holdproxy/lab/LoadOptions.java
+++ b/src/main/java/holdproxy/lab/LoadOptions.java
@@ -52,7 +52,7 @@
             names = "--clubs",
             defaultValue = "3",
             description =
-                    "3: shares as in the emulator; else this many clubs of equal share"
+                    "3: shares as in the site; else this many clubs of equal share"
                             + " (${DEFAULT-VALUE})")
     private int clubs;
 
--- a/src/main/java/holdproxy/lab/Town.java
+++ b/src/main/java/holdproxy/lab/Town.java
@@ -26,7 +26,7 @@
 
 /**
  * A simulated site in virtual time: the unmodified proxies, each on an event loop of its own, and on
- * another loop the cache nodes, the origin, discovery and clients. Each part draws from a random stream
+ * another loop the cache nodes, the member register, discovery and clients. Each part draws from a random stream
  * of its own, so that adding a part does not shift the others' draws.
  */
 final class Town implements AutoCloseable {
@@ -306,8 +306,7 @@
     @Override
     public void close() {
         proxies.forEach(ProxyProcess::close);
-        loop.end(network::close); // else Netty's table of local addresses would keep this site
-        // reachable
+        loop.end(network::close); // else Netty's table of local addresses would hold this site
     }
 
     static InetSocketAddress address(int net, int host, int port) {
--- a/src/test/java/holdproxy/lab/AuditorsTest.java
+++ b/src/test/java/holdproxy/lab/AuditorsTest.java
@@ -25,19 +25,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each auditor against a proxy that breaks its rule, by a fault planted between the proxy and its
+ * Each auditor must report a proxy that breaks its rule, by a fault injected between the proxy and its
  * network.
  */
 class AuditorsTest {
     private static final Scenario SMALL =
             new Scenario("small", 7, 5, Scenario.SMALL, Scenario.PLAIN, List.of());
 
-    /** What a fault does with bytes that the proxy writes; what it returns goes out. */
+    /** Transforms the bytes that the proxy writes; the returned bytes are sent. */
     private interface Plant {
         ByteBuf written(String text, ByteBuf bytes);
     }
 
-    /** The network with a fault at each client's connection, or at each connection to a node. */
+    /**
+     * A network that injects a fault into each client's connection, or into each connection to a node.
+     */
     private static final class Planted implements Transport {
         private final Transport network;
         private final boolean atNodes;
@@ -97,7 +99,7 @@
         return (text, bytes) -> ++count[0] % n == 0 ? fault.written(text, bytes) : bytes;
     }
 
-    /** Sends what a proxy wrote to another node as well. */
+    /** Sends the proxy's bytes to another node as well. */
     private static void sendToo(Transport network, int node, ByteBuf bytes, int times) {
         for (int i = 0; i < times; i++) {
             ChannelFuture connected =
@@ -290,7 +292,7 @@
         }
     }
 
-    /** A node starts cold, all know it, and each command goes to it so many times over. */
+    /** A node starts cold, all proxies know it, and each command is sent to it this many times more. */
     private static List<String> rushed(int times) {
         try (Town town =
                 new Town(
--- a/src/test/java/holdproxy/lab/ColdNodeLoad.java
+++ b/src/test/java/holdproxy/lab/ColdNodeLoad.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 
 /**
- * What all proxies together sent to each cold cache node, judged by the limit of N + 2 x root of N + 2
- * requests in the window that the settings name. N is what the settings allow the node at that moment: its
- * present speed, times the tip multiple, over the mean work of a request. A window counts where more than two
- * thirds of it came from proxies that had been told of the node's start.
+ * Requests of all proxies together to each cold cache node, checked against the limit of N + 2 x root of
+ * N + 2 requests in the window that the settings name. N is what the settings allow the node at that
+ * moment: its present speed, times the tip multiple, over the mean work of a request. A window counts if
+ * more than two thirds of its requests came from proxies that had been notified of the node's start.
  */
 final class ColdNodeLoad {
     private static final double TIP_MULTIPLE = 4;
@@ -32,7 +32,7 @@
 
     private record Arrival(long us, double meanRequests, boolean knowing) {}
 
-    /** One start of a node, and what has come to it within the window. */
+    /** One start of a node, and the requests to it within the window. */
     private static final class ColdStart {
         private final Event up;
         private final double firstSpeed;
--- a/src/test/java/holdproxy/lab/ColdNodesOfManyProxiesTest.java
+++ b/src/test/java/holdproxy/lab/ColdNodesOfManyProxiesTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Thirty proxies together keep within what a cold cache node can stand, under a burst. */
+/**
+ * Thirty proxies together must not overload a cold cache node under a burst: each proxy may keep within
+ * its own limit while their sum exceeds the node's.
+ */
 class ColdNodesOfManyProxiesTest {
     private static final int PROXIES = 30;
     private static final int NODES = 24;
@@ -41,7 +44,7 @@
                 * RequestClass.ALL.stream().mapToDouble(c -> c.share() * c.work()).sum();
     }
 
-    /** How a node starts and what proxies are told of it. */
+    /** How a node starts and what discovery publishes of it. */
     private enum Start {
         COLD {
             @Override
@@ -56,8 +59,8 @@
         },
 
         /**
-         * Listed as up for long, which takes the rule for cold nodes away. It bears what it is sent: one that
-         * fell over at N in the model would hide how much more comes.
+         * Listed as long up, which disables the rule for cold nodes. The node withstands any load: one
+         * that fell over at N would hide how much more is sent.
          */
         LISTED_AS_WARM {
             @Override
@@ -77,7 +80,7 @@
         abstract void list(Town town, CacheNode node);
     }
 
-    /** The record as it would judge the nodes that started in the middle of the play, were they cold. */
+    /** The record as it would be if the nodes that started in the middle of the run were cold. */
     private static List<Event> judgedAsCold(List<Event> events) {
         return events.stream()
                 .map(e -> e.kind() == Event.Kind.UP && e.us() > 0 ? coldStart(e) : e)
@@ -159,7 +162,7 @@
         assertEquals(
                 BACK_COLD.size() + JOINING.size(),
                 peaks.values().stream().filter(p -> p.requests() > 0).count(),
-                "some cold node got nothing from proxies that knew of it");
+                "some cold node got no requests from proxies that knew of its start");
         return peaks.values().stream()
                 .max(Comparator.comparingDouble(ColdNodeLoad.Peak::ratio))
                 .orElseThrow();
@@ -183,7 +186,7 @@
         assertFalse(worst.broken(), worst.toString());
         assertTrue(
                 events.stream().noneMatch(e -> e.detail().equals("falls over")),
-                "a node fell over, at N in the model: what more would have come is not seen");
+                "a node fell over (at N in the model), which hides any further requests");
         assertTrue(!uneven || busiestOverMean(events) >= 3, "the load is not uneven");
     }
 
@@ -194,7 +197,7 @@
         assertTrue(worst.broken(), worst.toString());
     }
 
-    /** A node at speed 0.5 for ever, 40 ms a request: N is 100, the limit 122. */
+    /** A node that stays at speed 0.5, 40 ms a request: N is 100, the limit 122. */
     private static List<Event> record(int requests, int knowing) {
         List<Event> events = new ArrayList<>();
         events.add(new Event(0, Event.Kind.UP, "s-1", "", "0.5 0.5000001 1000000000"));
--- a/src/test/java/holdproxy/lab/CycleTest.java
+++ b/src/test/java/holdproxy/lab/CycleTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 class CycleTest {
-    /** Counts of half seconds for a minute, 120 in the mean, that swing by this part with this period. */
+    /**
+     * Half-second counts over a minute, 120 on average, that oscillate with this relative amplitude and
+     * period.
+     */
     private static List<double[]> plays(double part, double periodS) {
         SplittableRandom random = new SplittableRandom(7);
         List<double[]> plays = new ArrayList<>();
--- a/src/test/java/holdproxy/lab/HuntTest.java
+++ b/src/test/java/holdproxy/lab/HuntTest.java
@@ -6,7 +6,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Towns drawn by seeds, faults overlapping: no rule is broken, and a seed always goes the same way. */
+/**
+ * Sites drawn from seeds with overlapping faults: no rule is broken, and a seed always gives the same
+ * run.
+ */
 class HuntTest {
     private static List<Play> hunt(long seeds) {
         return LongStream.rangeClosed(1, seeds)
--- a/src/test/java/holdproxy/lab/LoadCommandsTest.java
+++ b/src/test/java/holdproxy/lab/LoadCommandsTest.java
@@ -47,7 +47,7 @@
         Object row = ((List<?>) report.get("loads")).get(0);
         assertEquals(0.5, figure(row, "share"), 0.06);
         assertTrue(figure(row, "least_s") <= figure(row, "mean_s"), row.toString());
-        assertTrue(Files.size(plot) > 1000, "no picture");
+        assertTrue(Files.size(plot) > 1000, "plot file is too small to be an image");
     }
 
     @Test
--- a/src/test/java/holdproxy/lab/TownTest.java
+++ b/src/test/java/holdproxy/lab/TownTest.java
@@ -65,7 +65,7 @@
     void aProxyThatStandsStillIsFoundOutAndExcused() {
         Play play = Play.of(small(3, fault(Fault.Kind.HOLD, 4, 2, 0)));
         assertEquals(List.of(), play.broken());
-        assertTrue(play.service().share() < 0.97, "its clients were served though it stood still");
+        assertTrue(play.service().share() < 0.97, "its clients were served although it was paused");
     }
 
     @Test
@@ -74,7 +74,7 @@
         town.play();
         assertTrue(
                 town.record.events().stream().anyMatch(e -> e.kind() == Event.Kind.CUT),
-                "nothing was cut");
+                "no connection was cut");
         assertEquals(List.of(), Auditors.broken(town.record.events()));
         assertTrue(new Service(town.record.events()).share() > 0.8);
         town.close();
--- a/src/test/java/holdproxy/lab/ZonesTest.java
+++ b/src/test/java/holdproxy/lab/ZonesTest.java
@@ -20,7 +20,7 @@
 class ZonesTest {
     private static final double LOST_AT_S = 3;
 
-    /** Three zones of two proxies and four nodes each; zone 1 is met. */
+    /** Three zones of two proxies and four nodes each; the fault hits zone 1. */
     private static Scenario town(Fault.Kind kind, double forS, double delayMs) {
         return new Scenario(
                         "zones",
@@ -56,11 +56,13 @@
     void aSilentZoneIsSentIntoUntilItIsFoundOutAndItsClientsGoElsewhereThen() {
         Play play = Play.of(town(Fault.Kind.ZONE_SILENT, 6, 1));
         double lastSendS = (double) play.figures().get("last_send_into_zone_1_s");
-        assertTrue(lastSendS > 0 && lastSendS < 6, "last send into it after " + lastSendS + " s");
+        assertTrue(
+                lastSendS > 0 && lastSendS < 6,
+                "last send into the silent zone after " + lastSendS + " s");
         assertEquals(
                 4,
                 play.figures().get("proxies_that_sent_into_zone_1"),
-                "those of the two other zones");
+                "proxies of the two other zones");
         double worst = (double) play.figures().get("in_time_zone_1");
         assertTrue(
                 worst < (double) play.figures().get("in_time_zone_0") && worst > 0.5,
@@ -76,7 +78,7 @@
                 town.play();
                 lostOf[i] = lost(town, "message") + lost(town, "dial");
                 assertTrue(lostOf[i] > 0);
-                // its own nodes go on for its own proxies
+                // its own nodes keep serving its own proxies
                 assertTrue(
                         town.record.events().stream()
                                 .anyMatch(
@@ -86,9 +88,8 @@
                                                         && e.us() < 7_000_000
                                                         && node(e.where()) % 3 == 1
                                                         && node(e.word(1)) % 3 == 1),
-                        "nothing is served within the zone");
-                // of the others nothing gets in where that is cut, and something does where only
-                // the way back is
+                        "no request is served within the zone");
+                // messages from other zones arrive only if just the outward direction is cut
                 long in =
                         town.record.events().stream()
                                 .filter(
@@ -99,7 +100,7 @@
                                                         && node(e.where()) % 3 == 1
                                                         && node(e.word(1)) % 3 != 1)
                                 .count();
-                assertEquals(kinds[i] == Fault.Kind.ZONE_CUT_OUT, in > 0, in + " got in");
+                assertEquals(kinds[i] == Fault.Kind.ZONE_CUT_OUT, in > 0, in + " messages got in");
             }
         }
     }
@@ -135,7 +136,10 @@
         long far = (long) Play.of(town(null, 0, 10)).figures().get("served_p50_ms");
         assertTrue(
                 far >= near + 8,
-                "median " + far + " ms after " + near); // 20 there and back, two of three times
+                "median "
+                        + far
+                        + " ms after "
+                        + near); // 20 ms for the round trip, in two of three cases
         Zones zones = new Zones(3, List.of(1.0, 2.0, 3.0), new SplittableRandom(1));
         assertEquals(2_000, zones.addedUs(0, 2, 500));
         assertEquals(3_000, zones.addedUs(2, 1, 500));
