--- a/src/main/java/holdproxy/lab/Link.java
+++ b/src/main/java/holdproxy/lab/Link.java
@@ -26,8 +26,8 @@
     private boolean closing;
 
     /**
-     * The zone's state has held back a message of this connection: the link is silent until the fault
-     * ends, and is then reset.
+     * A message of this connection was not delivered because of the zone's state: the connection is silent
+     * until the fault ends, and is then reset.
      */
     private boolean holed;
 
--- a/src/main/java/holdproxy/lab/Town.java
+++ b/src/main/java/holdproxy/lab/Town.java
@@ -26,8 +26,8 @@
 
 /**
  * A simulated site in virtual time: the unmodified proxies, each on an event loop of its own, and on
- * another loop the cache nodes, the member register, discovery and clients. Each part draws from a random stream
- * of its own, so that adding a part does not shift the others' draws.
+ * another loop the cache nodes, the member register, discovery and clients. Each part draws from a random
+ * stream of its own, so that adding a part does not shift the others' draws.
  */
 final class Town implements AutoCloseable {
     /** Start time, a month into 1970, so that the start times of nodes don't look long past. */
