--- a/src/main/java/holdproxy/lab/Link.java
+++ b/src/main/java/holdproxy/lab/Link.java
@@ -29,7 +29,7 @@
      * A message of this connection was not delivered because of the zone's state: the connection is silent
      * until the fault ends, and is then reset.
      */
-    private boolean holed;
+    private boolean streamGap;
 
     /** {@code ways}: lookup by the name of the connecting process. */
     Link(VirtualLoop loop, MemoryNetwork.Host host, Function<String, MemoryNetwork.Way> ways) {
@@ -56,18 +56,18 @@
     }
 
     /** Whether a message is not delivered; reports it if a zone is the cause. */
-    private boolean gone(ChannelHandlerContext ctx, boolean toHost) {
+    private boolean isUndelivered(ChannelHandlerContext ctx, boolean toHost) {
         boolean gone = way(ctx).gone(toHost);
         if (!host.silent && (gone || way.troubled())) {
             way.lost(toHost, gone ? "message" : "late");
         }
-        holed |= gone && !host.silent;
+        streamGap |= gone && !host.silent;
         return gone;
     }
 
     /** Bytes after a gap would be misread, so the connection is reset, as TCP would. */
-    private boolean endsHoled(ChannelHandlerContext ctx, Object message) {
-        if (!holed) {
+    private boolean closeAfterGap(ChannelHandlerContext ctx, Object message) {
+        if (!streamGap) {
             return false;
         }
         ReferenceCountUtil.release(message);
@@ -81,30 +81,30 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (gone(ctx, true)) {
+        if (isUndelivered(ctx, true)) {
             ReferenceCountUtil.release(message);
             return;
         }
-        if (endsHoled(ctx, message)) {
+        if (closeAfterGap(ctx, message)) {
             return;
         }
         inDueUs = dueUs(ctx, true, inDueUs);
         loop.after(
                 inDueUs - loop.nowUs(),
                 () -> {
-                    if (closing || gone(ctx, true)) {
+                    if (closing || isUndelivered(ctx, true)) {
                         ReferenceCountUtil.release(message);
                     } else if (host.resets()) {
                         reset(ctx, (ByteBuf) message);
                     } else {
                         here.add(message);
-                        handOver(ctx);
+                        deliverReceived(ctx);
                     }
                 });
     }
 
     /** Received bytes wait here, as in a kernel's socket buffer, until the reader asks for them. */
-    private void handOver(ChannelHandlerContext ctx) {
+    private void deliverReceived(ChannelHandlerContext ctx) {
         while (!here.isEmpty() && ctx.channel().config().isAutoRead()) {
             ctx.fireChannelRead(here.poll());
         }
@@ -112,7 +112,7 @@
 
     @Override
     public void read(ChannelHandlerContext ctx) {
-        handOver(ctx);
+        deliverReceived(ctx);
         ctx.read();
     }
 
@@ -140,11 +140,11 @@
 
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-        if (gone(ctx, false)) {
+        if (isUndelivered(ctx, false)) {
             ReferenceCountUtil.release(message);
             return; // neither completed nor failed, as with a host that is cut off
         }
-        if (endsHoled(ctx, message)) {
+        if (closeAfterGap(ctx, message)) {
             promise.tryFailure(new ClosedChannelException());
             return;
         }
--- a/src/main/java/holdproxy/lab/ProxyProcess.java
+++ b/src/main/java/holdproxy/lab/ProxyProcess.java
@@ -152,7 +152,7 @@
     }
 
     /** Records the metrics that it exposes to operators at this moment. */
-    void showFigures() {
+    void recordMetrics() {
         if (!runs() || proxy == null) {
             return;
         }
@@ -182,7 +182,7 @@
         record.add(time.nowUs(), Event.Kind.FAULT, name, "", "told to end");
         int ending = life;
         loop.execute(
-                () -> proxy.end().addListener(f -> world.execute(() -> ended(ending, downUs))));
+                () -> proxy.end().addListener(f -> world.execute(() -> shutDown(ending, downUs))));
         world.after(
                 FRONT_TOLD_US,
                 () -> {
@@ -190,10 +190,10 @@
                         front.use(door, false);
                     }
                 });
-        world.after(KILLED_AFTER_US, () -> ended(ending, downUs));
+        world.after(KILLED_AFTER_US, () -> shutDown(ending, downUs));
     }
 
-    private void ended(int ending, long downUs) {
+    private void shutDown(int ending, long downUs) {
         if (life == ending && runs()) {
             over("ended");
             front.use(door, false);
@@ -234,7 +234,7 @@
     }
 
     /** Sets whether the front forwards to it, regardless of its state. */
-    void believed(boolean up) {
+    void setForwarding(boolean up) {
         front.use(door, up && runs());
     }
 
--- a/src/main/java/holdproxy/lab/Shrinker.java
+++ b/src/main/java/holdproxy/lab/Shrinker.java
@@ -20,13 +20,13 @@
     /** The smallest scenario found, starting from one for which {@code breaks} holds. */
     static Scenario shrink(Scenario whole, Predicate<Scenario> breaks) {
         Shrinker s = new Shrinker(whole, breaks);
-        while (s.withoutAFault() | s.shorter() | s.fewerNodes() | s.fewerProxies() | s.lessLoad()) {
+        while (s.dropFault() | s.shorten() | s.reduceNodes() | s.reduceProxies() | s.reduceLoad()) {
             continue; // one reduction may make another possible
         }
         return s.least;
     }
 
-    private boolean take(Scenario smaller) {
+    private boolean tryReduction(Scenario smaller) {
         if (breaks.test(smaller)) {
             least = smaller;
             return true;
@@ -34,41 +34,41 @@
         return false;
     }
 
-    private boolean withoutAFault() {
+    private boolean dropFault() {
         boolean any = false;
         for (int i = least.faults().size() - 1; i >= 0; i--) {
             List<Fault> fewer = new ArrayList<>(least.faults());
             fewer.remove(i);
-            any |= take(least.withFaults(fewer));
+            any |= tryReduction(least.withFaults(fewer));
         }
         return any;
     }
 
-    private boolean shorter() {
+    private boolean shorten() {
         double halfS = least.seconds() / 2;
         return halfS >= 1
                 && least.faults().stream().allMatch(f -> f.atS() <= halfS)
-                && take(least.withSeconds(halfS));
+                && tryReduction(least.withSeconds(halfS));
     }
 
-    private boolean fewerNodes() {
+    private boolean reduceNodes() {
         int fewer = least.town().nodes() / 2;
-        return leavesTargets(fewer) && take(least.withTown(least.town().proxies(), fewer));
+        return keepsTargets(fewer) && tryReduction(least.withTown(least.town().proxies(), fewer));
     }
 
-    private boolean fewerProxies() {
+    private boolean reduceProxies() {
         int fewer = least.town().proxies() / 2;
-        return leavesTargets(fewer) && take(least.withTown(fewer, least.town().nodes()));
+        return keepsTargets(fewer) && tryReduction(least.withTown(fewer, least.town().nodes()));
     }
 
     /** Whether every fault's target still exists with this many nodes or proxies. */
-    private boolean leavesTargets(int fewer) {
+    private boolean keepsTargets(int fewer) {
         return fewer >= 1
                 && least.faults().stream().allMatch(f -> f.kind().ofZone() || f.target() < fewer);
     }
 
-    private boolean lessLoad() {
+    private boolean reduceLoad() {
         double perS = least.load().ratePerS();
-        return perS > 2 && take(least.withRate(perS / 2));
+        return perS > 2 && tryReduction(least.withRate(perS / 2));
     }
 }
--- a/src/main/java/holdproxy/lab/Town.java
+++ b/src/main/java/holdproxy/lab/Town.java
@@ -140,7 +140,7 @@
             proxies.add(proxy(i, front, registry, perS, planted));
             proxies.get(i).start();
         }
-        Troubles.plan(this, scenario.faults());
+        Troubles.scheduleAll(this, scenario.faults());
     }
 
     private ProxyProcess proxy(
@@ -299,7 +299,7 @@
         long endUs = (long) (scenario.seconds() * 1e6);
         clients.ask(endUs);
         time.runUntil(endUs + (long) (LAST_TRIES_S * 1e6));
-        proxies.forEach(ProxyProcess::showFigures);
+        proxies.forEach(ProxyProcess::recordMetrics);
     }
 
     /** Ends every process at the end of the run. */
--- a/src/main/java/holdproxy/lab/Troubles.java
+++ b/src/main/java/holdproxy/lab/Troubles.java
@@ -24,24 +24,24 @@
         this.town = town;
     }
 
-    static void plan(Town town, List<Fault> faults) {
+    static void scheduleAll(Town town, List<Fault> faults) {
         Troubles troubles = new Troubles(town);
-        faults.forEach(f -> town.at(f.atS(), () -> troubles.happen(f)));
+        faults.forEach(f -> town.at(f.atS(), () -> troubles.apply(f)));
     }
 
     /** Schedules a task this many seconds from now. */
-    private void later(double seconds, Runnable task) {
+    private void schedule(double seconds, Runnable task) {
         town.loop.after((long) (seconds * 1e6), task);
     }
 
     /** Schedules a task at the fault's end, unless it has none. */
-    private void after(Fault f, Runnable task) {
+    private void scheduleEnd(Fault f, Runnable task) {
         if (f.forS() > 0) {
-            later(f.forS(), task);
+            schedule(f.forS(), task);
         }
     }
 
-    private void happen(Fault f) {
+    private void apply(Fault f) {
         switch (f.kind()) {
             case RESTART -> proxies(f).forEach(p -> p.restart((long) (f.forS() * 1e6)));
             case KILL ->
@@ -54,17 +54,17 @@
             case HOLD -> town.proxies.get(f.target()).hold((long) (f.forS() * 1e6));
             case DISCOVERY_DOWN -> {
                 town.discovery.down(true);
-                after(f, () -> town.discovery.down(false));
+                scheduleEnd(f, () -> town.discovery.down(false));
             }
             case SURGE -> {
                 town.clients.surge(f.target(), f.times());
-                after(f, () -> town.clients.surge(f.target(), 1));
+                scheduleEnd(f, () -> town.clients.surge(f.target(), 1));
             }
             case RETUNE -> {
                 town.proxies.forEach(p -> p.retune(1));
-                after(f, () -> town.proxies.forEach(p -> p.retune(ProxyConfig.ATTEMPTS)));
+                scheduleEnd(f, () -> town.proxies.forEach(p -> p.retune(ProxyConfig.ATTEMPTS)));
             }
-            case ZONE_DEAD, ZONE_LOST, ZONE_SILENT -> loseZone(f);
+            case ZONE_DEAD, ZONE_LOST, ZONE_SILENT -> applyZoneOutage(f);
             case ZONE_CUT -> {
                 cut(f, true);
                 cut(f, false);
@@ -72,27 +72,27 @@
             case ZONE_CUT_IN -> cut(f, true);
             case ZONE_CUT_OUT -> cut(f, false);
             case ZONE_GRAY -> {
-                said(f, "gray");
+                recordFault(f, "gray");
                 town.zones.gray(f.target(), f.chance(), f.times());
-                after(
+                scheduleEnd(
                         f,
                         () -> {
                             town.zones.gray(f.target(), 0, 1);
-                            said(f, "sound");
+                            recordFault(f, "sound");
                         });
             }
             case HOT_KEY -> {
                 town.clients.hot(f.part());
-                after(f, () -> town.clients.hot(0));
+                scheduleEnd(f, () -> town.clients.hot(0));
             }
             default -> {
                 int count = f.count(town.nodes.size());
                 for (int i = 0; i < count; i++) {
                     int place = (f.target() + i) % town.nodes.size();
                     if (f.kind() == Fault.Kind.REPLACE) {
-                        later(f.forS() * i / count, () -> replace(place));
+                        schedule(f.forS() * i / count, () -> replace(place));
                     } else {
-                        atNode(f, place);
+                        applyToNode(f, place);
                     }
                 }
             }
@@ -106,19 +106,19 @@
                 .toList();
     }
 
-    private void said(Fault f, String what) {
+    private void recordFault(Fault f, String what) {
         town.record.add(town.loop.nowUs(), Event.Kind.FAULT, "zone-" + f.target(), "", what);
     }
 
     private void cut(Fault f, boolean inwards) {
         String way = inwards ? " inwards" : " outwards";
-        said(f, "cut" + way);
+        recordFault(f, "cut" + way);
         town.zones.cut(f.target(), inwards, true);
-        after(
+        scheduleEnd(
                 f,
                 () -> {
                     town.zones.cut(f.target(), inwards, false);
-                    said(f, "joined" + way);
+                    recordFault(f, "joined" + way);
                 });
     }
 
@@ -126,37 +126,37 @@
      * The processes are killed, or cut off and back cold or with their state. Discovery and the front
      * notice later.
      */
-    private void loseZone(Fault f) {
+    private void applyZoneOutage(Fault f) {
         boolean dead = f.kind() == Fault.Kind.ZONE_DEAD;
         List<CacheNode> nodes =
                 town.nodes.stream().filter(n -> n.zone == f.target() && n.up()).toList();
         List<ProxyProcess> proxies =
                 town.proxies.stream().filter(p -> p.zone == f.target()).toList();
-        said(f, dead ? "dead" : "silent");
+        recordFault(f, dead ? "dead" : "silent");
         if (dead) {
             nodes.forEach(n -> n.end("crash"));
             proxies.forEach(p -> p.kill((long) (f.noticedS() * 1e6), (long) (f.forS() * 1e6)));
         } else {
             town.zones.silent(f.target(), true);
         }
-        later(
+        schedule(
                 f.noticedS(),
                 () -> {
                     nodes.forEach(town::relist);
                     if (!dead && town.zones.silent(f.target())) {
-                        proxies.forEach(p -> p.believed(false));
+                        proxies.forEach(p -> p.setForwarding(false));
                     }
                 });
-        after(
+        scheduleEnd(
                 f,
                 () -> {
                     town.zones.silent(f.target(), false);
-                    said(f, "back");
+                    recordFault(f, "back");
                     if (f.kind() == Fault.Kind.ZONE_LOST) {
                         nodes.forEach(n -> n.end("crash"));
                         proxies.forEach(p -> p.kill(0, 0));
                     } else if (!dead) {
-                        proxies.forEach(p -> p.believed(true));
+                        proxies.forEach(p -> p.setForwarding(true));
                     }
                     if (f.kind() != Fault.Kind.ZONE_SILENT) {
                         // the position may have another node by now, which may already be up
@@ -164,65 +164,65 @@
                                 .filter(n -> !n.up() && town.nodes.contains(n))
                                 .forEach(CacheNode::startCold);
                     }
-                    later(ADDED_S, () -> nodes.forEach(town::relist));
+                    schedule(ADDED_S, () -> nodes.forEach(town::relist));
                 });
     }
 
-    private void atNode(Fault f, int place) {
+    private void applyToNode(Fault f, int place) {
         CacheNode node = town.nodes.get(place);
         switch (f.kind()) {
             case CRASH -> {
                 node.end("crash");
-                later(f.noticedS(), () -> town.relist(node));
-                after(
+                schedule(f.noticedS(), () -> town.relist(node));
+                scheduleEnd(
                         f,
                         () -> {
                             if (!node.up() && town.nodes.get(place) == node) {
                                 node.startCold();
-                                later(ADDED_S, () -> town.relist(node));
+                                schedule(ADDED_S, () -> town.relist(node));
                             }
                         });
             }
             case SILENT -> {
                 town.cut(node, true);
-                later(f.noticedS(), () -> town.relist(node));
-                after(
+                schedule(f.noticedS(), () -> town.relist(node));
+                scheduleEnd(
                         f,
                         () -> {
                             town.cut(node, false);
-                            later(ADDED_S, () -> town.relist(node));
+                            schedule(ADDED_S, () -> town.relist(node));
                         });
             }
             case LEAVE_OUT -> leaveOut(f, node, place);
             case RESETS -> {
                 town.resets(node, f.chance());
-                after(f, () -> town.resets(node, 0));
+                scheduleEnd(f, () -> town.resets(node, 0));
             }
             default -> {
                 node.slow(f.times());
-                after(f, () -> node.slow(1));
+                scheduleEnd(f, () -> node.slow(1));
             }
         }
     }
 
     private void leaveOut(Fault f, CacheNode node, int place) {
         town.proxies.forEach(p -> p.leaveOut(node.name, true));
-        later(
+        schedule(
                 DRAIN_S / 2,
                 () -> {
                     if (node.up() && town.nodes.get(place) == node) {
                         node.end("end");
-                        later(
+                        schedule(
                                 SUCCEEDS_S,
                                 () -> {
                                     if (!node.up() && town.nodes.get(place) == node) {
                                         node.startCold();
-                                        later(ADDED_S, () -> town.relist(node));
+                                        schedule(ADDED_S, () -> town.relist(node));
                                     }
                                 });
                     }
                 });
-        after(f, () -> town.proxies.forEach(p -> p.leaveOut(node.name, false)));
+        scheduleEnd(f, () -> town.proxies.forEach(p -> p.leaveOut(node.name, false)));
     }
 
     private void replace(int place) {
@@ -231,18 +231,18 @@
             return;
         }
         node.drain();
-        later(TOLD_S, () -> town.relist(node));
-        later(
+        schedule(TOLD_S, () -> town.relist(node));
+        schedule(
                 DRAIN_S,
                 () -> {
                     node.end("end");
                     town.relist(node);
-                    later(
+                    schedule(
                             SUCCEEDS_S,
                             () -> {
                                 CacheNode successor = town.successor(place);
                                 successor.startCold();
-                                later(ADDED_S, () -> town.relist(successor));
+                                schedule(ADDED_S, () -> town.relist(successor));
                             });
                 });
     }
--- a/src/main/java/holdproxy/lab/Zones.java
+++ b/src/main/java/holdproxy/lab/Zones.java
@@ -87,13 +87,13 @@
 
     /** Cuts all links out of a zone, or all links into it. */
     void cut(int zone, boolean inwards, boolean now) {
-        eachOther(zone, inwards, way -> way.cut = now);
+        forEachLink(zone, inwards, way -> way.cut = now);
     }
 
     /** Each message from and to a zone is lost with this probability, and its delay is multiplied. */
     void gray(int zone, double lost, double times) {
         for (boolean inwards : new boolean[] {true, false}) {
-            eachOther(
+            forEachLink(
                     zone,
                     inwards,
                     way -> {
@@ -103,7 +103,7 @@
         }
     }
 
-    private void eachOther(int zone, boolean inwards, Consumer<Way> change) {
+    private void forEachLink(int zone, boolean inwards, Consumer<Way> change) {
         for (int other = 0; other < silent.length; other++) {
             if (other != zone) {
                 change.accept(inwards ? ways[other][zone] : ways[zone][other]);
--- a/src/test/java/holdproxy/lab/AuditorsTest.java
+++ b/src/test/java/holdproxy/lab/AuditorsTest.java
@@ -100,7 +100,7 @@
     }
 
     /** Sends the proxy's bytes to another node as well. */
-    private static void sendToo(Transport network, int node, ByteBuf bytes, int times) {
+    private static void alsoSendTo(Transport network, int node, ByteBuf bytes, int times) {
         for (int i = 0; i < times; i++) {
             ChannelFuture connected =
                     network.connect(
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void anAnswerGivenTwiceIsFound() {
+    void duplicateAnswerIsReported() {
         assertFalse(
                 Auditors.oneAnswer(
                                 play(
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void anAnswerDroppedIsFound() {
+    void droppedAnswerIsReported() {
         assertFalse(
                 Auditors.oneAnswer(
                                 play(false, n -> nth(50, (text, bytes) -> Unpooled.EMPTY_BUFFER)))
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void answersSwappedAreFound() {
+    void swappedAnswersAreReported() {
         ByteBuf[] held = new ByteBuf[1];
         assertFalse(
                 Auditors.honestValues(
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void anEnrolmentSentToTwoNodesIsFound() {
+    void enrolmentSentToTwoNodesIsReported() {
         assertFalse(
                 Auditors.repeats(
                                 play(
@@ -163,7 +163,7 @@
                                         n ->
                                                 (text, bytes) -> {
                                                     if (text.contains("c=enrolment")) {
-                                                        sendToo(n, 5, bytes, 1);
+                                                        alsoSendTo(n, 5, bytes, 1);
                                                     }
                                                     return bytes;
                                                 }))
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void tooManyAttemptsAreFound() {
+    void tooManyAttemptsAreReported() {
         assertFalse(
                 Auditors.attempts(
                                 play(
@@ -180,14 +180,14 @@
                                                 nth(
                                                         50,
                                                         (text, bytes) -> {
-                                                            sendToo(n, 5, bytes, 3);
+                                                            alsoSendTo(n, 5, bytes, 3);
                                                             return bytes;
                                                         })))
                         .isEmpty());
     }
 
     @Test
-    void aSendAfterADrainIsFound() {
+    void sendAfterDrainIsReported() {
         try (Town town = new Town(SMALL)) {
             town.at(
                     1,
@@ -198,7 +198,7 @@
             town.at(
                     2,
                     () ->
-                            sendToo(
+                            alsoSendTo(
                                     town.network.process("proxy-0", town.loop, 0),
                                     4,
                                     Unpooled.copiedBuffer(
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void aSendToANodeLeftOutIsFoundAndNoneAfterItIsUsedAgain() {
+    void sendToALeftOutNodeIsReportedUntilItIsUsedAgain() {
         for (boolean back : new boolean[] {false, true}) {
             try (Town town = new Town(SMALL)) {
                 town.at(1, () -> town.proxies.get(0).leaveOut("s-4", true));
@@ -221,7 +221,7 @@
                 town.at(
                         2,
                         () ->
-                                sendToo(
+                                alsoSendTo(
                                         town.network.process("proxy-0", town.loop, 0),
                                         4,
                                         Unpooled.copiedBuffer(
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void figuresThatCountAnAnswerNoClientGotAreFound() {
+    void metricsThatCountAnUndeliveredAnswerAreReported() {
         assertTrue(Auditors.figures(play(false, n -> (text, bytes) -> bytes)).isEmpty());
         assertFalse(
                 Auditors.figures(
@@ -256,7 +256,7 @@
     }
 
     @Test
-    void triesThatNodesGotAndTheProxyDoesNotCountAreFound() {
+    void uncountedAttemptsAreReported() {
         assertFalse(
                 Auditors.figures(
                                 play(
@@ -265,14 +265,14 @@
                                                 nth(
                                                         20,
                                                         (text, bytes) -> {
-                                                            sendToo(n, 5, bytes, 1);
+                                                            alsoSendTo(n, 5, bytes, 1);
                                                             return bytes;
                                                         })))
                         .isEmpty());
     }
 
     @Test
-    void anAttemptBeyondTheSettingsOfItsTimeIsFound() {
+    void attemptBeyondTheSettingsInForceIsReported() {
         try (Town town =
                 new Town(
                         SMALL,
@@ -283,7 +283,7 @@
                                         nth(
                                                 20,
                                                 (text, bytes) -> {
-                                                    sendToo(n, 5, bytes, 1);
+                                                    alsoSendTo(n, 5, bytes, 1);
                                                     return bytes;
                                                 })))) {
             town.at(1, () -> town.proxies.forEach(p -> p.retune(1)));
@@ -302,7 +302,7 @@
                                         n,
                                         true,
                                         (text, bytes) -> {
-                                            sendToo(n, 5, bytes, times);
+                                            alsoSendTo(n, 5, bytes, times);
                                             return bytes;
                                         }))) {
             town.at(0.5, () -> town.nodes.get(5).end("crash"));
@@ -318,13 +318,13 @@
     }
 
     @Test
-    void aColdNodeRushedIsFound() {
+    void overloadedColdNodeIsReported() {
         assertTrue(rushed(0).isEmpty());
         assertFalse(rushed(2).isEmpty());
     }
 
     @Test
-    void aRefusalOfAnEnrolmentThatRanIsFound() {
+    void refusalOfAnExecutedEnrolmentIsReported() {
         assertFalse(
                 Auditors.harmlessRefusals(
                                 play(
--- a/src/test/java/holdproxy/lab/ColdNodesOfManyProxiesTest.java
+++ b/src/test/java/holdproxy/lab/ColdNodesOfManyProxiesTest.java
@@ -129,7 +129,7 @@
         int perZone = PROXIES / ZONES;
         for (int zone = 0; zone < ZONES; zone++) {
             for (int i = 1 + 2 * zone; i < perZone; i++) {
-                town.proxies.get(zone + i * ZONES).believed(false);
+                town.proxies.get(zone + i * ZONES).setForwarding(false);
             }
         }
     }
--- a/src/test/java/holdproxy/lab/CycleTest.java
+++ b/src/test/java/holdproxy/lab/CycleTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aSwingIsFoundWithItsPeriodAndSize() {
+    void oscillationIsFoundWithItsPeriodAndSize() {
         Cycle cycle = Cycle.of(plays(0.4, 5), 10);
         assertEquals(5, cycle.periodS(), LoadSeries.BIN_S);
         assertEquals(0.4 / Math.sqrt(2), cycle.size(), 0.04);
--- a/src/test/java/holdproxy/lab/HuntTest.java
+++ b/src/test/java/holdproxy/lab/HuntTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aSecondHuntGoesTheSameWay() {
+    void sameSeedsGiveTheSameResults() {
         assertEquals(
                 hunt(20).stream().map(Play::hash).toList(),
                 hunt(20).stream().map(Play::hash).toList());
--- a/src/test/java/holdproxy/lab/LoadCommandsTest.java
+++ b/src/test/java/holdproxy/lab/LoadCommandsTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aStepIsSeenInWhatTheNodesAreSent() throws IOException {
+    void stepInLoadShowsInAttempts() throws IOException {
         Map<String, Object> report =
                 report(
                         "step", "--seeds", "1", "--up-at", "11", "--for", "11", "--after", "6",
--- a/src/test/java/holdproxy/lab/TownTest.java
+++ b/src/test/java/holdproxy/lab/TownTest.java
@@ -20,7 +20,7 @@
         return new Fault(kind, atS, forS, 1, target, 0, 5, 0.3);
     }
 
-    private static Scenario troubled(long seed) {
+    private static Scenario withFaults(long seed) {
         return small(
                 seed,
                 fault(Fault.Kind.CRASH, 2, 3, 1),
@@ -38,13 +38,13 @@
     }
 
     @Test
-    void aQuietTownIsServedInTimeAndNoRuleIsBroken() {
+    void siteWithoutFaultsIsServedInTimeAndKeepsTheRules() {
         keepsTheRules(Play.of(small(1)), 0.99);
     }
 
     @Test
-    void aTroubledTownKeepsTheRules() {
-        keepsTheRules(Play.of(troubled(2)), 0.8);
+    void siteWithFaultsKeepsTheRules() {
+        keepsTheRules(Play.of(withFaults(2)), 0.8);
     }
 
     @Test
@@ -62,14 +62,14 @@
     }
 
     @Test
-    void aProxyThatStandsStillIsFoundOutAndExcused() {
+    void pausedProxyIsDetectedAndExcused() {
         Play play = Play.of(small(3, fault(Fault.Kind.HOLD, 4, 2, 0)));
         assertEquals(List.of(), play.broken());
         assertTrue(play.service().share() < 0.97, "its clients were served although it was paused");
     }
 
     @Test
-    void aDyingProxyLosesWhatItHadAndItsClientsComeAgain() {
+    void killedProxyLosesItsRequestsAndClientsReconnect() {
         Town town = new Town(small(4, fault(Fault.Kind.KILL, 4, 2, 0)));
         town.play();
         assertTrue(
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void aNodeStartedColdAndRushedFallsOver() {
+    void overloadedColdNodeFallsOver() {
         Scenario.Size weak = new Scenario.Size(1, 2, 4, 20, 4000, 30, 700, 2, 0.01, 60, 60, 40);
         Load heavy = new Load(100, 20, 20_000, 0.9, 0, List.of(1.0));
         Town town = new Town(new Scenario("rush", 5, 8, weak, heavy, List.of()));
@@ -95,8 +95,8 @@
 
     @Test
     void theSameSeedGivesTheSameRunAndAnotherSeedAnother() {
-        String hash = Play.of(troubled(6)).hash();
-        assertEquals(hash, Play.of(troubled(6)).hash());
-        assertNotEquals(hash, Play.of(troubled(7)).hash());
+        String hash = Play.of(withFaults(6)).hash();
+        assertEquals(hash, Play.of(withFaults(6)).hash());
+        assertNotEquals(hash, Play.of(withFaults(7)).hash());
     }
 }
--- a/src/test/java/holdproxy/lab/ZonesTest.java
+++ b/src/test/java/holdproxy/lab/ZonesTest.java
@@ -43,7 +43,7 @@
 
     @ParameterizedTest
     @EnumSource(value = Fault.Kind.class, mode = EnumSource.Mode.MATCH_ANY, names = "ZONE_.*")
-    void aTownInTroubleWithAZoneKeepsTheRulesAndIsItselfAgainAfterIt(Fault.Kind kind) {
+    void siteWithAZoneFaultKeepsTheRulesAndRecovers(Fault.Kind kind) {
         Play play = Play.of(town(kind, 4, 1));
         assertEquals(List.of(), play.broken());
         Service.Second last = play.service().seconds().get(13);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aSilentZoneIsSentIntoUntilItIsFoundOutAndItsClientsGoElsewhereThen() {
+    void silentZoneGetsRequestsOnlyUntilItIsDetected() {
         Play play = Play.of(town(Fault.Kind.ZONE_SILENT, 6, 1));
         double lastSendS = (double) play.figures().get("last_send_into_zone_1_s");
         assertTrue(
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aGrayZoneLosesNothingForGoodButIsLate() {
+    void grayZoneDelaysMessagesButLosesNone() {
         try (Town town = new Town(town(Fault.Kind.ZONE_GRAY, 4, 1))) {
             town.play();
             assertEquals(0, lost(town, "message"));
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void whatAZoneKeptBackIsNotHeldAgainstTheProxyAndWouldBeOtherwise() {
+    void messagesUndeliveredByAZoneFaultAreExcused() {
         try (Town town = new Town(town(Fault.Kind.ZONE_SILENT, 4, 1))) {
             town.play();
             List<Event> events = town.record.events();
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void theWayBetweenZonesTakesItsTime() {
+    void delayBetweenZonesAddsToLatency() {
         long near = (long) Play.of(town(null, 0, 0)).figures().get("served_p50_ms");
         long far = (long) Play.of(town(null, 0, 10)).figures().get("served_p50_ms");
         assertTrue(
