--- a/src/test/java/holdproxy/lab/ScenarioFileTest.java
+++ b/src/test/java/holdproxy/lab/ScenarioFileTest.java
@@ -79,7 +79,7 @@
                         TownTest.fault(Fault.Kind.SLOW, 2, 1, 3),
                         TownTest.fault(Fault.Kind.CRASH, 3, 1, 1),
                         TownTest.fault(Fault.Kind.HOLD, 9, 1, 0));
-        // the rule breaks while there is a crash fault and there are exactly 2 proxies
+        // breaks while a crash fault (of a node above 0) is left and there are 2 proxies
         Scenario least =
                 Shrinker.shrink(
                         whole,
