--- a/src/test/java/holdproxy/lab/AuditorsTest.java
+++ b/src/test/java/holdproxy/lab/AuditorsTest.java
@@ -25,19 +25,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each auditor against a proxy that breaks its rule, by a fault planted between the proxy and its
+ * Each auditor must report a proxy that breaks its rule, by a fault injected between the proxy and its
  * network.
  */
 class AuditorsTest {
     private static final Scenario SMALL =
             new Scenario("small", 7, 5, Scenario.SMALL, Scenario.PLAIN, List.of());
 
-    /** What a fault does with bytes that the proxy writes; what it returns goes out. */
+    /** Transforms the bytes that the proxy writes; the returned bytes are sent. */
     private interface Plant {
         ByteBuf written(String text, ByteBuf bytes);
     }
 
-    /** The network with a fault at each client's connection, or at each connection to a node. */
+    /**
+     * A network that injects a fault into each client's connection, or into each connection to a node.
+     */
     private static final class Planted implements Transport {
         private final Transport network;
         private final boolean atNodes;
@@ -97,8 +99,8 @@
         return (text, bytes) -> ++count[0] % n == 0 ? fault.written(text, bytes) : bytes;
     }
 
-    /** Sends what a proxy wrote to another node as well. */
-    private static void sendToo(Transport network, int node, ByteBuf bytes, int times) {
+    /** Sends the proxy's bytes to another node as well. */
+    private static void alsoSendTo(Transport network, int node, ByteBuf bytes, int times) {
         for (int i = 0; i < times; i++) {
             ChannelFuture connected =
                     network.connect(
@@ -112,7 +114,7 @@
     }
 
     @Test
-    void anAnswerGivenTwiceIsFound() {
+    void duplicateAnswerIsReported() {
         assertFalse(
                 Auditors.oneAnswer(
                                 play(
@@ -129,7 +131,7 @@
     }
 
     @Test
-    void anAnswerDroppedIsFound() {
+    void droppedAnswerIsReported() {
         assertFalse(
                 Auditors.oneAnswer(
                                 play(false, n -> nth(50, (text, bytes) -> Unpooled.EMPTY_BUFFER)))
@@ -137,7 +139,7 @@
     }
 
     @Test
-    void answersSwappedAreFound() {
+    void swappedAnswersAreReported() {
         ByteBuf[] held = new ByteBuf[1];
         assertFalse(
                 Auditors.honestValues(
@@ -153,7 +155,7 @@
     }
 
     @Test
-    void anEnrolmentSentToTwoNodesIsFound() {
+    void enrolmentSentToTwoNodesIsReported() {
         assertFalse(
                 Auditors.repeats(
                                 play(
@@ -161,7 +163,7 @@
                                         n ->
                                                 (text, bytes) -> {
                                                     if (text.contains("c=enrolment")) {
-                                                        sendToo(n, 5, bytes, 1);
+                                                        alsoSendTo(n, 5, bytes, 1);
                                                     }
                                                     return bytes;
                                                 }))
@@ -169,7 +171,7 @@
     }
 
     @Test
-    void tooManyAttemptsAreFound() {
+    void tooManyAttemptsAreReported() {
         assertFalse(
                 Auditors.attempts(
                                 play(
@@ -178,14 +180,14 @@
                                                 nth(
                                                         50,
                                                         (text, bytes) -> {
-                                                            sendToo(n, 5, bytes, 3);
+                                                            alsoSendTo(n, 5, bytes, 3);
                                                             return bytes;
                                                         })))
                         .isEmpty());
     }
 
     @Test
-    void aSendAfterADrainIsFound() {
+    void sendAfterDrainIsReported() {
         try (Town town = new Town(SMALL)) {
             town.at(
                     1,
@@ -196,7 +198,7 @@
             town.at(
                     2,
                     () ->
-                            sendToo(
+                            alsoSendTo(
                                     town.network.process("proxy-0", town.loop, 0),
                                     4,
                                     Unpooled.copiedBuffer(
@@ -209,7 +211,7 @@
     }
 
     @Test
-    void aSendToANodeLeftOutIsFoundAndNoneAfterItIsUsedAgain() {
+    void sendToALeftOutNodeIsReportedUntilItIsUsedAgain() {
         for (boolean back : new boolean[] {false, true}) {
             try (Town town = new Town(SMALL)) {
                 town.at(1, () -> town.proxies.get(0).leaveOut("s-4", true));
@@ -219,7 +221,7 @@
                 town.at(
                         2,
                         () ->
-                                sendToo(
+                                alsoSendTo(
                                         town.network.process("proxy-0", town.loop, 0),
                                         4,
                                         Unpooled.copiedBuffer(
@@ -233,7 +235,7 @@
     }
 
     @Test
-    void figuresThatCountAnAnswerNoClientGotAreFound() {
+    void metricsThatCountAnUndeliveredAnswerAreReported() {
         assertTrue(Auditors.figures(play(false, n -> (text, bytes) -> bytes)).isEmpty());
         assertFalse(
                 Auditors.figures(
@@ -254,7 +256,7 @@
     }
 
     @Test
-    void triesThatNodesGotAndTheProxyDoesNotCountAreFound() {
+    void uncountedAttemptsAreReported() {
         assertFalse(
                 Auditors.figures(
                                 play(
@@ -263,14 +265,14 @@
                                                 nth(
                                                         20,
                                                         (text, bytes) -> {
-                                                            sendToo(n, 5, bytes, 1);
+                                                            alsoSendTo(n, 5, bytes, 1);
                                                             return bytes;
                                                         })))
                         .isEmpty());
     }
 
     @Test
-    void anAttemptBeyondTheSettingsOfItsTimeIsFound() {
+    void attemptBeyondTheSettingsInForceIsReported() {
         try (Town town =
                 new Town(
                         SMALL,
@@ -281,7 +283,7 @@
                                         nth(
                                                 20,
                                                 (text, bytes) -> {
-                                                    sendToo(n, 5, bytes, 1);
+                                                    alsoSendTo(n, 5, bytes, 1);
                                                     return bytes;
                                                 })))) {
             town.at(1, () -> town.proxies.forEach(p -> p.retune(1)));
@@ -290,7 +292,7 @@
         }
     }
 
-    /** A node starts cold, all know it, and each command goes to it so many times over. */
+    /** A node starts cold, all proxies know it, and each command is sent to it this many times more. */
     private static List<String> rushed(int times) {
         try (Town town =
                 new Town(
@@ -300,7 +302,7 @@
                                         n,
                                         true,
                                         (text, bytes) -> {
-                                            sendToo(n, 5, bytes, times);
+                                            alsoSendTo(n, 5, bytes, times);
                                             return bytes;
                                         }))) {
             town.at(0.5, () -> town.nodes.get(5).end("crash"));
@@ -316,13 +318,13 @@
     }
 
     @Test
-    void aColdNodeRushedIsFound() {
+    void overloadedColdNodeIsReported() {
         assertTrue(rushed(0).isEmpty());
         assertFalse(rushed(2).isEmpty());
     }
 
     @Test
-    void aRefusalOfAnEnrolmentThatRanIsFound() {
+    void refusalOfAnExecutedEnrolmentIsReported() {
         assertFalse(
                 Auditors.harmlessRefusals(
                                 play(
