--- a/src/main/java/holdproxy/lab/ConsensusCommand.java
+++ b/src/main/java/holdproxy/lab/ConsensusCommand.java
@@ -8,15 +8,17 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** {@code holdproxy lab consensus}: consensus groups under faults, in virtual time. */
+/** {@code holdproxy lab consensus}: simulates consensus groups under faults, in virtual time. */
 @Command(
         name = "consensus",
-        description = "Consensus groups that agree on a log, under faults drawn by seeds.",
+        description = "Simulates consensus groups with faults drawn from seeds.",
         mixinStandardHelpOptions = true)
 final class ConsensusCommand implements Callable<Integer> {
     @Mixin private VoterOptions options;
 
-    @Option(names = "--planted", description = "a fault of the program's: ${COMPLETION-CANDIDATES}")
+    @Option(
+            names = "--planted",
+            description = "a bug to plant in the program: ${COMPLETION-CANDIDATES}")
     private ConsensusSimulation.Planted planted;
 
     @Override
--- a/src/main/java/holdproxy/lab/ConsensusFleet.java
+++ b/src/main/java/holdproxy/lab/ConsensusFleet.java
@@ -17,8 +17,9 @@
 import java.util.function.Consumer;
 
 /**
- * Processes around a consensus group in virtual time, each with its disk, its clock and its links, and the
- * faults that meet them. What the processes do with the group is up to the {@link Purpose}.
+ * Simulated processes around a consensus group in virtual time, each with its own disk, clock and
+ * links, and the faults injected into them. What the processes use the group for is defined by the
+ * {@link Purpose}.
  */
 final class ConsensusFleet {
     private static final long LEAST_DELAY_US = 200;
@@ -29,24 +30,26 @@
     private static final long LAG_US = 1_000_000;
     private static final long LATE_US = 270_000;
 
-    /** What the processes are for. */
+    /** What the simulated processes use the consensus group for. */
     interface Purpose {
-        /** The state machine of an instance that begins. */
+        /** Creates the state machine of an instance that starts. */
         StateMachine stateMachine(Instance instance);
 
-        /** It has joined its consensus group. */
+        /** Called when the instance has joined its consensus group. */
         void begun(Instance instance);
 
-        /** It is told to end; {@code then} is to be run when it may. */
+        /** Called when the instance is to shut down; {@code then} must be run once it may exit. */
         void ending(Instance instance, Runnable then);
 
-        /** Whom faults are most telling of now; empty: nobody in particular. */
+        /**
+         * The process against which faults are most revealing now; empty if there is no preference.
+         */
         default String centre() {
             return "";
         }
     }
 
-    /** One generation of a process. */
+    /** One incarnation of a process. */
     final class Instance extends SimulatedProcess implements RaftGroup.Host {
         final String name;
         final long number;
@@ -66,18 +69,18 @@
             group = new RaftGroup(name, voters, this, new Random(random.nextLong()), stateMachine);
         }
 
-        /** By its own clock. */
+        /** Delay measured by the process's own clock. */
         @Override
         public long nowUs() {
             return (long) (time.nowUs() * rate);
         }
 
-        /** In true time, when its clock shows this. */
+        /** The true time at which the process's clock shows the given time. */
         long trueUs(long ownUs) {
             return (long) (ownUs / rate);
         }
 
-        /** By its own clock. */
+        /** Delay measured by the process's own clock. */
         @Override
         public void after(long us, Runnable task) {
             time.after((long) Math.ceil(us / rate), () -> run(task));
@@ -88,7 +91,10 @@
             reach(to, instance -> instance.group.received(frame));
         }
 
-        /** Has a process do something when a message of this one's arrives, if it does. */
+        /**
+         * Runs an action on the receiving process when a message from this one arrives, if it
+         * arrives.
+         */
         void reach(String to, Consumer<Instance> what) {
             if (links.cut(name, to)) {
                 return;
@@ -110,7 +116,7 @@
             }
         }
 
-        /** The process is gone, and with it what its disk had not made safe. */
+        /** Ends the process; whatever its disk had not made durable is lost. */
         private void die() {
             over = true;
             disk.crash();
@@ -144,8 +150,9 @@
     private long lifeNumbers;
 
     /**
-     * So many voters and others; {@code clockBound}: how far the rates of their clocks are from the true one;
-     * the faults of disks are the program's own, planted for a judge to find.
+     * Creates the given numbers of voters and of other processes. {@code clockBound} is the largest
+     * relative deviation of a clock's rate from true time. Disk faults passed here are planted bugs
+     * that the checker must find.
      */
     ConsensusFleet(
             long seed,
@@ -166,7 +173,9 @@
         voters = List.copyOf(names.subList(0, votes));
     }
 
-    /** Starts all, causes faults until half of the time, and runs to its end. */
+    /**
+     * Starts all processes, injects faults during the first half of the run and runs to its end.
+     */
     void play(double seconds) {
         long endUs = (long) (seconds * 1e6);
         begin();
@@ -176,7 +185,7 @@
         time.run(endUs);
     }
 
-    /** Starts all, each of the first voters on a disk that is begun. */
+    /** Starts all processes; the initial voters get initialized disks. */
     void begin() {
         for (String name : names) {
             MemoryDisk disk = disk();
@@ -215,12 +224,12 @@
 
     // ---- faults ----
 
-    /** What can be done to those that do not vote as well. */
+    /** Faults that can also be applied to processes that do not vote. */
     private static final Set<Integer> OF_ALL = Set.of(0, 2, 3, 4, 5, 7, 9);
 
     /**
-     * One voter is behind, and when it is back the leader goes and another voter loses its disk: what only
-     * these two knew must not be taken for never agreed.
+     * Cuts off one voter; when it is back, kills the leader and wipes the disk of another voter.
+     * Entries that only these two held must not be treated as if they had never been committed.
      */
     private void forgotten(String leader, long forUs) {
         List<String> others = voters.stream().filter(v -> !v.equals(leader)).toList();
@@ -238,7 +247,7 @@
                 });
     }
 
-    /** Operators give a damaged voter a new disk, as soon as they find it running. */
+    /** Operators replace the disk of a damaged voter as soon as they find it running. */
     private void replace(String name) {
         if (instances.get(name).over) {
             time.after(LOOK_US, () -> replace(name));
@@ -287,7 +296,10 @@
         time.after(forUs, () -> start(name, then));
     }
 
-    /** Disks are lost one after another: with two of three gone at once nothing is agreed ever after. */
+    /**
+     * Loses disks one at a time only: if two of three voters lost theirs at once, the group could
+     * never commit again.
+     */
     private boolean allVote() {
         Set<Voter> expected = new LinkedHashSet<>();
         voters.forEach(v -> expected.add(instances.get(v).group.self()));
@@ -301,7 +313,7 @@
                                                 && l.group.votingMembers().equals(expected));
     }
 
-    /** Answers come just before they are given up, and then none. */
+    /** Delays answers to just before their time-out, then cuts them off entirely. */
     private void lateAnswers(String from, String to, long forUs) {
         if (from.equals(to)) {
             return;
@@ -336,7 +348,10 @@
         time.after(forUs, () -> links.part(names, some, out, in, -1));
     }
 
-    /** Into three, so that with five voters nobody has a majority, or into two. */
+    /**
+     * Splits the voters into three parts, so that with five voters no part has a majority, or into
+     * two.
+     */
     private void split(long forUs) {
         kinds.add("split");
         List<String> mixed = new ArrayList<>(names);
@@ -364,7 +379,10 @@
         time.after(forUs, () -> links.slow(one, other, -us));
     }
 
-    /** The vote is given up when a write or a force fails; operators make room and start it again. */
+    /**
+     * A voter leaves the group when a write or a sync of its disk fails; operators free space and
+     * start it again.
+     */
     private void fullDisk(String name, long forUs) {
         Instance instance = instances.get(name);
         if (instance.over) {
@@ -413,7 +431,10 @@
                                                         })));
     }
 
-    /** A bit on the disk is another when it starts: it has to stay out, until it is given a new disk. */
+    /**
+     * Flips one bit on the disk before a restart: the voter must stay out of the group until its
+     * disk is replaced.
+     */
     private void flip(String name, long forUs) {
         Instance instance = instances.get(name);
         if (!allVote()) {
@@ -428,7 +449,7 @@
                 () -> {
                     start(name, instance.disk);
                     if (!instances.get(name).isOut) {
-                        broken.add(name + " votes with a damaged disk");
+                        broken.add(name + " votes despite a damaged disk");
                     }
                     time.after(forUs / 2, () -> replace(name));
                 });
--- a/src/main/java/holdproxy/lab/ConsensusSimulation.java
+++ b/src/main/java/holdproxy/lab/ConsensusSimulation.java
@@ -10,40 +10,40 @@
 import java.util.TreeMap;
 
 /**
- * A consensus group in virtual time: voters and others that ask, faults drawn by a seed in the first part,
- * none in the second. One history is judged: what was agreed at each place of the log, what was answered, and
- * when.
+ * A consensus group in virtual time: voters and other processes that submit operations. Faults
+ * drawn from a seed occur in the first part, none in the second. The checker examines one history:
+ * what was committed at each log index, what was answered, and when.
  */
 final class ConsensusSimulation implements ConsensusFleet.Purpose {
     private static final long ASK_EVERY_US = 250_000;
     private static final long WITHIN_US = 5_000_000;
     private static final int PARTS = 3;
 
-    /** A fault of the program's, to see that the judge finds it. */
+    /** A bug planted in the program, to verify that the checker finds it. */
     enum Planted {
-        /** What is made safe is not. */
+        /** The disk reports data as durable that is not. */
         FORGETFUL_DISK,
-        /** Who lost its disk comes back as the voter that it was. */
+        /** A voter that lost its disk comes back as the same voter. */
         LOST_DISK_KEEPS_VOTE,
-        /** An answer is given before anything is agreed. */
+        /** An operation is answered before anything is committed. */
         ANSWER_BEFORE_AGREEMENT
     }
 
     /**
-     * How a trial went.
+     * The result of one simulated run.
      *
-     * @param broken rules, by what shows it
-     * @param answered operations
-     * @param agreed places of the log
-     * @param kinds of faults that were caused
+     * @param broken violated rules, each with the evidence
+     * @param answered number of operations answered
+     * @param agreed number of committed log indexes
+     * @param kinds kinds of faults that were injected
      */
     record Outcome(List<String> broken, int answered, int agreed, Set<String> kinds)
             implements VoterOptions.Outcome {}
 
-    /** An operation that somebody asked for, and what came of it. */
+    /** A submitted operation and its result. */
     private record Answer(String operation, long askedUs, long answeredUs, long index) {}
 
-    /** The log's content: each operation once, with its place. */
+    /** The log's content: each operation once, with its log index. */
     private final class Sequence implements StateMachine {
         private final TreeMap<Long, String> all = new TreeMap<>();
         private final Map<String, Long> places = new HashMap<>();
@@ -53,9 +53,9 @@
             String text = (String) operation;
             String before = agreed.putIfAbsent(index, text);
             if (before != null && !before.equals(text)) {
-                fleet.broken.add("at place " + index + " there are " + before + " and " + text);
+                fleet.broken.add("log index " + index + " holds both " + before + " and " + text);
             }
-            // asked for again though it was agreed: the place that it has
+            // a retry of an operation that is already committed: it keeps its index
             Long place = places.putIfAbsent(text, index);
             if (place == null) {
                 all.put(index, text);
@@ -82,7 +82,7 @@
             }
             int i = 0;
             for (Map.Entry<Long, String> e : all.entrySet()) {
-                @SuppressWarnings("unchecked") // the lists are those made above
+                @SuppressWarnings("unchecked") // the lists were created by this class
                 List<Object> part = (List<Object>) parts.get(i++ % PARTS);
                 part.add(Arrays.asList(e.getKey(), e.getValue()));
             }
@@ -121,7 +121,9 @@
                         planted.contains(Planted.LOST_DISK_KEEPS_VOTE));
     }
 
-    /** A simulation with so many voters, and so many others that ask; faults end at half of its time. */
+    /**
+     * A simulation with the given numbers of voters and other clients; faults end halfway through.
+     */
     static Outcome play(long seed, int votes, int others, double seconds, Set<Planted> planted) {
         ConsensusSimulation trial = new ConsensusSimulation(seed, votes, others, planted);
         trial.fleet.play(seconds);
@@ -135,7 +137,7 @@
         return new Sequence();
     }
 
-    /** Each process asks for operations all the time, each of its own. */
+    /** Each process submits operations continuously, with names of its own. */
     @Override
     public void begun(ConsensusFleet.Instance instance) {
         instance.after(
@@ -168,7 +170,7 @@
         instance.group.stepDown().whenComplete((done, why) -> then.run());
     }
 
-    // ---- judging ----
+    // ---- checking ----
 
     private void judge(long endUs) {
         for (Answer each : answers) {
@@ -176,14 +178,14 @@
             if (!each.operation.equals(there)) {
                 fleet.broken.add(
                         each.operation
-                                + " was answered with place "
+                                + " was answered with log index "
                                 + each.index
-                                + ", where "
+                                + ", which holds "
                                 + (there == null ? "nothing" : there)
-                                + " is");
+                                + " instead");
             }
         }
-        // what was answered before another was asked for has the earlier place
+        // an operation answered before another was submitted must have the lower index
         List<Answer> byAnswer = new ArrayList<>(answers);
         byAnswer.sort((a, b) -> Long.compare(a.answeredUs, b.answeredUs));
         List<Answer> byAsked = new ArrayList<>(answers);
@@ -197,23 +199,23 @@
             if (each.index < highest) {
                 fleet.broken.add(
                         each.operation
-                                + " was asked for when place "
+                                + " was submitted after log index "
                                 + highest
-                                + " was answered, and has "
+                                + " had been answered, but has index "
                                 + each.index);
             }
         }
         for (String name : fleet.names) {
             ConsensusFleet.Instance instance = fleet.instances.get(name);
             if (fleet.voters.contains(name) && !instance.group.votes()) {
-                fleet.broken.add(name + " does not vote at the end");
+                fleet.broken.add(name + " is not a voter at the end");
             }
             if (answers.stream()
                     .noneMatch(
                             a ->
                                     a.operation.startsWith(name + "-")
                                             && a.answeredUs > endUs - 3_000_000)) {
-                fleet.broken.add(name + " had no answer in the last 3 s");
+                fleet.broken.add(name + " received no answer in the last 3 s");
             }
             for (Map.Entry<Long, String> e : ((Sequence) instance.stateMachine).all.entrySet()) {
                 if (!e.getValue().equals(agreed.get(e.getKey()))) {
@@ -221,9 +223,9 @@
                             name
                                     + " has "
                                     + e.getValue()
-                                    + " at place "
+                                    + " at log index "
                                     + e.getKey()
-                                    + ", agreed is "
+                                    + ", but the committed entry is "
                                     + agreed.get(e.getKey()));
                 }
             }
--- a/src/main/java/holdproxy/lab/FanoutCommand.java
+++ b/src/main/java/holdproxy/lab/FanoutCommand.java
@@ -13,25 +13,32 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code holdproxy lab fanout}: a fan-out of changes under faults, in virtual time. */
+/**
+ * {@code holdproxy lab fanout}: simulates the fan-out of configuration changes under faults, in
+ * virtual time.
+ */
 @Command(
         name = "fanout",
-        description = "Changes on their way to all proxies, under faults drawn by seeds.",
+        description =
+                "Simulates the fan-out of changes to all proxies, with faults drawn from seeds.",
         mixinStandardHelpOptions = true)
 final class FanoutCommand implements Callable<Integer> {
     private static final int SHOWN = 5;
     private static final double MS = 1000;
 
-    @Option(names = "--seeds", defaultValue = "200", description = "how many (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seeds",
+            defaultValue = "200",
+            description = "number of seeds (${DEFAULT-VALUE})")
     private int seeds;
 
-    @Option(names = "--from", defaultValue = "1", description = "the first (${DEFAULT-VALUE})")
+    @Option(names = "--from", defaultValue = "1", description = "first seed (${DEFAULT-VALUE})")
     private long from;
 
-    @Option(names = "--without", description = "a rule to do without: ${COMPLETION-CANDIDATES}")
+    @Option(names = "--without", description = "a safeguard to disable: ${COMPLETION-CANDIDATES}")
     private Safeguard without;
 
-    @Option(names = "--table", description = "how long changes take, by what happens to a relay")
+    @Option(names = "--table", description = "print propagation times by relay fault")
     private boolean table;
 
     @Override
@@ -97,7 +104,7 @@
         return bad == 0 ? 0 : 1;
     }
 
-    /** From the commit of a change to its coming into force at each proxy. */
+    /** Prints the time from the commit of a change to its coming into force at each proxy. */
     private void printTable() {
         System.out.println("fault              values   p50 s   p99 s  p99.9 s  worst s");
         List<FanoutFault> rows = new ArrayList<>(Arrays.asList((FanoutFault) null));
--- a/src/main/java/holdproxy/lab/FanoutJudge.java
+++ b/src/main/java/holdproxy/lab/FanoutJudge.java
@@ -17,23 +17,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Judges a fan-out by what was committed and what each process was given. Its history is its own:
- * it shares no rule with the program, and compares positions by itself.
+ * Checks a fan-out run against what was committed and what each process received. It keeps its own
+ * history: it shares no rule with the program under test and compares positions itself.
  */
 final class FanoutJudge implements FanoutNetwork.Observer {
     private static final int MOST_BROKEN = 50;
 
-    /** A heartbeat may have been on its way for as long as a link lives without one, and some more. */
+    /** A heartbeat may be in transit for as long as a link survives without one, plus a margin. */
     private static final long AGE_SLACK_US = 4_000_000;
 
-    /** A subscription anew lets the relay send once more while the last batch is under way. */
+    /**
+     * After a resubscription the relay may send once more while the last batch is still in flight.
+     */
     private static final int CREDITS_UNDER_WAY = 2;
 
-    /** A committed change, and the whole state after it. */
+    /** A committed change and the full state after it. */
     private record Committed(
             Position position, long atUs, long token, int bytes, Map<String, Value> state) {}
 
-    /** What a process in one life was given last. */
+    /** What one incarnation of a process received last. */
     private static final class Given {
         Position position;
 
@@ -42,7 +44,7 @@
         }
     }
 
-    /** Bytes on a connection that its lower end has not acknowledged. */
+    /** Bytes on a connection that its downstream end has not acknowledged. */
     private static final class Credit {
         final ArrayDeque<long[]> underWay = new ArrayDeque<>();
         long sent;
@@ -63,8 +65,8 @@
     private long refusedPublications;
 
     /**
-     * {@code inForceMs}: hears from each proxy how long after its commit a change was in force;
-     * null: none.
+     * {@code inForceMs} records, for each change and proxy, the time from commit to coming into
+     * force; null to record nothing.
      */
     FanoutJudge(SimulatedClock time, int creditBytes, Histogram inForceMs) {
         this.time = time;
@@ -88,7 +90,7 @@
 
     // ---- the history ----
 
-    /** The log was founded with this epoch. */
+    /** The log was created with this epoch. */
     void founded(Position position) {
         remember(new Committed(position, time.nowUs(), 0, 0, Map.of()));
     }
@@ -101,7 +103,7 @@
             breaks("the log went from " + before.position + " to " + position);
         }
         if (publication.token() < before.token) {
-            breaks("the log took token " + publication.token() + " after " + before.token);
+            breaks("the log accepted token " + publication.token() + " after " + before.token);
         }
         Map<String, Value> state = new TreeMap<>(before.state);
         publication.deletes().forEach(state::remove);
@@ -118,7 +120,7 @@
         inOrder.add(committed);
     }
 
-    /** The log has refused a publication under this token. */
+    /** The log has rejected a publication with this token. */
     void refused() {
         refusedPublications++;
     }
@@ -131,9 +133,9 @@
         return inOrder.get(inOrder.size() - 1).token;
     }
 
-    // ---- what processes are given ----
+    // ---- what processes receive ----
 
-    /** A life of a process begins, with what it has kept of the one before. */
+    /** An incarnation of a process starts, with the state it kept from the previous one. */
     void began(FanoutNode node, Position kept) {
         given.put(node, new Given(kept));
     }
@@ -147,11 +149,11 @@
         Given last = given.get(node);
         Committed committed = history.get(position);
         if (committed == null) {
-            breaks(node.name + " was given " + position + ", which was never committed");
+            breaks(node.name + " received " + position + ", which was never committed");
             return;
         }
         if (!laterThan(position, last.position)) {
-            breaks(node.name + " was given " + position + " after " + last.position);
+            breaks(node.name + " received " + position + " after " + last.position);
         }
         if (!changes.isEmpty()
                 && (position.epoch() != last.position.epoch()
@@ -167,7 +169,7 @@
                             + " changes");
         }
         if (!state.equals(committed.state)) {
-            breaks(node.name + " was given another state than " + position + " has");
+            breaks(node.name + " received a state that differs from that of " + position + " in the log");
         }
         if (accepted && inForceMs != null && node instanceof FanoutProcesses.Proxy) {
             recordInForce(last.position, position);
@@ -180,7 +182,7 @@
                 || one.epoch() == other.epoch() && one.number() > other.number();
     }
 
-    /** Every change since the position before has come into force now. */
+    /** Every change after the previous position has come into force now. */
     private void recordInForce(Position before, Position now) {
         if (before.epoch() != now.epoch()) {
             return; // its first state
@@ -191,7 +193,7 @@
         }
     }
 
-    /** A process says that what it holds was the newest so long ago. */
+    /** A process reports that its state was the newest the given time ago. */
     void saysAge(String name, Position held, long ageUs) {
         long wasNewestUs = time.nowUs() - ageUs - AGE_SLACK_US;
         for (int i = inOrder.size() - 1; i >= 0; i--) {
@@ -200,11 +202,11 @@
                 if (laterThan(each.position, held)) {
                     breaks(
                             name
-                                    + " says that "
+                                    + " reports that "
                                     + held
                                     + " is "
                                     + ageUs / 1000
-                                    + " ms old, and "
+                                    + " ms old, but "
                                     + each.position
                                     + " was committed at "
                                     + each.atUs / 1e6
@@ -217,7 +219,10 @@
 
     // ---- the wire ----
 
-    /** Credit is not judged on its links any more: messages arrive twice or never. */
+    /**
+     * Stops checking flow-control credit on a process's links, because messages on them are
+     * duplicated or lost.
+     */
     void scrambles(String name) {
         scrambled.add(name);
     }
@@ -256,8 +261,8 @@
     }
 
     /**
-     * No second saw a machine send more than its pace, its burst, the heartbeats and what was
-     * committed within the seconds before to each of its subscribers.
+     * Checks that in no second a machine sent more than its rate limit, its burst, the heartbeats
+     * and, to each subscriber, what was committed within the preceding seconds.
      */
     void judgePace(String name, long bytesPerSecond, long burst, int subscribers) {
         Map<Long, Long> committedBytes = new HashMap<>();
@@ -288,7 +293,7 @@
         }
     }
 
-    /** The most bytes that a process sent in any second from then on. */
+    /** The most bytes that a process sent in any second from the given time on. */
     long mostBytesASecond(String name, long fromSecond) {
         return bytesBySecond
                 .getOrDefault(name, new TreeMap<>())
@@ -300,17 +305,17 @@
                 .orElse(0);
     }
 
-    // ---- the end ----
+    // ---- final state ----
 
     void judgeEnd(String name, Position received, SortedMap<String, Value> state) {
         if (!received.equals(newest())) {
-            breaks(name + " ends with " + received + " and not " + newest());
+            breaks(name + " ends with " + received + ", expected " + newest());
         } else if (!state.equals(inOrder.get(inOrder.size() - 1).state)) {
-            breaks(name + " ends with another state than " + newest() + " has");
+            breaks(name + " ends with a state that differs from that of " + newest() + " in the log");
         }
     }
 
-    /** The state that a proxy's group bears last: what it has in force in the end. */
+    /** The last state that a proxy's group accepts, which must be in force at the end. */
     Position newestBorne(FanoutProcesses.Proxy proxy) {
         for (int i = inOrder.size() - 1; i >= 0; i--) {
             if (proxy.bears(new TreeMap<>(inOrder.get(i).state))) {
--- a/src/main/java/holdproxy/lab/FanoutNetwork.java
+++ b/src/main/java/holdproxy/lab/FanoutNetwork.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 
 /**
- * Connections between processes as TCP makes them: in order, and what is cut off arrives when the
- * cut is over if the connection still stands. Only a fault of its own repeats messages or changes
- * their order.
+ * Connections between processes with the semantics of TCP: ordered delivery, and data held up by a
+ * partition arrives once it heals if the connection still exists. Only a dedicated fault duplicates
+ * or reorders messages.
  */
 final class FanoutNetwork {
     private static final long NEAR_US = 300;
@@ -31,7 +31,7 @@
         void closed(Connection connection);
     }
 
-    /** The side that opens them. */
+    /** The side that opens connections. */
     interface Client {
         void connected(long link);
 
@@ -40,14 +40,17 @@
         void closed(long link, String reason);
     }
 
-    /** What the judges hear of. */
+    /** Observes the traffic on behalf of the checkers. */
     interface Observer {
         void sentDown(Connection connection, Message message, int bytes);
 
         void arrivedUp(Connection connection, Message message, long takenDown);
     }
 
-    /** A message and, upwards, how many from above its sender had taken; or the connection's end (null). */
+    /**
+     * A message and, upstream, the number of messages from upstream that its sender had consumed; a
+     * null message ends the connection.
+     */
     private record Item(Message message, long atUs, long takenDown) {}
 
     /** One direction of a connection. */
@@ -56,7 +59,7 @@
         long lastUs;
     }
 
-    /** From a subscriber to a relay or control machine. */
+    /** A connection from a subscriber to a relay or control machine. */
     static final class Connection {
         final long number;
         final FanoutNode clientNode;
@@ -88,7 +91,7 @@
 
     private record Place(FanoutNode node, Server server) {}
 
-    /** A connection as the process knows it that opened it. */
+    /** A connection as seen by the process that opened it. */
     private record LinkKey(FanoutNode node, long link) {}
 
     private final SimulatedClock time;
@@ -107,7 +110,10 @@
     private Message lastEncoded;
     private byte[] lastBytes;
 
-    /** {@code decodes}: receivers get what the codec makes of the bytes, and not the sender's object. */
+    /**
+     * {@code decodes}: receivers get what the codec decodes from the bytes instead of the sender's
+     * object.
+     */
     FanoutNetwork(
             SimulatedClock time,
             Random random,
@@ -131,12 +137,15 @@
         }
     }
 
-    /** One direction of all that goes from or to a process; {@code by}: once more (1) or once less (-1). */
+    /**
+     * Cuts one direction of all traffic from or to a process; cuts are counted, {@code by} adds (1)
+     * or removes (-1) one.
+     */
     void cut(String name, boolean outwards, int by) {
         (outwards ? cutOut : cutIn).merge(name, by, Integer::sum);
     }
 
-    /** Whether what goes to this process from above arrives twice or in another order. */
+    /** Sets whether messages from upstream to this process are duplicated or reordered. */
     void scramble(String name, boolean scrambles) {
         if (scrambles) {
             scrambled.add(name);
@@ -161,12 +170,12 @@
 
     // ---- processes ----
 
-    /** From now on this process listens under its name. */
+    /** From now on this process accepts connections under its name. */
     void listen(FanoutNode node, Server server) {
         servers.put(node.name, new Place(node, server));
     }
 
-    /** The process has ended; {@code said}: its machine tells those at the other ends. */
+    /** The process has ended; {@code said}: whether its machine notifies the peers. */
     void ended(FanoutNode node, boolean said) {
         Place place = servers.get(node.name);
         if (place != null && place.node == node) {
@@ -265,7 +274,7 @@
         }
     }
 
-    /** True where it does not go the usual way as well. */
+    /** May schedule a late copy; true if that copy replaces the regular delivery (reordering). */
     private boolean scrambles(Connection connection, Message message) {
         double draw = random.nextDouble();
         if (draw < 2 * SCRAMBLED_PART) {
@@ -320,7 +329,7 @@
         }
     }
 
-    /** The same message goes to many. */
+    /** Caches the encoding, since the same message is sent to many subscribers. */
     private byte[] encoded(Message message) {
         if (message != lastEncoded) {
             lastBytes = codec.encode(message);
--- a/src/main/java/holdproxy/lab/FanoutNode.java
+++ b/src/main/java/holdproxy/lab/FanoutNode.java
@@ -3,7 +3,7 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
 
-/** A process of the fan-out simulation: one life of it, at one place. */
+/** One incarnation of a process in the fan-out simulation, at one location. */
 class FanoutNode extends SimulatedProcess {
     final String name;
     final String region;
@@ -18,7 +18,7 @@
         this.site = site;
     }
 
-    /** Calls {@code tick} when it is due, as long as the process lives. */
+    /** Calls {@code tick} whenever it is due, as long as the process runs. */
     final class Alarm {
         private final LongSupplier dueUs;
         private final LongConsumer tick;
@@ -29,7 +29,7 @@
             this.tick = tick;
         }
 
-        /** After every event that may have changed what is due. */
+        /** Must be called after every event that may have changed when the next tick is due. */
         void set() {
             long nextUs = Math.max(dueUs.getAsLong(), time.nowUs());
             if (nextUs < setUs) {
--- a/src/main/java/holdproxy/lab/FanoutProcesses.java
+++ b/src/main/java/holdproxy/lab/FanoutProcesses.java
@@ -23,7 +23,7 @@
 import java.util.SortedMap;
 import java.util.function.Supplier;
 
-/** The kinds of processes of the fan-out simulation, each around the rules as they are in service. */
+/** The kinds of processes of the fan-out simulation, each running the production protocol code. */
 final class FanoutProcesses {
     /** What all processes of a simulation share. */
     record Surroundings(
@@ -36,7 +36,7 @@
 
     private FanoutProcesses() {}
 
-    /** The transport of a subscriber, and its timer. */
+    /** The transport and the timer of a subscriber. */
     private static final class Uplink implements Subscriber.Output, FanoutNetwork.Client {
         private final FanoutNode node;
         private final Surroundings around;
@@ -105,7 +105,7 @@
         }
     }
 
-    /** The transport of a relay, and its timer. */
+    /** The transport and the timer of a relay. */
     private static final class Downlinks implements Relay.Output, FanoutNetwork.Server {
         private final Surroundings around;
         private final Relay relay;
@@ -158,9 +158,9 @@
         }
     }
 
-    /** A proxy: it rejects states that its group does not bear. */
+    /** A proxy, which rejects states that are forbidden for its group. */
     static final class Proxy extends FanoutNode {
-        /** A state with this key is rejected by the group that its value names. */
+        /** A state that contains this key is rejected by the group named in its value. */
         static final String FORBIDDEN = "forbidden";
 
         static final int GROUPS = 7;
@@ -252,7 +252,7 @@
         private final Downlinks downlinks;
         private final Surroundings around;
 
-        /** Operations of the agreed log that it has applied. */
+        /** Number of operations of the agreed log that it has applied. */
         int applied;
 
         private long contactUs;
@@ -267,7 +267,7 @@
             relay = downlinks.relay;
         }
 
-        /** The others tell it of all operations so far. */
+        /** Notification from the other replicas of the number of operations agreed so far. */
         void catchUp(List<List<Object>> operations) {
             contactUs = around.time.nowUs();
             boolean changed = applied < operations.size();
--- a/src/main/java/holdproxy/lab/FanoutSimulation.java
+++ b/src/main/java/holdproxy/lab/FanoutSimulation.java
@@ -27,9 +27,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A fleet of control machines, relays and proxies in virtual time. Changes go on all the time;
- * faults drawn by a seed come in the first half and are over before the last part, by the end of
- * which every proxy has to hold the newest state.
+ * A fleet of control machines, relays and proxies in virtual time. Changes are published
+ * continuously; faults drawn from a seed occur in the first half and are over before the last part,
+ * by the end of which every proxy must hold the newest state.
  */
 final class FanoutSimulation {
     private static final long SECOND_US = 1_000_000;
@@ -39,14 +39,17 @@
     private static final long SETTLE_US = 50 * SECOND_US;
     private static final long HOUR_US = 3_600 * SECOND_US;
 
-    /** One seed of so many cuts a region for an hour, in a fleet that is smaller for it. */
+    /** One in this many seeds cuts off a region for an hour, in a smaller fleet. */
     private static final int SEEDS_PER_HOUR_CUT = 20;
 
     private static final int SEEDS_PER_DECODING = 8;
     private static final int MOST_FAULTS = 4;
     private static final int KEYS = 30;
 
-    /** Where a region is cut for an hour: large enough that all snapshots at once would break the pace. */
+    /**
+     * Number of keys in runs that cut off a region for an hour: large enough that sending all snapshots
+     * at once would exceed the rate limit.
+     */
     private static final int KEYS_OF_HOUR = 120;
 
     private static final int LONGEST_VALUE = 300;
@@ -59,24 +62,25 @@
     private static final int BURST_CHANGES = 40;
     private static final long BURST_GAP_US = 50_000;
 
-    /**
-     * A control machine with a log that is over comes back after so long, and is removed after the
-     * second.
-     */
+    /** When a control machine with a superseded log comes back. */
     private static final long OUTDATED_BACK_US = 6 * SECOND_US;
 
+    /** How long after its return operators remove it. */
     private static final long OUTDATED_REMOVED_US = 50 * SECOND_US;
+
     private static final int[] WINDOWS = {16, 64, 1_024};
 
     /**
-     * How a seed's fleet went.
+     * The result of one seed.
      *
-     * @param broken rules, by what shows it
-     * @param faults that were caused
+     * @param broken violated rules, each with the evidence
+     * @param faults that were injected
      * @param publications that were attempted
-     * @param refused of them, for their token
-     * @param caughtUpMs after each cut of a region, until all its proxies held what was the newest at its end
-     * @param mostBytesASecond that a control machine sent in any second after the first of these cuts
+     * @param refused publications rejected because of their token
+     * @param caughtUpMs for each cut of a region, the time until all its proxies held the state
+     *     that was newest when the cut ended
+     * @param mostBytesASecond most bytes that a control machine sent in any second after the first
+     *     of these cuts
      */
     record Outcome(
             List<String> broken,
@@ -87,7 +91,7 @@
             List<Long> caughtUpMs,
             long mostBytesASecond) {}
 
-    /** How large a fleet is. */
+    /** The size of a fleet. */
     record Shape(int regions, int sitesPerRegion, int proxiesPerSite) {
         int proxies() {
             return regions * sitesPerRegion * proxiesPerSite;
@@ -111,7 +115,7 @@
     private final Map<String, List<RelayCandidate>> relayCandidates = new TreeMap<>();
     private final Set<FanoutNode> unharmed = new HashSet<>();
 
-    /** What the majority of control machines agrees on. */
+    /** The log that the majority of control machines has agreed on. */
     private ChangeLog authority;
 
     private List<List<Object>> operations = new ArrayList<>();
@@ -122,7 +126,7 @@
     private int keys = KEYS;
     private final TreeMap<String, Value> wanted = new TreeMap<>();
 
-    /** A control machine that goes on with a log that is over. */
+    /** A control machine that continues with a superseded log. */
     private Control outdated;
 
     private boolean agesAreJudged = true;
@@ -173,7 +177,7 @@
                         time, random, network, settings, safeguards, judge);
     }
 
-    /** A fleet under faults that are drawn by the seed. */
+    /** A fleet under faults that are drawn from the seed. */
     static Outcome play(long seed, Set<Safeguard> safeguards) {
         boolean hour = seed % SEEDS_PER_HOUR_CUT == 0;
         Random shapes = new Random(seed);
@@ -198,7 +202,7 @@
         return simulation.outcome();
     }
 
-    /** What meets a relay in a fleet in which nothing else happens; null: nothing. */
+    /** Runs a fleet with a single fault at a relay and nothing else; null for no fault. */
     static void recordInForce(long seed, Shape shape, FanoutFault fault, Histogram inForceMs) {
         FanoutSimulation simulation = new FanoutSimulation(seed, shape, Safeguard.all(), inForceMs);
         simulation.start();
@@ -268,7 +272,7 @@
     private void startRelay(String region, String site) {
         SiteRelay relay = new SiteRelay(around, "relay-" + site, region, site);
         relays.add(relay);
-        // a relay prefers its own region's control machine
+        // a relay prefers the control machine of its own region
         relay.start(
                 controlCandidates.stream()
                         .map(
@@ -299,8 +303,8 @@
     }
 
     /**
-     * Told of what was agreed, a control machine knows how new its log is; those cut off are told
-     * nothing.
+     * A control machine notified of the agreed operations knows how current its log is; those that
+     * are cut off are not notified.
      */
     private void contact() {
         replicate();
@@ -448,7 +452,7 @@
         return living.get(random.nextInt(living.size()));
     }
 
-    /** Those whose log is not over. */
+    /** The control machines whose log is not superseded. */
     private List<Control> currentControls() {
         return controls.stream().filter(control -> control != outdated).toList();
     }
@@ -515,7 +519,7 @@
         publish(token, "p-" + publications++, drawChange(), false);
     }
 
-    /** A busy moment: so many changes one after another. */
+    /** A burst of consecutive changes. */
     private void publishBurst(int changes) {
         publishNow();
         if (changes > 1) {
@@ -557,7 +561,7 @@
         }
     }
 
-    /** They end, and start again with what they had received or with nothing. */
+    /** Ends processes and starts them again, with the state they had received or with none. */
     private void restartProxies(List<Proxy> those, long afterUs) {
         boolean keep = random.nextBoolean();
         for (Proxy each : those) {
@@ -584,8 +588,8 @@
     }
 
     /**
-     * The disks of all control machines are lost but of one that is cut off. When that one is back its relays
-     * have gone on to the new log, and it serves the old one until operators remove it.
+     * All control machines lose their disks except one that is cut off. When it comes back, its
+     * relays have moved on to the new log, and it serves the old one until operators remove it.
      */
     private void loseDisks() {
         if (outdated != null || living(controls).size() < controls.size()) {
@@ -611,7 +615,7 @@
         time.after(OUTDATED_REMOVED_US, this::removeOutdated);
     }
 
-    /** It holds itself for the newest there is. */
+    /** It believes that its state is the newest. */
     private void keepOutdatedInContact() {
         if (outdated != null) {
             outdated.run(() -> outdated.catchUp(List.of()));
@@ -627,7 +631,7 @@
         controls.set(at, newControl(controlCandidates.get(at)));
     }
 
-    // ---- judging ----
+    // ---- checking ----
 
     private void sample() {
         for (SiteRelay each : living(relays)) {
@@ -691,7 +695,10 @@
         judgeReport(group);
     }
 
-    /** The control machines together know how many have the last change in force, and who rejects it. */
+    /**
+     * Checks that the control machines together know how many proxies have the last change in force
+     * and which ones reject it.
+     */
     private void judgeReport(int group) {
         List<CoverageReport> reports = new ArrayList<>();
         controls.forEach(each -> reports.add(each.relay.report()));
@@ -706,7 +713,7 @@
                 || all.rejecting() != rejecting.size()
                 || !named.equals(rejecting.subList(0, names))) {
             judge.breaks(
-                    "the report says in force at "
+                    "status reports the change in force at "
                             + inForce
                             + " of "
                             + all.proxies()
@@ -714,11 +721,11 @@
                             + all.rejecting()
                             + " "
                             + named
-                            + ", and there are "
+                            + ", but there are "
                             + proxies.size()
-                            + " proxies of which "
+                            + " proxies, of which "
                             + rejecting
-                            + " reject");
+                            + " reject it");
         }
     }
 }
--- a/src/main/java/holdproxy/lab/LeaseCommand.java
+++ b/src/main/java/holdproxy/lab/LeaseCommand.java
@@ -11,28 +11,29 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** {@code holdproxy lab leases}: leases under faults, in virtual time. */
+/** {@code holdproxy lab leases}: simulates leases under faults, in virtual time. */
 @Command(
         name = "leases",
-        description = "Leases that one process holds, under faults drawn by seeds.",
+        description = "Simulates exclusive leases with faults drawn from seeds.",
         mixinStandardHelpOptions = true)
 final class LeaseCommand implements Callable<Integer> {
     @Mixin private VoterOptions options;
 
-    @Option(
-            names = "--without",
-            description = "a safeguard to do without: ${COMPLETION-CANDIDATES}")
+    @Option(names = "--without", description = "a safeguard to disable: ${COMPLETION-CANDIDATES}")
     private LeaseClient.Safeguard without;
 
-    @Option(names = "--unguarded", description = "the resource does not look at tokens")
+    @Option(names = "--unguarded", description = "the resource does not check tokens")
     private boolean unguarded;
 
     @Option(
             names = "--table",
-            description = "how long a lease is without a holder, by lease and cause")
+            description = "print the time without a holder, by lease duration and cause")
     private boolean table;
 
-    /** Floors: a lease is renewed each third of its length, and ends for others after it and the bound. */
+    /**
+     * Lower bounds: a lease is renewed every third of its duration, and expires for others after
+     * its duration plus the clock bound.
+     */
     private void table() {
         System.out.println("lease  cause    p50 ms    p99 ms  worst ms   wanted ms   floor ms");
         for (int leaseMs : new int[] {1_000, 3_000, 10_000}) {
--- a/src/main/java/holdproxy/lab/LeaseSimulation.java
+++ b/src/main/java/holdproxy/lab/LeaseSimulation.java
@@ -15,38 +15,38 @@
 import java.util.TreeMap;
 
 /**
- * Leases in virtual time: every process wants every role and acts under those it holds, at a guarded resource
- * that looks at the tokens. Faults drawn by a seed meet disks, links and processes in the first half; clocks
- * are wrong all the time.
+ * Leases in virtual time: every process competes for every role and, while it holds one, acts on a
+ * guarded resource that checks fencing tokens. Faults drawn from a seed affect disks, links and
+ * processes in the first half; clock rates are wrong throughout.
  */
 final class LeaseSimulation implements ConsensusFleet.Purpose {
     private static final String RESOURCE = "resource";
     private static final int[] LEASES_MS = {1_000, 1_000, 3_000};
     private static final long ACT_EVERY_US = 40_000;
 
-    /** Where the time without a holder is measured. */
+    /** Configuration for measuring the time without a holder. */
     private static final long ACT_OFTEN_US = 2_000;
 
     private static final double SETTLED_S = 8;
     private static final int LONGEST_ACT_US = 150_000;
     private static final int LONGEST_GAP_US = 20_000;
 
-    /** Without a fault a lease is free for no longer than this, in seconds. */
+    /** Without a fault, a lease is free for at most this time, in seconds. */
     private static final double LAST_S = 6;
 
     /**
-     * How a trial went.
+     * The result of one simulated run.
      *
-     * @param broken rules, by what shows it
-     * @param acts that were begun
-     * @param refused acts that the resource turned down for their token
-     * @param freeMs from the last act of one holder to the first of the next, in milliseconds
-     * @param kinds of faults that were caused
+     * @param broken violated rules, each with the evidence
+     * @param acts number of acts begun
+     * @param refused acts that the resource rejected because of their token
+     * @param freeMs from the last act of one holder to the first act of the next, in milliseconds
+     * @param kinds kinds of faults that were injected
      */
     record Outcome(List<String> broken, int acts, int refused, List<Long> freeMs, Set<String> kinds)
             implements VoterOptions.Outcome {}
 
-    /** In true time; until: to when the holder's lease lasted by its own clock. */
+    /** Times are true time; {@code until} is when the holder's lease ended by its own clock. */
     private static final class Act {
         final String role;
         final String name;
@@ -78,15 +78,15 @@
     private final Map<ConsensusFleet.Instance, Set<LeaseClient.Act>> underWay = new HashMap<>();
     private int refused;
 
-    /** What takes a lease from its holder. */
+    /** How the holder of a lease loses it. */
     enum Cause {
-        /** It is killed. */
+        /** The process is killed. */
         CRASH,
-        /** It stands still for longer than its lease. */
+        /** The process is suspended for longer than its lease. */
         STALL,
-        /** It is cut off from all others. */
+        /** The process is cut off from all others. */
         CUT,
-        /** It is told to end. */
+        /** The process is shut down in an orderly way. */
         PLANNED
     }
 
@@ -107,7 +107,9 @@
                         seed, votes, others, LeaseClient.CLOCK_BOUND, this, false, false);
     }
 
-    /** A simulation with these safeguards; {@code checksTokens}: whether the resource does. */
+    /**
+     * A simulation with these safeguards; {@code checksTokens}: whether the resource checks tokens.
+     */
     static Outcome play(
             long seed,
             int votes,
@@ -129,8 +131,8 @@
     }
 
     /**
-     * Takes one lease from its holder, in a fleet in which nothing else happens; returns the milliseconds
-     * from then to the first act of the next.
+     * Makes the holder lose one lease, in a fleet without other faults; returns the milliseconds
+     * until the first act of the next holder.
      */
     static double withoutHolderMs(long seed, int leaseMs, Cause cause) {
         LeaseSimulation trial =
@@ -164,7 +166,10 @@
                                 .orElseThrow(
                                         () ->
                                                 new IllegalStateException(
-                                                        "seed " + seed + ": nobody took it"))
+                                                        "seed "
+                                                                + seed
+                                                                + ": no process acquired the"
+                                                                + " lease"))
                         / 1e3
                 - causedUs / 1e3;
     }
@@ -202,8 +207,8 @@
                                         .handOver()
                                         .whenComplete(
                                                 (done, failed) -> {
-                                                    // one whose lease has run out meanwhile has
-                                                    // nothing to hand over
+                                                    // an instance whose lease has expired meanwhile
+                                                    // has nothing to hand over
                                                     if (underWay
                                                             .getOrDefault(instance, Set.of())
                                                             .stream()
@@ -214,8 +219,9 @@
                                                                                             .nowUs())) {
                                                         fleet.broken.add(
                                                                 instance.name
-                                                                        + " has handed over with an"
-                                                                        + " act under way");
+                                                                        + " handed over a lease"
+                                                                        + " with an act in"
+                                                                        + " progress");
                                                     }
                                                     then.run();
                                                 }));
@@ -254,12 +260,12 @@
 
         @Override
         public void granted(String role, long token) {
-            // it looks before each act
+            // it checks its lease before each act
         }
 
         @Override
         public void ended(String role, long token, String why) {
-            // it looks before each act
+            // it checks its lease before each act
         }
     }
 
@@ -275,14 +281,15 @@
                         underWay.computeIfAbsent(instance, l -> new HashSet<>()).add(act);
                         Act seen = new Act(role, instance.name, act.token(), fleet.time.nowUs());
                         acts.add(seen);
-                        // between its look at the lease and the sending it may be stopped
+                        // the process may be suspended between checking its lease and sending
                         instance.after(
                                 fleet.random.nextInt(LONGEST_GAP_US), () -> send(instance, seen));
                         instance.after(
                                 fleet.random.nextInt(
                                         Math.min(LONGEST_ACT_US, (int) (4 * actEveryUs))),
                                 () -> {
-                                    // past its lease an act is the token's to stop, not the clock's
+                                    // once the lease has expired, the token must stop the act, not
+                                    // the clock
                                     seen.endedUs =
                                             Math.max(
                                                     seen.beganUs,
@@ -308,7 +315,7 @@
                     }
                     if (act.token < before) {
                         fleet.broken.add(
-                                "the resource took an act of "
+                                "the resource accepted an act of "
                                         + act.name
                                         + " under "
                                         + act.role
@@ -321,7 +328,7 @@
                 });
     }
 
-    // ---- judging ----
+    // ---- checking ----
 
     private void judge(double seconds) {
         List<Act> byStart = new ArrayList<>(acts);
@@ -334,7 +341,7 @@
             if (before != null && each.token < before.token) {
                 fleet.broken.add(
                         each.name
-                                + " began an act under "
+                                + " began an act in role "
                                 + each.role
                                 + " with token "
                                 + each.token
@@ -355,7 +362,7 @@
                 if (last != null && last.endedUs > each.beganUs) {
                     fleet.broken.add(
                             last.name
-                                    + " was in an act under "
+                                    + " was performing an act in role "
                                     + each.role
                                     + " with token "
                                     + last.token
@@ -379,7 +386,7 @@
             String role = "lease-" + i;
             if (acts.stream()
                     .noneMatch(a -> a.role.equals(role) && a.beganUs > (seconds - LAST_S) * 1e6)) {
-                fleet.broken.add("nobody acts under " + role + " in the last " + LAST_S + " s");
+                fleet.broken.add("no process acts under " + role + " in the last " + LAST_S + " s");
             }
         }
     }
--- a/src/main/java/holdproxy/lab/MembershipCommand.java
+++ b/src/main/java/holdproxy/lab/MembershipCommand.java
@@ -11,31 +11,37 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code holdproxy lab membership}: fleets that know of each other, under faults, in virtual time. */
+/** {@code holdproxy lab membership}: simulates group membership under faults, in virtual time. */
 @Command(
         name = "membership",
-        description = "Fleets whose processes know of each other, under faults drawn by seeds.",
+        description = "Simulates group membership with faults drawn from seeds.",
         mixinStandardHelpOptions = true)
 final class MembershipCommand implements Callable<Integer> {
     private static final int SHOWN = 5;
     private static final double MS = 1000;
 
-    @Option(names = "--seeds", defaultValue = "200", description = "how many (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seeds",
+            defaultValue = "200",
+            description = "number of seeds (${DEFAULT-VALUE})")
     private int seeds;
 
-    @Option(names = "--from", defaultValue = "1", description = "the first (${DEFAULT-VALUE})")
+    @Option(names = "--from", defaultValue = "1", description = "first seed (${DEFAULT-VALUE})")
     private long from;
 
     @Option(
             names = "--processes",
             defaultValue = "7",
-            description = "of the fleet (${DEFAULT-VALUE})")
+            description = "processes in the fleet (${DEFAULT-VALUE})")
     private int processes;
 
-    @Option(names = "--seconds", defaultValue = "180", description = "of each (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            defaultValue = "180",
+            description = "simulated seconds per seed (${DEFAULT-VALUE})")
     private double seconds;
 
-    @Option(names = "--without", description = "a rule to do without: ${COMPLETION-CANDIDATES}")
+    @Option(names = "--without", description = "a safeguard to disable: ${COMPLETION-CANDIDATES}")
     private Membership.Safeguard without;
 
     @Override
--- a/src/main/java/holdproxy/lab/MembershipSimulation.java
+++ b/src/main/java/holdproxy/lab/MembershipSimulation.java
@@ -14,8 +14,9 @@
 import java.util.TreeSet;
 
 /**
- * A fleet of processes that know of each other by the rules of {@code peers}, in virtual time: faults drawn
- * by a seed in the first half, none in the second, by the end of which all have to be of one mind.
+ * A fleet of processes that track each other with the membership protocol of {@code peers}, in
+ * virtual time. Faults drawn from a seed occur in the first half, none in the second, by the end of
+ * which all must agree on the members.
  */
 final class MembershipSimulation {
     private static final long LEAST_DELAY_US = 200;
@@ -23,22 +24,29 @@
     private static final int MOST_FAULTS = 6;
     private static final double FIRST_FAULT_S = 4;
 
-    /** Wall clocks are about here; a start takes its generation from them. */
+    /**
+     * Base of the simulated wall clocks; a starting process derives its generation from its wall
+     * clock.
+     */
     private static final long WALL_MS = 1_764_000_000_000L;
 
     private static final long HOUR_MS = 3_600_000;
 
-    /** Whom these alone have met may know less than others, and must not hold sound ones for dead. */
+    /**
+     * Processes affected only by these faults may know less than others, but must not consider
+     * healthy ones dead.
+     */
     private static final Set<String> BLINDING =
             Set.of("stopped", "hears nobody", "nobody hears it", "cut off");
 
     /**
-     * How a trial went.
+     * The result of one simulated run.
      *
-     * @param broken rules, by what shows it
-     * @param messages that were sent, by all together
-     * @param foundS how long each sound process took to hold one that was killed for dead, in seconds
-     * @param kinds of faults that were caused
+     * @param broken violated rules, each with the evidence
+     * @param messages total number of messages sent
+     * @param foundS for each healthy process, the time until it considered a killed process dead,
+     *     in seconds
+     * @param kinds kinds of faults that were injected
      */
     record Outcome(List<String> broken, long messages, List<Double> foundS, Set<String> kinds) {}
 
@@ -48,12 +56,12 @@
         final Random random;
         Membership rules;
 
-        /** When its timer rings. */
+        /** When its timer fires. */
         long wakingUs = Long.MAX_VALUE;
 
         boolean superseded;
 
-        /** What has been done to it or its links. */
+        /** The faults that have affected it or its links. */
         final Set<String> harms = new TreeSet<>();
 
         Process(String name, String address, long wallMs) {
@@ -151,10 +159,10 @@
                         name
                                 + " holds "
                                 + subject.name
-                                + ", which no fault has met, for dead at "
+                                + ", which no fault has affected, for dead at "
                                 + time.nowUs() / 1e6
                                 + " s"
-                                + (sound() ? "" : ", itself met by " + harms));
+                                + (sound() ? "" : ", itself affected by " + harms));
             }
             Long killed = killedUs.get(subject);
             if (killed != null && sound()) {
@@ -162,15 +170,15 @@
             }
         }
 
-        /** Who only stood still has nothing to hold against others. */
+        /** A process that was only suspended has no evidence against others. */
         private void suspects(Member other) {
             Process subject = at.get(other.address());
             if (harms.equals(Set.of("stopped")) && subject != null && subject.sound()) {
                 broken.add(
                         name
-                                + ", which only stood still, suspects "
+                                + ", which was only suspended, suspects "
                                 + subject.name
-                                + ", which no fault has met, at "
+                                + ", which no fault has affected, at "
                                 + time.nowUs() / 1e6
                                 + " s");
             }
@@ -214,7 +222,7 @@
         return trial.outcome();
     }
 
-    /** A simulation in which nothing happens. */
+    /** A simulation without faults. */
     static Outcome quiet(long seed, int processes, double seconds) {
         MembershipSimulation trial =
                 new MembershipSimulation(seed, EnumSet.allOf(Membership.Safeguard.class));
@@ -331,7 +339,7 @@
         time.after(forUs, () -> others.forEach(other -> harm.both(one.address, other, -by)));
     }
 
-    /** Operators start its successor elsewhere, and forget to end it. */
+    /** Operators start a successor elsewhere without ending the old process. */
     private void namesake(Process one) {
         harm(one, "a second one of its name");
         Process other =
@@ -343,7 +351,7 @@
         processes.add(other);
     }
 
-    /** Everybody that runs holds everybody else that runs for live, and nobody besides. */
+    /** Every running process must consider exactly the other running processes alive. */
     private void ofOneMind() {
         Set<String> running = new TreeSet<>();
         processes.stream()
@@ -368,7 +376,7 @@
                                 + missing
                                 + " and holds "
                                 + seen
-                                + " for live");
+                                + " for alive");
             }
         }
     }
--- a/src/main/java/holdproxy/lab/MemoryDisk.java
+++ b/src/main/java/holdproxy/lab/MemoryDisk.java
@@ -7,8 +7,8 @@
 import java.util.Random;
 
 /**
- * A disk of a trial: what was made safe outlives its process, of what was not a part may. It fails as it is
- * told to.
+ * A simulated disk: durable data survives the process, and a random part of the rest may. It fails
+ * when told to.
  */
 final class MemoryDisk implements Disk {
     private final Random random;
@@ -16,29 +16,33 @@
     private byte[] safe = new byte[0];
     private ByteArrayOutputStream unsafe = new ByteArrayOutputStream();
 
-    /** So much of it was safe before the crash. */
+    /** Number of bytes that were durable before the crash. */
     private int forced;
 
     private boolean full;
     private boolean unforced;
 
-    /** {@code forgets}: it says that things are safe which are not, for a judge to find. */
+    /**
+     * {@code forgets}: the disk reports data as durable that is not, a bug for the checker to find.
+     */
     MemoryDisk(Random random, boolean forgets) {
         this.random = random;
         this.forgets = forgets;
     }
 
-    /** From now on nothing more goes on it, or again. */
+    /** Sets whether the disk is full, so that writes fail. */
     void full(boolean now) {
         full = now;
     }
 
-    /** From now on nothing is made safe, or again. */
+    /** Sets whether syncing fails. */
     void unforced(boolean now) {
         unforced = now;
     }
 
-    /** The process is over: of what was not made safe the beginning is there, as far as chance has it. */
+    /**
+     * The process has ended: of the data that was not durable, a prefix of random length survives.
+     */
     void crash() {
         byte[] rest = unsafe.toByteArray();
         forced = safe.length;
@@ -48,7 +52,7 @@
         unsafe = new ByteArrayOutputStream();
     }
 
-    /** After a crash one bit of what had been made safe is another. */
+    /** Flips one bit of the data that was durable before the last crash. */
     void flip() {
         if (forced == 0) {
             return;
--- a/src/main/java/holdproxy/lab/MemoryNetwork.java
+++ b/src/main/java/holdproxy/lab/MemoryNetwork.java
@@ -25,23 +25,26 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
 
-/** Connections in memory between the hosts of a town, with the delays and silences of a network. */
+/** In-memory connections between the simulated hosts, with the delays and outages of a network. */
 final class MemoryNetwork {
-    /** One address and the way to it. */
+    /** An address and the network path to it. */
     static final class Host {
         private final String name;
 
-        /** One way, in microseconds, and what chance adds to it, exponential with this mean. */
+        /**
+         * One-way delay in microseconds, and the mean of an exponentially distributed random
+         * addition.
+         */
         private final double meanDelayUs;
 
         private final double jitterUs;
         private final SplittableRandom random;
         private final int zone;
 
-        /** Cut off: it says nothing, and new connections to it never come up. */
+        /** Partitioned: the host sends nothing, and new connections to it are never established. */
         boolean silent;
 
-        /** With this chance a message's connection is reset. */
+        /** The probability that a message's connection is reset. */
         double resetChance;
 
         private Host(
@@ -61,7 +64,7 @@
             return resetChance > 0 && random.nextDouble() < resetChance;
         }
 
-        /** One of so many, by chance. */
+        /** A random number from 0 to {@code of} - 1. */
         int pick(int of) {
             return random.nextInt(of);
         }
@@ -71,7 +74,9 @@
         }
     }
 
-    /** The way between a process that connected and the host that it connected to, both as they are now. */
+    /**
+     * The path between a connecting process and the host it connected to, in their current state.
+     */
     final class Way {
         private final Process opener;
         private final Host host;
@@ -81,7 +86,7 @@
             this.host = host;
         }
 
-        /** Whether nothing gets to the host, or from it: neither end is told. */
+        /** Whether nothing gets to or from the host; neither end is notified. */
         boolean gone(boolean toHost) {
             return host.silent
                     || zones.silent(host.zone)
@@ -91,7 +96,7 @@
                             : zones.cut(host.zone, opener.zone));
         }
 
-        /** What a message takes, in microseconds. */
+        /** The delay of a message, in microseconds. */
         long delayUs(boolean toHost) {
             long own = host.delayUs();
             return own
@@ -100,7 +105,10 @@
                             : zones.addedUs(host.zone, opener.zone, own));
         }
 
-        /** Something was lost, or is late, by the town's doing; from outside into a silent zone, or else. */
+        /**
+         * Records that something was lost or delayed by the simulation: from outside into a silent
+         * zone, or elsewhere.
+         */
         void lost(boolean toHost, String what) {
             boolean silence = toHost && zones.silent(host.zone) && !zones.silent(opener.zone);
             whenLost.lost(
@@ -111,7 +119,7 @@
                     what);
         }
 
-        /** Both ways of a connection that comes up: the host's own delay is the same there and back. */
+        /** Both directions of a new connection; the host's own delay is the same each way. */
         private long roundTripUs() {
             long own = host.delayUs();
             return 2 * own
@@ -136,19 +144,21 @@
         }
     }
 
-    /** Is told of what the state of zones has kept from its end. */
+    /** Notified of what the state of zones has kept from its destination. */
     interface WhenLost {
-        /** {@code zone}: the silent one that it was for, from outside, or {@link Zones#NOWHERE}. */
+        /**
+         * {@code zone}: the silent zone that it was sent to from outside, or {@link Zones#NOWHERE}.
+         */
         void lost(String from, boolean byPeople, String to, int zone, String what);
     }
 
-    /** The network as one process has it: those that it connects to see its name. */
+    /** The network as seen by one process; hosts it connects to see its name. */
     final class Process implements TownNetwork {
         private final String name;
         private final VirtualLoop loop;
         private final int zone;
 
-        /** Clients: a zone that falls silent does not hold people, who go to others. */
+        /** The network of clients: a silent zone does not stop clients, who go elsewhere. */
         private final boolean people;
 
         private final Set<Channel> open = new LinkedHashSet<>();
@@ -180,12 +190,12 @@
             ChannelPromise connected = ch.newPromise();
             if (over) {
                 ch.close();
-                return connected; // never up: nobody is left to be told
+                return connected; // never established: nobody is left to be notified
             }
             counted(ch);
             Host host = hosts.get(address);
             Way way = host == null ? null : new Way(this, host);
-            // a round trip of the network, then at once
+            // one network round trip, then at once
             loop.after(
                     host == null ? 0 : way.roundTripUs(),
                     () -> {
@@ -248,7 +258,7 @@
             return bound;
         }
 
-        /** Both ways at once: nobody in the town says anything on a connection that ends against it. */
+        /** Closes both directions at once: nothing is sent on a connection that its peer is closing. */
         @Override
         public void endSending(Channel channel) {
             channel.close();
@@ -259,7 +269,10 @@
             return MemoryNetwork.peer(accepted);
         }
 
-        /** It is gone: what it had open ends at once, unsaid what it had still to say. On its own loop. */
+        /**
+         * The process is gone: its connections end at once, and unsent data is lost. Runs on its
+         * own loop.
+         */
         void die() {
             over = true;
             List.copyOf(open).forEach(ch -> ch.unsafe().close(ch.voidPromise()));
@@ -286,7 +299,7 @@
         this.whenLost = whenLost;
     }
 
-    /** Puts an address on the map; connecting to any other one is refused. */
+    /** Registers an address; connections to unregistered ones are refused. */
     Host host(
             String name,
             InetSocketAddress address,
@@ -303,7 +316,7 @@
         return process(new Process(name, loop, zone, false));
     }
 
-    /** Clients in a zone. */
+    /** The network of clients in a zone. */
     Process people(String name, VirtualLoop loop, int zone) {
         return process(new Process(name, loop, zone, true));
     }
@@ -319,18 +332,18 @@
         return byName.containsKey(process) && zones.silent(byName.get(process).zone);
     }
 
-    /** Every process is over. */
+    /** Ends every process. */
     void close() {
         processes.forEach(Process::die);
     }
 
-    /** Who opened a connection that was accepted here. */
+    /** The name of the process that opened a connection accepted here. */
     static String peer(Channel accepted) {
         String place = accepted.remoteAddress().toString();
         return place.substring(place.indexOf('/') + 1, place.lastIndexOf('#'));
     }
 
     private LocalAddress place(InetSocketAddress address) {
-        return new LocalAddress(town + "/" + address); // several towns may run in one JVM
+        return new LocalAddress(town + "/" + address); // several simulations may run in one JVM
     }
 }
--- a/src/main/java/holdproxy/lab/SimulatedClock.java
+++ b/src/main/java/holdproxy/lab/SimulatedClock.java
@@ -4,7 +4,10 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Virtual time: advances from task to task; tasks due at one moment run in the order they were given. */
+/**
+ * Virtual time: advances from task to task; tasks due at the same time run in the order they were
+ * scheduled.
+ */
 public final class SimulatedClock implements Timeline {
     private record Task(long us, long order, Runnable what) {}
 
@@ -23,7 +26,7 @@
         tasks.add(new Task(nowUs + Math.max(0, delayUs), order++, task));
     }
 
-    /** Runs all that is due until then. */
+    /** Runs all tasks due up to the given time. */
     public void run(long untilUs) {
         while (!tasks.isEmpty() && tasks.peek().us <= untilUs) {
             Task next = tasks.poll();
--- a/src/main/java/holdproxy/lab/SimulatedLinks.java
+++ b/src/main/java/holdproxy/lab/SimulatedLinks.java
@@ -22,22 +22,25 @@
         return slow.getOrDefault(new Pair(from, to), 0.0);
     }
 
-    /** What every message takes more. */
+    /** The additional delay of every message. */
     long lateUs(String from, String to) {
         return late.getOrDefault(new Pair(from, to), 0L);
     }
 
-    /** One way, so much more of it. */
+    /** Changes the additional delay in one direction by this amount. */
     void late(String from, String to, long us) {
         late.merge(new Pair(from, to), us, Long::sum);
     }
 
-    /** Part of the messages that do not arrive. */
+    /** The fraction of messages that are lost. */
     double lost(String from, String to) {
         return lost.getOrDefault(new Pair(from, to), 0.0);
     }
 
-    /** Cuts these from all the others, out from them or in to them, once more (1) or once less (-1). */
+    /**
+     * Cuts these processes off from all others, outbound or inbound; cuts are counted, so this adds
+     * (1) or removes (-1) one.
+     */
     void part(Collection<String> all, List<String> some, boolean out, boolean in, int by) {
         for (String one : some) {
             for (String other : all) {
@@ -54,13 +57,13 @@
         }
     }
 
-    /** Both ways between these two, so much more. */
+    /** Changes the additional delay between these two, in both directions. */
     void slow(String one, String other, double us) {
         slow.merge(new Pair(one, other), us, Double::sum);
         slow.merge(new Pair(other, one), us, Double::sum);
     }
 
-    /** Both ways between these two, so much more of it. */
+    /** Changes the loss between these two, in both directions. */
     void lose(String one, String other, double part) {
         lost.merge(new Pair(one, other), part, Double::sum);
         lost.merge(new Pair(other, one), part, Double::sum);
--- a/src/main/java/holdproxy/lab/SimulatedProcess.java
+++ b/src/main/java/holdproxy/lab/SimulatedProcess.java
@@ -1,23 +1,23 @@
 package holdproxy.lab;
 
-/** A simulated process, which can be stalled or over. */
+/** A simulated process, which can be suspended or ended. */
 abstract class SimulatedProcess {
     boolean over;
     private final SimulatedClock time;
 
-    /** It stands still until then, in true time. */
+    /** It is suspended until this true time. */
     private long wakesUs;
 
     SimulatedProcess(SimulatedClock time) {
         this.time = time;
     }
 
-    /** From now on it stands still for so long, in true time. */
+    /** Suspends it from now on for the given true time. */
     final void standStill(long forUs) {
         wakesUs = Math.max(wakesUs, time.nowUs() + forUs);
     }
 
-    /** Now, or once it goes on where it stands still; not at all where it is over. */
+    /** Runs the task now, or when the process resumes if it is suspended; never if it has ended. */
     final void run(Runnable task) {
         if (over) {
             return;
--- a/src/main/java/holdproxy/lab/VoterOptions.java
+++ b/src/main/java/holdproxy/lab/VoterOptions.java
@@ -7,36 +7,45 @@
 import java.util.function.LongFunction;
 import picocli.CommandLine.Option;
 
-/** Which fleets with a consensus group are played, and the hunt through their seeds. */
+/** Options for the simulated fleets with a consensus group, and the loop over their seeds. */
 final class VoterOptions {
     private static final int SHOWN = 5;
     private static final int MOST_OTHERS = 40;
 
-    /** What a hunt looks at of each play. */
+    /** What is reported of each run. */
     interface Outcome {
-        /** Rules, by what shows it. */
+        /** Violated rules, each with the evidence. */
         List<String> broken();
 
-        /** Of faults that were caused. */
+        /** Kinds of faults that were injected. */
         Set<String> kinds();
     }
 
-    @Option(names = "--seeds", defaultValue = "200", description = "how many (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seeds",
+            defaultValue = "200",
+            description = "number of seeds (${DEFAULT-VALUE})")
     int seeds;
 
-    @Option(names = "--from", defaultValue = "1", description = "the first (${DEFAULT-VALUE})")
+    @Option(names = "--from", defaultValue = "1", description = "first seed (${DEFAULT-VALUE})")
     long from;
 
-    @Option(names = "--voters", defaultValue = "5", description = "3 or 5 (${DEFAULT-VALUE})")
+    @Option(
+            names = "--voters",
+            defaultValue = "5",
+            description = "number of voters, 3 or 5 (${DEFAULT-VALUE})")
     int voters;
 
     @Option(
             names = "--others",
             defaultValue = "2",
-            description = "that do not vote, and ask as well (${DEFAULT-VALUE})")
+            description = "non-voting processes that also submit requests (${DEFAULT-VALUE})")
     int others;
 
-    @Option(names = "--seconds", defaultValue = "60", description = "of each (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            defaultValue = "60",
+            description = "simulated seconds per seed (${DEFAULT-VALUE})")
     double seconds;
 
     void check() {
@@ -53,7 +62,8 @@
     }
 
     /**
-     * Plays each seed, says which broke a rule, and then what {@code figures} says; returns the exit code.
+     * Runs each seed, prints those that violated a rule, and then the output of {@code figures};
+     * returns the exit code.
      */
     int hunt(LongFunction<? extends Outcome> play, Runnable figures) {
         TreeMap<String, Integer> kinds = new TreeMap<>();
--- a/src/test/java/holdproxy/lab/ConsensusSimulationTest.java
+++ b/src/test/java/holdproxy/lab/ConsensusSimulationTest.java
@@ -88,7 +88,7 @@
             acts += outcome.acts();
             refused += outcome.refused();
         }
-        assertTrue(acts > SEEDS * 1000 && refused > 0, acts + " acts, " + refused + " turned down");
+        assertTrue(acts > SEEDS * 1000 && refused > 0, acts + " acts, " + refused + " rejected");
     }
 
     @ParameterizedTest
--- a/src/test/java/holdproxy/lab/FanoutSimulationTest.java
+++ b/src/test/java/holdproxy/lab/FanoutSimulationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The fan-out under faults in virtual time, and that each of its safeguards is needed. */
+/** Tests the fan-out under faults in virtual time, and that each safeguard is needed. */
 class FanoutSimulationTest {
     private static final int SEEDS = 30;
     private static final int SEEDS_TO_FIND_A_MUTATION = 200;
@@ -51,7 +51,7 @@
                 LongStream.rangeClosed(1, SEEDS_TO_FIND_A_MUTATION)
                         .parallel()
                         .anyMatch(seed -> !FanoutSimulation.play(seed, others).broken().isEmpty()),
-                "no seed to " + SEEDS_TO_FIND_A_MUTATION + " needs " + without);
+                "no seed up to " + SEEDS_TO_FIND_A_MUTATION + " needs " + without);
     }
 
     @ParameterizedTest
--- a/src/test/java/holdproxy/lab/MembershipSimulationTest.java
+++ b/src/test/java/holdproxy/lab/MembershipSimulationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Membership under faults in virtual time, and that each of its rules is needed. */
+/** Tests membership under faults in virtual time, and that each of its rules is needed. */
 class MembershipSimulationTest {
     private static final int SEEDS = 200;
     private static final double SECONDS = 180;
@@ -52,10 +52,10 @@
         assertTrue(
                 LongStream.rangeClosed(1, SEEDS)
                         .anyMatch(seed -> !play(seed, rest).broken().isEmpty()),
-                "no seed to " + SEEDS + " needs " + without);
+                "no seed up to " + SEEDS + " needs " + without);
     }
 
-    /** The rules' own cost: what each process sends does not grow with the fleet. */
+    /** Protocol overhead: what each process sends does not grow with the fleet. */
     @Test
     void inPeaceAProcessOfManySendsAsMuchAsOneOfFew() {
         double few = rate(5);
