--- a/src/test/java/holdproxy/lab/ConsensusSimulationTest.java
+++ b/src/test/java/holdproxy/lab/ConsensusSimulationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The consensus group and the leases under faults in virtual time, and that the judges find what is planted. */
+/** Tests consensus groups and leases under faults in virtual time, and that the checkers find planted bugs. */
 class ConsensusSimulationTest {
     private static final int SEEDS = 60;
     private static final int SEEDS_TO_FIND = 200;
