--- a/src/main/java/holdproxy/lab/ConsensusFleet.java
+++ b/src/main/java/holdproxy/lab/ConsensusFleet.java
@@ -19,7 +19,7 @@
 /**
  * Simulated processes around a consensus group in virtual time, each with its own disk, clock and
  * links, and the faults injected into them. What the processes use the group for is defined by the
- * {@link Purpose}.
+ * {@link Workload}.
  */
 final class ConsensusFleet {
     private static final long LEAST_DELAY_US = 200;
@@ -31,20 +31,20 @@
     private static final long LATE_US = 270_000;
 
     /** What the simulated processes use the consensus group for. */
-    interface Purpose {
+    interface Workload {
         /** Creates the state machine of an instance that starts. */
         StateMachine stateMachine(Instance instance);
 
         /** Called when the instance has joined its consensus group. */
-        void begun(Instance instance);
+        void started(Instance instance);
 
         /** Called when the instance is to shut down; {@code then} must be run once it may exit. */
-        void ending(Instance instance, Runnable then);
+        void shuttingDown(Instance instance, Runnable then);
 
         /**
          * The process against which faults are most revealing now; empty if there is no preference.
          */
-        default String centre() {
+        default String preferredFaultTarget() {
             return "";
         }
     }
@@ -118,7 +118,7 @@
 
         /** Ends the process; whatever its disk had not made durable is lost. */
         private void die() {
-            over = true;
+            ended = true;
             disk.crash();
         }
 
@@ -142,7 +142,7 @@
     final List<String> broken = new ArrayList<>();
     final Set<String> kinds = new TreeSet<>();
     private final Map<String, Double> rates = new TreeMap<>();
-    private final Purpose purpose;
+    private final Workload purpose;
     private final boolean forgetfulDisks;
     private final boolean lostDisksKeepVotes;
     private final List<String> leaders = new ArrayList<>();
@@ -159,7 +159,7 @@
             int votes,
             int others,
             double clockBound,
-            Purpose purpose,
+            Workload purpose,
             boolean forgetfulDisks,
             boolean lostDisksKeepVotes) {
         random = new Random(seed * 0x9e3779b97f4a7c15L);
@@ -219,7 +219,7 @@
         Instance instance = new Instance(name, disk);
         instances.put(name, instance);
         instance.group.begin(disk);
-        purpose.begun(instance);
+        purpose.started(instance);
     }
 
     // ---- faults ----
@@ -249,7 +249,7 @@
 
     /** Operators replace the disk of a damaged voter as soon as they find it running. */
     private void replace(String name) {
-        if (instances.get(name).over) {
+        if (instances.get(name).ended) {
             time.after(LOOK_US, () -> replace(name));
         } else {
             kill("disk replaced", name, 0, disk());
@@ -260,7 +260,8 @@
         long forUs = Math.min(endUs - time.nowUs(), 200_000 + (long) (random.nextDouble() * 12e6));
         String one = voters.get(random.nextInt(voters.size()));
         String leader = leaders.isEmpty() ? one : leaders.get(leaders.size() - 1);
-        String centre = purpose.centre().isEmpty() ? leader : purpose.centre();
+        String centre =
+                purpose.preferredFaultTarget().isEmpty() ? leader : purpose.preferredFaultTarget();
         int whom = random.nextInt(3);
         int what = random.nextInt(13);
         if (whom == 0) {
@@ -288,7 +289,7 @@
 
     void kill(String kind, String name, long forUs, MemoryDisk then) {
         Instance instance = instances.get(name);
-        if (instance.over) {
+        if (instance.ended) {
             return;
         }
         kinds.add(kind);
@@ -308,7 +309,7 @@
                         .map(instances::get)
                         .allMatch(
                                 l ->
-                                        !l.over
+                                        !l.ended
                                                 && l.group.votes()
                                                 && l.group.votingMembers().equals(expected));
     }
@@ -339,13 +340,13 @@
 
     void stop(String name, long forUs) {
         kinds.add("stopped");
-        instances.get(name).standStill(forUs);
+        instances.get(name).suspend(forUs);
     }
 
     void part(String kind, List<String> some, long forUs, boolean out, boolean in) {
         kinds.add(kind);
-        links.part(names, some, out, in, 1);
-        time.after(forUs, () -> links.part(names, some, out, in, -1));
+        links.partition(names, some, out, in, 1);
+        time.after(forUs, () -> links.partition(names, some, out, in, -1));
     }
 
     /**
@@ -362,13 +363,13 @@
                 random.nextBoolean()
                         ? List.of()
                         : List.copyOf(mixed.subList(first, Math.min(mixed.size(), first + 2)));
-        links.part(names, a, true, true, 1);
-        links.part(names, b, true, true, 1);
+        links.partition(names, a, true, true, 1);
+        links.partition(names, b, true, true, 1);
         time.after(
                 forUs,
                 () -> {
-                    links.part(names, a, true, true, -1);
-                    links.part(names, b, true, true, -1);
+                    links.partition(names, a, true, true, -1);
+                    links.partition(names, b, true, true, -1);
                 });
     }
 
@@ -385,20 +386,20 @@
      */
     private void fullDisk(String name, long forUs) {
         Instance instance = instances.get(name);
-        if (instance.over) {
+        if (instance.ended) {
             return;
         }
         boolean full = random.nextBoolean();
         kinds.add(full ? "disk full" : "disk not forced");
         instance.disk.full(full);
-        instance.disk.unforced(!full);
+        instance.disk.failSync(!full);
         time.after(
                 forUs,
                 () -> {
                     instance.disk.full(false);
-                    instance.disk.unforced(false);
+                    instance.disk.failSync(false);
                     Instance now = instances.get(name);
-                    if (now.disk == instance.disk && !now.over && !now.group.votes()) {
+                    if (now.disk == instance.disk && !now.ended && !now.group.votes()) {
                         kill("disk mended", name, 0, instance.disk);
                     }
                 });
@@ -406,20 +407,20 @@
 
     void restart(String name, long forUs) {
         Instance instance = instances.get(name);
-        if (instance.over) {
+        if (instance.ended) {
             return;
         }
         kinds.add("restarted");
         instance.run(
                 () ->
-                        purpose.ending(
+                        purpose.shuttingDown(
                                 instance,
                                 () ->
                                         instance.group
                                                 .end()
                                                 .whenComplete(
                                                         (done, failed) -> {
-                                                            if (!instance.over) {
+                                                            if (!instance.ended) {
                                                                 instance.die();
                                                                 time.after(
                                                                         forUs,
@@ -443,7 +444,7 @@
         disksLostUntilUs = time.nowUs() + forUs;
         kinds.add("bit flipped");
         instance.die();
-        instance.disk.flip();
+        instance.disk.flipBit();
         time.after(
                 forUs / 2,
                 () -> {
--- a/src/main/java/holdproxy/lab/ConsensusSimulation.java
+++ b/src/main/java/holdproxy/lab/ConsensusSimulation.java
@@ -14,7 +14,7 @@
  * drawn from a seed occur in the first part, none in the second. The checker examines one history:
  * what was committed at each log index, what was answered, and when.
  */
-final class ConsensusSimulation implements ConsensusFleet.Purpose {
+final class ConsensusSimulation implements ConsensusFleet.Workload {
     private static final long ASK_EVERY_US = 250_000;
     private static final long WITHIN_US = 5_000_000;
     private static final int PARTS = 3;
@@ -44,7 +44,7 @@
     private record Answer(String operation, long askedUs, long answeredUs, long index) {}
 
     /** The log's content: each operation once, with its log index. */
-    private final class Sequence implements StateMachine {
+    private final class OperationLog implements StateMachine {
         private final TreeMap<Long, String> all = new TreeMap<>();
         private final Map<String, Long> places = new HashMap<>();
 
@@ -127,19 +127,19 @@
     static Outcome play(long seed, int votes, int others, double seconds, Set<Planted> planted) {
         ConsensusSimulation trial = new ConsensusSimulation(seed, votes, others, planted);
         trial.fleet.play(seconds);
-        trial.judge((long) (seconds * 1e6));
+        trial.check((long) (seconds * 1e6));
         return new Outcome(
                 trial.fleet.broken, trial.answers.size(), trial.agreed.size(), trial.fleet.kinds);
     }
 
     @Override
     public StateMachine stateMachine(ConsensusFleet.Instance instance) {
-        return new Sequence();
+        return new OperationLog();
     }
 
     /** Each process submits operations continuously, with names of its own. */
     @Override
-    public void begun(ConsensusFleet.Instance instance) {
+    public void started(ConsensusFleet.Instance instance) {
         instance.after(
                 ASK_EVERY_US,
                 () -> {
@@ -161,18 +161,18 @@
                     if (planted.contains(Planted.ANSWER_BEFORE_AGREEMENT) && asked % 7 == 0) {
                         answers.add(new Answer(operation, atUs, atUs, Long.MAX_VALUE - asked));
                     }
-                    begun(instance);
+                    started(instance);
                 });
     }
 
     @Override
-    public void ending(ConsensusFleet.Instance instance, Runnable then) {
+    public void shuttingDown(ConsensusFleet.Instance instance, Runnable then) {
         instance.group.stepDown().whenComplete((done, why) -> then.run());
     }
 
     // ---- checking ----
 
-    private void judge(long endUs) {
+    private void check(long endUs) {
         for (Answer each : answers) {
             String there = agreed.get(each.index);
             if (!each.operation.equals(there)) {
@@ -217,7 +217,8 @@
                                             && a.answeredUs > endUs - 3_000_000)) {
                 fleet.broken.add(name + " received no answer in the last 3 s");
             }
-            for (Map.Entry<Long, String> e : ((Sequence) instance.stateMachine).all.entrySet()) {
+            for (Map.Entry<Long, String> e :
+                    ((OperationLog) instance.stateMachine).all.entrySet()) {
                 if (!e.getValue().equals(agreed.get(e.getKey()))) {
                     fleet.broken.add(
                             name
--- a/src/main/java/holdproxy/lab/FanoutJudge.java
+++ b/src/main/java/holdproxy/lab/FanoutChecker.java
@@ -20,7 +20,7 @@
  * Checks a fan-out run against what was committed and what each process received. It keeps its own
  * history: it shares no rule with the program under test and compares positions itself.
  */
-final class FanoutJudge implements FanoutNetwork.Observer {
+final class FanoutChecker implements FanoutNetwork.Observer {
     private static final int MOST_BROKEN = 50;
 
     /** A heartbeat may be in transit for as long as a link survives without one, plus a margin. */
@@ -29,17 +29,17 @@
     /**
      * After a resubscription the relay may send once more while the last batch is still in flight.
      */
-    private static final int CREDITS_UNDER_WAY = 2;
+    private static final int CREDITS_IN_FLIGHT = 2;
 
     /** A committed change and the full state after it. */
     private record Committed(
             Position position, long atUs, long token, int bytes, Map<String, Value> state) {}
 
     /** What one incarnation of a process received last. */
-    private static final class Given {
+    private static final class Received {
         Position position;
 
-        Given(Position position) {
+        Received(Position position) {
             this.position = position;
         }
     }
@@ -55,7 +55,7 @@
     private final int creditBytes;
     private final Map<Position, Committed> history = new HashMap<>();
     private final List<Committed> inOrder = new ArrayList<>();
-    private final Map<FanoutNode, Given> given = new HashMap<>();
+    private final Map<FanoutNode, Received> receivedByNode = new HashMap<>();
     private final Map<Long, Credit> credits = new HashMap<>();
     private final Set<String> scrambled = new HashSet<>();
     private final Map<String, TreeMap<Long, Long>> bytesBySecond = new HashMap<>();
@@ -68,13 +68,13 @@
      * {@code inForceMs} records, for each change and proxy, the time from commit to coming into
      * force; null to record nothing.
      */
-    FanoutJudge(SimulatedClock time, int creditBytes, Histogram inForceMs) {
+    FanoutChecker(SimulatedClock time, int creditBytes, Histogram inForceMs) {
         this.time = time;
         this.creditBytes = creditBytes;
         this.inForceMs = inForceMs;
     }
 
-    List<String> broken() {
+    List<String> violations() {
         return broken;
     }
 
@@ -82,7 +82,7 @@
         return refusedPublications;
     }
 
-    void breaks(String what) {
+    void reportViolation(String what) {
         if (broken.size() < MOST_BROKEN) {
             broken.add(what + " at " + time.nowUs() / 1e6 + " s");
         }
@@ -91,7 +91,7 @@
     // ---- the history ----
 
     /** The log was created with this epoch. */
-    void founded(Position position) {
+    void logCreated(Position position) {
         remember(new Committed(position, time.nowUs(), 0, 0, Map.of()));
     }
 
@@ -100,10 +100,11 @@
         Committed before = inOrder.get(inOrder.size() - 1);
         if (position.epoch() != before.position.epoch()
                 || position.number() != before.position.number() + 1) {
-            breaks("the log went from " + before.position + " to " + position);
+            reportViolation("the log went from " + before.position + " to " + position);
         }
         if (publication.token() < before.token) {
-            breaks("the log accepted token " + publication.token() + " after " + before.token);
+            reportViolation(
+                    "the log accepted token " + publication.token() + " after " + before.token);
         }
         Map<String, Value> state = new TreeMap<>(before.state);
         publication.deletes().forEach(state::remove);
@@ -121,7 +122,7 @@
     }
 
     /** The log has rejected a publication with this token. */
-    void refused() {
+    void publicationRejected() {
         refusedPublications++;
     }
 
@@ -136,8 +137,8 @@
     // ---- what processes receive ----
 
     /** An incarnation of a process starts, with the state it kept from the previous one. */
-    void began(FanoutNode node, Position kept) {
-        given.put(node, new Given(kept));
+    void processStarted(FanoutNode node, Position kept) {
+        receivedByNode.put(node, new Received(kept));
     }
 
     void offered(
@@ -146,19 +147,19 @@
             SortedMap<String, Value> state,
             List<Change> changes,
             boolean accepted) {
-        Given last = given.get(node);
+        Received last = receivedByNode.get(node);
         Committed committed = history.get(position);
         if (committed == null) {
-            breaks(node.name + " received " + position + ", which was never committed");
+            reportViolation(node.name + " received " + position + ", which was never committed");
             return;
         }
         if (!laterThan(position, last.position)) {
-            breaks(node.name + " received " + position + " after " + last.position);
+            reportViolation(node.name + " received " + position + " after " + last.position);
         }
         if (!changes.isEmpty()
                 && (position.epoch() != last.position.epoch()
                         || position.number() - last.position.number() != changes.size())) {
-            breaks(
+            reportViolation(
                     node.name
                             + " went from "
                             + last.position
@@ -169,7 +170,11 @@
                             + " changes");
         }
         if (!state.equals(committed.state)) {
-            breaks(node.name + " received a state that differs from that of " + position + " in the log");
+            reportViolation(
+                    node.name
+                            + " received a state that differs from that of "
+                            + position
+                            + " in the log");
         }
         if (accepted && inForceMs != null && node instanceof FanoutProcesses.Proxy) {
             recordInForce(last.position, position);
@@ -194,13 +199,13 @@
     }
 
     /** A process reports that its state was the newest the given time ago. */
-    void saysAge(String name, Position held, long ageUs) {
+    void checkReportedAge(String name, Position held, long ageUs) {
         long wasNewestUs = time.nowUs() - ageUs - AGE_SLACK_US;
         for (int i = inOrder.size() - 1; i >= 0; i--) {
             Committed each = inOrder.get(i);
             if (each.atUs <= wasNewestUs) {
                 if (laterThan(each.position, held)) {
-                    breaks(
+                    reportViolation(
                             name
                                     + " reports that "
                                     + held
@@ -223,7 +228,7 @@
      * Stops checking flow-control credit on a process's links, because messages on them are
      * duplicated or lost.
      */
-    void scrambles(String name) {
+    void ignoreCreditOf(String name) {
         scrambled.add(name);
     }
 
@@ -240,9 +245,9 @@
                 message instanceof Message.Batch || message instanceof Message.SnapshotPart;
         credit.underWay.add(new long[] {credit.sent++, counts ? bytes : 0});
         credit.bytes += counts ? bytes : 0;
-        if (credit.bytes > CREDITS_UNDER_WAY * creditBytes
+        if (credit.bytes > CREDITS_IN_FLIGHT * creditBytes
                 && !scrambled.contains(connection.clientNode.name)) {
-            breaks(
+            reportViolation(
                     connection.serverNode.name
                             + " has sent "
                             + connection.clientNode.name
@@ -264,7 +269,7 @@
      * Checks that in no second a machine sent more than its rate limit, its burst, the heartbeats
      * and, to each subscriber, what was committed within the preceding seconds.
      */
-    void judgePace(String name, long bytesPerSecond, long burst, int subscribers) {
+    void checkSendRate(String name, long bytesPerSecond, long burst, int subscribers) {
         Map<Long, Long> committedBytes = new HashMap<>();
         Map<Long, Long> receivedBytes = bytesReceivedBySecond.getOrDefault(name, new TreeMap<>());
         for (Committed each : inOrder) {
@@ -281,7 +286,7 @@
             live = Math.max(live, received);
             long bound = bytesPerSecond + burst + subscribers * (creditBytes + live + 200);
             if (second.getValue() > bound) {
-                breaks(
+                reportViolation(
                         name
                                 + " sent "
                                 + second.getValue()
@@ -307,18 +312,22 @@
 
     // ---- final state ----
 
-    void judgeEnd(String name, Position received, SortedMap<String, Value> state) {
+    void checkFinalState(String name, Position received, SortedMap<String, Value> state) {
         if (!received.equals(newest())) {
-            breaks(name + " ends with " + received + ", expected " + newest());
+            reportViolation(name + " ends with " + received + ", expected " + newest());
         } else if (!state.equals(inOrder.get(inOrder.size() - 1).state)) {
-            breaks(name + " ends with a state that differs from that of " + newest() + " in the log");
+            reportViolation(
+                    name
+                            + " ends with a state that differs from that of "
+                            + newest()
+                            + " in the log");
         }
     }
 
     /** The last state that a proxy's group accepts, which must be in force at the end. */
-    Position newestBorne(FanoutProcesses.Proxy proxy) {
+    Position newestAccepted(FanoutProcesses.Proxy proxy) {
         for (int i = inOrder.size() - 1; i >= 0; i--) {
-            if (proxy.bears(new TreeMap<>(inOrder.get(i).state))) {
+            if (proxy.accepts(new TreeMap<>(inOrder.get(i).state))) {
                 return inOrder.get(i).position;
             }
         }
--- a/src/main/java/holdproxy/lab/FanoutNetwork.java
+++ b/src/main/java/holdproxy/lab/FanoutNetwork.java
@@ -201,8 +201,8 @@
                 () -> {
                     if (reaches(from, place.node)
                             && reaches(place.node, from)
-                            && !place.node.over
-                            && !from.over) {
+                            && !place.node.ended
+                            && !from.ended) {
                         open(from, client, link, place);
                     }
                 });
--- a/src/main/java/holdproxy/lab/FanoutNode.java
+++ b/src/main/java/holdproxy/lab/FanoutNode.java
@@ -19,12 +19,12 @@
     }
 
     /** Calls {@code tick} whenever it is due, as long as the process runs. */
-    final class Alarm {
+    final class Timer {
         private final LongSupplier dueUs;
         private final LongConsumer tick;
         private long setUs = Long.MAX_VALUE;
 
-        Alarm(LongSupplier dueUs, LongConsumer tick) {
+        Timer(LongSupplier dueUs, LongConsumer tick) {
             this.dueUs = dueUs;
             this.tick = tick;
         }
@@ -34,11 +34,11 @@
             long nextUs = Math.max(dueUs.getAsLong(), time.nowUs());
             if (nextUs < setUs) {
                 setUs = nextUs;
-                time.after(nextUs - time.nowUs(), () -> run(() -> ring(nextUs)));
+                time.after(nextUs - time.nowUs(), () -> run(() -> fire(nextUs)));
             }
         }
 
-        private void ring(long ofUs) {
+        private void fire(long ofUs) {
             if (ofUs != setUs) {
                 return;
             }
--- a/src/main/java/holdproxy/lab/FanoutProcesses.java
+++ b/src/main/java/holdproxy/lab/FanoutProcesses.java
@@ -26,26 +26,26 @@
 /** The kinds of processes of the fan-out simulation, each running the production protocol code. */
 final class FanoutProcesses {
     /** What all processes of a simulation share. */
-    record Surroundings(
+    record Environment(
             SimulatedClock time,
             Random random,
             FanoutNetwork network,
             FanoutSettings settings,
             Set<Safeguard> safeguards,
-            FanoutJudge judge) {}
+            FanoutChecker judge) {}
 
     private FanoutProcesses() {}
 
     /** The transport and the timer of a subscriber. */
     private static final class Uplink implements Subscriber.Output, FanoutNetwork.Client {
         private final FanoutNode node;
-        private final Surroundings around;
+        private final Environment around;
         private final Subscriber subscriber;
-        private final FanoutNode.Alarm alarm;
+        private final FanoutNode.Timer alarm;
 
         Uplink(
                 FanoutNode node,
-                Surroundings around,
+                Environment around,
                 Replica replica,
                 Subscriber.Consumer consumer,
                 Supplier<CoverageReport> below) {
@@ -62,7 +62,7 @@
                             new Random(around.random.nextLong()),
                             around.time.nowUs(),
                             around.safeguards);
-            alarm = node.new Alarm(subscriber::dueUs, subscriber::tick);
+            alarm = node.new Timer(subscriber::dueUs, subscriber::tick);
         }
 
         void start(List<RelayCandidate> candidates) {
@@ -107,17 +107,17 @@
 
     /** The transport and the timer of a relay. */
     private static final class Downlinks implements Relay.Output, FanoutNetwork.Server {
-        private final Surroundings around;
+        private final Environment around;
         private final Relay relay;
-        private final FanoutNode.Alarm alarm;
+        private final FanoutNode.Timer alarm;
         private final Map<Long, FanoutNetwork.Connection> connections = new HashMap<>();
 
-        Downlinks(FanoutNode node, Surroundings around, Relay.Source source) {
+        Downlinks(FanoutNode node, Environment around, Relay.Source source) {
             this.around = around;
             relay =
                     new Relay(
                             around.settings, source, this, around.time.nowUs(), around.safeguards);
-            alarm = node.new Alarm(relay::dueUs, relay::tick);
+            alarm = node.new Timer(relay::dueUs, relay::tick);
             alarm.set();
             around.network.listen(node, this);
         }
@@ -167,11 +167,11 @@
 
         final int group;
         final Subscriber subscriber;
-        private final Surroundings around;
+        private final Environment around;
         private final Uplink uplink;
 
         Proxy(
-                Surroundings around,
+                Environment around,
                 String name,
                 String region,
                 String site,
@@ -180,7 +180,7 @@
             super(around.time, name, region, site);
             this.around = around;
             this.group = group;
-            around.judge.began(this, restored.position());
+            around.judge.processStarted(this, restored.position());
             uplink = new Uplink(this, around, restored, this::offered, null);
             subscriber = uplink.subscriber;
         }
@@ -189,7 +189,7 @@
             uplink.start(relays);
         }
 
-        boolean bears(SortedMap<String, Value> state) {
+        boolean accepts(SortedMap<String, Value> state) {
             Value forbidden = state.get(FORBIDDEN);
             return forbidden == null || !forbidden.text().equals(String.valueOf(group));
         }
@@ -199,7 +199,7 @@
                 Position position,
                 SortedMap<String, Value> state,
                 List<Change> changes) {
-            boolean accepted = bears(state);
+            boolean accepted = accepts(state);
             around.judge.offered(this, position, state, changes, accepted);
             return accepted ? Optional.empty() : Optional.of("group " + group + " is forbidden");
         }
@@ -212,10 +212,10 @@
         private final Uplink uplink;
         private final Downlinks downlinks;
 
-        SiteRelay(Surroundings around, String name, String region, String site) {
+        SiteRelay(Environment around, String name, String region, String site) {
             super(around.time, name, region, site);
             Replica replica = new Replica(around.settings.limits());
-            around.judge.began(this, replica.position());
+            around.judge.processStarted(this, replica.position());
             uplink =
                     new Uplink(
                             this,
@@ -250,14 +250,14 @@
         final ChangeLog log;
         final Relay relay;
         private final Downlinks downlinks;
-        private final Surroundings around;
+        private final Environment around;
 
         /** Number of operations of the agreed log that it has applied. */
         int applied;
 
         private long contactUs;
 
-        Control(Surroundings around, String name, String region, ChangeLog log, int applied) {
+        Control(Environment around, String name, String region, ChangeLog log, int applied) {
             super(around.time, name, region, region);
             this.around = around;
             this.log = log;
--- a/src/main/java/holdproxy/lab/FanoutSimulation.java
+++ b/src/main/java/holdproxy/lab/FanoutSimulation.java
@@ -103,9 +103,9 @@
     private final Shape shape;
     private final FanoutSettings settings;
     private final Set<Safeguard> safeguards;
-    private final FanoutJudge judge;
+    private final FanoutChecker checker;
     private final FanoutNetwork network;
-    private final FanoutProcesses.Surroundings around;
+    private final FanoutProcesses.Environment environment;
     private final Set<FanoutFault> faults = EnumSet.noneOf(FanoutFault.class);
 
     private final List<Control> controls = new ArrayList<>();
@@ -129,8 +129,8 @@
     /** A control machine that continues with a superseded log. */
     private Control outdated;
 
-    private boolean agesAreJudged = true;
-    private boolean publishingIsOver;
+    private boolean agesAreChecked = true;
+    private boolean publishingHasEnded;
     private final List<Long> caughtUpMs = new ArrayList<>();
     private long firstReunionUs = Long.MAX_VALUE;
 
@@ -167,14 +167,14 @@
                                         CATCH_UP_BYTES_PER_SECOND,
                                         BURST_BYTES),
                         FanoutSettings.DEFAULTS.subscriber());
-        judge = new FanoutJudge(time, CREDIT_BYTES, inForceMs);
+        checker = new FanoutChecker(time, CREDIT_BYTES, inForceMs);
         boolean decodes = seed % SEEDS_PER_DECODING == 0;
         network =
                 new FanoutNetwork(
-                        time, random, new MessageCodec(settings.limits()), decodes, judge);
-        around =
-                new FanoutProcesses.Surroundings(
-                        time, random, network, settings, safeguards, judge);
+                        time, random, new MessageCodec(settings.limits()), decodes, checker);
+        environment =
+                new FanoutProcesses.Environment(
+                        time, random, network, settings, safeguards, checker);
     }
 
     /** A fleet under faults that are drawn from the seed. */
@@ -207,27 +207,28 @@
         FanoutSimulation simulation = new FanoutSimulation(seed, shape, Safeguard.all(), inForceMs);
         simulation.start();
         if (fault != null) {
-            simulation.time.after(FIRST_FAULT_US, () -> simulation.cause(fault));
+            simulation.time.after(FIRST_FAULT_US, () -> simulation.inject(fault));
         }
         simulation.finish(HEALED_US);
-        if (!simulation.judge.broken().isEmpty()) {
+        if (!simulation.checker.violations().isEmpty()) {
             throw new IllegalStateException(
-                    "seed " + seed + ": " + simulation.judge.broken().get(0));
+                    "seed " + seed + ": " + simulation.checker.violations().get(0));
         }
     }
 
     private Outcome outcome() {
         long mostBytesASecond =
                 controls.stream()
-                        .mapToLong(c -> judge.mostBytesASecond(c.name, firstReunionUs / SECOND_US))
+                        .mapToLong(
+                                c -> checker.mostBytesASecond(c.name, firstReunionUs / SECOND_US))
                         .max()
                         .orElse(0);
         return new Outcome(
-                judge.broken(),
+                checker.violations(),
                 faults,
                 proxies.size(),
                 publications,
-                judge.refusedPublications(),
+                checker.refusedPublications(),
                 caughtUpMs,
                 firstReunionUs == Long.MAX_VALUE ? 0 : mostBytesASecond);
     }
@@ -244,7 +245,7 @@
                 relayCandidates.get(region).add(new RelayCandidate("relay-" + site, "", site));
             }
         }
-        foundLog();
+        createLog();
         for (RelayCandidate each : controlCandidates) {
             controls.add(newControl(each));
         }
@@ -270,7 +271,7 @@
     }
 
     private void startRelay(String region, String site) {
-        SiteRelay relay = new SiteRelay(around, "relay-" + site, region, site);
+        SiteRelay relay = new SiteRelay(environment, "relay-" + site, region, site);
         relays.add(relay);
         // a relay prefers the control machine of its own region
         relay.start(
@@ -286,7 +287,7 @@
     private void startProxy(String region, String site, int number, Replica restored) {
         Proxy proxy =
                 new Proxy(
-                        around,
+                        environment,
                         "proxy-" + site + "-" + number,
                         region,
                         site,
@@ -299,7 +300,7 @@
 
     private Control newControl(RelayCandidate at) {
         return new Control(
-                around, at.name(), at.site(), new ChangeLog(settings.limits(), safeguards), 0);
+                environment, at.name(), at.site(), new ChangeLog(settings.limits(), safeguards), 0);
     }
 
     /**
@@ -316,7 +317,7 @@
                 controls.stream()
                         .filter(
                                 other ->
-                                        !other.over
+                                        !other.ended
                                                 && network.reaches(other, one)
                                                 && network.reaches(one, other))
                         .count();
@@ -325,11 +326,11 @@
 
     // ---- publishing ----
 
-    private void foundLog() {
+    private void createLog() {
         authority = new ChangeLog(settings.limits(), safeguards);
         operations = new ArrayList<>();
         List<Object> found = ChangeLogOperations.found(epoch);
-        judge.founded(authorityAnswer(found));
+        checker.logCreated(authorityAnswer(found));
         operations.add(found);
     }
 
@@ -340,7 +341,7 @@
     }
 
     private void publishNext() {
-        if (publishingIsOver) {
+        if (publishingHasEnded) {
             return;
         }
         publish(token, "p-" + publications++, drawChange(), random.nextInt(10) == 0);
@@ -376,12 +377,12 @@
             operations.add(operation);
             if (result instanceof AppendResult.Appended appended) {
                 if (!appended.repeated()) {
-                    judge.committed(appended.position(), publication);
+                    checker.committed(appended.position(), publication);
                     wanted.putAll(puts);
                     deletes.forEach(wanted::remove);
                 }
             } else {
-                judge.refused();
+                checker.publicationRejected();
             }
         }
         replicate();
@@ -389,7 +390,7 @@
 
     private void replicate() {
         for (Control each : controls) {
-            if (each != outdated && !each.over && reachesMajority(each)) {
+            if (each != outdated && !each.ended && reachesMajority(each)) {
                 List<List<Object>> agreed = operations;
                 time.after(
                         network.delayUs(each, controls.get(0)),
@@ -415,40 +416,40 @@
             time.after(
                     FIRST_FAULT_US
                             + (long) (random.nextDouble() * (LAST_FAULT_US - FIRST_FAULT_US)),
-                    () -> cause(kind));
+                    () -> inject(kind));
         }
         return drawn;
     }
 
-    private void cause(FanoutFault kind) {
+    private void inject(FanoutFault kind) {
         faults.add(kind);
         long forUs = SECOND_US + (long) (random.nextDouble() * 15 * SECOND_US);
         switch (kind) {
             case RELAY_KILLED -> endRelay(anyRelay(), true, forUs);
             case RELAY_VANISHED -> endRelay(anyRelay(), false, forUs);
-            case RELAY_STOPPED -> anyRelay().standStill(10 * SECOND_US);
+            case RELAY_STOPPED -> anyRelay().suspend(10 * SECOND_US);
             case RELAY_CUT_ONE_WAY -> cutOneWay(anyRelay(), random.nextBoolean(), forUs);
             case REGION_CUT -> cutRegion(forUs);
-            case OLD_HOLDER -> oldHolderWakes();
+            case OLD_HOLDER -> publishAsOldHolder();
             case SLOW_READER -> {
-                harmed(any(proxies)).standStill(forUs + 5 * SECOND_US);
+                harmed(any(proxies)).suspend(forUs + 5 * SECOND_US);
                 publishBurst(BURST_CHANGES);
             }
             case CONTROL_LOST -> endControl(any(currentControls()), forUs);
             case DUPLICATES_AND_REORDERING -> scramble(forUs);
-            case ALL_AT_ONCE -> restartProxies(List.copyOf(living(proxies)), 0);
+            case ALL_AT_ONCE -> restartProxies(List.copyOf(running(proxies)), 0);
             case SITE_RESTARTED -> restartSite(anyRelay(), forUs / 4);
             case EPOCH_ANEW -> loseDisks();
             default -> throw new IllegalStateException("no such fault: " + kind);
         }
     }
 
-    private <N extends FanoutNode> List<N> living(List<N> nodes) {
-        return nodes.stream().filter(node -> !node.over).toList();
+    private <N extends FanoutNode> List<N> running(List<N> nodes) {
+        return nodes.stream().filter(node -> !node.ended).toList();
     }
 
     private <N extends FanoutNode> N any(List<N> nodes) {
-        List<N> living = living(nodes);
+        List<N> living = running(nodes);
         return living.get(random.nextInt(living.size()));
     }
 
@@ -467,7 +468,7 @@
     }
 
     private void end(FanoutNode node, boolean said) {
-        node.over = true;
+        node.ended = true;
         network.ended(node, said);
     }
 
@@ -490,13 +491,13 @@
                 () -> {
                     network.cutRegion(region, false);
                     firstReunionUs = Math.min(firstReunionUs, time.nowUs());
-                    measureCatchUp(region, time.nowUs(), judge.newest());
+                    measureCatchUp(region, time.nowUs(), checker.newest());
                 });
     }
 
     private void measureCatchUp(String region, long sinceUs, Position wantedPosition) {
         boolean reached =
-                living(proxies).stream()
+                running(proxies).stream()
                         .filter(p -> p.region.equals(region))
                         .noneMatch(p -> wantedPosition.isAfter(p.subscriber.replica().position()));
         if (reached) {
@@ -506,7 +507,7 @@
         }
     }
 
-    private void oldHolderWakes() {
+    private void publishAsOldHolder() {
         long old = token;
         token++;
         publishNow();
@@ -542,7 +543,7 @@
                     controls.set(
                             controls.indexOf(control),
                             new Control(
-                                    around,
+                                    environment,
                                     control.name,
                                     control.region,
                                     log,
@@ -555,7 +556,7 @@
         List<FanoutNode> met = new ArrayList<>(List.of(relay));
         proxies.stream().filter(p -> p.site.equals(relay.site)).forEach(met::add);
         for (FanoutNode each : met) {
-            judge.scrambles(each.name);
+            checker.ignoreCreditOf(each.name);
             network.scramble(each.name, true);
             time.after(forUs, () -> network.scramble(each.name, false));
         }
@@ -584,7 +585,7 @@
     private void restartSite(SiteRelay relay, long forUs) {
         endRelay(relay, true, forUs);
         restartProxies(
-                living(proxies).stream().filter(p -> p.site.equals(relay.site)).toList(), forUs);
+                running(proxies).stream().filter(p -> p.site.equals(relay.site)).toList(), forUs);
     }
 
     /**
@@ -592,19 +593,19 @@
      * relays have moved on to the new log, and it serves the old one until operators remove it.
      */
     private void loseDisks() {
-        if (outdated != null || living(controls).size() < controls.size()) {
+        if (outdated != null || running(controls).size() < controls.size()) {
             return;
         }
-        agesAreJudged = false;
+        agesAreChecked = false;
         outdated = any(controls);
         epoch++;
         List<RelayCandidate> lost =
                 controlCandidates.stream().filter(c -> !c.name().equals(outdated.name)).toList();
-        living(controls).stream().filter(c -> c != outdated).forEach(c -> end(c, true));
+        running(controls).stream().filter(c -> c != outdated).forEach(c -> end(c, true));
         cutOneWay(outdated, true, OUTDATED_BACK_US);
         cutOneWay(outdated, false, OUTDATED_BACK_US);
         keepOutdatedInContact();
-        foundLog();
+        createLog();
         for (RelayCandidate each : lost) {
             controls.set(controlCandidates.indexOf(each), newControl(each));
         }
@@ -634,17 +635,17 @@
     // ---- checking ----
 
     private void sample() {
-        for (SiteRelay each : living(relays)) {
-            judgeWindow(each.name, each.subscriber.replica());
+        for (SiteRelay each : running(relays)) {
+            checkWindow(each.name, each.subscriber.replica());
             if (each.relay.status(time.nowUs()).subscribers() > settings.relay().subscribers()) {
-                judge.breaks(each.name + " serves more than it may");
+                checker.reportViolation(each.name + " serves more than it may");
             }
         }
-        if (agesAreJudged) {
-            for (Proxy each : living(proxies)) {
+        if (agesAreChecked) {
+            for (Proxy each : running(proxies)) {
                 if (unharmed.contains(each)) {
                     long ageUs = each.subscriber.ageUs(time.nowUs());
-                    judge.saysAge(
+                    checker.checkReportedAge(
                             each.name,
                             each.subscriber.replica().position(),
                             Math.min(ageUs, time.nowUs()));
@@ -654,16 +655,16 @@
         time.after(SAMPLE_US, this::sample);
     }
 
-    private void judgeWindow(String name, Replica replica) {
+    private void checkWindow(String name, Replica replica) {
         if (replica.windowChanges() > settings.limits().windowChanges()
                 || replica.windowBytes() > settings.limits().windowBytes()) {
-            judge.breaks(name + " keeps " + replica.windowChanges() + " changes");
+            checker.reportViolation(name + " keeps " + replica.windowChanges() + " changes");
         }
     }
 
     private void finish(long healedUs) {
         time.run(healedUs + SETTLE_US - 10 * SECOND_US);
-        publishingIsOver = true;
+        publishingHasEnded = true;
         int group = random.nextInt(Proxy.GROUPS);
         publish(
                 token,
@@ -672,34 +673,34 @@
                 false);
         time.run(healedUs + SETTLE_US);
         for (Control each : controls) {
-            judge.judgeEnd(each.name, each.log.position(), each.log.replica().entries());
-            judge.judgePace(
+            checker.checkFinalState(each.name, each.log.position(), each.log.replica().entries());
+            checker.checkSendRate(
                     each.name,
                     CATCH_UP_BYTES_PER_SECOND,
                     BURST_BYTES,
                     shape.regions * shape.sitesPerRegion);
         }
-        for (SiteRelay each : living(relays)) {
-            judge.judgePace(
+        for (SiteRelay each : running(relays)) {
+            checker.checkSendRate(
                     each.name,
                     CATCH_UP_BYTES_PER_SECOND,
                     BURST_BYTES,
                     shape.sitesPerRegion * shape.proxiesPerSite);
         }
         for (Proxy each : proxies) {
-            judge.judgeEnd(
+            checker.checkFinalState(
                     each.name,
                     each.subscriber.replica().position(),
                     each.subscriber.replica().entries());
         }
-        judgeReport(group);
+        checkReport(group);
     }
 
     /**
      * Checks that the control machines together know how many proxies have the last change in force
      * and which ones reject it.
      */
-    private void judgeReport(int group) {
+    private void checkReport(int group) {
         List<CoverageReport> reports = new ArrayList<>();
         controls.forEach(each -> reports.add(each.relay.report()));
         CoverageReport all = CoverageReport.merge(reports, settings.limits());
@@ -707,12 +708,12 @@
                 proxies.stream().filter(p -> p.group == group).map(p -> p.name).sorted().toList();
         List<String> named = all.rejections().stream().map(r -> r.name()).toList();
         int names = Math.min(rejecting.size(), settings.limits().reportedRejections());
-        long inForce = all.inForceAt(judge.newest());
+        long inForce = all.inForceAt(checker.newest());
         if (all.proxies() != proxies.size()
                 || inForce != proxies.size() - rejecting.size()
                 || all.rejecting() != rejecting.size()
                 || !named.equals(rejecting.subList(0, names))) {
-            judge.breaks(
+            checker.reportViolation(
                     "status reports the change in force at "
                             + inForce
                             + " of "
--- a/src/main/java/holdproxy/lab/LeaseSimulation.java
+++ b/src/main/java/holdproxy/lab/LeaseSimulation.java
@@ -19,7 +19,7 @@
  * guarded resource that checks fencing tokens. Faults drawn from a seed affect disks, links and
  * processes in the first half; clock rates are wrong throughout.
  */
-final class LeaseSimulation implements ConsensusFleet.Purpose {
+final class LeaseSimulation implements ConsensusFleet.Workload {
     private static final String RESOURCE = "resource";
     private static final int[] LEASES_MS = {1_000, 1_000, 3_000};
     private static final long ACT_EVERY_US = 40_000;
@@ -121,7 +121,7 @@
                 new LeaseSimulation(
                         seed, votes, others, safeguards, checksTokens, LEASES_MS, ACT_EVERY_US);
         trial.fleet.play(seconds);
-        trial.judge(seconds);
+        trial.check(seconds);
         return new Outcome(
                 trial.fleet.broken,
                 trial.acts.size(),
@@ -180,14 +180,14 @@
     }
 
     @Override
-    public void begun(ConsensusFleet.Instance instance) {
+    public void started(ConsensusFleet.Instance instance) {
         LeaseClient own =
                 new LeaseClient(
                         instance.name,
                         instance.number,
                         instance.group,
                         (LeaseTable) instance.stateMachine,
-                        new Held(instance),
+                        new LeaseHost(instance),
                         new Random(fleet.random.nextLong()),
                         safeguards);
         clients.put(instance, own);
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public void ending(ConsensusFleet.Instance instance, Runnable then) {
+    public void shuttingDown(ConsensusFleet.Instance instance, Runnable then) {
         instance.group
                 .stepDown()
                 .whenComplete(
@@ -228,14 +228,14 @@
     }
 
     @Override
-    public String centre() {
+    public String preferredFaultTarget() {
         return acts.isEmpty() ? "" : acts.get(acts.size() - 1).name;
     }
 
-    private final class Held implements LeaseClient.Host {
+    private final class LeaseHost implements LeaseClient.Host {
         private final ConsensusFleet.Instance instance;
 
-        Held(ConsensusFleet.Instance instance) {
+        LeaseHost(ConsensusFleet.Instance instance) {
             this.instance = instance;
         }
 
@@ -330,7 +330,7 @@
 
     // ---- checking ----
 
-    private void judge(double seconds) {
+    private void check(double seconds) {
         List<Act> byStart = new ArrayList<>(acts);
         byStart.sort(Comparator.comparingLong((Act a) -> a.beganUs));
         Map<String, Act> newest = new HashMap<>();
--- a/src/main/java/holdproxy/lab/MembershipSimulation.java
+++ b/src/main/java/holdproxy/lab/MembershipSimulation.java
@@ -89,7 +89,7 @@
         }
 
         boolean runs() {
-            return !over && !superseded;
+            return !ended && !superseded;
         }
 
         void wake() {
@@ -143,7 +143,7 @@
             if (change.now().state() == Member.State.SUSPECT && change.now().by().equals(name)) {
                 suspects(change.now());
             }
-            if (change.now().state() != Member.State.DEAD || over) {
+            if (change.now().state() != Member.State.DEAD || ended) {
                 return;
             }
             Process subject = at.get(change.now().address());
@@ -285,7 +285,7 @@
     }
 
     private void kill(Process one, long forUs, boolean again, long setBackMs) {
-        one.over = true;
+        one.ended = true;
         harm(
                 one,
                 !again
@@ -309,7 +309,7 @@
 
     private void stop(Process one, long forUs) {
         harm(one, "stopped");
-        one.standStill(forUs);
+        one.suspend(forUs);
     }
 
     private void harm(Process one, String kind) {
@@ -324,8 +324,8 @@
     private void cut(String kind, Process one, long forUs, boolean out, boolean in) {
         harm(one, kind);
         List<String> all = addresses();
-        links.part(all, List.of(one.address), out, in, 1);
-        time.after(forUs, () -> links.part(all, List.of(one.address), out, in, -1));
+        links.partition(all, List.of(one.address), out, in, 1);
+        time.after(forUs, () -> links.partition(all, List.of(one.address), out, in, -1));
     }
 
     private interface Harm {
--- a/src/main/java/holdproxy/lab/MemoryDisk.java
+++ b/src/main/java/holdproxy/lab/MemoryDisk.java
@@ -12,22 +12,22 @@
  */
 final class MemoryDisk implements Disk {
     private final Random random;
-    private final boolean forgets;
-    private byte[] safe = new byte[0];
-    private ByteArrayOutputStream unsafe = new ByteArrayOutputStream();
+    private final boolean losesDurableData;
+    private byte[] durable = new byte[0];
+    private ByteArrayOutputStream unsynced = new ByteArrayOutputStream();
 
     /** Number of bytes that were durable before the crash. */
-    private int forced;
+    private int durableBeforeCrash;
 
     private boolean full;
-    private boolean unforced;
+    private boolean syncFails;
 
     /**
      * {@code forgets}: the disk reports data as durable that is not, a bug for the checker to find.
      */
     MemoryDisk(Random random, boolean forgets) {
         this.random = random;
-        this.forgets = forgets;
+        this.losesDurableData = forgets;
     }
 
     /** Sets whether the disk is full, so that writes fail. */
@@ -36,52 +36,53 @@
     }
 
     /** Sets whether syncing fails. */
-    void unforced(boolean now) {
-        unforced = now;
+    void failSync(boolean now) {
+        syncFails = now;
     }
 
     /**
      * The process has ended: of the data that was not durable, a prefix of random length survives.
      */
     void crash() {
-        byte[] rest = unsafe.toByteArray();
-        forced = safe.length;
-        if (!forgets) {
-            safe = joined(safe, Arrays.copyOf(rest, random.nextInt(rest.length + 1)));
+        byte[] rest = unsynced.toByteArray();
+        durableBeforeCrash = durable.length;
+        if (!losesDurableData) {
+            durable = joined(durable, Arrays.copyOf(rest, random.nextInt(rest.length + 1)));
         }
-        unsafe = new ByteArrayOutputStream();
+        unsynced = new ByteArrayOutputStream();
     }
 
     /** Flips one bit of the data that was durable before the last crash. */
-    void flip() {
-        if (forced == 0) {
+    void flipBit() {
+        if (durableBeforeCrash == 0) {
             return;
         }
-        safe[random.nextInt(forced)] ^= (byte) (1 << random.nextInt(8));
+        durable[random.nextInt(durableBeforeCrash)] ^= (byte) (1 << random.nextInt(8));
     }
 
     @Override
     public byte[] read() {
-        return joined(safe, unsafe.toByteArray());
+        return joined(durable, unsynced.toByteArray());
     }
 
     @Override
     public void append(byte[] bytes) throws IOException {
         if (full) {
-            unsafe.write(bytes, 0, random.nextInt(bytes.length)); // a short write before the error
+            unsynced.write(
+                    bytes, 0, random.nextInt(bytes.length)); // a short write before the error
             throw new IOException("no space left");
         }
-        unsafe.write(bytes, 0, bytes.length);
+        unsynced.write(bytes, 0, bytes.length);
     }
 
     @Override
     public void force() throws IOException {
-        if (unforced) {
+        if (syncFails) {
             throw new IOException("input/output error");
         }
-        if (!forgets) {
-            safe = joined(safe, unsafe.toByteArray());
-            unsafe = new ByteArrayOutputStream();
+        if (!losesDurableData) {
+            durable = joined(durable, unsynced.toByteArray());
+            unsynced = new ByteArrayOutputStream();
         }
     }
 
@@ -90,8 +91,8 @@
         if (full) {
             throw new IOException("no space left");
         }
-        safe = bytes.clone();
-        unsafe = new ByteArrayOutputStream();
+        durable = bytes.clone();
+        unsynced = new ByteArrayOutputStream();
     }
 
     private static byte[] joined(byte[] first, byte[] second) {
--- a/src/main/java/holdproxy/lab/MemoryNetwork.java
+++ b/src/main/java/holdproxy/lab/MemoryNetwork.java
@@ -127,7 +127,7 @@
                     + zones.addedUs(host.zone, opener.zone, own);
         }
 
-        private boolean answers() {
+        private boolean isReachable() {
             boolean gone = gone(true) || gone(false);
             if (gone && !host.silent) {
                 lost(true, "dial");
@@ -192,17 +192,17 @@
                 ch.close();
                 return connected; // never established: nobody is left to be notified
             }
-            counted(ch);
+            track(ch);
             Host host = hosts.get(address);
             Way way = host == null ? null : new Way(this, host);
             // one network round trip, then at once
             loop.after(
                     host == null ? 0 : way.roundTripUs(),
                     () -> {
-                        if (ch.isOpen() && (host == null || way.answers())) {
+                        if (ch.isOpen() && (host == null || way.isReachable())) {
                             LocalAddress own =
-                                    new LocalAddress(town + "/" + name + "#" + ++connections);
-                            ch.connect(place(address), own)
+                                    new LocalAddress(networkId + "/" + name + "#" + ++connections);
+                            ch.connect(localAddress(address), own)
                                     .addListener(
                                             f -> {
                                                 if (f.isSuccess()) {
@@ -239,7 +239,7 @@
                                     new ChannelInitializer<Channel>() {
                                         @Override
                                         protected void initChannel(Channel ch) {
-                                            counted(ch);
+                                            track(ch);
                                             ch.pipeline()
                                                     .addLast(
                                                             new Link(
@@ -253,8 +253,8 @@
                                                     .addLast(handlers.get());
                                         }
                                     })
-                            .bind(place(address));
-            counted(bound.channel());
+                            .bind(localAddress(address));
+            track(bound.channel());
             return bound;
         }
 
@@ -278,15 +278,15 @@
             List.copyOf(open).forEach(ch -> ch.unsafe().close(ch.voidPromise()));
         }
 
-        private void counted(Channel ch) {
+        private void track(Channel ch) {
             open.add(ch);
             ch.closeFuture().addListener(f -> open.remove(ch));
         }
     }
 
-    private static final AtomicLong TOWNS = new AtomicLong();
+    private static final AtomicLong NETWORK_IDS = new AtomicLong();
 
-    private final long town = TOWNS.incrementAndGet();
+    private final long networkId = NETWORK_IDS.incrementAndGet();
     private final Map<InetSocketAddress, Host> hosts = new HashMap<>();
     private final List<Process> processes = new ArrayList<>();
     private final Map<String, Process> byName = new HashMap<>();
@@ -343,7 +343,8 @@
         return place.substring(place.indexOf('/') + 1, place.lastIndexOf('#'));
     }
 
-    private LocalAddress place(InetSocketAddress address) {
-        return new LocalAddress(town + "/" + address); // several simulations may run in one JVM
+    private LocalAddress localAddress(InetSocketAddress address) {
+        return new LocalAddress(
+                networkId + "/" + address); // several simulations may run in one JVM
     }
 }
--- a/src/main/java/holdproxy/lab/SimulatedLinks.java
+++ b/src/main/java/holdproxy/lab/SimulatedLinks.java
@@ -41,7 +41,7 @@
      * Cuts these processes off from all others, outbound or inbound; cuts are counted, so this adds
      * (1) or removes (-1) one.
      */
-    void part(Collection<String> all, List<String> some, boolean out, boolean in, int by) {
+    void partition(Collection<String> all, List<String> some, boolean out, boolean in, int by) {
         for (String one : some) {
             for (String other : all) {
                 if (some.contains(other)) {
--- a/src/test/java/holdproxy/lab/ConsensusSimulationTest.java
+++ b/src/test/java/holdproxy/lab/ConsensusSimulationTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aCouncilAgreesAndForgetsNothingThatItAnswered() {
+    void consensusGroupKeepsEveryAnsweredOperation() {
         Set<String> kinds = new TreeSet<>();
         int answered = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void trialsGoTheSameWayEachTime() {
+    void runsAreDeterministic() {
         assertEquals(consensus(3, Set.of()), consensus(3, Set.of()));
         assertEquals(
                 leases(3, EnumSet.allOf(LeaseClient.Safeguard.class), true),
@@ -70,7 +70,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void aPlantedFaultOfTheCouncilIsFound(ConsensusSimulation.Planted planted) {
+    void plantedConsensusBugIsFound(ConsensusSimulation.Planted planted) {
         assertTrue(
                 LongStream.rangeClosed(1, SEEDS_TO_FIND)
                         .anyMatch(seed -> !consensus(seed, EnumSet.of(planted)).broken().isEmpty()),
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aDutyHasOneHolderAtATime() {
+    void aLeaseHasOneHolderAtATime() {
         int acts = 0;
         int refused = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aResourceThatDoesNotLookAtTokensTakesAnOldHoldersAct() {
+    void resourceWithoutTokenCheckAcceptsActOfFormerHolder() {
         assertTrue(
                 LongStream.rangeClosed(1, SEEDS_TO_FIND)
                         .anyMatch(
--- a/src/test/java/holdproxy/lab/FanoutSimulationTest.java
+++ b/src/test/java/holdproxy/lab/FanoutSimulationTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aSeedGoesTheSameWayEachTime() {
+    void runsAreDeterministic() {
         assertEquals(
                 FanoutSimulation.play(5, Safeguard.all()),
                 FanoutSimulation.play(5, Safeguard.all()));
--- a/src/test/java/holdproxy/lab/MembershipSimulationTest.java
+++ b/src/test/java/holdproxy/lab/MembershipSimulationTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void fleetsComeToOneMindAndNoFaultBetweenOthersHasSoundProcessesHeldForDead() {
+    void fleetsConvergeAndHealthyProcessesAreNotDeclaredDead() {
         Set<String> kinds = new TreeSet<>();
         int found = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aTrialGoesTheSameWayEachTime() {
+    void runsAreDeterministic() {
         assertEquals(
                 play(5, EnumSet.allOf(Membership.Safeguard.class)),
                 play(5, EnumSet.allOf(Membership.Safeguard.class)));
@@ -57,7 +57,7 @@
 
     /** Protocol overhead: what each process sends does not grow with the fleet. */
     @Test
-    void inPeaceAProcessOfManySendsAsMuchAsOneOfFew() {
+    void messageRatePerProcessIsIndependentOfFleetSize() {
         double few = rate(5);
         double many = rate(100);
         assertTrue(many < few * 1.3, few + " messages a second of 5, " + many + " of 100");
