--- a/src/main/java/holdproxy/lab/ConsensusFleet.java
+++ b/src/main/java/holdproxy/lab/ConsensusFleet.java
@@ -63,7 +63,7 @@
             super(time);
             this.name = name;
             this.disk = disk;
-            number = ++lifeNumbers;
+            number = ++lastInstanceNumber;
             rate = rates.get(name);
             stateMachine = purpose.stateMachine(this);
             group = new RaftGroup(name, voters, this, new Random(random.nextLong()), stateMachine);
@@ -88,14 +88,14 @@
 
         @Override
         public void send(String to, byte[] frame) {
-            reach(to, instance -> instance.group.received(frame));
+            runAt(to, instance -> instance.group.received(frame));
         }
 
         /**
          * Runs an action on the receiving process when a message from this one arrives, if it
          * arrives.
          */
-        void reach(String to, Consumer<Instance> what) {
+        void runAt(String to, Consumer<Instance> what) {
             if (links.cut(name, to)) {
                 return;
             }
@@ -143,11 +143,11 @@
     final Set<String> kinds = new TreeSet<>();
     private final Map<String, Double> rates = new TreeMap<>();
     private final Workload purpose;
-    private final boolean forgetfulDisks;
+    private final boolean disksLoseDurableData;
     private final boolean lostDisksKeepVotes;
     private final List<String> leaders = new ArrayList<>();
     private long disksLostUntilUs;
-    private long lifeNumbers;
+    private long lastInstanceNumber;
 
     /**
      * Creates the given numbers of voters and of other processes. {@code clockBound} is the largest
@@ -164,7 +164,7 @@
             boolean lostDisksKeepVotes) {
         random = new Random(seed * 0x9e3779b97f4a7c15L);
         this.purpose = purpose;
-        this.forgetfulDisks = forgetfulDisks;
+        this.disksLoseDurableData = forgetfulDisks;
         this.lostDisksKeepVotes = lostDisksKeepVotes;
         for (int i = 0; i < votes + others; i++) {
             names.add("proxy-" + i);
@@ -180,7 +180,9 @@
         long endUs = (long) (seconds * 1e6);
         begin();
         for (int i = 1 + random.nextInt(MOST_FAULTS); i > 0; i--) {
-            time.after((long) (random.nextDouble(2, seconds * 0.4) * 1e6), () -> fault(endUs / 2));
+            time.after(
+                    (long) (random.nextDouble(2, seconds * 0.4) * 1e6),
+                    () -> injectFault(endUs / 2));
         }
         time.run(endUs);
     }
@@ -190,7 +192,7 @@
         for (String name : names) {
             MemoryDisk disk = disk();
             if (voters.contains(name)) {
-                found(disk, name);
+                initializeDisk(disk, name);
             }
             start(name, disk);
         }
@@ -204,10 +206,10 @@
     }
 
     private MemoryDisk disk() {
-        return new MemoryDisk(new Random(random.nextLong()), forgetfulDisks);
+        return new MemoryDisk(new Random(random.nextLong()), disksLoseDurableData);
     }
 
-    private void found(MemoryDisk disk, String name) {
+    private void initializeDisk(MemoryDisk disk, String name) {
         try {
             RaftGroup.found(disk, name, voters);
         } catch (IOException e) {
@@ -231,14 +233,14 @@
      * Cuts off one voter; when it is back, kills the leader and wipes the disk of another voter.
      * Entries that only these two held must not be treated as if they had never been committed.
      */
-    private void forgotten(String leader, long forUs) {
+    private void loseNewestEntries(String leader, long forUs) {
         List<String> others = voters.stream().filter(v -> !v.equals(leader)).toList();
         if (!allVote() || others.size() != 2) {
             return;
         }
         String behind = others.get(0);
         disksLostUntilUs = time.nowUs() + 2 * LAG_US;
-        part("behind", List.of(behind), LAG_US, true, true);
+        partition("behind", List.of(behind), LAG_US, true, true);
         time.after(
                 LAG_US,
                 () -> {
@@ -256,34 +258,34 @@
         }
     }
 
-    private void fault(long endUs) {
+    private void injectFault(long endUs) {
         long forUs = Math.min(endUs - time.nowUs(), 200_000 + (long) (random.nextDouble() * 12e6));
         String one = voters.get(random.nextInt(voters.size()));
         String leader = leaders.isEmpty() ? one : leaders.get(leaders.size() - 1);
-        String centre =
+        String target =
                 purpose.preferredFaultTarget().isEmpty() ? leader : purpose.preferredFaultTarget();
         int whom = random.nextInt(3);
         int what = random.nextInt(13);
         if (whom == 0) {
             one = leader;
-        } else if (whom == 1 && (voters.contains(centre) || OF_ALL.contains(what))) {
-            one = centre;
+        } else if (whom == 1 && (voters.contains(target) || OF_ALL.contains(what))) {
+            one = target;
         }
-        String other = random.nextBoolean() ? centre : names.get(random.nextInt(names.size()));
+        String other = random.nextBoolean() ? target : names.get(random.nextInt(names.size()));
         switch (what) {
             case 0 -> kill("killed", one, forUs, instances.get(one).disk);
             case 1 -> loseDisk(one, forUs, false);
             case 2 -> stop(one, forUs);
-            case 3 -> part("cut off", List.of(one), forUs, true, true);
-            case 4 -> part("hears nobody", List.of(one), forUs, false, true);
-            case 5 -> part("nobody hears it", List.of(one), forUs, true, false);
+            case 3 -> partition("cut off", List.of(one), forUs, true, true);
+            case 4 -> partition("hears nobody", List.of(one), forUs, false, true);
+            case 5 -> partition("nobody hears it", List.of(one), forUs, true, false);
             case 6 -> split(forUs);
             case 7 -> slow(random.nextBoolean() ? leader : one, other, forUs);
             case 8 -> fullDisk(one, forUs);
             case 9 -> restart(one, forUs);
-            case 10 -> forgotten(leader, forUs);
-            case 11 -> lateAnswers(leader, centre, forUs);
-            default -> flip(one, forUs);
+            case 10 -> loseNewestEntries(leader, forUs);
+            case 11 -> delayAnswers(leader, target, forUs);
+            default -> flipBit(one, forUs);
         }
     }
 
@@ -315,14 +317,14 @@
     }
 
     /** Delays answers to just before their time-out, then cuts them off entirely. */
-    private void lateAnswers(String from, String to, long forUs) {
+    private void delayAnswers(String from, String to, long forUs) {
         if (from.equals(to)) {
             return;
         }
         kinds.add("late answers");
         links.late(from, to, LATE_US);
         long cutUs = (long) (random.nextDouble() * forUs / 2);
-        time.after(cutUs, () -> part("cut off", List.of(to), forUs / 2, true, true));
+        time.after(cutUs, () -> partition("cut off", List.of(to), forUs / 2, true, true));
         time.after(forUs, () -> links.late(from, to, -LATE_US));
     }
 
@@ -333,7 +335,7 @@
         disksLostUntilUs = time.nowUs() + forUs;
         MemoryDisk fresh = disk();
         if (lostDisksKeepVotes) {
-            found(fresh, name);
+            initializeDisk(fresh, name);
         }
         kill("disk lost", name, forUs, fresh);
     }
@@ -343,7 +345,7 @@
         instances.get(name).suspend(forUs);
     }
 
-    void part(String kind, List<String> some, long forUs, boolean out, boolean in) {
+    void partition(String kind, List<String> some, long forUs, boolean out, boolean in) {
         kinds.add(kind);
         links.partition(names, some, out, in, 1);
         time.after(forUs, () -> links.partition(names, some, out, in, -1));
@@ -436,7 +438,7 @@
      * Flips one bit on the disk before a restart: the voter must stay out of the group until its
      * disk is replaced.
      */
-    private void flip(String name, long forUs) {
+    private void flipBit(String name, long forUs) {
         Instance instance = instances.get(name);
         if (!allVote()) {
             return;
--- a/src/main/java/holdproxy/lab/FanoutProcesses.java
+++ b/src/main/java/holdproxy/lab/FanoutProcesses.java
@@ -32,7 +32,7 @@
             FanoutNetwork network,
             FanoutSettings settings,
             Set<Safeguard> safeguards,
-            FanoutChecker judge) {}
+            FanoutChecker checker) {}
 
     private FanoutProcesses() {}
 
@@ -180,7 +180,7 @@
             super(around.time, name, region, site);
             this.around = around;
             this.group = group;
-            around.judge.processStarted(this, restored.position());
+            around.checker.processStarted(this, restored.position());
             uplink = new Uplink(this, around, restored, this::offered, null);
             subscriber = uplink.subscriber;
         }
@@ -200,7 +200,7 @@
                 SortedMap<String, Value> state,
                 List<Change> changes) {
             boolean accepted = accepts(state);
-            around.judge.offered(this, position, state, changes, accepted);
+            around.checker.offered(this, position, state, changes, accepted);
             return accepted ? Optional.empty() : Optional.of("group " + group + " is forbidden");
         }
     }
@@ -215,14 +215,14 @@
         SiteRelay(Environment around, String name, String region, String site) {
             super(around.time, name, region, site);
             Replica replica = new Replica(around.settings.limits());
-            around.judge.processStarted(this, replica.position());
+            around.checker.processStarted(this, replica.position());
             uplink =
                     new Uplink(
                             this,
                             around,
                             replica,
                             (nowUs, position, state, changes) -> {
-                                around.judge.offered(this, position, state, changes, true);
+                                around.checker.offered(this, position, state, changes, true);
                                 advanced();
                                 return Optional.empty();
                             },
--- a/src/main/java/holdproxy/lab/LeaseSimulation.java
+++ b/src/main/java/holdproxy/lab/LeaseSimulation.java
@@ -155,7 +155,7 @@
             case CRASH ->
                     fleet.kill("crash", last.name, forUs, fleet.instances.get(last.name).disk);
             case STALL -> fleet.stop(last.name, forUs);
-            case CUT -> fleet.part("cut", List.of(last.name), forUs, true, true);
+            case CUT -> fleet.partition("cut", List.of(last.name), forUs, true, true);
             default -> fleet.restart(last.name, forUs);
         }
         fleet.time.run(causedUs + forUs);
@@ -254,7 +254,7 @@
             if (name.equals(instance.name)) {
                 instance.after(0, () -> clients.get(instance).notifiedFree(role, token));
             } else {
-                instance.reach(name, target -> clients.get(target).notifiedFree(role, token));
+                instance.runAt(name, target -> clients.get(target).notifiedFree(role, token));
             }
         }
 
--- a/src/main/java/holdproxy/lab/MembershipSimulation.java
+++ b/src/main/java/holdproxy/lab/MembershipSimulation.java
@@ -57,18 +57,18 @@
         Membership rules;
 
         /** When its timer fires. */
-        long wakingUs = Long.MAX_VALUE;
+        long timerUs = Long.MAX_VALUE;
 
         boolean superseded;
 
         /** The faults that have affected it or its links. */
-        final Set<String> harms = new TreeSet<>();
+        final Set<String> faultsSuffered = new TreeSet<>();
 
         Process(String name, String address, long wallMs) {
             super(time);
             this.name = name;
             this.address = address;
-            random = new Random(trialRandom.nextLong());
+            random = new Random(faultRandom.nextLong());
             rules =
                     new Membership(
                             Membership.Settings.USUAL,
@@ -80,33 +80,33 @@
                             time.nowUs(),
                             this,
                             safeguards);
-            at.put(address, this);
-            wake();
+            byAddress.put(address, this);
+            setTimer();
         }
 
-        boolean sound() {
-            return harms.isEmpty();
+        boolean healthy() {
+            return faultsSuffered.isEmpty();
         }
 
-        boolean runs() {
+        boolean isRunning() {
             return !ended && !superseded;
         }
 
-        void wake() {
+        void setTimer() {
             long dueUs = Math.max(rules.dueUs(), time.nowUs());
-            if (dueUs < wakingUs) {
-                wakingUs = dueUs;
+            if (dueUs < timerUs) {
+                timerUs = dueUs;
                 time.after(
                         dueUs - time.nowUs(),
                         () ->
                                 run(
                                         () -> {
-                                            if (dueUs == wakingUs) {
-                                                wakingUs = Long.MAX_VALUE;
+                                            if (dueUs == timerUs) {
+                                                timerUs = Long.MAX_VALUE;
                                                 if (rules.dueUs() <= time.nowUs()) {
                                                     rules.tick(time.nowUs());
                                                 }
-                                                wake();
+                                                setTimer();
                                             }
                                         }));
             }
@@ -115,7 +115,7 @@
         @Override
         public void send(String to, String toAddress, Message message) {
             messages++;
-            Process target = at.get(toAddress);
+            Process target = byAddress.get(toAddress);
             if (target == null
                     || links.cut(address, toAddress)
                     || random.nextDouble() < links.lost(address, toAddress)) {
@@ -133,7 +133,7 @@
                                     () -> {
                                         if (!target.superseded) {
                                             target.rules.received(time.nowUs(), message);
-                                            target.wake();
+                                            target.setTimer();
                                         }
                                     }));
         }
@@ -141,20 +141,20 @@
         @Override
         public void changed(Change change) {
             if (change.now().state() == Member.State.SUSPECT && change.now().by().equals(name)) {
-                suspects(change.now());
+                checkSuspicion(change.now());
             }
             if (change.now().state() != Member.State.DEAD || ended) {
                 return;
             }
-            Process subject = at.get(change.now().address());
+            Process subject = byAddress.get(change.now().address());
             if (subject == null) {
                 return;
             }
-            boolean blind = !sound() && BLINDING.containsAll(harms);
-            if (subject.sound()
-                    && subject.runs()
+            boolean blind = !healthy() && BLINDING.containsAll(faultsSuffered);
+            if (subject.healthy()
+                    && subject.isRunning()
                     && subject.rules.self().generation() == change.now().generation()
-                    && (sound() || blind)) {
+                    && (healthy() || blind)) {
                 broken.add(
                         name
                                 + " holds "
@@ -162,18 +162,18 @@
                                 + ", which no fault has affected, for dead at "
                                 + time.nowUs() / 1e6
                                 + " s"
-                                + (sound() ? "" : ", itself affected by " + harms));
+                                + (healthy() ? "" : ", itself affected by " + faultsSuffered));
             }
             Long killed = killedUs.get(subject);
-            if (killed != null && sound()) {
+            if (killed != null && healthy()) {
                 foundS.add((time.nowUs() - killed) / 1e6);
             }
         }
 
         /** A process that was only suspended has no evidence against others. */
-        private void suspects(Member other) {
-            Process subject = at.get(other.address());
-            if (harms.equals(Set.of("stopped")) && subject != null && subject.sound()) {
+        private void checkSuspicion(Member other) {
+            Process subject = byAddress.get(other.address());
+            if (faultsSuffered.equals(Set.of("stopped")) && subject != null && subject.healthy()) {
                 broken.add(
                         name
                                 + ", which was only suspended, suspects "
@@ -190,11 +190,11 @@
         }
     }
 
-    private final Random trialRandom;
+    private final Random faultRandom;
     private final Set<Membership.Safeguard> safeguards;
     private final List<String> seeds = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
-    private final Map<String, Process> at = new HashMap<>();
+    private final Map<String, Process> byAddress = new HashMap<>();
     private final SimulatedClock time = new SimulatedClock();
     private final SimulatedLinks links = new SimulatedLinks();
     private final Map<Process, Long> killedUs = new HashMap<>();
@@ -204,7 +204,7 @@
     private long messages;
 
     private MembershipSimulation(long seed, Set<Membership.Safeguard> safeguards) {
-        trialRandom = new Random(seed * 0x9e3779b97f4a7c15L);
+        faultRandom = new Random(seed * 0x9e3779b97f4a7c15L);
         this.safeguards = safeguards;
     }
 
@@ -213,12 +213,12 @@
             long seed, int processes, double seconds, Set<Membership.Safeguard> safeguards) {
         MembershipSimulation trial = new MembershipSimulation(seed, safeguards);
         trial.start(processes);
-        for (int i = 1 + trial.trialRandom.nextInt(MOST_FAULTS); i > 0; i--) {
-            double atS = trial.trialRandom.nextDouble(FIRST_FAULT_S, seconds * 0.4);
-            trial.time.after((long) (atS * 1e6), () -> trial.fault(seconds * 0.5));
+        for (int i = 1 + trial.faultRandom.nextInt(MOST_FAULTS); i > 0; i--) {
+            double atS = trial.faultRandom.nextDouble(FIRST_FAULT_S, seconds * 0.4);
+            trial.time.after((long) (atS * 1e6), () -> trial.injectFault(seconds * 0.5));
         }
         trial.time.run((long) (seconds * 1e6));
-        trial.ofOneMind();
+        trial.checkAgreement();
         return trial.outcome();
     }
 
@@ -228,7 +228,7 @@
                 new MembershipSimulation(seed, EnumSet.allOf(Membership.Safeguard.class));
         trial.start(processes);
         trial.time.run((long) (seconds * 1e6));
-        trial.ofOneMind();
+        trial.checkAgreement();
         return trial.outcome();
     }
 
@@ -243,7 +243,7 @@
         for (int i = 0; i < count; i++) {
             int number = i;
             time.after(
-                    trialRandom.nextInt(1_000_000),
+                    faultRandom.nextInt(1_000_000),
                     () ->
                             processes.add(
                                     new Process(
@@ -260,33 +260,37 @@
     // ---- faults ----
 
     private Process any() {
-        List<Process> running = processes.stream().filter(Process::runs).toList();
-        return running.get(trialRandom.nextInt(running.size()));
+        List<Process> running = processes.stream().filter(Process::isRunning).toList();
+        return running.get(faultRandom.nextInt(running.size()));
     }
 
-    private void fault(double endS) {
+    private void injectFault(double endS) {
         long leftUs = (long) (endS * 1e6) - time.nowUs();
-        long forUs = Math.min(leftUs, 200_000 + (long) (trialRandom.nextDouble() * 20e6));
-        if (processes.stream().filter(Process::runs).count() < 2) {
+        long forUs = Math.min(leftUs, 200_000 + (long) (faultRandom.nextDouble() * 20e6));
+        if (processes.stream().filter(Process::isRunning).count() < 2) {
             return;
         }
         Process one = any();
-        switch (trialRandom.nextInt(9)) {
-            case 0 -> kill(one, forUs, trialRandom.nextBoolean(), 0);
+        switch (faultRandom.nextInt(9)) {
+            case 0 -> kill(one, forUs, faultRandom.nextBoolean(), 0);
             case 1 -> kill(one, forUs, true, HOUR_MS); // and its wall clock is set back
             case 2 -> stop(one, forUs);
             case 3 -> cut("hears nobody", one, forUs, false, true);
             case 4 -> cut("nobody hears it", one, forUs, true, false);
             case 5 -> cut("cut off", one, forUs, true, true);
-            case 6 -> meet("lossy", one, forUs, trialRandom.nextDouble(0.1, 0.5), links::lose);
-            case 7 -> meet("slow", one, forUs, trialRandom.nextDouble(1e5, 2e6), links::slow);
-            default -> namesake(one);
+            case 6 ->
+                    injectLinkFault(
+                            "lossy", one, forUs, faultRandom.nextDouble(0.1, 0.5), links::lose);
+            case 7 ->
+                    injectLinkFault(
+                            "slow", one, forUs, faultRandom.nextDouble(1e5, 2e6), links::slow);
+            default -> startDuplicate(one);
         }
     }
 
     private void kill(Process one, long forUs, boolean again, long setBackMs) {
         one.ended = true;
-        harm(
+        recordFault(
                 one,
                 !again
                         ? "killed"
@@ -301,64 +305,64 @@
                                         one.name,
                                         one.address,
                                         WALL_MS + time.nowUs() / 1000 - setBackMs);
-                        back.harms.add("new");
+                        back.faultsSuffered.add("new");
                         processes.add(back);
                     });
         }
     }
 
     private void stop(Process one, long forUs) {
-        harm(one, "stopped");
+        recordFault(one, "stopped");
         one.suspend(forUs);
     }
 
-    private void harm(Process one, String kind) {
+    private void recordFault(Process one, String kind) {
         kinds.add(kind);
-        one.harms.add(kind);
+        one.faultsSuffered.add(kind);
     }
 
     private List<String> addresses() {
-        return List.copyOf(at.keySet());
+        return List.copyOf(byAddress.keySet());
     }
 
     private void cut(String kind, Process one, long forUs, boolean out, boolean in) {
-        harm(one, kind);
+        recordFault(one, kind);
         List<String> all = addresses();
         links.partition(all, List.of(one.address), out, in, 1);
         time.after(forUs, () -> links.partition(all, List.of(one.address), out, in, -1));
     }
 
-    private interface Harm {
+    private interface LinkFault {
         void both(String one, String other, double by);
     }
 
-    private void meet(String kind, Process one, long forUs, double by, Harm harm) {
-        harm(one, kind);
+    private void injectLinkFault(String kind, Process one, long forUs, double by, LinkFault harm) {
+        recordFault(one, kind);
         List<String> others = addresses().stream().filter(a -> !a.equals(one.address)).toList();
         others.forEach(other -> harm.both(one.address, other, by));
         time.after(forUs, () -> others.forEach(other -> harm.both(one.address, other, -by)));
     }
 
     /** Operators start a successor elsewhere without ending the old process. */
-    private void namesake(Process one) {
-        harm(one, "a second one of its name");
+    private void startDuplicate(Process one) {
+        recordFault(one, "a second one of its name");
         Process other =
                 new Process(
                         one.name,
                         address(100 + processes.size()),
                         Math.max(WALL_MS + time.nowUs() / 1000, one.rules.self().generation() + 1));
-        other.harms.add("new");
+        other.faultsSuffered.add("new");
         processes.add(other);
     }
 
     /** Every running process must consider exactly the other running processes alive. */
-    private void ofOneMind() {
+    private void checkAgreement() {
         Set<String> running = new TreeSet<>();
         processes.stream()
-                .filter(Process::runs)
+                .filter(Process::isRunning)
                 .forEach(p -> running.add(p.name + "@" + p.address));
         for (Process p : processes) {
-            if (!p.runs()) {
+            if (!p.isRunning()) {
                 continue;
             }
             Set<String> seen = new TreeSet<>();
--- a/src/main/java/holdproxy/lab/MemoryNetwork.java
+++ b/src/main/java/holdproxy/lab/MemoryNetwork.java
@@ -139,7 +139,7 @@
             return zones.troubled(opener.zone, host.zone);
         }
 
-        boolean ofPeople() {
+        boolean fromClient() {
             return opener.people;
         }
     }
