--- a/src/main/java/holdproxy/lab/MemoryDisk.java
+++ b/src/main/java/holdproxy/lab/MemoryDisk.java
@@ -23,11 +23,11 @@
     private boolean syncFails;
 
     /**
-     * {@code forgets}: the disk reports data as durable that is not, a bug for the checker to find.
+     * {@code losesDurableData}: the disk reports data as durable that is not, a bug for the checker to find.
      */
-    MemoryDisk(Random random, boolean forgets) {
+    MemoryDisk(Random random, boolean losesDurableData) {
         this.random = random;
-        this.losesDurableData = forgets;
+        this.losesDurableData = losesDurableData;
     }
 
     /** Sets whether the disk is full, so that writes fail. */
--- a/src/main/java/holdproxy/lab/MemoryNetwork.java
+++ b/src/main/java/holdproxy/lab/MemoryNetwork.java
@@ -111,7 +111,7 @@
          */
         void lost(boolean toHost, String what) {
             boolean silence = toHost && zones.silent(host.zone) && !zones.silent(opener.zone);
-            whenLost.lost(
+            lossListener.lost(
                     opener.name,
                     opener.people,
                     host.name,
@@ -145,11 +145,11 @@
     }
 
     /** Notified of what the state of zones has kept from its destination. */
-    interface WhenLost {
+    interface LossListener {
         /**
          * {@code zone}: the silent zone that it was sent to from outside, or {@link Zones#NOWHERE}.
          */
-        void lost(String from, boolean byPeople, String to, int zone, String what);
+        void lost(String from, boolean byClient, String to, int zone, String what);
     }
 
     /** The network as seen by one process; hosts it connects to see its name. */
@@ -291,12 +291,12 @@
     private final List<Process> processes = new ArrayList<>();
     private final Map<String, Process> byName = new HashMap<>();
     private final Zones zones;
-    private final WhenLost whenLost;
+    private final LossListener lossListener;
     private long connections;
 
-    MemoryNetwork(Zones zones, WhenLost whenLost) {
+    MemoryNetwork(Zones zones, LossListener lossListener) {
         this.zones = zones;
-        this.whenLost = whenLost;
+        this.lossListener = lossListener;
     }
 
     /** Registers an address; connections to unregistered ones are refused. */
@@ -344,7 +344,7 @@
     }
 
     private LocalAddress localAddress(InetSocketAddress address) {
-        return new LocalAddress(
-                networkId + "/" + address); // several simulations may run in one JVM
+        // several simulations may run in one JVM
+        return new LocalAddress(networkId + "/" + address);
     }
 }
--- a/src/main/java/holdproxy/lab/SimulatedLinks.java
+++ b/src/main/java/holdproxy/lab/SimulatedLinks.java
@@ -22,12 +22,12 @@
         return slow.getOrDefault(new Pair(from, to), 0.0);
     }
 
-    /** The additional delay of every message. */
+    /** The fixed additional delay of every message. */
     long lateUs(String from, String to) {
         return late.getOrDefault(new Pair(from, to), 0L);
     }
 
-    /** Changes the additional delay in one direction by this amount. */
+    /** Changes the fixed additional delay in one direction by this amount. */
     void late(String from, String to, long us) {
         late.merge(new Pair(from, to), us, Long::sum);
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Changes the additional delay between these two, in both directions. */
+    /** Changes the random additional delay between these two, in both directions. */
     void slow(String one, String other, double us) {
         slow.merge(new Pair(one, other), us, Double::sum);
         slow.merge(new Pair(other, one), us, Double::sum);
