--- a/src/main/java/holdproxy/lab/ConsensusFleet.java
+++ b/src/main/java/holdproxy/lab/ConsensusFleet.java
@@ -17,8 +17,9 @@
 import java.util.function.Consumer;
 
 /**
- * Processes around a consensus group in virtual time, each with its disk, its clock and its links, and the
- * faults that meet them. What the processes do with the group is up to the {@link Purpose}.
+ * Simulated processes around a consensus group in virtual time, each with its own disk, clock and
+ * links, and the faults injected into them. What the processes use the group for is defined by the
+ * {@link Workload}.
  */
 final class ConsensusFleet {
     private static final long LEAST_DELAY_US = 200;
@@ -29,24 +30,26 @@
     private static final long LAG_US = 1_000_000;
     private static final long LATE_US = 270_000;
 
-    /** What the processes are for. */
-    interface Purpose {
-        /** The state machine of an instance that begins. */
+    /** What the simulated processes use the consensus group for. */
+    interface Workload {
+        /** Creates the state machine of an instance that starts. */
         StateMachine stateMachine(Instance instance);
 
-        /** It has joined its consensus group. */
-        void begun(Instance instance);
+        /** Called when the instance has joined its consensus group. */
+        void started(Instance instance);
 
-        /** It is told to end; {@code then} is to be run when it may. */
-        void ending(Instance instance, Runnable then);
+        /** Called when the instance is to shut down; {@code then} must be run once it may exit. */
+        void shuttingDown(Instance instance, Runnable then);
 
-        /** Whom faults are most telling of now; empty: nobody in particular. */
-        default String centre() {
+        /**
+         * The process against which faults are most revealing now; empty if there is no preference.
+         */
+        default String preferredFaultTarget() {
             return "";
         }
     }
 
-    /** One generation of a process. */
+    /** One incarnation of a process. */
     final class Instance extends SimulatedProcess implements RaftGroup.Host {
         final String name;
         final long number;
@@ -60,24 +63,24 @@
             super(time);
             this.name = name;
             this.disk = disk;
-            number = ++lifeNumbers;
+            number = ++lastInstanceNumber;
             rate = rates.get(name);
             stateMachine = purpose.stateMachine(this);
             group = new RaftGroup(name, voters, this, new Random(random.nextLong()), stateMachine);
         }
 
-        /** By its own clock. */
+        /** Delay measured by the process's own clock. */
         @Override
         public long nowUs() {
             return (long) (time.nowUs() * rate);
         }
 
-        /** In true time, when its clock shows this. */
+        /** The true time at which the process's clock shows the given time. */
         long trueUs(long ownUs) {
             return (long) (ownUs / rate);
         }
 
-        /** By its own clock. */
+        /** Delay measured by the process's own clock. */
         @Override
         public void after(long us, Runnable task) {
             time.after((long) Math.ceil(us / rate), () -> run(task));
@@ -85,11 +88,14 @@
 
         @Override
         public void send(String to, byte[] frame) {
-            reach(to, instance -> instance.group.received(frame));
+            runAt(to, instance -> instance.group.received(frame));
         }
 
-        /** Has a process do something when a message of this one's arrives, if it does. */
-        void reach(String to, Consumer<Instance> what) {
+        /**
+         * Runs an action on the receiving process when a message from this one arrives, if it
+         * arrives.
+         */
+        void runAt(String to, Consumer<Instance> what) {
             if (links.cut(name, to)) {
                 return;
             }
@@ -110,9 +116,9 @@
             }
         }
 
-        /** The process is gone, and with it what its disk had not made safe. */
+        /** Ends the process; whatever its disk had not made durable is lost. */
         private void die() {
-            over = true;
+            ended = true;
             disk.crash();
         }
 
@@ -136,28 +142,29 @@
     final List<String> broken = new ArrayList<>();
     final Set<String> kinds = new TreeSet<>();
     private final Map<String, Double> rates = new TreeMap<>();
-    private final Purpose purpose;
-    private final boolean forgetfulDisks;
+    private final Workload purpose;
+    private final boolean disksLoseDurableData;
     private final boolean lostDisksKeepVotes;
     private final List<String> leaders = new ArrayList<>();
     private long disksLostUntilUs;
-    private long lifeNumbers;
+    private long lastInstanceNumber;
 
     /**
-     * So many voters and others; {@code clockBound}: how far the rates of their clocks are from the true one;
-     * the faults of disks are the program's own, planted for a judge to find.
+     * Creates the given numbers of voters and of other processes. {@code clockBound} is the largest
+     * relative deviation of a clock's rate from true time. Disk faults passed here are planted bugs
+     * that the checker must find.
      */
     ConsensusFleet(
             long seed,
             int votes,
             int others,
             double clockBound,
-            Purpose purpose,
+            Workload purpose,
             boolean forgetfulDisks,
             boolean lostDisksKeepVotes) {
         random = new Random(seed * 0x9e3779b97f4a7c15L);
         this.purpose = purpose;
-        this.forgetfulDisks = forgetfulDisks;
+        this.disksLoseDurableData = forgetfulDisks;
         this.lostDisksKeepVotes = lostDisksKeepVotes;
         for (int i = 0; i < votes + others; i++) {
             names.add("proxy-" + i);
@@ -166,22 +173,26 @@
         voters = List.copyOf(names.subList(0, votes));
     }
 
-    /** Starts all, causes faults until half of the time, and runs to its end. */
+    /**
+     * Starts all processes, injects faults during the first half of the run and runs to its end.
+     */
     void play(double seconds) {
         long endUs = (long) (seconds * 1e6);
         begin();
         for (int i = 1 + random.nextInt(MOST_FAULTS); i > 0; i--) {
-            time.after((long) (random.nextDouble(2, seconds * 0.4) * 1e6), () -> fault(endUs / 2));
+            time.after(
+                    (long) (random.nextDouble(2, seconds * 0.4) * 1e6),
+                    () -> injectFault(endUs / 2));
         }
         time.run(endUs);
     }
 
-    /** Starts all, each of the first voters on a disk that is begun. */
+    /** Starts all processes; the initial voters get initialized disks. */
     void begin() {
         for (String name : names) {
             MemoryDisk disk = disk();
             if (voters.contains(name)) {
-                found(disk, name);
+                initializeDisk(disk, name);
             }
             start(name, disk);
         }
@@ -195,10 +206,10 @@
     }
 
     private MemoryDisk disk() {
-        return new MemoryDisk(new Random(random.nextLong()), forgetfulDisks);
+        return new MemoryDisk(new Random(random.nextLong()), disksLoseDurableData);
     }
 
-    private void found(MemoryDisk disk, String name) {
+    private void initializeDisk(MemoryDisk disk, String name) {
         try {
             RaftGroup.found(disk, name, voters);
         } catch (IOException e) {
@@ -210,26 +221,26 @@
         Instance instance = new Instance(name, disk);
         instances.put(name, instance);
         instance.group.begin(disk);
-        purpose.begun(instance);
+        purpose.started(instance);
     }
 
     // ---- faults ----
 
-    /** What can be done to those that do not vote as well. */
+    /** Faults that can also be applied to processes that do not vote. */
     private static final Set<Integer> OF_ALL = Set.of(0, 2, 3, 4, 5, 7, 9);
 
     /**
-     * One voter is behind, and when it is back the leader goes and another voter loses its disk: what only
-     * these two knew must not be taken for never agreed.
+     * Cuts off one voter; when it is back, kills the leader and wipes the disk of another voter.
+     * Entries that only these two held must not be treated as if they had never been committed.
      */
-    private void forgotten(String leader, long forUs) {
+    private void loseNewestEntries(String leader, long forUs) {
         List<String> others = voters.stream().filter(v -> !v.equals(leader)).toList();
         if (!allVote() || others.size() != 2) {
             return;
         }
         String behind = others.get(0);
         disksLostUntilUs = time.nowUs() + 2 * LAG_US;
-        part("behind", List.of(behind), LAG_US, true, true);
+        partition("behind", List.of(behind), LAG_US, true, true);
         time.after(
                 LAG_US,
                 () -> {
@@ -238,48 +249,49 @@
                 });
     }
 
-    /** Operators give a damaged voter a new disk, as soon as they find it running. */
+    /** Operators replace the disk of a damaged voter as soon as they find it running. */
     private void replace(String name) {
-        if (instances.get(name).over) {
+        if (instances.get(name).ended) {
             time.after(LOOK_US, () -> replace(name));
         } else {
             kill("disk replaced", name, 0, disk());
         }
     }
 
-    private void fault(long endUs) {
+    private void injectFault(long endUs) {
         long forUs = Math.min(endUs - time.nowUs(), 200_000 + (long) (random.nextDouble() * 12e6));
         String one = voters.get(random.nextInt(voters.size()));
         String leader = leaders.isEmpty() ? one : leaders.get(leaders.size() - 1);
-        String centre = purpose.centre().isEmpty() ? leader : purpose.centre();
+        String target =
+                purpose.preferredFaultTarget().isEmpty() ? leader : purpose.preferredFaultTarget();
         int whom = random.nextInt(3);
         int what = random.nextInt(13);
         if (whom == 0) {
             one = leader;
-        } else if (whom == 1 && (voters.contains(centre) || OF_ALL.contains(what))) {
-            one = centre;
+        } else if (whom == 1 && (voters.contains(target) || OF_ALL.contains(what))) {
+            one = target;
         }
-        String other = random.nextBoolean() ? centre : names.get(random.nextInt(names.size()));
+        String other = random.nextBoolean() ? target : names.get(random.nextInt(names.size()));
         switch (what) {
             case 0 -> kill("killed", one, forUs, instances.get(one).disk);
             case 1 -> loseDisk(one, forUs, false);
             case 2 -> stop(one, forUs);
-            case 3 -> part("cut off", List.of(one), forUs, true, true);
-            case 4 -> part("hears nobody", List.of(one), forUs, false, true);
-            case 5 -> part("nobody hears it", List.of(one), forUs, true, false);
+            case 3 -> partition("cut off", List.of(one), forUs, true, true);
+            case 4 -> partition("hears nobody", List.of(one), forUs, false, true);
+            case 5 -> partition("nobody hears it", List.of(one), forUs, true, false);
             case 6 -> split(forUs);
             case 7 -> slow(random.nextBoolean() ? leader : one, other, forUs);
             case 8 -> fullDisk(one, forUs);
             case 9 -> restart(one, forUs);
-            case 10 -> forgotten(leader, forUs);
-            case 11 -> lateAnswers(leader, centre, forUs);
-            default -> flip(one, forUs);
+            case 10 -> loseNewestEntries(leader, forUs);
+            case 11 -> delayAnswers(leader, target, forUs);
+            default -> flipBit(one, forUs);
         }
     }
 
     void kill(String kind, String name, long forUs, MemoryDisk then) {
         Instance instance = instances.get(name);
-        if (instance.over) {
+        if (instance.ended) {
             return;
         }
         kinds.add(kind);
@@ -287,7 +299,10 @@
         time.after(forUs, () -> start(name, then));
     }
 
-    /** Disks are lost one after another: with two of three gone at once nothing is agreed ever after. */
+    /**
+     * Loses disks one at a time only: if two of three voters lost theirs at once, the group could
+     * never commit again.
+     */
     private boolean allVote() {
         Set<Voter> expected = new LinkedHashSet<>();
         voters.forEach(v -> expected.add(instances.get(v).group.self()));
@@ -296,20 +311,20 @@
                         .map(instances::get)
                         .allMatch(
                                 l ->
-                                        !l.over
+                                        !l.ended
                                                 && l.group.votes()
                                                 && l.group.votingMembers().equals(expected));
     }
 
-    /** Answers come just before they are given up, and then none. */
-    private void lateAnswers(String from, String to, long forUs) {
+    /** Delays answers to just before their time-out, then cuts them off entirely. */
+    private void delayAnswers(String from, String to, long forUs) {
         if (from.equals(to)) {
             return;
         }
         kinds.add("late answers");
         links.late(from, to, LATE_US);
         long cutUs = (long) (random.nextDouble() * forUs / 2);
-        time.after(cutUs, () -> part("cut off", List.of(to), forUs / 2, true, true));
+        time.after(cutUs, () -> partition("cut off", List.of(to), forUs / 2, true, true));
         time.after(forUs, () -> links.late(from, to, -LATE_US));
     }
 
@@ -320,23 +335,26 @@
         disksLostUntilUs = time.nowUs() + forUs;
         MemoryDisk fresh = disk();
         if (lostDisksKeepVotes) {
-            found(fresh, name);
+            initializeDisk(fresh, name);
         }
         kill("disk lost", name, forUs, fresh);
     }
 
     void stop(String name, long forUs) {
         kinds.add("stopped");
-        instances.get(name).standStill(forUs);
+        instances.get(name).suspend(forUs);
     }
 
-    void part(String kind, List<String> some, long forUs, boolean out, boolean in) {
+    void partition(String kind, List<String> some, long forUs, boolean out, boolean in) {
         kinds.add(kind);
-        links.part(names, some, out, in, 1);
-        time.after(forUs, () -> links.part(names, some, out, in, -1));
+        links.partition(names, some, out, in, 1);
+        time.after(forUs, () -> links.partition(names, some, out, in, -1));
     }
 
-    /** Into three, so that with five voters nobody has a majority, or into two. */
+    /**
+     * Splits the voters into three parts, so that with five voters no part has a majority, or into
+     * two.
+     */
     private void split(long forUs) {
         kinds.add("split");
         List<String> mixed = new ArrayList<>(names);
@@ -347,13 +365,13 @@
                 random.nextBoolean()
                         ? List.of()
                         : List.copyOf(mixed.subList(first, Math.min(mixed.size(), first + 2)));
-        links.part(names, a, true, true, 1);
-        links.part(names, b, true, true, 1);
+        links.partition(names, a, true, true, 1);
+        links.partition(names, b, true, true, 1);
         time.after(
                 forUs,
                 () -> {
-                    links.part(names, a, true, true, -1);
-                    links.part(names, b, true, true, -1);
+                    links.partition(names, a, true, true, -1);
+                    links.partition(names, b, true, true, -1);
                 });
     }
 
@@ -364,23 +382,26 @@
         time.after(forUs, () -> links.slow(one, other, -us));
     }
 
-    /** The vote is given up when a write or a force fails; operators make room and start it again. */
+    /**
+     * A voter leaves the group when a write or a sync of its disk fails; operators free space and
+     * start it again.
+     */
     private void fullDisk(String name, long forUs) {
         Instance instance = instances.get(name);
-        if (instance.over) {
+        if (instance.ended) {
             return;
         }
         boolean full = random.nextBoolean();
         kinds.add(full ? "disk full" : "disk not forced");
         instance.disk.full(full);
-        instance.disk.unforced(!full);
+        instance.disk.failSync(!full);
         time.after(
                 forUs,
                 () -> {
                     instance.disk.full(false);
-                    instance.disk.unforced(false);
+                    instance.disk.failSync(false);
                     Instance now = instances.get(name);
-                    if (now.disk == instance.disk && !now.over && !now.group.votes()) {
+                    if (now.disk == instance.disk && !now.ended && !now.group.votes()) {
                         kill("disk mended", name, 0, instance.disk);
                     }
                 });
@@ -388,20 +409,20 @@
 
     void restart(String name, long forUs) {
         Instance instance = instances.get(name);
-        if (instance.over) {
+        if (instance.ended) {
             return;
         }
         kinds.add("restarted");
         instance.run(
                 () ->
-                        purpose.ending(
+                        purpose.shuttingDown(
                                 instance,
                                 () ->
                                         instance.group
                                                 .end()
                                                 .whenComplete(
                                                         (done, failed) -> {
-                                                            if (!instance.over) {
+                                                            if (!instance.ended) {
                                                                 instance.die();
                                                                 time.after(
                                                                         forUs,
@@ -413,8 +434,11 @@
                                                         })));
     }
 
-    /** A bit on the disk is another when it starts: it has to stay out, until it is given a new disk. */
-    private void flip(String name, long forUs) {
+    /**
+     * Flips one bit on the disk before a restart: the voter must stay out of the group until its
+     * disk is replaced.
+     */
+    private void flipBit(String name, long forUs) {
         Instance instance = instances.get(name);
         if (!allVote()) {
             return;
@@ -422,13 +446,13 @@
         disksLostUntilUs = time.nowUs() + forUs;
         kinds.add("bit flipped");
         instance.die();
-        instance.disk.flip();
+        instance.disk.flipBit();
         time.after(
                 forUs / 2,
                 () -> {
                     start(name, instance.disk);
                     if (!instances.get(name).isOut) {
-                        broken.add(name + " votes with a damaged disk");
+                        broken.add(name + " votes despite a damaged disk");
                     }
                     time.after(forUs / 2, () -> replace(name));
                 });
--- a/src/main/java/holdproxy/lab/FanoutNode.java
+++ b/src/main/java/holdproxy/lab/FanoutNode.java
@@ -3,7 +3,7 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
 
-/** A process of the fan-out simulation: one life of it, at one place. */
+/** One incarnation of a process in the fan-out simulation, at one location. */
 class FanoutNode extends SimulatedProcess {
     final String name;
     final String region;
@@ -18,27 +18,27 @@
         this.site = site;
     }
 
-    /** Calls {@code tick} when it is due, as long as the process lives. */
-    final class Alarm {
+    /** Calls {@code tick} whenever it is due, as long as the process runs. */
+    final class Timer {
         private final LongSupplier dueUs;
         private final LongConsumer tick;
         private long setUs = Long.MAX_VALUE;
 
-        Alarm(LongSupplier dueUs, LongConsumer tick) {
+        Timer(LongSupplier dueUs, LongConsumer tick) {
             this.dueUs = dueUs;
             this.tick = tick;
         }
 
-        /** After every event that may have changed what is due. */
+        /** Must be called after every event that may have changed when the next tick is due. */
         void set() {
             long nextUs = Math.max(dueUs.getAsLong(), time.nowUs());
             if (nextUs < setUs) {
                 setUs = nextUs;
-                time.after(nextUs - time.nowUs(), () -> run(() -> ring(nextUs)));
+                time.after(nextUs - time.nowUs(), () -> run(() -> fire(nextUs)));
             }
         }
 
-        private void ring(long ofUs) {
+        private void fire(long ofUs) {
             if (ofUs != setUs) {
                 return;
             }
--- a/src/main/java/holdproxy/lab/FanoutSimulation.java
+++ b/src/main/java/holdproxy/lab/FanoutSimulation.java
@@ -27,9 +27,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A fleet of control machines, relays and proxies in virtual time. Changes go on all the time;
- * faults drawn by a seed come in the first half and are over before the last part, by the end of
- * which every proxy has to hold the newest state.
+ * A fleet of control machines, relays and proxies in virtual time. Changes are published
+ * continuously; faults drawn from a seed occur in the first half and are over before the last part,
+ * by the end of which every proxy must hold the newest state.
  */
 final class FanoutSimulation {
     private static final long SECOND_US = 1_000_000;
@@ -39,14 +39,17 @@
     private static final long SETTLE_US = 50 * SECOND_US;
     private static final long HOUR_US = 3_600 * SECOND_US;
 
-    /** One seed of so many cuts a region for an hour, in a fleet that is smaller for it. */
+    /** One in this many seeds cuts off a region for an hour, in a smaller fleet. */
     private static final int SEEDS_PER_HOUR_CUT = 20;
 
     private static final int SEEDS_PER_DECODING = 8;
     private static final int MOST_FAULTS = 4;
     private static final int KEYS = 30;
 
-    /** Where a region is cut for an hour: large enough that all snapshots at once would break the pace. */
+    /**
+     * Number of keys in runs that cut off a region for an hour: large enough that sending all snapshots
+     * at once would exceed the rate limit.
+     */
     private static final int KEYS_OF_HOUR = 120;
 
     private static final int LONGEST_VALUE = 300;
@@ -59,24 +62,25 @@
     private static final int BURST_CHANGES = 40;
     private static final long BURST_GAP_US = 50_000;
 
-    /**
-     * A control machine with a log that is over comes back after so long, and is removed after the
-     * second.
-     */
+    /** When a control machine with a superseded log comes back. */
     private static final long OUTDATED_BACK_US = 6 * SECOND_US;
 
+    /** How long after its return operators remove it. */
     private static final long OUTDATED_REMOVED_US = 50 * SECOND_US;
+
     private static final int[] WINDOWS = {16, 64, 1_024};
 
     /**
-     * How a seed's fleet went.
+     * The result of one seed.
      *
-     * @param broken rules, by what shows it
-     * @param faults that were caused
+     * @param broken violated rules, each with the evidence
+     * @param faults that were injected
      * @param publications that were attempted
-     * @param refused of them, for their token
-     * @param caughtUpMs after each cut of a region, until all its proxies held what was the newest at its end
-     * @param mostBytesASecond that a control machine sent in any second after the first of these cuts
+     * @param refused publications rejected because of their token
+     * @param caughtUpMs for each cut of a region, the time until all its proxies held the state
+     *     that was newest when the cut ended
+     * @param mostBytesASecond most bytes that a control machine sent in any second after the first
+     *     of these cuts
      */
     record Outcome(
             List<String> broken,
@@ -87,7 +91,7 @@
             List<Long> caughtUpMs,
             long mostBytesASecond) {}
 
-    /** How large a fleet is. */
+    /** The size of a fleet. */
     record Shape(int regions, int sitesPerRegion, int proxiesPerSite) {
         int proxies() {
             return regions * sitesPerRegion * proxiesPerSite;
@@ -99,9 +103,9 @@
     private final Shape shape;
     private final FanoutSettings settings;
     private final Set<Safeguard> safeguards;
-    private final FanoutJudge judge;
+    private final FanoutChecker checker;
     private final FanoutNetwork network;
-    private final FanoutProcesses.Surroundings around;
+    private final FanoutProcesses.Environment environment;
     private final Set<FanoutFault> faults = EnumSet.noneOf(FanoutFault.class);
 
     private final List<Control> controls = new ArrayList<>();
@@ -111,7 +115,7 @@
     private final Map<String, List<RelayCandidate>> relayCandidates = new TreeMap<>();
     private final Set<FanoutNode> unharmed = new HashSet<>();
 
-    /** What the majority of control machines agrees on. */
+    /** The log that the majority of control machines has agreed on. */
     private ChangeLog authority;
 
     private List<List<Object>> operations = new ArrayList<>();
@@ -122,11 +126,11 @@
     private int keys = KEYS;
     private final TreeMap<String, Value> wanted = new TreeMap<>();
 
-    /** A control machine that goes on with a log that is over. */
+    /** A control machine that continues with a superseded log. */
     private Control outdated;
 
-    private boolean agesAreJudged = true;
-    private boolean publishingIsOver;
+    private boolean agesAreChecked = true;
+    private boolean publishingHasEnded;
     private final List<Long> caughtUpMs = new ArrayList<>();
     private long firstReunionUs = Long.MAX_VALUE;
 
@@ -163,17 +167,17 @@
                                         CATCH_UP_BYTES_PER_SECOND,
                                         BURST_BYTES),
                         FanoutSettings.DEFAULTS.subscriber());
-        judge = new FanoutJudge(time, CREDIT_BYTES, inForceMs);
+        checker = new FanoutChecker(time, CREDIT_BYTES, inForceMs);
         boolean decodes = seed % SEEDS_PER_DECODING == 0;
         network =
                 new FanoutNetwork(
-                        time, random, new MessageCodec(settings.limits()), decodes, judge);
-        around =
-                new FanoutProcesses.Surroundings(
-                        time, random, network, settings, safeguards, judge);
+                        time, random, new MessageCodec(settings.limits()), decodes, checker);
+        environment =
+                new FanoutProcesses.Environment(
+                        time, random, network, settings, safeguards, checker);
     }
 
-    /** A fleet under faults that are drawn by the seed. */
+    /** A fleet under faults that are drawn from the seed. */
     static Outcome play(long seed, Set<Safeguard> safeguards) {
         boolean hour = seed % SEEDS_PER_HOUR_CUT == 0;
         Random shapes = new Random(seed);
@@ -198,32 +202,33 @@
         return simulation.outcome();
     }
 
-    /** What meets a relay in a fleet in which nothing else happens; null: nothing. */
+    /** Runs a fleet with a single fault at a relay and nothing else; null for no fault. */
     static void recordInForce(long seed, Shape shape, FanoutFault fault, Histogram inForceMs) {
         FanoutSimulation simulation = new FanoutSimulation(seed, shape, Safeguard.all(), inForceMs);
         simulation.start();
         if (fault != null) {
-            simulation.time.after(FIRST_FAULT_US, () -> simulation.cause(fault));
+            simulation.time.after(FIRST_FAULT_US, () -> simulation.inject(fault));
         }
         simulation.finish(HEALED_US);
-        if (!simulation.judge.broken().isEmpty()) {
+        if (!simulation.checker.violations().isEmpty()) {
             throw new IllegalStateException(
-                    "seed " + seed + ": " + simulation.judge.broken().get(0));
+                    "seed " + seed + ": " + simulation.checker.violations().get(0));
         }
     }
 
     private Outcome outcome() {
         long mostBytesASecond =
                 controls.stream()
-                        .mapToLong(c -> judge.mostBytesASecond(c.name, firstReunionUs / SECOND_US))
+                        .mapToLong(
+                                c -> checker.mostBytesASecond(c.name, firstReunionUs / SECOND_US))
                         .max()
                         .orElse(0);
         return new Outcome(
-                judge.broken(),
+                checker.violations(),
                 faults,
                 proxies.size(),
                 publications,
-                judge.refusedPublications(),
+                checker.refusedPublications(),
                 caughtUpMs,
                 firstReunionUs == Long.MAX_VALUE ? 0 : mostBytesASecond);
     }
@@ -240,7 +245,7 @@
                 relayCandidates.get(region).add(new RelayCandidate("relay-" + site, "", site));
             }
         }
-        foundLog();
+        createLog();
         for (RelayCandidate each : controlCandidates) {
             controls.add(newControl(each));
         }
@@ -266,9 +271,9 @@
     }
 
     private void startRelay(String region, String site) {
-        SiteRelay relay = new SiteRelay(around, "relay-" + site, region, site);
+        SiteRelay relay = new SiteRelay(environment, "relay-" + site, region, site);
         relays.add(relay);
-        // a relay prefers its own region's control machine
+        // a relay prefers the control machine of its own region
         relay.start(
                 controlCandidates.stream()
                         .map(
@@ -282,7 +287,7 @@
     private void startProxy(String region, String site, int number, Replica restored) {
         Proxy proxy =
                 new Proxy(
-                        around,
+                        environment,
                         "proxy-" + site + "-" + number,
                         region,
                         site,
@@ -295,12 +300,12 @@
 
     private Control newControl(RelayCandidate at) {
         return new Control(
-                around, at.name(), at.site(), new ChangeLog(settings.limits(), safeguards), 0);
+                environment, at.name(), at.site(), new ChangeLog(settings.limits(), safeguards), 0);
     }
 
     /**
-     * Told of what was agreed, a control machine knows how new its log is; those cut off are told
-     * nothing.
+     * A control machine notified of the agreed operations knows how current its log is; those that
+     * are cut off are not notified.
      */
     private void contact() {
         replicate();
@@ -312,7 +317,7 @@
                 controls.stream()
                         .filter(
                                 other ->
-                                        !other.over
+                                        !other.ended
                                                 && network.reaches(other, one)
                                                 && network.reaches(one, other))
                         .count();
@@ -321,11 +326,11 @@
 
     // ---- publishing ----
 
-    private void foundLog() {
+    private void createLog() {
         authority = new ChangeLog(settings.limits(), safeguards);
         operations = new ArrayList<>();
         List<Object> found = ChangeLogOperations.found(epoch);
-        judge.founded(authorityAnswer(found));
+        checker.logCreated(authorityAnswer(found));
         operations.add(found);
     }
 
@@ -336,7 +341,7 @@
     }
 
     private void publishNext() {
-        if (publishingIsOver) {
+        if (publishingHasEnded) {
             return;
         }
         publish(token, "p-" + publications++, drawChange(), random.nextInt(10) == 0);
@@ -372,12 +377,12 @@
             operations.add(operation);
             if (result instanceof AppendResult.Appended appended) {
                 if (!appended.repeated()) {
-                    judge.committed(appended.position(), publication);
+                    checker.committed(appended.position(), publication);
                     wanted.putAll(puts);
                     deletes.forEach(wanted::remove);
                 }
             } else {
-                judge.refused();
+                checker.publicationRejected();
             }
         }
         replicate();
@@ -385,7 +390,7 @@
 
     private void replicate() {
         for (Control each : controls) {
-            if (each != outdated && !each.over && reachesMajority(each)) {
+            if (each != outdated && !each.ended && reachesMajority(each)) {
                 List<List<Object>> agreed = operations;
                 time.after(
                         network.delayUs(each, controls.get(0)),
@@ -411,44 +416,44 @@
             time.after(
                     FIRST_FAULT_US
                             + (long) (random.nextDouble() * (LAST_FAULT_US - FIRST_FAULT_US)),
-                    () -> cause(kind));
+                    () -> inject(kind));
         }
         return drawn;
     }
 
-    private void cause(FanoutFault kind) {
+    private void inject(FanoutFault kind) {
         faults.add(kind);
         long forUs = SECOND_US + (long) (random.nextDouble() * 15 * SECOND_US);
         switch (kind) {
             case RELAY_KILLED -> endRelay(anyRelay(), true, forUs);
             case RELAY_VANISHED -> endRelay(anyRelay(), false, forUs);
-            case RELAY_STOPPED -> anyRelay().standStill(10 * SECOND_US);
+            case RELAY_STOPPED -> anyRelay().suspend(10 * SECOND_US);
             case RELAY_CUT_ONE_WAY -> cutOneWay(anyRelay(), random.nextBoolean(), forUs);
             case REGION_CUT -> cutRegion(forUs);
-            case OLD_HOLDER -> oldHolderWakes();
+            case OLD_HOLDER -> publishAsOldHolder();
             case SLOW_READER -> {
-                harmed(any(proxies)).standStill(forUs + 5 * SECOND_US);
+                harmed(any(proxies)).suspend(forUs + 5 * SECOND_US);
                 publishBurst(BURST_CHANGES);
             }
             case CONTROL_LOST -> endControl(any(currentControls()), forUs);
             case DUPLICATES_AND_REORDERING -> scramble(forUs);
-            case ALL_AT_ONCE -> restartProxies(List.copyOf(living(proxies)), 0);
+            case ALL_AT_ONCE -> restartProxies(List.copyOf(running(proxies)), 0);
             case SITE_RESTARTED -> restartSite(anyRelay(), forUs / 4);
             case EPOCH_ANEW -> loseDisks();
             default -> throw new IllegalStateException("no such fault: " + kind);
         }
     }
 
-    private <N extends FanoutNode> List<N> living(List<N> nodes) {
-        return nodes.stream().filter(node -> !node.over).toList();
+    private <N extends FanoutNode> List<N> running(List<N> nodes) {
+        return nodes.stream().filter(node -> !node.ended).toList();
     }
 
     private <N extends FanoutNode> N any(List<N> nodes) {
-        List<N> living = living(nodes);
+        List<N> living = running(nodes);
         return living.get(random.nextInt(living.size()));
     }
 
-    /** Those whose log is not over. */
+    /** The control machines whose log is not superseded. */
     private List<Control> currentControls() {
         return controls.stream().filter(control -> control != outdated).toList();
     }
@@ -463,7 +468,7 @@
     }
 
     private void end(FanoutNode node, boolean said) {
-        node.over = true;
+        node.ended = true;
         network.ended(node, said);
     }
 
@@ -486,13 +491,13 @@
                 () -> {
                     network.cutRegion(region, false);
                     firstReunionUs = Math.min(firstReunionUs, time.nowUs());
-                    measureCatchUp(region, time.nowUs(), judge.newest());
+                    measureCatchUp(region, time.nowUs(), checker.newest());
                 });
     }
 
     private void measureCatchUp(String region, long sinceUs, Position wantedPosition) {
         boolean reached =
-                living(proxies).stream()
+                running(proxies).stream()
                         .filter(p -> p.region.equals(region))
                         .noneMatch(p -> wantedPosition.isAfter(p.subscriber.replica().position()));
         if (reached) {
@@ -502,7 +507,7 @@
         }
     }
 
-    private void oldHolderWakes() {
+    private void publishAsOldHolder() {
         long old = token;
         token++;
         publishNow();
@@ -515,7 +520,7 @@
         publish(token, "p-" + publications++, drawChange(), false);
     }
 
-    /** A busy moment: so many changes one after another. */
+    /** A burst of consecutive changes. */
     private void publishBurst(int changes) {
         publishNow();
         if (changes > 1) {
@@ -538,7 +543,7 @@
                     controls.set(
                             controls.indexOf(control),
                             new Control(
-                                    around,
+                                    environment,
                                     control.name,
                                     control.region,
                                     log,
@@ -551,13 +556,13 @@
         List<FanoutNode> met = new ArrayList<>(List.of(relay));
         proxies.stream().filter(p -> p.site.equals(relay.site)).forEach(met::add);
         for (FanoutNode each : met) {
-            judge.scrambles(each.name);
+            checker.ignoreCreditOf(each.name);
             network.scramble(each.name, true);
             time.after(forUs, () -> network.scramble(each.name, false));
         }
     }
 
-    /** They end, and start again with what they had received or with nothing. */
+    /** Ends processes and starts them again, with the state they had received or with none. */
     private void restartProxies(List<Proxy> those, long afterUs) {
         boolean keep = random.nextBoolean();
         for (Proxy each : those) {
@@ -580,27 +585,27 @@
     private void restartSite(SiteRelay relay, long forUs) {
         endRelay(relay, true, forUs);
         restartProxies(
-                living(proxies).stream().filter(p -> p.site.equals(relay.site)).toList(), forUs);
+                running(proxies).stream().filter(p -> p.site.equals(relay.site)).toList(), forUs);
     }
 
     /**
-     * The disks of all control machines are lost but of one that is cut off. When that one is back its relays
-     * have gone on to the new log, and it serves the old one until operators remove it.
+     * All control machines lose their disks except one that is cut off. When it comes back, its
+     * relays have moved on to the new log, and it serves the old one until operators remove it.
      */
     private void loseDisks() {
-        if (outdated != null || living(controls).size() < controls.size()) {
+        if (outdated != null || running(controls).size() < controls.size()) {
             return;
         }
-        agesAreJudged = false;
+        agesAreChecked = false;
         outdated = any(controls);
         epoch++;
         List<RelayCandidate> lost =
                 controlCandidates.stream().filter(c -> !c.name().equals(outdated.name)).toList();
-        living(controls).stream().filter(c -> c != outdated).forEach(c -> end(c, true));
+        running(controls).stream().filter(c -> c != outdated).forEach(c -> end(c, true));
         cutOneWay(outdated, true, OUTDATED_BACK_US);
         cutOneWay(outdated, false, OUTDATED_BACK_US);
         keepOutdatedInContact();
-        foundLog();
+        createLog();
         for (RelayCandidate each : lost) {
             controls.set(controlCandidates.indexOf(each), newControl(each));
         }
@@ -611,7 +616,7 @@
         time.after(OUTDATED_REMOVED_US, this::removeOutdated);
     }
 
-    /** It holds itself for the newest there is. */
+    /** It believes that its state is the newest. */
     private void keepOutdatedInContact() {
         if (outdated != null) {
             outdated.run(() -> outdated.catchUp(List.of()));
@@ -627,20 +632,20 @@
         controls.set(at, newControl(controlCandidates.get(at)));
     }
 
-    // ---- judging ----
+    // ---- checking ----
 
     private void sample() {
-        for (SiteRelay each : living(relays)) {
-            judgeWindow(each.name, each.subscriber.replica());
+        for (SiteRelay each : running(relays)) {
+            checkWindow(each.name, each.subscriber.replica());
             if (each.relay.status(time.nowUs()).subscribers() > settings.relay().subscribers()) {
-                judge.breaks(each.name + " serves more than it may");
+                checker.reportViolation(each.name + " serves more than it may");
             }
         }
-        if (agesAreJudged) {
-            for (Proxy each : living(proxies)) {
+        if (agesAreChecked) {
+            for (Proxy each : running(proxies)) {
                 if (unharmed.contains(each)) {
                     long ageUs = each.subscriber.ageUs(time.nowUs());
-                    judge.saysAge(
+                    checker.checkReportedAge(
                             each.name,
                             each.subscriber.replica().position(),
                             Math.min(ageUs, time.nowUs()));
@@ -650,16 +655,16 @@
         time.after(SAMPLE_US, this::sample);
     }
 
-    private void judgeWindow(String name, Replica replica) {
+    private void checkWindow(String name, Replica replica) {
         if (replica.windowChanges() > settings.limits().windowChanges()
                 || replica.windowBytes() > settings.limits().windowBytes()) {
-            judge.breaks(name + " keeps " + replica.windowChanges() + " changes");
+            checker.reportViolation(name + " keeps " + replica.windowChanges() + " changes");
         }
     }
 
     private void finish(long healedUs) {
         time.run(healedUs + SETTLE_US - 10 * SECOND_US);
-        publishingIsOver = true;
+        publishingHasEnded = true;
         int group = random.nextInt(Proxy.GROUPS);
         publish(
                 token,
@@ -668,31 +673,34 @@
                 false);
         time.run(healedUs + SETTLE_US);
         for (Control each : controls) {
-            judge.judgeEnd(each.name, each.log.position(), each.log.replica().entries());
-            judge.judgePace(
+            checker.checkFinalState(each.name, each.log.position(), each.log.replica().entries());
+            checker.checkSendRate(
                     each.name,
                     CATCH_UP_BYTES_PER_SECOND,
                     BURST_BYTES,
                     shape.regions * shape.sitesPerRegion);
         }
-        for (SiteRelay each : living(relays)) {
-            judge.judgePace(
+        for (SiteRelay each : running(relays)) {
+            checker.checkSendRate(
                     each.name,
                     CATCH_UP_BYTES_PER_SECOND,
                     BURST_BYTES,
                     shape.sitesPerRegion * shape.proxiesPerSite);
         }
         for (Proxy each : proxies) {
-            judge.judgeEnd(
+            checker.checkFinalState(
                     each.name,
                     each.subscriber.replica().position(),
                     each.subscriber.replica().entries());
         }
-        judgeReport(group);
+        checkReport(group);
     }
 
-    /** The control machines together know how many have the last change in force, and who rejects it. */
-    private void judgeReport(int group) {
+    /**
+     * Checks that the control machines together know how many proxies have the last change in force
+     * and which ones reject it.
+     */
+    private void checkReport(int group) {
         List<CoverageReport> reports = new ArrayList<>();
         controls.forEach(each -> reports.add(each.relay.report()));
         CoverageReport all = CoverageReport.merge(reports, settings.limits());
@@ -700,13 +708,13 @@
                 proxies.stream().filter(p -> p.group == group).map(p -> p.name).sorted().toList();
         List<String> named = all.rejections().stream().map(r -> r.name()).toList();
         int names = Math.min(rejecting.size(), settings.limits().reportedRejections());
-        long inForce = all.inForceAt(judge.newest());
+        long inForce = all.inForceAt(checker.newest());
         if (all.proxies() != proxies.size()
                 || inForce != proxies.size() - rejecting.size()
                 || all.rejecting() != rejecting.size()
                 || !named.equals(rejecting.subList(0, names))) {
-            judge.breaks(
-                    "the report says in force at "
+            checker.reportViolation(
+                    "status reports the change in force at "
                             + inForce
                             + " of "
                             + all.proxies()
@@ -714,11 +722,11 @@
                             + all.rejecting()
                             + " "
                             + named
-                            + ", and there are "
+                            + ", but there are "
                             + proxies.size()
-                            + " proxies of which "
+                            + " proxies, of which "
                             + rejecting
-                            + " reject");
+                            + " reject it");
         }
     }
 }
--- a/src/main/java/holdproxy/lab/MembershipSimulation.java
+++ b/src/main/java/holdproxy/lab/MembershipSimulation.java
@@ -14,8 +14,9 @@
 import java.util.TreeSet;
 
 /**
- * A fleet of processes that know of each other by the rules of {@code peers}, in virtual time: faults drawn
- * by a seed in the first half, none in the second, by the end of which all have to be of one mind.
+ * A fleet of processes that track each other with the membership protocol of {@code peers}, in
+ * virtual time. Faults drawn from a seed occur in the first half, none in the second, by the end of
+ * which all must agree on the members.
  */
 final class MembershipSimulation {
     private static final long LEAST_DELAY_US = 200;
@@ -23,22 +24,29 @@
     private static final int MOST_FAULTS = 6;
     private static final double FIRST_FAULT_S = 4;
 
-    /** Wall clocks are about here; a start takes its generation from them. */
+    /**
+     * Base of the simulated wall clocks; a starting process derives its generation from its wall
+     * clock.
+     */
     private static final long WALL_MS = 1_764_000_000_000L;
 
     private static final long HOUR_MS = 3_600_000;
 
-    /** Whom these alone have met may know less than others, and must not hold sound ones for dead. */
+    /**
+     * Processes affected only by these faults may know less than others, but must not consider
+     * healthy ones dead.
+     */
     private static final Set<String> BLINDING =
             Set.of("stopped", "hears nobody", "nobody hears it", "cut off");
 
     /**
-     * How a trial went.
+     * The result of one simulated run.
      *
-     * @param broken rules, by what shows it
-     * @param messages that were sent, by all together
-     * @param foundS how long each sound process took to hold one that was killed for dead, in seconds
-     * @param kinds of faults that were caused
+     * @param broken violated rules, each with the evidence
+     * @param messages total number of messages sent
+     * @param foundS for each healthy process, the time until it considered a killed process dead,
+     *     in seconds
+     * @param kinds kinds of faults that were injected
      */
     record Outcome(List<String> broken, long messages, List<Double> foundS, Set<String> kinds) {}
 
@@ -48,19 +56,19 @@
         final Random random;
         Membership rules;
 
-        /** When its timer rings. */
-        long wakingUs = Long.MAX_VALUE;
+        /** When its timer fires. */
+        long timerUs = Long.MAX_VALUE;
 
         boolean superseded;
 
-        /** What has been done to it or its links. */
-        final Set<String> harms = new TreeSet<>();
+        /** The faults that have affected it or its links. */
+        final Set<String> faultsSuffered = new TreeSet<>();
 
         Process(String name, String address, long wallMs) {
             super(time);
             this.name = name;
             this.address = address;
-            random = new Random(trialRandom.nextLong());
+            random = new Random(faultRandom.nextLong());
             rules =
                     new Membership(
                             Membership.Settings.USUAL,
@@ -72,33 +80,33 @@
                             time.nowUs(),
                             this,
                             safeguards);
-            at.put(address, this);
-            wake();
+            byAddress.put(address, this);
+            setTimer();
         }
 
-        boolean sound() {
-            return harms.isEmpty();
+        boolean healthy() {
+            return faultsSuffered.isEmpty();
         }
 
-        boolean runs() {
-            return !over && !superseded;
+        boolean isRunning() {
+            return !ended && !superseded;
         }
 
-        void wake() {
+        void setTimer() {
             long dueUs = Math.max(rules.dueUs(), time.nowUs());
-            if (dueUs < wakingUs) {
-                wakingUs = dueUs;
+            if (dueUs < timerUs) {
+                timerUs = dueUs;
                 time.after(
                         dueUs - time.nowUs(),
                         () ->
                                 run(
                                         () -> {
-                                            if (dueUs == wakingUs) {
-                                                wakingUs = Long.MAX_VALUE;
+                                            if (dueUs == timerUs) {
+                                                timerUs = Long.MAX_VALUE;
                                                 if (rules.dueUs() <= time.nowUs()) {
                                                     rules.tick(time.nowUs());
                                                 }
-                                                wake();
+                                                setTimer();
                                             }
                                         }));
             }
@@ -107,7 +115,7 @@
         @Override
         public void send(String to, String toAddress, Message message) {
             messages++;
-            Process target = at.get(toAddress);
+            Process target = byAddress.get(toAddress);
             if (target == null
                     || links.cut(address, toAddress)
                     || random.nextDouble() < links.lost(address, toAddress)) {
@@ -125,7 +133,7 @@
                                     () -> {
                                         if (!target.superseded) {
                                             target.rules.received(time.nowUs(), message);
-                                            target.wake();
+                                            target.setTimer();
                                         }
                                     }));
         }
@@ -133,44 +141,44 @@
         @Override
         public void changed(Change change) {
             if (change.now().state() == Member.State.SUSPECT && change.now().by().equals(name)) {
-                suspects(change.now());
+                checkSuspicion(change.now());
             }
-            if (change.now().state() != Member.State.DEAD || over) {
+            if (change.now().state() != Member.State.DEAD || ended) {
                 return;
             }
-            Process subject = at.get(change.now().address());
+            Process subject = byAddress.get(change.now().address());
             if (subject == null) {
                 return;
             }
-            boolean blind = !sound() && BLINDING.containsAll(harms);
-            if (subject.sound()
-                    && subject.runs()
+            boolean blind = !healthy() && BLINDING.containsAll(faultsSuffered);
+            if (subject.healthy()
+                    && subject.isRunning()
                     && subject.rules.self().generation() == change.now().generation()
-                    && (sound() || blind)) {
+                    && (healthy() || blind)) {
                 broken.add(
                         name
                                 + " holds "
                                 + subject.name
-                                + ", which no fault has met, for dead at "
+                                + ", which no fault has affected, for dead at "
                                 + time.nowUs() / 1e6
                                 + " s"
-                                + (sound() ? "" : ", itself met by " + harms));
+                                + (healthy() ? "" : ", itself affected by " + faultsSuffered));
             }
             Long killed = killedUs.get(subject);
-            if (killed != null && sound()) {
+            if (killed != null && healthy()) {
                 foundS.add((time.nowUs() - killed) / 1e6);
             }
         }
 
-        /** Who only stood still has nothing to hold against others. */
-        private void suspects(Member other) {
-            Process subject = at.get(other.address());
-            if (harms.equals(Set.of("stopped")) && subject != null && subject.sound()) {
+        /** A process that was only suspended has no evidence against others. */
+        private void checkSuspicion(Member other) {
+            Process subject = byAddress.get(other.address());
+            if (faultsSuffered.equals(Set.of("stopped")) && subject != null && subject.healthy()) {
                 broken.add(
                         name
-                                + ", which only stood still, suspects "
+                                + ", which was only suspended, suspects "
                                 + subject.name
-                                + ", which no fault has met, at "
+                                + ", which no fault has affected, at "
                                 + time.nowUs() / 1e6
                                 + " s");
             }
@@ -182,11 +190,11 @@
         }
     }
 
-    private final Random trialRandom;
+    private final Random faultRandom;
     private final Set<Membership.Safeguard> safeguards;
     private final List<String> seeds = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
-    private final Map<String, Process> at = new HashMap<>();
+    private final Map<String, Process> byAddress = new HashMap<>();
     private final SimulatedClock time = new SimulatedClock();
     private final SimulatedLinks links = new SimulatedLinks();
     private final Map<Process, Long> killedUs = new HashMap<>();
@@ -196,7 +204,7 @@
     private long messages;
 
     private MembershipSimulation(long seed, Set<Membership.Safeguard> safeguards) {
-        trialRandom = new Random(seed * 0x9e3779b97f4a7c15L);
+        faultRandom = new Random(seed * 0x9e3779b97f4a7c15L);
         this.safeguards = safeguards;
     }
 
@@ -205,22 +213,22 @@
             long seed, int processes, double seconds, Set<Membership.Safeguard> safeguards) {
         MembershipSimulation trial = new MembershipSimulation(seed, safeguards);
         trial.start(processes);
-        for (int i = 1 + trial.trialRandom.nextInt(MOST_FAULTS); i > 0; i--) {
-            double atS = trial.trialRandom.nextDouble(FIRST_FAULT_S, seconds * 0.4);
-            trial.time.after((long) (atS * 1e6), () -> trial.fault(seconds * 0.5));
+        for (int i = 1 + trial.faultRandom.nextInt(MOST_FAULTS); i > 0; i--) {
+            double atS = trial.faultRandom.nextDouble(FIRST_FAULT_S, seconds * 0.4);
+            trial.time.after((long) (atS * 1e6), () -> trial.injectFault(seconds * 0.5));
         }
         trial.time.run((long) (seconds * 1e6));
-        trial.ofOneMind();
+        trial.checkAgreement();
         return trial.outcome();
     }
 
-    /** A simulation in which nothing happens. */
+    /** A simulation without faults. */
     static Outcome quiet(long seed, int processes, double seconds) {
         MembershipSimulation trial =
                 new MembershipSimulation(seed, EnumSet.allOf(Membership.Safeguard.class));
         trial.start(processes);
         trial.time.run((long) (seconds * 1e6));
-        trial.ofOneMind();
+        trial.checkAgreement();
         return trial.outcome();
     }
 
@@ -235,7 +243,7 @@
         for (int i = 0; i < count; i++) {
             int number = i;
             time.after(
-                    trialRandom.nextInt(1_000_000),
+                    faultRandom.nextInt(1_000_000),
                     () ->
                             processes.add(
                                     new Process(
@@ -252,33 +260,37 @@
     // ---- faults ----
 
     private Process any() {
-        List<Process> running = processes.stream().filter(Process::runs).toList();
-        return running.get(trialRandom.nextInt(running.size()));
+        List<Process> running = processes.stream().filter(Process::isRunning).toList();
+        return running.get(faultRandom.nextInt(running.size()));
     }
 
-    private void fault(double endS) {
+    private void injectFault(double endS) {
         long leftUs = (long) (endS * 1e6) - time.nowUs();
-        long forUs = Math.min(leftUs, 200_000 + (long) (trialRandom.nextDouble() * 20e6));
-        if (processes.stream().filter(Process::runs).count() < 2) {
+        long forUs = Math.min(leftUs, 200_000 + (long) (faultRandom.nextDouble() * 20e6));
+        if (processes.stream().filter(Process::isRunning).count() < 2) {
             return;
         }
         Process one = any();
-        switch (trialRandom.nextInt(9)) {
-            case 0 -> kill(one, forUs, trialRandom.nextBoolean(), 0);
+        switch (faultRandom.nextInt(9)) {
+            case 0 -> kill(one, forUs, faultRandom.nextBoolean(), 0);
             case 1 -> kill(one, forUs, true, HOUR_MS); // and its wall clock is set back
             case 2 -> stop(one, forUs);
             case 3 -> cut("hears nobody", one, forUs, false, true);
             case 4 -> cut("nobody hears it", one, forUs, true, false);
             case 5 -> cut("cut off", one, forUs, true, true);
-            case 6 -> meet("lossy", one, forUs, trialRandom.nextDouble(0.1, 0.5), links::lose);
-            case 7 -> meet("slow", one, forUs, trialRandom.nextDouble(1e5, 2e6), links::slow);
-            default -> namesake(one);
+            case 6 ->
+                    injectLinkFault(
+                            "lossy", one, forUs, faultRandom.nextDouble(0.1, 0.5), links::lose);
+            case 7 ->
+                    injectLinkFault(
+                            "slow", one, forUs, faultRandom.nextDouble(1e5, 2e6), links::slow);
+            default -> startDuplicate(one);
         }
     }
 
     private void kill(Process one, long forUs, boolean again, long setBackMs) {
-        one.over = true;
-        harm(
+        one.ended = true;
+        recordFault(
                 one,
                 !again
                         ? "killed"
@@ -293,64 +305,64 @@
                                         one.name,
                                         one.address,
                                         WALL_MS + time.nowUs() / 1000 - setBackMs);
-                        back.harms.add("new");
+                        back.faultsSuffered.add("new");
                         processes.add(back);
                     });
         }
     }
 
     private void stop(Process one, long forUs) {
-        harm(one, "stopped");
-        one.standStill(forUs);
+        recordFault(one, "stopped");
+        one.suspend(forUs);
     }
 
-    private void harm(Process one, String kind) {
+    private void recordFault(Process one, String kind) {
         kinds.add(kind);
-        one.harms.add(kind);
+        one.faultsSuffered.add(kind);
     }
 
     private List<String> addresses() {
-        return List.copyOf(at.keySet());
+        return List.copyOf(byAddress.keySet());
     }
 
     private void cut(String kind, Process one, long forUs, boolean out, boolean in) {
-        harm(one, kind);
+        recordFault(one, kind);
         List<String> all = addresses();
-        links.part(all, List.of(one.address), out, in, 1);
-        time.after(forUs, () -> links.part(all, List.of(one.address), out, in, -1));
+        links.partition(all, List.of(one.address), out, in, 1);
+        time.after(forUs, () -> links.partition(all, List.of(one.address), out, in, -1));
     }
 
-    private interface Harm {
+    private interface LinkFault {
         void both(String one, String other, double by);
     }
 
-    private void meet(String kind, Process one, long forUs, double by, Harm harm) {
-        harm(one, kind);
+    private void injectLinkFault(String kind, Process one, long forUs, double by, LinkFault harm) {
+        recordFault(one, kind);
         List<String> others = addresses().stream().filter(a -> !a.equals(one.address)).toList();
         others.forEach(other -> harm.both(one.address, other, by));
         time.after(forUs, () -> others.forEach(other -> harm.both(one.address, other, -by)));
     }
 
-    /** Operators start its successor elsewhere, and forget to end it. */
-    private void namesake(Process one) {
-        harm(one, "a second one of its name");
+    /** Operators start a successor elsewhere without ending the old process. */
+    private void startDuplicate(Process one) {
+        recordFault(one, "a second one of its name");
         Process other =
                 new Process(
                         one.name,
                         address(100 + processes.size()),
                         Math.max(WALL_MS + time.nowUs() / 1000, one.rules.self().generation() + 1));
-        other.harms.add("new");
+        other.faultsSuffered.add("new");
         processes.add(other);
     }
 
-    /** Everybody that runs holds everybody else that runs for live, and nobody besides. */
-    private void ofOneMind() {
+    /** Every running process must consider exactly the other running processes alive. */
+    private void checkAgreement() {
         Set<String> running = new TreeSet<>();
         processes.stream()
-                .filter(Process::runs)
+                .filter(Process::isRunning)
                 .forEach(p -> running.add(p.name + "@" + p.address));
         for (Process p : processes) {
-            if (!p.runs()) {
+            if (!p.isRunning()) {
                 continue;
             }
             Set<String> seen = new TreeSet<>();
@@ -368,7 +380,7 @@
                                 + missing
                                 + " and holds "
                                 + seen
-                                + " for live");
+                                + " for alive");
             }
         }
     }
--- a/src/test/java/holdproxy/lab/MembershipSimulationTest.java
+++ b/src/test/java/holdproxy/lab/MembershipSimulationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Membership under faults in virtual time, and that each of its rules is needed. */
+/** Tests membership under faults in virtual time, and that each of its rules is needed. */
 class MembershipSimulationTest {
     private static final int SEEDS = 200;
     private static final double SECONDS = 180;
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void fleetsComeToOneMindAndNoFaultBetweenOthersHasSoundProcessesHeldForDead() {
+    void fleetsConvergeAndHealthyProcessesAreNotDeclaredDead() {
         Set<String> kinds = new TreeSet<>();
         int found = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aTrialGoesTheSameWayEachTime() {
+    void runsAreDeterministic() {
         assertEquals(
                 play(5, EnumSet.allOf(Membership.Safeguard.class)),
                 play(5, EnumSet.allOf(Membership.Safeguard.class)));
@@ -52,12 +52,12 @@
         assertTrue(
                 LongStream.rangeClosed(1, SEEDS)
                         .anyMatch(seed -> !play(seed, rest).broken().isEmpty()),
-                "no seed to " + SEEDS + " needs " + without);
+                "no seed up to " + SEEDS + " needs " + without);
     }
 
-    /** The rules' own cost: what each process sends does not grow with the fleet. */
+    /** Protocol overhead: what each process sends does not grow with the fleet. */
     @Test
-    void inPeaceAProcessOfManySendsAsMuchAsOneOfFew() {
+    void messageRatePerProcessIsIndependentOfFleetSize() {
         double few = rate(5);
         double many = rate(100);
         assertTrue(many < few * 1.3, few + " messages a second of 5, " + many + " of 100");
