--- a/src/main/java/holdproxy/Main.java
+++ b/src/main/java/holdproxy/Main.java
@@ -3,10 +3,10 @@
 import holdproxy.daemon.DaemonCommand;
 import holdproxy.input.BadInput;
 import holdproxy.lab.LabCommand;
-import holdproxy.net.Service;
+import holdproxy.net.ProxyService;
 import holdproxy.rig.RigCommand;
 import holdproxy.scale.ScaleCommand;
-import holdproxy.sim.SimHost;
+import holdproxy.sim.SimulatorHost;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
@@ -53,7 +53,7 @@
 
     private static void serve() {
         try {
-            Service.serve(System.getenv());
+            ProxyService.serve(System.getenv());
         } catch (BadInput e) {
             System.err.println("holdproxy: " + e.getMessage());
             System.exit(2);
@@ -63,7 +63,7 @@
     private static void simhost() {
         try {
             FileInputStream in = new FileInputStream(FileDescriptor.in);
-            new SimHost(in, new FileOutputStream(FileDescriptor.out)).run();
+            new SimulatorHost(in, new FileOutputStream(FileDescriptor.out)).run();
         } catch (BadInput | IOException e) {
             System.err.println("holdproxy: " + e.getMessage());
             System.exit(1);
--- a/src/main/java/holdproxy/command/Plot.java
+++ b/src/main/java/holdproxy/command/LineChart.java
@@ -9,7 +9,7 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /** A line chart, written as an image. */
-public final class Plot {
+public final class LineChart {
     private static final int WIDTH = 1000;
     private static final int HEIGHT = 560;
 
@@ -19,7 +19,7 @@
     private final XYSeriesCollection lines = new XYSeriesCollection();
 
     /** Creates an empty chart; the axis names include the units. */
-    public Plot(String title, String xName, String yName) {
+    public LineChart(String title, String xName, String yName) {
         this.title = title;
         this.xName = xName;
         this.yName = yName;
--- a/src/main/java/holdproxy/consensus/RaftGroup.java
+++ b/src/main/java/holdproxy/consensus/RaftGroup.java
@@ -61,13 +61,13 @@
         void send(String name, byte[] frame);
 
         /** This process has become the leader, or has ceased to be. */
-        void leads(boolean now);
+        void leadershipChanged(boolean now);
 
         /** A task of the library has failed; the consensus group continues. */
-        void failed(RuntimeException failure);
+        void taskFailed(RuntimeException failure);
 
         /** This process no longer votes, for the given reason; it still sends proposals. */
-        void out(String why);
+        void stoppedVoting(String why);
     }
 
     private final String name;
@@ -149,7 +149,7 @@
      * Starts the Raft node if this process is one of the voters. With an empty disk it is a new voter, which
      * asks to be admitted in place of the earlier one; with a damaged disk it does not vote.
      */
-    public void begin(Disk disk) {
+    public void start(Disk disk) {
         if (voters.contains(name)) {
             open(disk);
             checkLeader(disk);
@@ -161,7 +161,7 @@
      * leader that is gone if a late message of that leader arrives during the follower's pre-vote.
      */
     private void checkLeader(Disk disk) {
-        if (ended || !votes()) {
+        if (ended || !isVoting()) {
             return;
         }
         boolean follows = node.getTerm().getLeaderEndpoint() != null && !leading;
@@ -205,7 +205,7 @@
             }
         } catch (IOException | BadInput e) {
             node = null;
-            host.out(e.getMessage());
+            host.stoppedVoting(e.getMessage());
         }
     }
 
@@ -213,7 +213,7 @@
     private void diskFailed() {
         failed = true;
         setLeading(false);
-        host.out("writing to the disk failed");
+        host.stoppedVoting("writing to the disk failed");
         host.after(0, () -> node.terminate());
     }
 
@@ -230,7 +230,7 @@
     }
 
     /** Whether this process leads, as far as it knows. */
-    public boolean leads() {
+    public boolean isLeader() {
         return leading;
     }
 
@@ -238,12 +238,12 @@
      * Time since this voter last heard from the leader, in microseconds; 0 if it leads, {@link
      * Long#MAX_VALUE} if it has never heard from one.
      */
-    public long leaderSilentUs() {
+    public long leaderSilenceUs() {
         return leading ? 0 : leaderWatch.silentUs(host.nowUs());
     }
 
     /** Whether it takes part in votes. */
-    public boolean votes() {
+    public boolean isVoting() {
         return node != null && !failed && !RaftNodeStatus.isTerminal(node.getStatus());
     }
 
@@ -255,7 +255,7 @@
     /** The voters, as committed in this process's log; empty if it does not vote. */
     public Set<Voter> votingMembers() {
         Set<Voter> members = new LinkedHashSet<>();
-        if (votes()) {
+        if (isVoting()) {
             node.getCommittedMembers().getVotingMembers().forEach(m -> members.add((Voter) m));
         }
         return members;
@@ -268,7 +268,7 @@
      */
     public CompletableFuture<Void> stepDown() {
         CompletableFuture<Void> completed = new CompletableFuture<>();
-        if (!votes() || !leading) {
+        if (!isVoting() || !leading) {
             completed.complete(null);
             return completed;
         }
@@ -288,10 +288,10 @@
     }
 
     /** Stops voting for the rest of this generation; completes when the node has terminated. */
-    public CompletableFuture<Void> end() {
+    public CompletableFuture<Void> stop() {
         ended = true;
         CompletableFuture<Void> completed = new CompletableFuture<>();
-        if (votes()) {
+        if (isVoting()) {
             node.terminate().whenComplete((done, why) -> completed.complete(null));
         } else {
             completed.complete(null);
@@ -310,7 +310,7 @@
     }
 
     private void replicate(Object operation, ProposalRouter.ResultHandler result) {
-        Object known = stateMachine.atOnce(operation);
+        Object known = stateMachine.answerWithoutReplication(operation);
         if (known != null) {
             host.after(0, () -> result.completed(known, null));
             return;
@@ -341,7 +341,7 @@
 
     private void handleRaftMessage(String to, Object message) {
         // a message to an earlier disk: its votes and promises are not known here
-        if (votes() && self.toString().equals(to)) {
+        if (isVoting() && self.toString().equals(to)) {
             RaftMessage read = RaftCodec.message(message, GROUP);
             // only these two show that the sender leads: a former leader also sends vote requests
             boolean leads =
@@ -378,7 +378,7 @@
     // ---- members ----
 
     private void askToBeAdmitted() {
-        if (ended || !votes() || node.getCommittedMembers().getVotingMembers().contains(self)) {
+        if (ended || !isVoting() || node.getCommittedMembers().getVotingMembers().contains(self)) {
             return;
         }
         for (String voter : others) {
@@ -396,7 +396,7 @@
     private void nodeTerminated(StateMachineAdapter of) {
         if (!ended && !failed && adapter == of) {
             setLeading(false);
-            host.out("another voter was admitted in its place");
+            host.stoppedVoting("another voter was admitted in its place");
         }
     }
 
@@ -454,7 +454,7 @@
         if (leading != now) {
             leading = now;
             leaderWatch.heard(host.nowUs());
-            host.leads(now);
+            host.leadershipChanged(now);
         }
     }
 }
--- a/src/main/java/holdproxy/consensus/ScaledClock.java
+++ b/src/main/java/holdproxy/consensus/ScaledClock.java
@@ -57,7 +57,7 @@
             try {
                 task.run();
             } catch (RuntimeException e) {
-                host.failed(e);
+                host.taskFailed(e);
             }
         };
     }
--- a/src/main/java/holdproxy/consensus/StateMachine.java
+++ b/src/main/java/holdproxy/consensus/StateMachine.java
@@ -15,7 +15,7 @@
      * Called in the leader: returns an answer without replication if the operation would change nothing and
      * the proposer tolerates a stale answer; null if the operation has to be replicated.
      */
-    Object atOnce(Object operation);
+    Object answerWithoutReplication(Object operation);
 
     /** Resets to the empty state, before the log is replayed. */
     void clear();
--- a/src/main/java/holdproxy/console/Console.java
+++ b/src/main/java/holdproxy/console/Console.java
@@ -43,7 +43,7 @@
     private static final int BACKLOG = 64;
 
     private final EventLoop loop;
-    private final Operations operations;
+    private final ConsoleOperations operations;
     private final Consumer<String> log;
 
     /** Connections whose command is incomplete, oldest first. */
@@ -53,7 +53,7 @@
     private boolean bindFailureLogged;
 
     /** {@code log} receives log lines, on the loop's thread. */
-    public Console(EventLoop loop, Operations operations, Consumer<String> log) {
+    public Console(EventLoop loop, ConsoleOperations operations, Consumer<String> log) {
         this.loop = loop;
         this.operations = operations;
         this.log = log;
@@ -154,7 +154,7 @@
                     return;
                 }
                 markReceived(ctx);
-                operations.leaveOut(
+                operations.setNodeExcluded(
                         words[1],
                         leaveOut,
                         why ->
@@ -175,7 +175,9 @@
             } else if (words.length != 1) {
                 answer(ctx, "ERR " + words[0] + " takes no argument");
             } else if (words[0].equals("check")) {
-                answer(ctx, operations.takesClients() ? "OK" : "ERR this process takes no clients");
+                answer(
+                        ctx,
+                        operations.acceptsClients() ? "OK" : "ERR this process takes no clients");
             } else {
                 answer(ctx, operations.figures().text() + "END");
             }
--- a/src/main/java/holdproxy/console/Operations.java
+++ b/src/main/java/holdproxy/console/ConsoleOperations.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 
 /** The proxy's side of console commands. Called on the console's thread; must not block. */
-public interface Operations {
+public interface ConsoleOperations {
     /** Whether this process currently accepts clients. */
-    boolean takesClients();
+    boolean acceptsClients();
 
     /** The figures that {@code vars} reports. */
     Figures figures();
@@ -14,5 +14,5 @@
      * Takes a cache node out of use, or uses it again. {@code answer} is called once, on any thread, with
      * null when the change is effective or with the reason why it failed.
      */
-    void leaveOut(String node, boolean out, Consumer<String> answer);
+    void setNodeExcluded(String node, boolean out, Consumer<String> answer);
 }
--- a/src/main/java/holdproxy/console/Figures.java
+++ b/src/main/java/holdproxy/console/Figures.java
@@ -67,12 +67,12 @@
     private final Map<String, Outcomes> outcomes = new ConcurrentSkipListMap<>();
 
     /** The outcomes of one class of requests. */
-    public Outcomes of(String requestClass) {
+    public Outcomes forClass(String requestClass) {
         return outcomes.computeIfAbsent(requestClass, name -> new Outcomes());
     }
 
     /** Sets the version of the published settings that is in force, and its age in seconds. */
-    public void published(long epoch, long number, long ageS) {
+    public void setPublished(long epoch, long number, long ageS) {
         publishedVersion = new Published(epoch, number, ageS);
     }
 
--- a/src/main/java/holdproxy/daemon/ConsensusPart.java
+++ b/src/main/java/holdproxy/daemon/ConsensusPart.java
@@ -71,10 +71,11 @@
     static ConsensusPart start(DaemonFile file, long generation, MembershipService membership) {
         ConsensusPart part = new ConsensusPart(file, generation, membership);
         membership.receive(
-                MembershipService.CONSENSUS, frame -> part.loop.execute(() -> part.onFrame(frame)));
+                MembershipService.CONSENSUS_FRAME_KIND,
+                frame -> part.loop.execute(() -> part.onFrame(frame)));
         part.runOnLoop(
                 () -> {
-                    part.group.begin(new FileDisk(diskPath(file)));
+                    part.group.start(new FileDisk(diskPath(file)));
                     part.leases.want(PLANNER_ROLE, PLANNER_LEASE_MS);
                     for (DaemonFile.Drill drill : file.drills()) {
                         part.leases.want(drill.role(), drill.leaseMs());
@@ -119,7 +120,7 @@
 
     /** See {@link RaftGroup#leaderSilentUs}. */
     long leaderSilentUs() {
-        return group.leaderSilentUs();
+        return group.leaderSilenceUs();
     }
 
     /**
@@ -143,7 +144,7 @@
             } else if (frame.length > 1 + Long.BYTES && frame[0] == FREE) {
                 ByteBuffer notice = ByteBuffer.wrap(payload);
                 long token = notice.getLong();
-                leases.notifiedFree(StandardCharsets.UTF_8.decode(notice).toString(), token);
+                leases.roleFreed(StandardCharsets.UTF_8.decode(notice).toString(), token);
             }
         } catch (BadInput e) {
             EventLog.line("cannot decode a consensus frame: " + e.getMessage());
@@ -165,7 +166,7 @@
                                                                                 null))));
         await(handedOver, HAND_OVER_TIMEOUT_MS, "timed out while handing over leases");
         CompletableFuture<Void> stopped = new CompletableFuture<>();
-        loop.execute(() -> group.end().whenComplete((done, failed) -> stopped.complete(null)));
+        loop.execute(() -> group.stop().whenComplete((done, failed) -> stopped.complete(null)));
         await(stopped, STOP_TIMEOUT_MS, "timed out while stopping the consensus group member");
     }
 
@@ -200,35 +201,35 @@
         public void send(String to, byte[] frame) {
             membership.send(
                     to,
-                    MembershipService.CONSENSUS,
+                    MembershipService.CONSENSUS_FRAME_KIND,
                     ByteBuffer.allocate(1 + frame.length).put(RAFT_FRAME).put(frame).array());
         }
 
         @Override
-        public void leads(boolean now) {
+        public void leadershipChanged(boolean now) {
             EventLog.event(now ? "leads" : "leads no longer", "name", name);
         }
 
         @Override
-        public void failed(RuntimeException failure) {
+        public void taskFailed(RuntimeException failure) {
             EventLog.line("a task of the consensus group failed: " + failure);
         }
 
         @Override
-        public void out(String why) {
+        public void stoppedVoting(String why) {
             EventLog.event("out of the vote", "name", name, "why", why);
         }
 
         @Override
-        public void notifyFree(String to, String role, long token) {
+        public void notifyRoleFree(String to, String role, long token) {
             if (to.equals(name)) {
-                loop.execute(() -> leases.notifiedFree(role, token));
+                loop.execute(() -> leases.roleFreed(role, token));
                 return;
             }
             byte[] text = role.getBytes(StandardCharsets.UTF_8);
             membership.send(
                     to,
-                    MembershipService.CONSENSUS,
+                    MembershipService.CONSENSUS_FRAME_KIND,
                     ByteBuffer.allocate(1 + Long.BYTES + text.length)
                             .put(FREE)
                             .putLong(token)
--- a/src/main/java/holdproxy/daemon/ControlMachine.java
+++ b/src/main/java/holdproxy/daemon/ControlMachine.java
@@ -133,7 +133,7 @@
 
     @Override
     public CompletableFuture<Object> publish(AdminApi.PublishRequest request) {
-        LeaseClient.Act act = consensus.leases().begin(ReplicatedState.PUBLISHER_ROLE);
+        LeaseClient.GuardedAction act = consensus.leases().begin(ReplicatedState.PUBLISHER_ROLE);
         if (act == null) {
             return CompletableFuture.completedFuture(
                     new AdminApi.Failure(name + " is not the publisher, " + publisher(), true));
@@ -155,7 +155,7 @@
                             act.close();
                             return failed != null
                                     ? new AdminApi.Failure(failed.getMessage(), true)
-                                    : response(ChangeLogOperations.result(answer));
+                                    : response(ChangeLogOperations.decodeResult(answer));
                         });
     }
 
--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -1,12 +1,12 @@
 package holdproxy.daemon;
 
 import holdproxy.input.BadInput;
-import holdproxy.membership.Change;
 import holdproxy.membership.Member;
+import holdproxy.membership.MemberChange;
 import holdproxy.membership.MembershipService;
 import holdproxy.net.Config;
 import holdproxy.net.ConfigSource;
-import holdproxy.net.Service;
+import holdproxy.net.ProxyService;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -71,8 +71,8 @@
         }
         Map<String, String> serviceEnv = new HashMap<>(env);
         serviceEnv.put(KEPT_FILES_VARIABLE, current.folder().toString());
-        Service service =
-                Service.run(
+        ProxyService service =
+                ProxyService.run(
                         current.proxy(),
                         new ConfigSource(configFile, config -> reload()),
                         serviceEnv,
@@ -104,9 +104,9 @@
         return config;
     }
 
-    private Optional<String> apply(Service service, Map<String, byte[]> settings) {
+    private Optional<String> apply(ProxyService service, Map<String, byte[]> settings) {
         return Optional.ofNullable(
-                service.take(
+                service.applyConfig(
                         () -> {
                             Config config = current.withPublished(settings);
                             publishedSettings = settings;
@@ -115,7 +115,7 @@
     }
 
     /** On SIGTERM: answers the accepted requests, then exits. */
-    private void stop(Service service) {
+    private void stop(ProxyService service) {
         EventLog.event("ending", "name", current.name());
         // Hand over in parallel with the drain, so that others take over leases at once.
         Thread handOverThread = new Thread(this::handOver, "hand-over");
@@ -145,7 +145,7 @@
     /** Logs membership changes as events. */
     private static final class MembershipEvents implements MembershipService.Listener {
         @Override
-        public void changed(Change change) {
+        public void changed(MemberChange change) {
             EventLog.event(
                     "member",
                     "member",
@@ -173,7 +173,7 @@
         }
 
         @Override
-        public void line(String text) {
+        public void logLine(String text) {
             EventLog.line(text);
         }
     }
--- a/src/main/java/holdproxy/daemon/DaemonFile.java
+++ b/src/main/java/holdproxy/daemon/DaemonFile.java
@@ -3,7 +3,7 @@
 import holdproxy.input.BadInput;
 import holdproxy.membership.MembershipService;
 import holdproxy.net.Config;
-import holdproxy.toml.TomlPart;
+import holdproxy.toml.TomlSection;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -38,7 +38,7 @@
         InetSocketAddress listen,
         InetSocketAddress console,
         Config proxy,
-        MembershipService.Place membership,
+        MembershipService.Endpoint membership,
         List<String> voters,
         DistributionSettings distribution,
         InetSocketAddress discovery,
@@ -81,43 +81,47 @@
             throw new BadInput(
                     "the file " + file + " cannot be read: " + e.getClass().getSimpleName());
         }
-        TomlPart top = TomlPart.parse(file.toString(), "the file", text);
-        String name = top.read("name", DaemonFile::name);
-        InetSocketAddress listen = top.read("listen", t -> Config.address(t, "listen"));
-        InetSocketAddress discovery = top.read("discovery", t -> Config.address(t, "discovery"));
+        TomlSection top = TomlSection.parse(file.toString(), "the file", text);
+        String name = top.requiredString("name", DaemonFile::name);
+        InetSocketAddress listen = top.requiredString("listen", t -> Config.address(t, "listen"));
+        InetSocketAddress discovery =
+                top.requiredString("discovery", t -> Config.address(t, "discovery"));
         InetSocketAddress console =
-                top.at("console") == null
+                top.positionOf("console") == null
                         ? null
-                        : top.read("console", t -> Config.address(t, "console"));
-        Path folder = top.read("folder", DaemonFile::folder);
-        int sockets = top.whole("sockets", DEFAULT_SOCKETS, MIN_SOCKETS, MAX_SOCKETS);
+                        : top.requiredString("console", t -> Config.address(t, "console"));
+        Path folder = top.requiredString("folder", DaemonFile::folder);
+        int sockets = top.integer("sockets", DEFAULT_SOCKETS, MIN_SOCKETS, MAX_SOCKETS);
         Map<String, Object> settings = top.map("settings");
         String membershipKey = top.currentOrFormer("membership", "peers");
         String consensusKey = top.currentOrFormer("consensus", "council");
-        MembershipService.Place membership =
-                top.at(membershipKey) == null ? null : membership(name, top.part(membershipKey));
+        MembershipService.Endpoint membership =
+                top.positionOf(membershipKey) == null
+                        ? null
+                        : membership(name, top.section(membershipKey));
         List<String> voters = voters(top, consensusKey);
         DistributionSettings distribution =
-                top.at(DistributionSettings.SECTION) == null
+                top.positionOf(DistributionSettings.SECTION) == null
                         ? null
                         : DistributionSettings.read(
-                                name, voters, top.part(DistributionSettings.SECTION));
+                                name, voters, top.section(DistributionSettings.SECTION));
         List<Drill> drills = new ArrayList<>();
-        for (TomlPart each : top.parts("drill")) {
+        for (TomlSection each : top.sections("drill")) {
             drills.add(
                     new Drill(
-                            each.read(each.currentOrFormer("role", "duty"), DaemonFile::name),
-                            each.whole("lease_ms", 3_000, MIN_LEASE_MS, MAX_LEASE_MS),
-                            each.whole("every_ms", 50, 1, MAX_LEASE_MS),
-                            each.read("resource", t -> Config.address(t, "resource"))));
-            each.done();
+                            each.requiredString(
+                                    each.currentOrFormer("role", "duty"), DaemonFile::name),
+                            each.integer("lease_ms", 3_000, MIN_LEASE_MS, MAX_LEASE_MS),
+                            each.integer("every_ms", 50, 1, MAX_LEASE_MS),
+                            each.requiredString("resource", t -> Config.address(t, "resource"))));
+            each.rejectUnknownKeys();
         }
-        top.done();
+        top.rejectUnknownKeys();
         if (membership == null && !voters.isEmpty()) {
-            throw top.bad(top.at(consensusKey), "consensus needs [membership]");
+            throw top.error(top.positionOf(consensusKey), "consensus needs [membership]");
         }
         if (voters.isEmpty() && !drills.isEmpty()) {
-            throw top.bad(top.at("drill"), "a drill needs [consensus]");
+            throw top.error(top.positionOf("drill"), "a drill needs [consensus]");
         }
         Map<String, Object> json = new HashMap<>();
         json.put("seed", Long.toHexString(seed));
@@ -154,8 +158,8 @@
                     json,
                     drills);
         } catch (BadInput e) {
-            throw top.bad(
-                    top.atPath("settings" + (e.path() == null ? "" : "." + e.path())),
+            throw top.error(
+                    top.positionOfPath("settings" + (e.path() == null ? "" : "." + e.path())),
                     e.getMessage());
         }
     }
@@ -186,41 +190,45 @@
         }
     }
 
-    private static List<String> voters(TomlPart top, String key) {
-        if (top.at(key) == null) {
+    private static List<String> voters(TomlSection top, String key) {
+        if (top.positionOf(key) == null) {
             return List.of();
         }
-        TomlPart part = top.part(key);
-        List<String> voters = part.texts("voters", DaemonFile::name);
-        part.done();
+        TomlSection part = top.section(key);
+        List<String> voters = part.strings("voters", DaemonFile::name);
+        part.rejectUnknownKeys();
         if (voters.size() != 3 && voters.size() != 5
                 || voters.stream().distinct().count() != voters.size()) {
-            throw top.bad(
-                    top.atPath(key + ".voters"),
+            throw top.error(
+                    top.positionOfPath(key + ".voters"),
                     "voters are not three or five processes: " + voters);
         }
         return voters;
     }
 
-    private static MembershipService.Place membership(String name, TomlPart part) {
-        InetSocketAddress listen = part.read("listen", t -> Config.address(t, "listen"));
+    private static MembershipService.Endpoint membership(String name, TomlSection part) {
+        InetSocketAddress listen = part.requiredString("listen", t -> Config.address(t, "listen"));
         String address =
-                part.text("address", listen.getAddress().getHostAddress() + ":" + listen.getPort());
-        List<String> seeds = part.texts("seeds", t -> Config.address(t, "a seed"));
+                part.string(
+                        "address", listen.getAddress().getHostAddress() + ":" + listen.getPort());
+        List<String> seeds = part.strings("seeds", t -> Config.address(t, "a seed"));
         Map<String, InetSocketAddress> routes = new HashMap<>();
-        TomlPart routesTable = part.part("routes");
+        TomlSection routesTable = part.section("routes");
         for (String to : routesTable.keys()) {
-            routes.put(to, routesTable.read(to, t -> Config.address(t, "the route to " + to)));
+            routes.put(
+                    to,
+                    routesTable.requiredString(to, t -> Config.address(t, "the route to " + to)));
         }
-        routesTable.done();
-        part.done();
-        return new MembershipService.Place(name, address, listen, seeds, routes);
+        routesTable.rejectUnknownKeys();
+        part.rejectUnknownKeys();
+        return new MembershipService.Endpoint(name, address, listen, seeds, routes);
     }
 
-    private static void requireUnchanged(TomlPart top, String key, Object before, Object now) {
+    private static void requireUnchanged(TomlSection top, String key, Object before, Object now) {
         if (!Objects.equals(before, now)) {
-            throw top.bad(
-                    top.at(key), key + " cannot change while the process runs: it was " + before);
+            throw top.error(
+                    top.positionOf(key),
+                    key + " cannot change while the process runs: it was " + before);
         }
     }
 
--- a/src/main/java/holdproxy/daemon/DistributionSettings.java
+++ b/src/main/java/holdproxy/daemon/DistributionSettings.java
@@ -2,7 +2,7 @@
 
 import holdproxy.input.BadInput;
 import holdproxy.net.Config;
-import holdproxy.toml.TomlPart;
+import holdproxy.toml.TomlSection;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -65,51 +65,54 @@
     }
 
     /** Reads the {@code [distribution]} section of the process {@code name}. */
-    static DistributionSettings read(String name, List<String> voters, TomlPart section) {
-        Role role = Role.valueOf(section.word("role", Role.TOML_NAMES).toUpperCase(Locale.ROOT));
-        String site = section.read("site", DaemonFile::name);
+    static DistributionSettings read(String name, List<String> voters, TomlSection section) {
+        Role role =
+                Role.valueOf(
+                        section.requiredChoice("role", Role.TOML_NAMES).toUpperCase(Locale.ROOT));
+        String site = section.requiredString("site", DaemonFile::name);
         InetSocketAddress listen = address(section, "listen", role.serves());
         InetSocketAddress admin = address(section, "admin", role == Role.CONTROL);
         List<InetSocketAddress> upstream = addresses(section, "upstream", MAX_UPSTREAM);
         List<InetSocketAddress> fallback = addresses(section, "fallback", MAX_UPSTREAM);
         List<InetSocketAddress> admins = addresses(section, "admins", MAX_ADMINS);
-        int leaseMs = section.whole("lease_ms", DEFAULT_LEASE_MS, MIN_LEASE_MS, MAX_LEASE_MS);
-        section.done();
+        int leaseMs = section.integer("lease_ms", DEFAULT_LEASE_MS, MIN_LEASE_MS, MAX_LEASE_MS);
+        section.rejectUnknownKeys();
         if (role == Role.CONTROL && !voters.contains(name)) {
-            throw section.bad(
-                    section.at("role"),
+            throw section.error(
+                    section.positionOf("role"),
                     "a control machine is one of the voters, which " + name + " is not");
         }
         if (role == Role.CONTROL && !(upstream.isEmpty() && fallback.isEmpty())) {
-            throw section.bad(
-                    section.at("upstream"),
+            throw section.error(
+                    section.positionOf("upstream"),
                     "a control machine subscribes nowhere: it has no upstream");
         }
         if (role != Role.CONTROL && upstream.isEmpty()) {
-            throw section.bad(
-                    section.at("upstream"),
+            throw section.error(
+                    section.positionOf("upstream"),
                     "a " + role.tomlName() + " needs at least one address in upstream");
         }
         return new DistributionSettings(
                 role, site, listen, upstream, fallback, admin, admins, leaseMs);
     }
 
-    private static InetSocketAddress address(TomlPart section, String key, boolean required) {
+    private static InetSocketAddress address(TomlSection section, String key, boolean required) {
         if (required) {
-            return section.read(key, text -> Config.address(text, key));
+            return section.requiredString(key, text -> Config.address(text, key));
         }
-        if (!section.text(key, "").isEmpty()) {
-            throw section.bad(section.at(key), key + " has no use in a process of this role");
+        if (!section.string(key, "").isEmpty()) {
+            throw section.error(
+                    section.positionOf(key), key + " has no use in a process of this role");
         }
         return null;
     }
 
-    private static List<InetSocketAddress> addresses(TomlPart section, String key, int max) {
+    private static List<InetSocketAddress> addresses(TomlSection section, String key, int max) {
         List<InetSocketAddress> addresses = new ArrayList<>();
-        section.texts(key, text -> addresses.add(Config.address(text, "an address in " + key)));
+        section.strings(key, text -> addresses.add(Config.address(text, "an address in " + key)));
         if (addresses.size() > max) {
-            throw section.bad(
-                    section.at(key),
+            throw section.error(
+                    section.positionOf(key),
                     key + " has more than " + max + " addresses: " + addresses.size());
         }
         return addresses;
--- a/src/main/java/holdproxy/daemon/FreshnessReporter.java
+++ b/src/main/java/holdproxy/daemon/FreshnessReporter.java
@@ -32,7 +32,7 @@
     void update(Position inForce, long ageUs) {
         boolean known = ageUs != Relay.Source.UNKNOWN_AGE_US;
         long unconfirmedUs = known ? ageUs : nowUs.getAsLong() - startUs;
-        figures.published(inForce.epoch(), inForce.number(), known ? ageUs / US_PER_S : -1);
+        figures.setPublished(inForce.epoch(), inForce.number(), known ? ageUs / US_PER_S : -1);
         boolean nowStale = unconfirmedUs >= STALE_AFTER_US;
         if (nowStale != stale) {
             stale = nowStale;
--- a/src/main/java/holdproxy/daemon/LeaseExercise.java
+++ b/src/main/java/holdproxy/daemon/LeaseExercise.java
@@ -49,7 +49,7 @@
         if (!channel.isWritable()) {
             return;
         }
-        LeaseClient.Act act = leases.begin(drill.role());
+        LeaseClient.GuardedAction act = leases.begin(drill.role());
         channel.writeAndFlush(
                         Unpooled.copiedBuffer(
                                 drill.role() + " " + act.token() + "\n", StandardCharsets.US_ASCII))
--- a/src/main/java/holdproxy/daemon/PublishedSettings.java
+++ b/src/main/java/holdproxy/daemon/PublishedSettings.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import holdproxy.input.BadInput;
-import holdproxy.toml.TomlPart;
+import holdproxy.toml.TomlSection;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
@@ -91,18 +91,19 @@
             throw new BadInput(
                     "the file " + file + " cannot be read: " + e.getClass().getSimpleName());
         }
-        TomlPart top = TomlPart.parse(file.toString(), "the change", text);
+        TomlSection top = TomlSection.parse(file.toString(), "the change", text);
         Map<String, byte[]> change = new LinkedHashMap<>();
         top.map("settings").forEach((section, value) -> change.put(PREFIX + section, json(value)));
-        for (String section : top.texts("remove", DaemonFile::name)) {
+        for (String section : top.strings("remove", DaemonFile::name)) {
             if (change.containsKey(PREFIX + section)) {
-                throw top.bad(top.at("remove"), section + " cannot be both set and removed");
+                throw top.error(
+                        top.positionOf("remove"), section + " cannot be both set and removed");
             }
             change.put(PREFIX + section, null);
         }
-        top.done();
+        top.rejectUnknownKeys();
         if (change.isEmpty()) {
-            throw top.bad(
+            throw top.error(
                     null,
                     "there is nothing to publish: no section below [settings], and no remove");
         }
--- a/src/main/java/holdproxy/daemon/RelayRole.java
+++ b/src/main/java/holdproxy/daemon/RelayRole.java
@@ -45,7 +45,7 @@
     /** To be called when the source has changed. */
     void advanced() {
         if (server != null) {
-            server.advanced();
+            server.sourceChanged();
         }
     }
 
--- a/src/main/java/holdproxy/daemon/ReplicatedState.java
+++ b/src/main/java/holdproxy/daemon/ReplicatedState.java
@@ -57,7 +57,7 @@
      * The operation that gives an empty log its epoch; {@link ChangeLogOperations#result} decodes its answer.
      */
     static List<Object> found(long epoch) {
-        return List.of(CHANGES_MARK, ChangeLogOperations.found(epoch));
+        return List.of(CHANGES_MARK, ChangeLogOperations.initialize(epoch));
     }
 
     private static boolean isMarked(Object value) {
@@ -79,8 +79,8 @@
     }
 
     @Override
-    public Object atOnce(Object operation) {
-        return isMarked(operation) ? null : leases.atOnce(operation);
+    public Object answerWithoutReplication(Object operation) {
+        return isMarked(operation) ? null : leases.answerWithoutReplication(operation);
     }
 
     @Override
--- a/src/main/java/holdproxy/daemon/SubscribedProcess.java
+++ b/src/main/java/holdproxy/daemon/SubscribedProcess.java
@@ -60,7 +60,8 @@
         SubscribedProcess process = new SubscribedProcess(name, settings, own);
         process.loop.execute(
                 () -> {
-                    process.upstream.candidates(DistributionTransport.candidates(name, settings));
+                    process.upstream.setCandidates(
+                            DistributionTransport.candidates(name, settings));
                     process.loop.scheduleAtFixedRate(
                             () -> process.updateFreshness(freshness),
                             FreshnessReporter.UPDATE_INTERVAL_MS,
--- a/src/main/java/holdproxy/fanout/ChangeLog.java
+++ b/src/main/java/holdproxy/fanout/ChangeLog.java
@@ -60,7 +60,7 @@
      *
      * @return the position afterwards
      */
-    public Position found(long epoch) {
+    public Position initialize(long epoch) {
         if (epoch < 1) {
             throw new IllegalArgumentException("an epoch must be at least 1: " + epoch);
         }
@@ -126,7 +126,7 @@
 
     private void rememberPublication(String id, Position position) {
         publications.put(id, position);
-        if (publications.size() > limits.publications()) {
+        if (publications.size() > limits.rememberedPublications()) {
             publications.remove(publications.keySet().iterator().next());
         }
     }
--- a/src/main/java/holdproxy/fanout/ChangeLogOperations.java
+++ b/src/main/java/holdproxy/fanout/ChangeLogOperations.java
@@ -19,7 +19,7 @@
     private ChangeLogOperations() {}
 
     /** The operation {@link ChangeLog#found}. */
-    public static List<Object> found(long epoch) {
+    public static List<Object> initialize(long epoch) {
         return List.of(FOUND, epoch);
     }
 
@@ -50,7 +50,7 @@
     private static AppendResult dispatch(ChangeLog log, List<?> operation) {
         String name = PlainValues.text(operation.get(0));
         return switch (name) {
-            case FOUND -> new Appended(log.found(PlainValues.number(operation.get(1))), false);
+            case FOUND -> new Appended(log.initialize(PlainValues.number(operation.get(1))), false);
             case APPEND ->
                     log.append(
                             new Publication(
@@ -75,7 +75,7 @@
     }
 
     /** Decodes the result of {@link #apply}. */
-    public static AppendResult result(Object encoded) {
+    public static AppendResult decodeResult(Object encoded) {
         List<?> fields = PlainValues.list(encoded);
         return switch (PlainValues.text(fields.get(0))) {
             case APPENDED ->
--- a/src/main/java/holdproxy/fanout/CoverageReport.java
+++ b/src/main/java/holdproxy/fanout/CoverageReport.java
@@ -79,7 +79,7 @@
     }
 
     /** How many proxies have this position or a later one in force. */
-    public long inForceAt(Position position) {
+    public long countInForceAtOrAfter(Position position) {
         long total = 0;
         for (PositionCount count : inForce) {
             if (!position.isAfter(count.position)) {
--- a/src/main/java/holdproxy/fanout/FanoutSettings.java
+++ b/src/main/java/holdproxy/fanout/FanoutSettings.java
@@ -116,7 +116,7 @@
      * @param stateBytes total size of the keys and values of a state
      * @param windowChanges number of recent changes kept for subscribers that are behind
      * @param windowBytes total size of these changes
-     * @param publications number of publication identifiers remembered to detect repeated publications
+     * @param rememberedPublications number of publication identifiers kept to detect repeated publications
      * @param nameBytes size of a process name or a publication identifier, in UTF-8
      * @param reasonCharacters length of a rejection reason; longer ones are truncated
      * @param reportedPositions number of positions in a coverage report
@@ -132,7 +132,7 @@
             int stateBytes,
             int windowChanges,
             int windowBytes,
-            int publications,
+            int rememberedPublications,
             int nameBytes,
             int reasonCharacters,
             int reportedPositions,
@@ -149,7 +149,7 @@
                     stateBytes,
                     windowChanges,
                     windowBytes,
-                    publications,
+                    rememberedPublications,
                     nameBytes,
                     reasonCharacters,
                     reportedPositions,
@@ -168,7 +168,7 @@
                     stateBytes,
                     changes,
                     bytes,
-                    publications,
+                    rememberedPublications,
                     nameBytes,
                     reasonCharacters,
                     reportedPositions,
@@ -180,7 +180,7 @@
     /**
      * How a relay serves its subscribers.
      *
-     * @param subscribers maximum number of subscribers; further ones are refused
+     * @param maxSubscribers maximum number of subscribers; further ones are refused
      * @param creditBytes maximum unacknowledged bytes for each subscriber; also the size of snapshot parts
      * @param catchUpBytesPerSecond rate shared by all subscribers that catch up, by changes or snapshots
      * @param catchUpBurstBytes catch-up bytes that may be sent at once after a pause
@@ -192,7 +192,7 @@
      * @param stallThresholdUs a timer that fires later than this shows that the relay's own process stalled
      */
     public record RelaySettings(
-            int subscribers,
+            int maxSubscribers,
             int creditBytes,
             long catchUpBytesPerSecond,
             int catchUpBurstBytes,
@@ -205,7 +205,7 @@
         public RelaySettings {
             requirePositive(
                     "a relay's settings",
-                    subscribers,
+                    maxSubscribers,
                     creditBytes,
                     catchUpBytesPerSecond,
                     catchUpBurstBytes,
--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -128,7 +128,7 @@
     }
 
     /** The source's replica has changed. */
-    public void advanced(long nowUs) {
+    public void sourceChanged(long nowUs) {
         for (Subscription each : List.copyOf(subscriptions.values())) {
             if (each.live) {
                 sendLive(nowUs, each);
@@ -138,7 +138,7 @@
     }
 
     /** Latest time for the next {@link #tick}; may change with every call. */
-    public long dueUs() {
+    public long nextTickUs() {
         return Math.min(heartbeatDueUs, catchUpDueUs);
     }
 
@@ -234,7 +234,7 @@
         if (previous != null) {
             drop(previous.link, name + " has subscribed on another link");
         }
-        if (subscriptions.size() >= relaySettings.subscribers()) {
+        if (subscriptions.size() >= relaySettings.maxSubscribers()) {
             refuse(
                     link,
                     Refuse.Reason.FULL,
--- a/src/main/java/holdproxy/fanout/Subscriber.java
+++ b/src/main/java/holdproxy/fanout/Subscriber.java
@@ -189,7 +189,7 @@
     // ---- events ----
 
     /** Sets the candidates, best first ({@link RendezvousOrder}); the first call starts the subscriber. */
-    public void candidates(long nowUs, List<RelayCandidate> ordered) {
+    public void setCandidates(long nowUs, List<RelayCandidate> ordered) {
         detectStall(nowUs);
         candidates.replace(ordered);
         if (phase == Phase.IDLE) {
@@ -263,7 +263,7 @@
     }
 
     /** Latest time for the next {@link #tick}; may change with every call. */
-    public long dueUs() {
+    public long nextTickUs() {
         return switch (phase) {
             case IDLE -> NEVER;
             case PAUSING, CONNECTING -> deadlineUs;
@@ -428,7 +428,7 @@
      * relay's deadlines, since its messages may have been queued meanwhile.
      */
     private void detectStall(long nowUs) {
-        long dueUs = dueUs();
+        long dueUs = nextTickUs();
         if (dueUs != NEVER
                 && nowUs - Math.max(dueUs, lastEventUs) > settings.relay().stallThresholdUs()) {
             ignoreFreshnessUntilUs = nowUs + settings.relay().heartbeatIntervalUs() / 2;
--- a/src/main/java/holdproxy/fanout/transport/RelayServer.java
+++ b/src/main/java/holdproxy/fanout/transport/RelayServer.java
@@ -91,8 +91,8 @@
     }
 
     /** Call after the source's replica has changed. */
-    public void advanced() {
-        relay.advanced(context.now());
+    public void sourceChanged() {
+        relay.sourceChanged(context.now());
         rescheduleTimer();
     }
 
@@ -115,12 +115,13 @@
     }
 
     private void rescheduleTimer() {
-        timer.scheduleAt(relay.dueUs());
+        timer.scheduleAt(relay.nextTickUs());
     }
 
     private void accept(SocketChannel channel) {
         if (closed
-                || links.size() >= context.settings().relay().subscribers() + SPARE_CONNECTIONS) {
+                || links.size()
+                        >= context.settings().relay().maxSubscribers() + SPARE_CONNECTIONS) {
             context.counters().connectionsRefused.increment();
             channel.close();
             return;
--- a/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
+++ b/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
@@ -61,8 +61,8 @@
     }
 
     /** Sets the candidates, best first; the first call starts the client. */
-    public void candidates(List<RelayCandidate> ordered) {
-        subscriber.candidates(context.now(), ordered);
+    public void setCandidates(List<RelayCandidate> ordered) {
+        subscriber.setCandidates(context.now(), ordered);
         rescheduleTimer();
     }
 
@@ -84,7 +84,7 @@
     }
 
     private void rescheduleTimer() {
-        timer.scheduleAt(subscriber.dueUs());
+        timer.scheduleAt(subscriber.nextTickUs());
     }
 
     private void dial(long linkId, RelayCandidate candidate) {
--- a/src/main/java/holdproxy/input/Shape.java
+++ b/src/main/java/holdproxy/input/RequiredKeys.java
@@ -8,8 +8,8 @@
  * Checks that a new configuration file has every key of the file in use, with a value of the same type. The
  * file in use thus serves as the schema. Values are JSON values.
  */
-public final class Shape {
-    private Shape() {}
+public final class RequiredKeys {
+    private RequiredKeys() {}
 
     /** Throws a {@link BadInput} that names the first key of {@code inUse} which {@code next} lacks. */
     public static void check(Map<String, ?> inUse, Map<String, ?> next) {
--- a/src/main/java/holdproxy/input/SettingsText.java
+++ b/src/main/java/holdproxy/input/SettingsReader.java
@@ -12,7 +12,7 @@
  * Reads settings from path=value lines. Unknown paths are ignored but can be listed with {@link #unknown};
  * missing ones get a safe default.
  */
-public final class SettingsText {
+public final class SettingsReader {
     private static final int MAX_ITEMS = 100_000;
 
     /** Default connect time-out; both connections and repeat windows depend on it. */
@@ -22,7 +22,7 @@
     private final Set<String> readPaths = new HashSet<>();
 
     /** Parses the lines. */
-    public SettingsText(String text) {
+    public SettingsReader(String text) {
         for (String line : text.split("\n")) {
             int eq = line.indexOf('=');
             if (eq > 0) {
@@ -34,7 +34,7 @@
     }
 
     /** Takes the paths and values already split. */
-    public SettingsText(Map<String, String> pairs) {
+    public SettingsReader(Map<String, String> pairs) {
         values.putAll(pairs);
     }
 
@@ -56,9 +56,9 @@
             t.share = number("tenants." + i + ".share", 0, 0);
             s.tenants[i] = t;
         }
-        s.aside = choice("familyInfo.mode", "through", "through", "aside").equals("aside");
+        s.cacheAside = choice("familyInfo.mode", "through", "through", "aside").equals("aside");
         s.originKind = integer("familyInfo.originKind", -1, -1);
-        s.askForNodes =
+        s.subscribesToNodes =
                 choice("registryMode", "automatic", "automatic", "subscribe").equals("subscribe");
         s.mayCancel = flag("caps.mayCancel");
         s.mayProbe = flag("caps.probing");
@@ -70,7 +70,7 @@
         s.tickUs = micros("tickMs", 0);
         s.handshakePrice = number("deductions.handshake", 0, 0);
         s.idleCloseUs = micros("caps.idleCloseMs", 5_000);
-        s.askWithinUs = micros("rules.askWithinMs", 10_000);
+        s.listFreshnessUs = micros("rules.askWithinMs", 10_000);
         s.coldFrom = number("rules.coldFrom", 1, 0);
         s.coldUs = micros("rules.coldMs", 0);
         s.drainGraceUs = micros("rules.drainGraceMs", 0);
@@ -92,9 +92,9 @@
                     default -> Router.ReportSource.NONE;
                 };
         s.clientsMarkRepeats = flag("clients.marksRetry");
-        s.mayTell = flag("caps.peers");
-        s.countedByWork = choice("countedBy", "request", "request", "work").equals("work");
-        s.overShareWorth = number("overShareWorth", 1, 0);
+        s.mayMessageRouters = flag("caps.peers");
+        s.worthPerWork = choice("countedBy", "request", "request", "work").equals("work");
+        s.overQuotaWorth = number("overShareWorth", 1, 0);
         s.originFallMultiple = number("familyInfo.originFallMultiple", 0, 0);
         s.originFallUs = micros("familyInfo.originFallMs", 0);
         s.answerGraceUs = micros("rules.graceToAnswerMs", 0);
@@ -106,7 +106,7 @@
         s.listPrice = number("deductions.registryMode", 0, 0);
         s.connectionPrice = number("deductions.connection", 0, 0);
         s.probePrice = number("deductions.probe", 0, 0);
-        s.tellPrice = number("deductions.peer", 0, 0);
+        s.messagePrice = number("deductions.peer", 0, 0);
         s.originPrice = number("deductions.origin", 0, 0);
         s.wholeWeight = number("scoreParts.whole", 1, 0);
         s.worstWindowWeight = number("scoreParts.worstWindow", 0, 0);
@@ -124,7 +124,7 @@
     }
 
     /** The paths that have not been read so far, sorted. */
-    public Set<String> unknown() {
+    public Set<String> unreadPaths() {
         Set<String> unknown = new TreeSet<>(values.keySet());
         unknown.removeAll(readPaths);
         return unknown;
@@ -136,16 +136,16 @@
     }
 
     /** Stores one value of a load report; accepts the simulator's and the memcache protocol's names. */
-    public static void report(String field, double value, Router.Report report) {
+    public static void setReportField(String field, double value, Router.Report setReportField) {
         switch (field) {
-            case "rif", "inflight" -> report.inFlight = value;
-            case "q", "queue" -> report.queue = value;
-            case "busy", "util" -> report.busy = value;
-            case "lat_ms", "latency_ms" -> report.latencyUs = value * 1000.0;
-            case "rate", "qps" -> report.servedPerS = value;
-            case "fail_rate", "eps" -> report.errorsPerS = value;
-            case "x0" -> report.hitShare = value;
-            case "x1" -> report.fetchesOut = value;
+            case "rif", "inflight" -> setReportField.inFlight = value;
+            case "q", "queue" -> setReportField.queue = value;
+            case "busy", "util" -> setReportField.busy = value;
+            case "lat_ms", "latency_ms" -> setReportField.latencyUs = value * 1000.0;
+            case "rate", "qps" -> setReportField.servedPerS = value;
+            case "fail_rate", "eps" -> setReportField.errorsPerS = value;
+            case "x0" -> setReportField.hitShare = value;
+            case "x1" -> setReportField.fetchesOut = value;
             default -> {} // unknown values are ignored
         }
     }
@@ -161,8 +161,8 @@
                 };
         String group = choice(path + "group", "all", "all", "zone", "cell");
         c.group = Router.Group.valueOf(group.toUpperCase(Locale.ROOT));
-        c.aimUs = micros(path + "targetMs", 0);
-        c.aimStretch = number(path + "aimStretch", 0, 0);
+        c.targetUs = micros(path + "targetMs", 0);
+        c.targetStretch = number(path + "aimStretch", 0, 0);
         c.deadlineUs = micros(path + "deadlineMs", 0);
         c.repeatWindowUs = micros(path + "repeatWindowMs", 0);
         c.lateWorth = number(path + "lateWorth", 0, 0);
--- a/src/main/java/holdproxy/lab/ConsensusCommand.java
+++ b/src/main/java/holdproxy/lab/ConsensusCommand.java
@@ -14,7 +14,7 @@
         description = "Simulates consensus groups with faults drawn from seeds.",
         mixinStandardHelpOptions = true)
 final class ConsensusCommand implements Callable<Integer> {
-    @Mixin private VoterOptions options;
+    @Mixin private ConsensusFleetOptions options;
 
     @Option(
             names = "--planted",
--- a/src/main/java/holdproxy/lab/ConsensusFleet.java
+++ b/src/main/java/holdproxy/lab/ConsensusFleet.java
@@ -83,7 +83,7 @@
         /** Delay measured by the process's own clock. */
         @Override
         public void after(long us, Runnable task) {
-            time.after((long) Math.ceil(us / rate), () -> run(task));
+            time.schedule((long) Math.ceil(us / rate), () -> run(task));
         }
 
         @Override
@@ -99,7 +99,7 @@
             if (links.cut(name, to)) {
                 return;
             }
-            time.after(
+            time.schedule(
                     delayUs(name, to),
                     () -> {
                         Instance target = instances.get(to);
@@ -110,7 +110,7 @@
         }
 
         @Override
-        public void leads(boolean now) {
+        public void leadershipChanged(boolean now) {
             if (now) {
                 leaders.add(name);
             }
@@ -123,12 +123,12 @@
         }
 
         @Override
-        public void failed(RuntimeException failure) {
+        public void taskFailed(RuntimeException failure) {
             kinds.add("a task of the library failed");
         }
 
         @Override
-        public void out(String why) {
+        public void stoppedVoting(String why) {
             isOut = true;
         }
     }
@@ -180,7 +180,7 @@
         long endUs = (long) (seconds * 1e6);
         begin();
         for (int i = 1 + random.nextInt(MOST_FAULTS); i > 0; i--) {
-            time.after(
+            time.schedule(
                     (long) (random.nextDouble(2, seconds * 0.4) * 1e6),
                     () -> injectFault(endUs / 2));
         }
@@ -220,7 +220,7 @@
     private void start(String name, MemoryDisk disk) {
         Instance instance = new Instance(name, disk);
         instances.put(name, instance);
-        instance.group.begin(disk);
+        instance.group.start(disk);
         purpose.started(instance);
     }
 
@@ -241,7 +241,7 @@
         String behind = others.get(0);
         disksLostUntilUs = time.nowUs() + 2 * LAG_US;
         partition("behind", List.of(behind), LAG_US, true, true);
-        time.after(
+        time.schedule(
                 LAG_US,
                 () -> {
                     kill("killed", leader, Math.max(forUs, LAG_US), instances.get(leader).disk);
@@ -252,7 +252,7 @@
     /** Operators replace the disk of a damaged voter as soon as they find it running. */
     private void replace(String name) {
         if (instances.get(name).ended) {
-            time.after(LOOK_US, () -> replace(name));
+            time.schedule(LOOK_US, () -> replace(name));
         } else {
             kill("disk replaced", name, 0, disk());
         }
@@ -296,7 +296,7 @@
         }
         kinds.add(kind);
         instance.die();
-        time.after(forUs, () -> start(name, then));
+        time.schedule(forUs, () -> start(name, then));
     }
 
     /**
@@ -312,7 +312,7 @@
                         .allMatch(
                                 l ->
                                         !l.ended
-                                                && l.group.votes()
+                                                && l.group.isVoting()
                                                 && l.group.votingMembers().equals(expected));
     }
 
@@ -324,8 +324,8 @@
         kinds.add("late answers");
         links.late(from, to, LATE_US);
         long cutUs = (long) (random.nextDouble() * forUs / 2);
-        time.after(cutUs, () -> partition("cut off", List.of(to), forUs / 2, true, true));
-        time.after(forUs, () -> links.late(from, to, -LATE_US));
+        time.schedule(cutUs, () -> partition("cut off", List.of(to), forUs / 2, true, true));
+        time.schedule(forUs, () -> links.late(from, to, -LATE_US));
     }
 
     private void loseDisk(String name, long forUs, boolean anyhow) {
@@ -348,7 +348,7 @@
     void partition(String kind, List<String> some, long forUs, boolean out, boolean in) {
         kinds.add(kind);
         links.partition(names, some, out, in, 1);
-        time.after(forUs, () -> links.partition(names, some, out, in, -1));
+        time.schedule(forUs, () -> links.partition(names, some, out, in, -1));
     }
 
     /**
@@ -367,7 +367,7 @@
                         : List.copyOf(mixed.subList(first, Math.min(mixed.size(), first + 2)));
         links.partition(names, a, true, true, 1);
         links.partition(names, b, true, true, 1);
-        time.after(
+        time.schedule(
                 forUs,
                 () -> {
                     links.partition(names, a, true, true, -1);
@@ -379,7 +379,7 @@
         kinds.add("slow");
         double us = random.nextDouble(1e5, 3e6);
         links.slow(one, other, us);
-        time.after(forUs, () -> links.slow(one, other, -us));
+        time.schedule(forUs, () -> links.slow(one, other, -us));
     }
 
     /**
@@ -395,13 +395,13 @@
         kinds.add(full ? "disk full" : "disk not forced");
         instance.disk.full(full);
         instance.disk.failSync(!full);
-        time.after(
+        time.schedule(
                 forUs,
                 () -> {
                     instance.disk.full(false);
                     instance.disk.failSync(false);
                     Instance now = instances.get(name);
-                    if (now.disk == instance.disk && !now.ended && !now.group.votes()) {
+                    if (now.disk == instance.disk && !now.ended && !now.group.isVoting()) {
                         kill("disk mended", name, 0, instance.disk);
                     }
                 });
@@ -419,12 +419,12 @@
                                 instance,
                                 () ->
                                         instance.group
-                                                .end()
+                                                .stop()
                                                 .whenComplete(
                                                         (done, failed) -> {
                                                             if (!instance.ended) {
                                                                 instance.die();
-                                                                time.after(
+                                                                time.schedule(
                                                                         forUs,
                                                                         () ->
                                                                                 start(
@@ -447,14 +447,14 @@
         kinds.add("bit flipped");
         instance.die();
         instance.disk.flipBit();
-        time.after(
+        time.schedule(
                 forUs / 2,
                 () -> {
                     start(name, instance.disk);
                     if (!instances.get(name).isOut) {
                         broken.add(name + " votes despite a damaged disk");
                     }
-                    time.after(forUs / 2, () -> replace(name));
+                    time.schedule(forUs / 2, () -> replace(name));
                 });
     }
 }
--- a/src/main/java/holdproxy/lab/VoterOptions.java
+++ b/src/main/java/holdproxy/lab/ConsensusFleetOptions.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 
 /** Options for the simulated fleets with a consensus group, and the loop over their seeds. */
-final class VoterOptions {
+final class ConsensusFleetOptions {
     private static final int SHOWN = 5;
     private static final int MOST_OTHERS = 40;
 
--- a/src/main/java/holdproxy/lab/ConsensusSimulation.java
+++ b/src/main/java/holdproxy/lab/ConsensusSimulation.java
@@ -38,7 +38,7 @@
      * @param kinds kinds of faults that were injected
      */
     record Outcome(List<String> broken, int answered, int agreed, Set<String> kinds)
-            implements VoterOptions.Outcome {}
+            implements ConsensusFleetOptions.Outcome {}
 
     /** A submitted operation and its result. */
     private record Answer(String operation, long askedUs, long answeredUs, long index) {}
@@ -64,7 +64,7 @@
         }
 
         @Override
-        public Object atOnce(Object operation) {
+        public Object answerWithoutReplication(Object operation) {
             return null;
         }
 
@@ -207,7 +207,7 @@
         }
         for (String name : fleet.names) {
             ConsensusFleet.Instance instance = fleet.instances.get(name);
-            if (fleet.voters.contains(name) && !instance.group.votes()) {
+            if (fleet.voters.contains(name) && !instance.group.isVoting()) {
                 fleet.broken.add(name + " is not a voter at the end");
             }
             if (answers.stream()
--- a/src/main/java/holdproxy/lab/FanoutNetwork.java
+++ b/src/main/java/holdproxy/lab/FanoutNetwork.java
@@ -192,11 +192,11 @@
     void dial(FanoutNode from, Client client, long link, String to) {
         Place place = servers.get(to);
         if (place == null) {
-            time.after(NEAR_US, () -> from.run(() -> client.closed(link, "refused")));
+            time.schedule(NEAR_US, () -> from.run(() -> client.closed(link, "refused")));
             return;
         }
         long delayUs = 2 * delayUs(from, place.node);
-        time.after(
+        time.schedule(
                 delayUs,
                 () -> {
                     if (reaches(from, place.node)
@@ -270,7 +270,7 @@
         pipe.lastUs = atUs;
         pipe.queue.add(new Item(carried, atUs, connection.takenDown));
         if (pipe.queue.size() == 1) {
-            time.after(atUs - time.nowUs(), () -> deliver(connection, up));
+            time.schedule(atUs - time.nowUs(), () -> deliver(connection, up));
         }
     }
 
@@ -278,7 +278,7 @@
     private boolean scrambles(Connection connection, Message message) {
         double draw = random.nextDouble();
         if (draw < 2 * SCRAMBLED_PART) {
-            time.after(
+            time.schedule(
                     random.nextInt(SCRAMBLED_DELAY_US),
                     () -> arrive(connection, false, new Item(message, 0, 0)));
         }
@@ -289,7 +289,7 @@
         FanoutNode from = up ? connection.clientNode : connection.serverNode;
         FanoutNode to = up ? connection.serverNode : connection.clientNode;
         if (!reaches(from, to)) {
-            time.after(RETRY_US, () -> deliver(connection, up));
+            time.schedule(RETRY_US, () -> deliver(connection, up));
             return;
         }
         Pipe pipe = up ? connection.up : connection.down;
@@ -297,7 +297,7 @@
         arrive(connection, up, item);
         Item next = pipe.queue.peek();
         if (next != null) {
-            time.after(Math.max(0, next.atUs - time.nowUs()), () -> deliver(connection, up));
+            time.schedule(Math.max(0, next.atUs - time.nowUs()), () -> deliver(connection, up));
         }
     }
 
--- a/src/main/java/holdproxy/lab/FanoutNode.java
+++ b/src/main/java/holdproxy/lab/FanoutNode.java
@@ -34,7 +34,7 @@
             long nextUs = Math.max(dueUs.getAsLong(), time.nowUs());
             if (nextUs < setUs) {
                 setUs = nextUs;
-                time.after(nextUs - time.nowUs(), () -> run(() -> fire(nextUs)));
+                time.schedule(nextUs - time.nowUs(), () -> run(() -> fire(nextUs)));
             }
         }
 
--- a/src/main/java/holdproxy/lab/FanoutProcesses.java
+++ b/src/main/java/holdproxy/lab/FanoutProcesses.java
@@ -62,11 +62,11 @@
                             new Random(around.random.nextLong()),
                             around.time.nowUs(),
                             around.safeguards);
-            alarm = node.new Timer(subscriber::dueUs, subscriber::tick);
+            alarm = node.new Timer(subscriber::nextTickUs, subscriber::tick);
         }
 
         void start(List<RelayCandidate> candidates) {
-            subscriber.candidates(
+            subscriber.setCandidates(
                     around.time.nowUs(), RendezvousOrder.of(node.name, node.site, candidates));
             alarm.set();
         }
@@ -117,13 +117,13 @@
             relay =
                     new Relay(
                             around.settings, source, this, around.time.nowUs(), around.safeguards);
-            alarm = node.new Timer(relay::dueUs, relay::tick);
+            alarm = node.new Timer(relay::nextTickUs, relay::tick);
             alarm.set();
             around.network.listen(node, this);
         }
 
         void advanced() {
-            relay.advanced(around.time.nowUs());
+            relay.sourceChanged(around.time.nowUs());
             alarm.set();
         }
 
--- a/src/main/java/holdproxy/lab/FanoutSimulation.java
+++ b/src/main/java/holdproxy/lab/FanoutSimulation.java
@@ -153,7 +153,7 @@
                                 defaults.stateBytes(),
                                 window,
                                 defaults.windowBytes(),
-                                defaults.publications(),
+                                defaults.rememberedPublications(),
                                 defaults.nameBytes(),
                                 defaults.reasonCharacters(),
                                 defaults.reportedPositions(),
@@ -193,7 +193,7 @@
         if (hour) {
             simulation.publishEveryUs = 5 * SECOND_US;
             simulation.keys = KEYS_OF_HOUR;
-            simulation.time.after(FIRST_FAULT_US, () -> simulation.cutRegion(HOUR_US));
+            simulation.time.schedule(FIRST_FAULT_US, () -> simulation.cutRegion(HOUR_US));
             simulation.finish(FIRST_FAULT_US + HOUR_US + SECOND_US);
         } else {
             boolean epochAnew = simulation.drawFaults().contains(FanoutFault.EPOCH_ANEW);
@@ -207,7 +207,7 @@
         FanoutSimulation simulation = new FanoutSimulation(seed, shape, Safeguard.all(), inForceMs);
         simulation.start();
         if (fault != null) {
-            simulation.time.after(FIRST_FAULT_US, () -> simulation.inject(fault));
+            simulation.time.schedule(FIRST_FAULT_US, () -> simulation.inject(fault));
         }
         simulation.finish(HEALED_US);
         if (!simulation.checker.violations().isEmpty()) {
@@ -253,14 +253,14 @@
         relayCandidates.forEach(
                 (region, candidates) -> {
                     for (RelayCandidate each : candidates) {
-                        time.after(
+                        time.schedule(
                                 atOnce ? 0 : random.nextInt(2_000_000),
                                 () -> startSite(region, each.site()));
                     }
                 });
         contact();
-        time.after(SECOND_US, this::publishNext);
-        time.after(SAMPLE_US, this::sample);
+        time.schedule(SECOND_US, this::publishNext);
+        time.schedule(SAMPLE_US, this::sample);
     }
 
     private void startSite(String region, String site) {
@@ -309,7 +309,7 @@
      */
     private void contact() {
         replicate();
-        time.after(CONTACT_US, this::contact);
+        time.schedule(CONTACT_US, this::contact);
     }
 
     private boolean reachesMajority(Control one) {
@@ -329,14 +329,14 @@
     private void createLog() {
         authority = new ChangeLog(settings.limits(), safeguards);
         operations = new ArrayList<>();
-        List<Object> found = ChangeLogOperations.found(epoch);
+        List<Object> found = ChangeLogOperations.initialize(epoch);
         checker.logCreated(authorityAnswer(found));
         operations.add(found);
     }
 
     private Position authorityAnswer(List<Object> operation) {
         AppendResult result =
-                ChangeLogOperations.result(ChangeLogOperations.apply(authority, operation));
+                ChangeLogOperations.decodeResult(ChangeLogOperations.apply(authority, operation));
         return ((AppendResult.Appended) result).position();
     }
 
@@ -345,7 +345,7 @@
             return;
         }
         publish(token, "p-" + publications++, drawChange(), random.nextInt(10) == 0);
-        time.after(
+        time.schedule(
                 publishEveryUs / 2 + (long) (random.nextDouble() * publishEveryUs),
                 this::publishNext);
     }
@@ -373,7 +373,8 @@
         for (int i = twice ? 2 : 1; i > 0; i--) {
             List<Object> operation = ChangeLogOperations.append(publication);
             AppendResult result =
-                    ChangeLogOperations.result(ChangeLogOperations.apply(authority, operation));
+                    ChangeLogOperations.decodeResult(
+                            ChangeLogOperations.apply(authority, operation));
             operations.add(operation);
             if (result instanceof AppendResult.Appended appended) {
                 if (!appended.repeated()) {
@@ -392,7 +393,7 @@
         for (Control each : controls) {
             if (each != outdated && !each.ended && reachesMajority(each)) {
                 List<List<Object>> agreed = operations;
-                time.after(
+                time.schedule(
                         network.delayUs(each, controls.get(0)),
                         () ->
                                 each.run(
@@ -413,7 +414,7 @@
         for (int i = 1 + random.nextInt(MOST_FAULTS); i > 0; i--) {
             FanoutFault kind = kinds[random.nextInt(kinds.length)];
             drawn.add(kind);
-            time.after(
+            time.schedule(
                     FIRST_FAULT_US
                             + (long) (random.nextDouble() * (LAST_FAULT_US - FIRST_FAULT_US)),
                     () -> inject(kind));
@@ -474,19 +475,19 @@
 
     private void endRelay(SiteRelay relay, boolean said, long forUs) {
         end(relay, said);
-        time.after(forUs, () -> startRelay(relay.region, relay.site));
+        time.schedule(forUs, () -> startRelay(relay.region, relay.site));
     }
 
     private void cutOneWay(FanoutNode node, boolean outwards, long forUs) {
         network.cut(node.name, outwards, 1);
-        time.after(forUs, () -> network.cut(node.name, outwards, -1));
+        time.schedule(forUs, () -> network.cut(node.name, outwards, -1));
     }
 
     private void cutRegion(long forUs) {
         faults.add(FanoutFault.REGION_CUT);
         String region = "region-" + random.nextInt(shape.regions);
         network.cutRegion(region, true);
-        time.after(
+        time.schedule(
                 forUs,
                 () -> {
                     network.cutRegion(region, false);
@@ -503,7 +504,8 @@
         if (reached) {
             caughtUpMs.add((time.nowUs() - sinceUs) / 1000);
         } else {
-            time.after(CATCH_UP_SAMPLE_US, () -> measureCatchUp(region, sinceUs, wantedPosition));
+            time.schedule(
+                    CATCH_UP_SAMPLE_US, () -> measureCatchUp(region, sinceUs, wantedPosition));
         }
     }
 
@@ -511,7 +513,7 @@
         long old = token;
         token++;
         publishNow();
-        time.after(
+        time.schedule(
                 random.nextInt(3_000_000),
                 () -> publish(old, "old-" + publications++, drawChange(), false));
     }
@@ -524,7 +526,7 @@
     private void publishBurst(int changes) {
         publishNow();
         if (changes > 1) {
-            time.after(BURST_GAP_US, () -> publishBurst(changes - 1));
+            time.schedule(BURST_GAP_US, () -> publishBurst(changes - 1));
         }
     }
 
@@ -532,7 +534,7 @@
         List<Object> disk = control.log.snapshot(1_000);
         List<List<Object>> agreed = operations;
         end(control, random.nextBoolean());
-        time.after(
+        time.schedule(
                 forUs,
                 () -> {
                     boolean sameLog = agreed == operations;
@@ -558,7 +560,7 @@
         for (FanoutNode each : met) {
             checker.ignoreCreditOf(each.name);
             network.scramble(each.name, true);
-            time.after(forUs, () -> network.scramble(each.name, false));
+            time.schedule(forUs, () -> network.scramble(each.name, false));
         }
     }
 
@@ -576,7 +578,7 @@
                             : new Replica(settings.limits());
             proxies.remove(each);
             int number = Integer.parseInt(each.name.substring(each.name.lastIndexOf('-') + 1));
-            time.after(
+            time.schedule(
                     afterUs + random.nextInt(100_000),
                     () -> startProxy(each.region, each.site, number, kept));
         }
@@ -613,14 +615,14 @@
             TreeMap<String, Value> puts = new TreeMap<>(Map.of(entry.getKey(), entry.getValue()));
             publish(token, "p-" + publications++, puts, false);
         }
-        time.after(OUTDATED_REMOVED_US, this::removeOutdated);
+        time.schedule(OUTDATED_REMOVED_US, this::removeOutdated);
     }
 
     /** It believes that its state is the newest. */
     private void keepOutdatedInContact() {
         if (outdated != null) {
             outdated.run(() -> outdated.catchUp(List.of()));
-            time.after(CONTACT_US, this::keepOutdatedInContact);
+            time.schedule(CONTACT_US, this::keepOutdatedInContact);
         }
     }
 
@@ -637,7 +639,7 @@
     private void sample() {
         for (SiteRelay each : running(relays)) {
             checkWindow(each.name, each.subscriber.replica());
-            if (each.relay.status(time.nowUs()).subscribers() > settings.relay().subscribers()) {
+            if (each.relay.status(time.nowUs()).subscribers() > settings.relay().maxSubscribers()) {
                 checker.reportViolation(each.name + " serves more than it may");
             }
         }
@@ -652,7 +654,7 @@
                 }
             }
         }
-        time.after(SAMPLE_US, this::sample);
+        time.schedule(SAMPLE_US, this::sample);
     }
 
     private void checkWindow(String name, Replica replica) {
@@ -708,7 +710,7 @@
                 proxies.stream().filter(p -> p.group == group).map(p -> p.name).sorted().toList();
         List<String> named = all.rejections().stream().map(r -> r.name()).toList();
         int names = Math.min(rejecting.size(), settings.limits().reportedRejections());
-        long inForce = all.inForceAt(checker.newest());
+        long inForce = all.countInForceAtOrAfter(checker.newest());
         if (all.proxies() != proxies.size()
                 || inForce != proxies.size() - rejecting.size()
                 || all.rejecting() != rejecting.size()
--- a/src/main/java/holdproxy/lab/Fault.java
+++ b/src/main/java/holdproxy/lab/Fault.java
@@ -29,7 +29,7 @@
         double times,
         double chance) {
     /** A setting of a fault besides its start time. */
-    enum Figure {
+    enum Parameter {
         FOR_S,
         NOTICED_S,
         NODE,
@@ -43,68 +43,69 @@
 
     enum Kind {
         /** A node's process dies and restarts cold after the duration. */
-        CRASH(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.NODE, Figure.PART)),
+        CRASH(EnumSet.of(Parameter.FOR_S, Parameter.NOTICED_S, Parameter.NODE, Parameter.PART)),
         /** A node runs slower. */
-        SLOW(EnumSet.of(Figure.FOR_S, Figure.NODE, Figure.PART, Figure.TIMES)),
+        SLOW(EnumSet.of(Parameter.FOR_S, Parameter.NODE, Parameter.PART, Parameter.TIMES)),
         /** A node is cut off from the network in both directions; no peer is notified. */
-        SILENT(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.NODE, Figure.PART)),
+        SILENT(EnumSet.of(Parameter.FOR_S, Parameter.NOTICED_S, Parameter.NODE, Parameter.PART)),
         /** Connections of a node are reset: before, during or after a command, or during an answer. */
-        RESETS(EnumSet.of(Figure.FOR_S, Figure.NODE, Figure.PART, Figure.CHANCE)),
+        RESETS(EnumSet.of(Parameter.FOR_S, Parameter.NODE, Parameter.PART, Parameter.CHANCE)),
         /**
          * A node drains and is replaced by another that starts cold; with a share, the nodes drain one
          * after another.
          */
-        REPLACE(EnumSet.of(Figure.FOR_S, Figure.NODE, Figure.PART)),
+        REPLACE(EnumSet.of(Parameter.FOR_S, Parameter.NODE, Parameter.PART)),
         /** Operators leave a node out at every proxy, restart it meanwhile, and use it again. */
-        LEAVE_OUT(EnumSet.of(Figure.FOR_S, Figure.NODE, Figure.PART)),
+        LEAVE_OUT(EnumSet.of(Parameter.FOR_S, Parameter.NODE, Parameter.PART)),
         /** Every proxy is given settings with one attempt, and later its former settings again. */
-        RETUNE(EnumSet.of(Figure.FOR_S)),
+        RETUNE(EnumSet.of(Parameter.FOR_S)),
         /** A proxy gets SIGTERM and is started again after the duration. */
-        RESTART(EnumSet.of(Figure.FOR_S, Figure.PROXY, Figure.PART)),
+        RESTART(EnumSet.of(Parameter.FOR_S, Parameter.PROXY, Parameter.PART)),
         /** A proxy dies and is started again after the duration; the front notices later. */
-        KILL(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.PROXY, Figure.PART)),
+        KILL(EnumSet.of(Parameter.FOR_S, Parameter.NOTICED_S, Parameter.PROXY, Parameter.PART)),
         /** A proxy's process is paused. */
-        HOLD(EnumSet.of(Figure.FOR_S, Figure.PROXY)),
+        HOLD(EnumSet.of(Parameter.FOR_S, Parameter.PROXY)),
         /** Discovery answers 503 and its watches are closed. */
-        DISCOVERY_DOWN(EnumSet.of(Figure.FOR_S)),
+        DISCOVERY_DOWN(EnumSet.of(Parameter.FOR_S)),
         /** A club sends this many times its usual requests. */
-        SURGE(EnumSet.of(Figure.FOR_S, Figure.CLUB, Figure.TIMES)),
+        SURGE(EnumSet.of(Parameter.FOR_S, Parameter.CLUB, Parameter.TIMES)),
         /** One key receives this share of all reads. */
-        HOT_KEY(EnumSet.of(Figure.FOR_S, Figure.PART)),
+        HOT_KEY(EnumSet.of(Parameter.FOR_S, Parameter.PART)),
         /** All processes of a zone die, and start cold after the duration. */
-        ZONE_DEAD(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.ZONE)),
+        ZONE_DEAD(EnumSet.of(Parameter.FOR_S, Parameter.NOTICED_S, Parameter.ZONE)),
         /** A zone is cut off without notice and comes back cold: its processes are restarted. */
-        ZONE_LOST(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.ZONE)),
+        ZONE_LOST(EnumSet.of(Parameter.FOR_S, Parameter.NOTICED_S, Parameter.ZONE)),
         /** A zone is cut off without notice and comes back with its state intact. */
-        ZONE_SILENT(EnumSet.of(Figure.FOR_S, Figure.NOTICED_S, Figure.ZONE)),
+        ZONE_SILENT(EnumSet.of(Parameter.FOR_S, Parameter.NOTICED_S, Parameter.ZONE)),
         /** A zone is partitioned from the others and keeps working internally. */
-        ZONE_CUT(EnumSet.of(Figure.FOR_S, Figure.ZONE)),
+        ZONE_CUT(EnumSet.of(Parameter.FOR_S, Parameter.ZONE)),
         /** One-way partition: messages into the zone are dropped, messages out of it are delivered. */
-        ZONE_CUT_IN(EnumSet.of(Figure.FOR_S, Figure.ZONE)),
+        ZONE_CUT_IN(EnumSet.of(Parameter.FOR_S, Parameter.ZONE)),
         /** One-way partition: messages out of the zone are dropped, messages into it are delivered. */
-        ZONE_CUT_OUT(EnumSet.of(Figure.FOR_S, Figure.ZONE)),
+        ZONE_CUT_OUT(EnumSet.of(Parameter.FOR_S, Parameter.ZONE)),
         /** A zone's links lose messages and are slow. */
-        ZONE_GRAY(EnumSet.of(Figure.FOR_S, Figure.ZONE, Figure.TIMES, Figure.CHANCE));
+        ZONE_GRAY(EnumSet.of(Parameter.FOR_S, Parameter.ZONE, Parameter.TIMES, Parameter.CHANCE));
 
         /** The kinds for a site without zones, and those that affect zones. */
         static final List<Kind> OF_TOWNS =
-                Arrays.stream(values()).filter(k -> !k.ofZone()).toList();
+                Arrays.stream(values()).filter(k -> !k.affectsZone()).toList();
 
-        static final List<Kind> OF_ZONES = Arrays.stream(values()).filter(Kind::ofZone).toList();
+        static final List<Kind> OF_ZONES =
+                Arrays.stream(values()).filter(Kind::affectsZone).toList();
 
         /** The settings that this kind accepts; the number of a node, proxy or club is required. */
-        final Set<Figure> figures;
+        final Set<Parameter> figures;
 
-        Kind(Set<Figure> figures) {
+        Kind(Set<Parameter> figures) {
             this.figures = figures;
         }
 
-        boolean ofZone() {
-            return figures.contains(Figure.ZONE);
+        boolean affectsZone() {
+            return figures.contains(Parameter.ZONE);
         }
 
         /** The name used in scenario files. */
-        String word() {
+        String tomlName() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
--- a/src/main/java/holdproxy/lab/Troubles.java
+++ b/src/main/java/holdproxy/lab/FaultInjector.java
@@ -7,7 +7,7 @@
 import java.util.stream.IntStream;
 
 /** Schedules and applies the faults of a scenario in a simulated site. */
-final class Troubles {
+final class FaultInjector {
     /** Delay from a drain to the end of the node's process, and from there to its successor's start. */
     private static final double DRAIN_S = 3;
 
@@ -18,20 +18,20 @@
 
     private static final double TOLD_S = 0.1;
 
-    private final Town town;
+    private final SimulatedSite town;
 
-    private Troubles(Town town) {
+    private FaultInjector(SimulatedSite town) {
         this.town = town;
     }
 
-    static void scheduleAll(Town town, List<Fault> faults) {
-        Troubles troubles = new Troubles(town);
-        faults.forEach(f -> town.at(f.atS(), () -> troubles.apply(f)));
+    static void scheduleAll(SimulatedSite town, List<Fault> faults) {
+        FaultInjector troubles = new FaultInjector(town);
+        faults.forEach(f -> town.schedule(f.atS(), () -> troubles.apply(f)));
     }
 
     /** Schedules a task this many seconds from now. */
     private void schedule(double seconds, Runnable task) {
-        town.loop.after((long) (seconds * 1e6), task);
+        town.loop.schedule((long) (seconds * 1e6), task);
     }
 
     /** Schedules a task at the fault's end, unless it has none. */
@@ -51,18 +51,18 @@
                                             p.kill(
                                                     (long) (f.noticedS() * 1e6),
                                                     (long) (f.forS() * 1e6)));
-            case HOLD -> town.proxies.get(f.target()).hold((long) (f.forS() * 1e6));
+            case HOLD -> town.proxies.get(f.target()).pause((long) (f.forS() * 1e6));
             case DISCOVERY_DOWN -> {
-                town.discovery.down(true);
-                scheduleEnd(f, () -> town.discovery.down(false));
+                town.discovery.setDown(true);
+                scheduleEnd(f, () -> town.discovery.setDown(false));
             }
             case SURGE -> {
-                town.clients.surge(f.target(), f.times());
-                scheduleEnd(f, () -> town.clients.surge(f.target(), 1));
+                town.clients.setRateFactor(f.target(), f.times());
+                scheduleEnd(f, () -> town.clients.setRateFactor(f.target(), 1));
             }
             case RETUNE -> {
-                town.proxies.forEach(p -> p.retune(1));
-                scheduleEnd(f, () -> town.proxies.forEach(p -> p.retune(ProxyConfig.ATTEMPTS)));
+                town.proxies.forEach(p -> p.reload(1));
+                scheduleEnd(f, () -> town.proxies.forEach(p -> p.reload(ProxyConfig.MAX_ATTEMPTS)));
             }
             case ZONE_DEAD, ZONE_LOST, ZONE_SILENT -> applyZoneOutage(f);
             case ZONE_CUT -> {
@@ -73,17 +73,17 @@
             case ZONE_CUT_OUT -> cut(f, false);
             case ZONE_GRAY -> {
                 recordFault(f, "gray");
-                town.zones.gray(f.target(), f.chance(), f.times());
+                town.zones.degradeLinks(f.target(), f.chance(), f.times());
                 scheduleEnd(
                         f,
                         () -> {
-                            town.zones.gray(f.target(), 0, 1);
+                            town.zones.degradeLinks(f.target(), 0, 1);
                             recordFault(f, "sound");
                         });
             }
             case HOT_KEY -> {
-                town.clients.hot(f.part());
-                scheduleEnd(f, () -> town.clients.hot(0));
+                town.clients.setHotKeyShare(f.part());
+                scheduleEnd(f, () -> town.clients.setHotKeyShare(0));
             }
             default -> {
                 int count = f.count(town.nodes.size());
@@ -129,12 +129,12 @@
     private void applyZoneOutage(Fault f) {
         boolean dead = f.kind() == Fault.Kind.ZONE_DEAD;
         List<CacheNode> nodes =
-                town.nodes.stream().filter(n -> n.zone == f.target() && n.up()).toList();
+                town.nodes.stream().filter(n -> n.zone == f.target() && n.isUp()).toList();
         List<ProxyProcess> proxies =
                 town.proxies.stream().filter(p -> p.zone == f.target()).toList();
         recordFault(f, dead ? "dead" : "silent");
         if (dead) {
-            nodes.forEach(n -> n.end("crash"));
+            nodes.forEach(n -> n.stop("crash"));
             proxies.forEach(p -> p.kill((long) (f.noticedS() * 1e6), (long) (f.forS() * 1e6)));
         } else {
             town.zones.silent(f.target(), true);
@@ -142,7 +142,7 @@
         schedule(
                 f.noticedS(),
                 () -> {
-                    nodes.forEach(town::relist);
+                    nodes.forEach(town::publishNodeState);
                     if (!dead && town.zones.silent(f.target())) {
                         proxies.forEach(p -> p.setForwarding(false));
                     }
@@ -153,7 +153,7 @@
                     town.zones.silent(f.target(), false);
                     recordFault(f, "back");
                     if (f.kind() == Fault.Kind.ZONE_LOST) {
-                        nodes.forEach(n -> n.end("crash"));
+                        nodes.forEach(n -> n.stop("crash"));
                         proxies.forEach(p -> p.kill(0, 0));
                     } else if (!dead) {
                         proxies.forEach(p -> p.setForwarding(true));
@@ -161,10 +161,10 @@
                     if (f.kind() != Fault.Kind.ZONE_SILENT) {
                         // the position may have another node by now, which may already be up
                         nodes.stream()
-                                .filter(n -> !n.up() && town.nodes.contains(n))
+                                .filter(n -> !n.isUp() && town.nodes.contains(n))
                                 .forEach(CacheNode::startCold);
                     }
-                    schedule(ADDED_S, () -> nodes.forEach(town::relist));
+                    schedule(ADDED_S, () -> nodes.forEach(town::publishNodeState));
                 });
     }
 
@@ -172,35 +172,35 @@
         CacheNode node = town.nodes.get(place);
         switch (f.kind()) {
             case CRASH -> {
-                node.end("crash");
-                schedule(f.noticedS(), () -> town.relist(node));
+                node.stop("crash");
+                schedule(f.noticedS(), () -> town.publishNodeState(node));
                 scheduleEnd(
                         f,
                         () -> {
-                            if (!node.up() && town.nodes.get(place) == node) {
+                            if (!node.isUp() && town.nodes.get(place) == node) {
                                 node.startCold();
-                                schedule(ADDED_S, () -> town.relist(node));
+                                schedule(ADDED_S, () -> town.publishNodeState(node));
                             }
                         });
             }
             case SILENT -> {
-                town.cut(node, true);
-                schedule(f.noticedS(), () -> town.relist(node));
+                town.setDisconnected(node, true);
+                schedule(f.noticedS(), () -> town.publishNodeState(node));
                 scheduleEnd(
                         f,
                         () -> {
-                            town.cut(node, false);
-                            schedule(ADDED_S, () -> town.relist(node));
+                            town.setDisconnected(node, false);
+                            schedule(ADDED_S, () -> town.publishNodeState(node));
                         });
             }
             case LEAVE_OUT -> leaveOut(f, node, place);
             case RESETS -> {
-                town.resets(node, f.chance());
-                scheduleEnd(f, () -> town.resets(node, 0));
+                town.setResetProbability(node, f.chance());
+                scheduleEnd(f, () -> town.setResetProbability(node, 0));
             }
             default -> {
-                node.slow(f.times());
-                scheduleEnd(f, () -> node.slow(1));
+                node.setSlowdown(f.times());
+                scheduleEnd(f, () -> node.setSlowdown(1));
             }
         }
     }
@@ -210,14 +210,14 @@
         schedule(
                 DRAIN_S / 2,
                 () -> {
-                    if (node.up() && town.nodes.get(place) == node) {
-                        node.end("end");
+                    if (node.isUp() && town.nodes.get(place) == node) {
+                        node.stop("end");
                         schedule(
                                 SUCCEEDS_S,
                                 () -> {
-                                    if (!node.up() && town.nodes.get(place) == node) {
+                                    if (!node.isUp() && town.nodes.get(place) == node) {
                                         node.startCold();
-                                        schedule(ADDED_S, () -> town.relist(node));
+                                        schedule(ADDED_S, () -> town.publishNodeState(node));
                                     }
                                 });
                     }
@@ -227,22 +227,22 @@
 
     private void replace(int place) {
         CacheNode node = town.nodes.get(place);
-        if (!node.up() || node.drains()) {
+        if (!node.isUp() || node.isDraining()) {
             return;
         }
         node.drain();
-        schedule(TOLD_S, () -> town.relist(node));
+        schedule(TOLD_S, () -> town.publishNodeState(node));
         schedule(
                 DRAIN_S,
                 () -> {
-                    node.end("end");
-                    town.relist(node);
+                    node.stop("end");
+                    town.publishNodeState(node);
                     schedule(
                             SUCCEEDS_S,
                             () -> {
                                 CacheNode successor = town.successor(place);
                                 successor.startCold();
-                                schedule(ADDED_S, () -> town.relist(successor));
+                                schedule(ADDED_S, () -> town.publishNodeState(successor));
                             });
                 });
     }
--- a/src/main/java/holdproxy/lab/MemoryNetwork.java
+++ b/src/main/java/holdproxy/lab/InMemoryNetwork.java
@@ -1,6 +1,6 @@
 package holdproxy.lab;
 
-import holdproxy.town.TownNetwork;
+import holdproxy.town.SiteNetwork;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -26,7 +26,7 @@
 import java.util.function.Supplier;
 
 /** In-memory connections between the simulated hosts, with the delays and outages of a network. */
-final class MemoryNetwork {
+final class InMemoryNetwork {
     /** An address and the network path to it. */
     static final class Host {
         private final String name;
@@ -42,7 +42,7 @@
         private final int zone;
 
         /** Partitioned: the host sends nothing, and new connections to it are never established. */
-        boolean silent;
+        boolean partitioned;
 
         /** The probability that a message's connection is reset. */
         double resetChance;
@@ -60,12 +60,12 @@
             this.random = random;
         }
 
-        boolean resets() {
+        boolean drawsReset() {
             return resetChance > 0 && random.nextDouble() < resetChance;
         }
 
         /** A random number from 0 to {@code of} - 1. */
-        int pick(int of) {
+        int randomBelow(int of) {
             return random.nextInt(of);
         }
 
@@ -77,18 +77,18 @@
     /**
      * The path between a connecting process and the host it connected to, in their current state.
      */
-    final class Way {
+    final class NetworkPath {
         private final Process opener;
         private final Host host;
 
-        private Way(Process opener, Host host) {
+        private NetworkPath(Process opener, Host host) {
             this.opener = opener;
             this.host = host;
         }
 
         /** Whether nothing gets to or from the host; neither end is notified. */
-        boolean gone(boolean toHost) {
-            return host.silent
+        boolean unreachable(boolean toHost) {
+            return host.partitioned
                     || zones.silent(host.zone)
                     || !opener.people && zones.silent(opener.zone)
                     || (toHost
@@ -109,13 +109,13 @@
          * Records that something was lost or delayed by the simulation: from outside into a silent
          * zone, or elsewhere.
          */
-        void lost(boolean toHost, String what) {
+        void recordLoss(boolean toHost, String what) {
             boolean silence = toHost && zones.silent(host.zone) && !zones.silent(opener.zone);
             lossListener.lost(
                     opener.name,
                     opener.people,
                     host.name,
-                    silence ? host.zone : Zones.NOWHERE,
+                    silence ? host.zone : ZoneNetwork.NOWHERE,
                     what);
         }
 
@@ -128,15 +128,15 @@
         }
 
         private boolean isReachable() {
-            boolean gone = gone(true) || gone(false);
-            if (gone && !host.silent) {
-                lost(true, "dial");
+            boolean gone = unreachable(true) || unreachable(false);
+            if (gone && !host.partitioned) {
+                recordLoss(true, "dial");
             }
             return !gone;
         }
 
-        boolean troubled() {
-            return zones.troubled(opener.zone, host.zone);
+        boolean impaired() {
+            return zones.isAffectedByFault(opener.zone, host.zone);
         }
 
         boolean fromClient() {
@@ -147,13 +147,13 @@
     /** Notified of what the state of zones has kept from its destination. */
     interface LossListener {
         /**
-         * {@code zone}: the silent zone that it was sent to from outside, or {@link Zones#NOWHERE}.
+         * {@code zone}: the silent zone that it was sent to from outside, or {@link ZoneNetwork#NOWHERE}.
          */
         void lost(String from, boolean byClient, String to, int zone, String what);
     }
 
     /** The network as seen by one process; hosts it connects to see its name. */
-    final class Process implements TownNetwork {
+    final class Process implements SiteNetwork {
         private final String name;
         private final VirtualLoop loop;
         private final int zone;
@@ -194,9 +194,9 @@
             }
             track(ch);
             Host host = hosts.get(address);
-            Way way = host == null ? null : new Way(this, host);
+            NetworkPath way = host == null ? null : new NetworkPath(this, host);
             // one network round trip, then at once
-            loop.after(
+            loop.schedule(
                     host == null ? 0 : way.roundTripUs(),
                     () -> {
                         if (ch.isOpen() && (host == null || way.isReachable())) {
@@ -242,11 +242,11 @@
                                             track(ch);
                                             ch.pipeline()
                                                     .addLast(
-                                                            new Link(
+                                                            new SimulatedConnection(
                                                                     loop,
                                                                     host,
                                                                     peer ->
-                                                                            new Way(
+                                                                            new NetworkPath(
                                                                                     byName.get(
                                                                                             peer),
                                                                                     host)))
@@ -260,20 +260,20 @@
 
         /** Closes both directions at once: nothing is sent on a connection that its peer is closing. */
         @Override
-        public void endSending(Channel channel) {
+        public void shutdownOutput(Channel channel) {
             channel.close();
         }
 
         @Override
-        public String peer(Channel accepted) {
-            return MemoryNetwork.peer(accepted);
+        public String peerName(Channel accepted) {
+            return InMemoryNetwork.peer(accepted);
         }
 
         /**
          * The process is gone: its connections end at once, and unsent data is lost. Runs on its
          * own loop.
          */
-        void die() {
+        void terminate() {
             over = true;
             List.copyOf(open).forEach(ch -> ch.unsafe().close(ch.voidPromise()));
         }
@@ -290,11 +290,11 @@
     private final Map<InetSocketAddress, Host> hosts = new HashMap<>();
     private final List<Process> processes = new ArrayList<>();
     private final Map<String, Process> byName = new HashMap<>();
-    private final Zones zones;
+    private final ZoneNetwork zones;
     private final LossListener lossListener;
     private long connections;
 
-    MemoryNetwork(Zones zones, LossListener lossListener) {
+    InMemoryNetwork(ZoneNetwork zones, LossListener lossListener) {
         this.zones = zones;
         this.lossListener = lossListener;
     }
@@ -317,7 +317,7 @@
     }
 
     /** The network of clients in a zone. */
-    Process people(String name, VirtualLoop loop, int zone) {
+    Process clients(String name, VirtualLoop loop, int zone) {
         return process(new Process(name, loop, zone, true));
     }
 
@@ -328,13 +328,13 @@
     }
 
     /** Whether a process is in a zone that is silent now. */
-    boolean silent(String process) {
+    boolean inPartitionedZone(String process) {
         return byName.containsKey(process) && zones.silent(byName.get(process).zone);
     }
 
     /** Ends every process. */
     void close() {
-        processes.forEach(Process::die);
+        processes.forEach(Process::terminate);
     }
 
     /** The name of the process that opened a connection accepted here. */
--- a/src/main/java/holdproxy/lab/LabCommand.java
+++ b/src/main/java/holdproxy/lab/LabCommand.java
@@ -4,7 +4,7 @@
 import holdproxy.command.Commands;
 import holdproxy.input.BadInput;
 import holdproxy.town.Auditors;
-import holdproxy.town.Service;
+import holdproxy.town.ServiceStatistics;
 import io.netty.util.ResourceLeakDetector;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
@@ -76,7 +76,7 @@
     }
 
     /** Prints the broken rules; returns the exit code. */
-    static int rules(List<Auditors.Broken> broken) {
+    static int rules(List<Auditors.Violation> broken) {
         if (broken.isEmpty()) {
             System.out.println("all rules kept");
             return 0;
@@ -120,7 +120,7 @@
             Scenario scenario = ScenarioFile.read(file);
             scenario = seed == null ? scenario : scenario.withSeed(seed);
             long startNs = System.nanoTime();
-            Play play = Play.of(scenario);
+            SimulationRun play = SimulationRun.of(scenario);
             double tookS = (System.nanoTime() - startNs) / 1e9;
             if (json) {
                 return json(play);
@@ -138,14 +138,14 @@
             play.figures().forEach((k, v) -> System.out.printf("%-28s %s%n", k, shown(v)));
             System.out.println("second  wanted  in time%  refused  failed  attempts");
             int at = 0;
-            for (Service.Second s : play.service().seconds()) {
+            for (ServiceStatistics.ServiceCounts s : play.service().seconds()) {
                 if (at < scenario.seconds()) {
                     System.out.printf(
                             Locale.ROOT,
                             "%6d %7d %8.1f %8d %7d %9d%n",
                             at,
-                            s.wanted,
-                            100 * Service.share(s),
+                            s.operations,
+                            100 * ServiceStatistics.servedValueShare(s),
                             s.refused,
                             s.failed,
                             s.attempts);
@@ -156,12 +156,12 @@
             return rules(play.broken());
         }
 
-        private int json(Play play) {
+        private int json(SimulationRun play) {
             Map<String, Object> report = new LinkedHashMap<>();
             report.put("scenario", play.scenario().name());
             report.put("seed", play.scenario().seed());
             report.put("figures", play.figures());
-            report.put("broken", play.broken().stream().map(Auditors.Broken::toString).toList());
+            report.put("broken", play.broken().stream().map(Auditors.Violation::toString).toList());
             report.put("verdict", play.hash());
             try {
                 System.out.println(JSON.std.asString(report));
@@ -210,8 +210,9 @@
             for (long seed = from; seed < from + seeds; seed++) {
                 scenarios.add(Scenario.drawn(seed, seconds));
             }
-            List<Play> plays = Plays.all(scenarios, Play::of, p -> p.broken().isEmpty());
-            Play last = plays.get(plays.size() - 1);
+            List<SimulationRun> plays =
+                    ParallelRuns.all(scenarios, SimulationRun::of, p -> p.broken().isEmpty());
+            SimulationRun last = plays.get(plays.size() - 1);
             if (!last.broken().isEmpty()) {
                 System.out.println("seed " + last.scenario().seed());
                 if (out != null) {
@@ -223,7 +224,7 @@
             return 0;
         }
 
-        private void report(List<Play> plays, double tookS) {
+        private void report(List<SimulationRun> plays, double tookS) {
             System.out.printf(
                     Locale.ROOT,
                     "%d simulated sites, %.0f s each, in %.1f s: no rule broken%n",
@@ -232,26 +233,27 @@
                     tookS);
             System.out.println(
                     "worst served:  seed   wanted  in time%  refusals/want  attempts/want");
-            Comparator<Play> byShare = Comparator.comparingDouble(p -> p.service().share());
+            Comparator<SimulationRun> byShare =
+                    Comparator.comparingDouble(p -> p.service().servedValueShare());
             plays.stream()
                     .sorted(byShare)
                     .limit(5)
                     .forEach(
                             p -> {
-                                Service.Second all = p.service().all();
+                                ServiceStatistics.ServiceCounts all = p.service().all();
                                 System.out.printf(
                                         Locale.ROOT,
                                         "%20d %8d %9.1f %14.2f %14.2f%n",
                                         p.scenario().seed(),
-                                        all.wanted,
-                                        100 * p.service().share(),
-                                        (double) all.refused / all.wanted,
-                                        (double) all.attempts / all.wanted);
+                                        all.operations,
+                                        100 * p.service().servedValueShare(),
+                                        (double) all.refused / all.operations,
+                                        (double) all.attempts / all.operations);
                             });
             System.out.println(
                     "verdict "
                             + Integer.toHexString(
-                                    plays.stream().map(Play::hash).toList().hashCode()));
+                                    plays.stream().map(SimulationRun::hash).toList().hashCode()));
         }
     }
 
@@ -271,18 +273,20 @@
         @Override
         public Integer call() {
             Scenario whole = ScenarioFile.read(file);
-            Play first = Play.of(whole);
+            SimulationRun first = SimulationRun.of(whole);
             if (first.broken().isEmpty()) {
                 throw new BadInput(file + " breaks no rule");
             }
             String rule = first.broken().get(0).rule();
             Scenario least =
-                    Shrinker.shrink(
+                    ScenarioShrinker.shrink(
                             whole,
-                            s -> Play.of(s).broken().stream().anyMatch(b -> b.rule().equals(rule)));
+                            s ->
+                                    SimulationRun.of(s).broken().stream()
+                                            .anyMatch(b -> b.rule().equals(rule)));
             save(out, least);
             System.out.println("still breaks \"" + rule + "\": " + out);
-            return rules(Play.of(least).broken());
+            return rules(SimulationRun.of(least).broken());
         }
     }
 
@@ -317,11 +321,11 @@
                     scenarios.add(s.withSeed(seed));
                 }
             }
-            List<Play> plays = Plays.all(scenarios, Play::of, p -> true);
+            List<SimulationRun> plays = ParallelRuns.all(scenarios, SimulationRun::of, p -> true);
             System.out.printf(
                     "%-28s %8s %8s %8s   %8s %8s %8s%n",
                     seeds + " seeds", "A mean", "least", "most", "B mean", "least", "most");
-            List<Map<String, Object>> figures = plays.stream().map(Play::figures).toList();
+            List<Map<String, Object>> figures = plays.stream().map(SimulationRun::figures).toList();
             Set<String> common = new LinkedHashSet<>(figures.get(0).keySet());
             figures.forEach(
                     f -> common.retainAll(f.keySet())); // sites with other zones have other figures
--- a/src/main/java/holdproxy/lab/LeaseCommand.java
+++ b/src/main/java/holdproxy/lab/LeaseCommand.java
@@ -17,7 +17,7 @@
         description = "Simulates exclusive leases with faults drawn from seeds.",
         mixinStandardHelpOptions = true)
 final class LeaseCommand implements Callable<Integer> {
-    @Mixin private VoterOptions options;
+    @Mixin private ConsensusFleetOptions options;
 
     @Option(names = "--without", description = "a safeguard to disable: ${COMPLETION-CANDIDATES}")
     private LeaseClient.Safeguard without;
--- a/src/main/java/holdproxy/lab/LeaseSimulation.java
+++ b/src/main/java/holdproxy/lab/LeaseSimulation.java
@@ -44,7 +44,7 @@
      * @param kinds kinds of faults that were injected
      */
     record Outcome(List<String> broken, int acts, int refused, List<Long> freeMs, Set<String> kinds)
-            implements VoterOptions.Outcome {}
+            implements ConsensusFleetOptions.Outcome {}
 
     /** Times are true time; {@code until} is when the holder's lease ended by its own clock. */
     private static final class Act {
@@ -75,7 +75,8 @@
     private final Map<String, Long> highest = new TreeMap<>();
 
     private final List<Long> freeMs = new ArrayList<>();
-    private final Map<ConsensusFleet.Instance, Set<LeaseClient.Act>> underWay = new HashMap<>();
+    private final Map<ConsensusFleet.Instance, Set<LeaseClient.GuardedAction>> underWay =
+            new HashMap<>();
     private int refused;
 
     /** How the holder of a lease loses it. */
@@ -250,11 +251,11 @@
         }
 
         @Override
-        public void notifyFree(String name, String role, long token) {
+        public void notifyRoleFree(String name, String role, long token) {
             if (name.equals(instance.name)) {
-                instance.after(0, () -> clients.get(instance).notifiedFree(role, token));
+                instance.after(0, () -> clients.get(instance).roleFreed(role, token));
             } else {
-                instance.runAt(name, target -> clients.get(target).notifiedFree(role, token));
+                instance.runAt(name, target -> clients.get(target).roleFreed(role, token));
             }
         }
 
@@ -276,7 +277,7 @@
                 actEveryUs / 2 + fleet.random.nextInt((int) actEveryUs),
                 () -> {
                     LeaseClient own = clients.get(instance);
-                    LeaseClient.Act act = own.begin(role);
+                    LeaseClient.GuardedAction act = own.begin(role);
                     if (act != null) {
                         underWay.computeIfAbsent(instance, l -> new HashSet<>()).add(act);
                         Act seen = new Act(role, instance.name, act.token(), fleet.time.nowUs());
@@ -305,7 +306,7 @@
     }
 
     private void send(ConsensusFleet.Instance instance, Act act) {
-        fleet.time.after(
+        fleet.time.schedule(
                 fleet.delayUs(instance.name, RESOURCE),
                 () -> {
                     long before = highest.getOrDefault(act.role, 0L);
--- a/src/main/java/holdproxy/lab/LoadOptions.java
+++ b/src/main/java/holdproxy/lab/LoadOptions.java
@@ -87,7 +87,7 @@
     }
 
     /** Runs one simulated site for each seed, with load as this share of its nodes' capacity. */
-    List<Scenario> towns(double load, double seconds, List<Fault> faults) {
+    List<Scenario> scenarios(double load, double seconds, List<Fault> faults) {
         return LongStream.range(from, from + seeds)
                 .mapToObj(
                         seed -> {
@@ -106,8 +106,8 @@
                                                             retries,
                                                             clubs()),
                                                     faults)
-                                            .withTown(proxies, nodes);
-                            return s.withRate(load * Town.capacityPerS(s));
+                                            .withSize(proxies, nodes);
+                            return s.withRate(load * SimulatedSite.capacityPerS(s));
                         })
                 .toList();
     }
--- a/src/main/java/holdproxy/lab/LoadSeries.java
+++ b/src/main/java/holdproxy/lab/LoadTimeSeries.java
@@ -2,7 +2,7 @@
 
 import holdproxy.town.Auditors;
 import holdproxy.town.Event;
-import holdproxy.town.MetaLines;
+import holdproxy.town.MetaProtocolDecoder;
 import holdproxy.town.RequestClass;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
  * a second. A wanted request counts in the bin in which it began, whenever its answer came; an attempt
  * counts in the bin in which it reached its node.
  */
-final class LoadSeries {
+final class LoadTimeSeries {
     static final double BIN_S = 0.5;
     private static final long BIN_US = (long) (BIN_S * 1e6);
 
@@ -23,14 +23,14 @@
     /** Requests per second that the nodes can serve. */
     final double capacityPerS;
 
-    final List<Auditors.Broken> broken;
+    final List<Auditors.Violation> broken;
     private final double[][] wanted;
     private final double[][] inTime;
     private final double[] attempts;
 
-    LoadSeries(Scenario scenario, List<Event> events, List<Auditors.Broken> broken) {
+    LoadTimeSeries(Scenario scenario, List<Event> events, List<Auditors.Violation> broken) {
         this.broken = broken;
-        capacityPerS = Town.capacityPerS(scenario);
+        capacityPerS = SimulatedSite.capacityPerS(scenario);
         int bins = (int) Math.ceil(scenario.seconds() / BIN_S);
         int clubs = scenario.load().clubs().size();
         wanted = new double[clubs][bins];
@@ -40,16 +40,16 @@
         for (Event e : events) {
             int bin = (int) (e.us() / BIN_US);
             if (e.kind() == Event.Kind.WANTED) {
-                int club = Integer.parseInt(e.where().substring(e.where().indexOf('-') + 1));
+                int club = Integer.parseInt(e.host().substring(e.host().indexOf('-') + 1));
                 open.put(e.id(), new Want(RequestClass.named(e.detail()), club, e.us()));
                 wanted[club][bin]++;
             } else if (e.kind() == Event.Kind.ARRIVED && bin < bins) {
                 attempts[bin]++;
             } else if (e.kind() == Event.Kind.ANSWERED
-                    && MetaLines.served(e.detail())
+                    && MetaProtocolDecoder.isServed(e.detail())
                     && !e.id().isEmpty()) {
-                Want w = open.remove(e.want());
-                if (w != null && e.us() - w.us <= w.type.aimMs() * 1000L) {
+                Want w = open.remove(e.operationId());
+                if (w != null && e.us() - w.us <= w.type.targetMs() * 1000L) {
                     inTime[w.club][(int) (w.us / BIN_US)]++;
                 }
             }
@@ -57,11 +57,11 @@
     }
 
     /** Runs a scenario with its auditors. */
-    static LoadSeries of(Scenario scenario) {
-        try (Town town = new Town(scenario)) {
-            town.play();
+    static LoadTimeSeries of(Scenario scenario) {
+        try (SimulatedSite town = new SimulatedSite(scenario)) {
+            town.run();
             List<Event> events = town.record.events();
-            return new LoadSeries(scenario, events, Auditors.broken(events));
+            return new LoadTimeSeries(scenario, events, Auditors.violations(events));
         }
     }
 
--- a/src/main/java/holdproxy/lab/MembershipCommand.java
+++ b/src/main/java/holdproxy/lab/MembershipCommand.java
@@ -46,10 +46,10 @@
 
     @Override
     public Integer call() {
-        if (seeds < 1 || processes < 2 || processes > Membership.MOST_MEMBERS || !(seconds >= 30)) {
+        if (seeds < 1 || processes < 2 || processes > Membership.MAX_MEMBERS || !(seconds >= 30)) {
             throw new BadInput(
                     "--seeds must be at least 1, --processes 2 to "
-                            + Membership.MOST_MEMBERS
+                            + Membership.MAX_MEMBERS
                             + ", --seconds at least 30");
         }
         Set<Membership.Safeguard> safeguards = EnumSet.allOf(Membership.Safeguard.class);
--- a/src/main/java/holdproxy/lab/MembershipSimulation.java
+++ b/src/main/java/holdproxy/lab/MembershipSimulation.java
@@ -1,7 +1,7 @@
 package holdproxy.lab;
 
-import holdproxy.membership.Change;
 import holdproxy.membership.Member;
+import holdproxy.membership.MemberChange;
 import holdproxy.membership.Membership;
 import holdproxy.membership.Message;
 import java.util.ArrayList;
@@ -71,7 +71,7 @@
             random = new Random(faultRandom.nextLong());
             rules =
                     new Membership(
-                            Membership.Settings.USUAL,
+                            Membership.Settings.DEFAULT,
                             name,
                             address,
                             wallMs,
@@ -96,7 +96,7 @@
             long dueUs = Math.max(rules.dueUs(), time.nowUs());
             if (dueUs < timerUs) {
                 timerUs = dueUs;
-                time.after(
+                time.schedule(
                         dueUs - time.nowUs(),
                         () ->
                                 run(
@@ -126,7 +126,7 @@
                             + (long)
                                     (random.nextDouble()
                                             * (MOST_DELAY_US + links.slowUs(address, toAddress)));
-            time.after(
+            time.schedule(
                     delay,
                     () ->
                             target.run(
@@ -139,7 +139,7 @@
         }
 
         @Override
-        public void changed(Change change) {
+        public void changed(MemberChange change) {
             if (change.now().state() == Member.State.SUSPECT && change.now().by().equals(name)) {
                 checkSuspicion(change.now());
             }
@@ -215,7 +215,7 @@
         trial.start(processes);
         for (int i = 1 + trial.faultRandom.nextInt(MOST_FAULTS); i > 0; i--) {
             double atS = trial.faultRandom.nextDouble(FIRST_FAULT_S, seconds * 0.4);
-            trial.time.after((long) (atS * 1e6), () -> trial.injectFault(seconds * 0.5));
+            trial.time.schedule((long) (atS * 1e6), () -> trial.injectFault(seconds * 0.5));
         }
         trial.time.run((long) (seconds * 1e6));
         trial.checkAgreement();
@@ -242,7 +242,7 @@
         }
         for (int i = 0; i < count; i++) {
             int number = i;
-            time.after(
+            time.schedule(
                     faultRandom.nextInt(1_000_000),
                     () ->
                             processes.add(
@@ -297,7 +297,7 @@
                         : setBackMs > 0 ? "killed, back with an earlier clock" : "killed, back");
         killedUs.put(one, time.nowUs());
         if (again) {
-            time.after(
+            time.schedule(
                     forUs,
                     () -> {
                         Process back =
@@ -329,7 +329,7 @@
         recordFault(one, kind);
         List<String> all = addresses();
         links.partition(all, List.of(one.address), out, in, 1);
-        time.after(forUs, () -> links.partition(all, List.of(one.address), out, in, -1));
+        time.schedule(forUs, () -> links.partition(all, List.of(one.address), out, in, -1));
     }
 
     private interface LinkFault {
@@ -340,7 +340,7 @@
         recordFault(one, kind);
         List<String> others = addresses().stream().filter(a -> !a.equals(one.address)).toList();
         others.forEach(other -> harm.both(one.address, other, by));
-        time.after(forUs, () -> others.forEach(other -> harm.both(one.address, other, -by)));
+        time.schedule(forUs, () -> others.forEach(other -> harm.both(one.address, other, -by)));
     }
 
     /** Operators start a successor elsewhere without ending the old process. */
--- a/src/main/java/holdproxy/lab/Cycle.java
+++ b/src/main/java/holdproxy/lab/Oscillation.java
@@ -12,17 +12,17 @@
  * @param strength autocorrelation at that period; 1 for an oscillation that repeats exactly
  * @param size standard deviation over mean of the half-second counts, beyond that of Poisson arrivals
  */
-record Cycle(double periodS, double strength, double size) {
+record Oscillation(double periodS, double strength, double size) {
     private static final double LONGEST_S = 12;
 
     /** A peak below this many standard errors of the autocorrelation of white noise is ignored. */
     private static final double ERRORS = 2;
 
     /** Analyses the series of several runs from this second on. */
-    static Cycle of(List<double[]> series, double fromS) {
-        int from = (int) (fromS / LoadSeries.BIN_S);
+    static Oscillation of(List<double[]> series, double fromS) {
+        int from = (int) (fromS / LoadTimeSeries.BIN_S);
         int length = series.get(0).length - from;
-        int lags = Math.min(length / 2, (int) (LONGEST_S / LoadSeries.BIN_S));
+        int lags = Math.min(length / 2, (int) (LONGEST_S / LoadTimeSeries.BIN_S));
         double[] mean = new double[lags];
         double size = 0;
         for (double[] s : series) {
@@ -46,7 +46,7 @@
         }
         double noise = ERRORS / Math.sqrt((double) length * series.size());
         boolean found = top < lags && mean[top] > noise;
-        return new Cycle(found ? top * LoadSeries.BIN_S : 0, found ? mean[top] : 0, size);
+        return new Oscillation(found ? top * LoadTimeSeries.BIN_S : 0, found ? mean[top] : 0, size);
     }
 
     /** Autocovariances as sums, not means; the one at lag 0 is the sum of squares. */
--- a/src/main/java/holdproxy/lab/OverloadCommand.java
+++ b/src/main/java/holdproxy/lab/OverloadCommand.java
@@ -1,7 +1,7 @@
 package holdproxy.lab;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import holdproxy.command.Plot;
+import holdproxy.command.LineChart;
 import holdproxy.town.Auditors;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -70,11 +70,11 @@
     public Integer call() throws InterruptedException, ExecutionException, IOException {
         check();
         List<Scenario> all = new ArrayList<>();
-        loads.forEach(load -> all.addAll(options.towns(load, seconds, List.of())));
+        loads.forEach(load -> all.addAll(options.scenarios(load, seconds, List.of())));
         if (greedy > 0) {
-            all.addAll(options.towns(CALM, seconds, greed()));
+            all.addAll(options.scenarios(CALM, seconds, greed()));
         }
-        List<LoadSeries> plays = Plays.all(all, LoadSeries::of, p -> true);
+        List<LoadTimeSeries> plays = ParallelRuns.all(all, LoadTimeSeries::of, p -> true);
         List<Map<String, Object>> rows = new ArrayList<>();
         for (int i = 0; i < loads.size(); i++) {
             rows.add(
@@ -90,7 +90,7 @@
                     "greedy",
                     greedyRow(plays.subList(loads.size() * options.seeds(), plays.size())));
         }
-        List<Auditors.Broken> broken = plays.stream().flatMap(p -> p.broken.stream()).toList();
+        List<Auditors.Violation> broken = plays.stream().flatMap(p -> p.broken.stream()).toList();
         report.put("broken", broken.size());
         if (options.json) {
             System.out.println(JSON.std.asString(report));
@@ -134,15 +134,17 @@
                 .toList();
     }
 
-    private Map<String, Object> row(double load, List<LoadSeries> plays) {
+    private Map<String, Object> row(double load, List<LoadTimeSeries> plays) {
         double[] seconds =
                 plays.stream()
                         .flatMapToDouble(
-                                p -> Arrays.stream(LoadSeries.bySecond(p.inTime(), warmUp)))
+                                p -> Arrays.stream(LoadTimeSeries.bySecond(p.inTime(), warmUp)))
                         .sorted()
                         .toArray();
-        Cycle served = Cycle.of(plays.stream().map(LoadSeries::inTime).toList(), warmUp);
-        Cycle sent = Cycle.of(plays.stream().map(LoadSeries::attempts).toList(), warmUp);
+        Oscillation served =
+                Oscillation.of(plays.stream().map(LoadTimeSeries::inTime).toList(), warmUp);
+        Oscillation sent =
+                Oscillation.of(plays.stream().map(LoadTimeSeries::attempts).toList(), warmUp);
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("load", load);
         row.put(
@@ -156,7 +158,7 @@
         row.put(
                 "attempts_per_s",
                 plays.stream()
-                        .mapToDouble(p -> LoadSeries.perS(p.attempts(), warmUp))
+                        .mapToDouble(p -> LoadTimeSeries.perS(p.attempts(), warmUp))
                         .average()
                         .orElse(0));
         row.put("period_s", sent.periodS());
@@ -166,12 +168,12 @@
         return row;
     }
 
-    private double share(List<LoadSeries> plays) {
+    private double share(List<LoadTimeSeries> plays) {
         return plays.stream().mapToDouble(p -> p.shareOfCapacity(warmUp)).average().orElse(0);
     }
 
     /** The clubs within their quota, and the greedy ones. */
-    private Map<String, Object> greedyRow(List<LoadSeries> plays) {
+    private Map<String, Object> greedyRow(List<LoadTimeSeries> plays) {
         int clubs = options.clubs().size();
         double[] shares =
                 IntStream.range(0, clubs)
@@ -226,8 +228,9 @@
     }
 
     private void plot(List<Map<String, Object>> rows) {
-        Plot plot =
-                new Plot("Served in time over node capacity", "load / capacity", "per capacity");
+        LineChart plot =
+                new LineChart(
+                        "Served in time over node capacity", "load / capacity", "per capacity");
         double[] x = column(rows, "load");
         double[] capacity = column(rows, "capacity_per_s");
         plot.line("served in time", x, column(rows, "share"));
--- a/src/main/java/holdproxy/lab/Plays.java
+++ b/src/main/java/holdproxy/lab/ParallelRuns.java
@@ -10,8 +10,8 @@
 import java.util.function.Predicate;
 
 /** Runs many scenarios in parallel on all cores but one. */
-final class Plays {
-    private Plays() {}
+final class ParallelRuns {
+    private ParallelRuns() {}
 
     /**
      * The results of {@code play} for each scenario, in order; stops early when {@code go} returns false.
--- a/src/main/java/holdproxy/lab/ProxyProcess.java
+++ b/src/main/java/holdproxy/lab/ProxyProcess.java
@@ -1,15 +1,15 @@
 package holdproxy.lab;
 
 import holdproxy.console.Figures;
+import holdproxy.net.Clock;
 import holdproxy.net.Config;
 import holdproxy.net.Proxy;
-import holdproxy.net.Time;
 import holdproxy.net.Transport;
 import holdproxy.town.Event;
-import holdproxy.town.Front;
+import holdproxy.town.LoadBalancer;
 import holdproxy.town.ProxyConfig;
 import holdproxy.town.RequestClass;
-import holdproxy.town.TownRecord;
+import holdproxy.town.SiteRecord;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
@@ -33,21 +33,21 @@
     private final int door;
     private final VirtualTime time;
     private final VirtualLoop world;
-    private final MemoryNetwork network;
-    private final TownRecord record;
-    private final Front front;
+    private final InMemoryNetwork network;
+    private final SiteRecord record;
+    private final LoadBalancer front;
     private final IntFunction<Config> config;
     private final IntFunction<Config> retuned;
 
     /** Nodes left out by operators; kept across restarts, as in a directory of the platform. */
     private final Set<String> leftOut = new TreeSet<>();
 
-    private int attempts = ProxyConfig.ATTEMPTS;
+    private int attempts = ProxyConfig.MAX_ATTEMPTS;
     private final UnaryOperator<Transport> planted;
     private final Consumer<String> log;
-    private final Function<VirtualTime, Time> clock;
+    private final Function<VirtualTime, Clock> clock;
     private VirtualLoop loop;
-    private MemoryNetwork.Process process;
+    private InMemoryNetwork.Process process;
     private Proxy proxy;
     private int life;
 
@@ -62,12 +62,12 @@
             int door,
             VirtualTime time,
             VirtualLoop world,
-            MemoryNetwork network,
-            TownRecord record,
-            Front front,
+            InMemoryNetwork network,
+            SiteRecord record,
+            LoadBalancer front,
             IntFunction<Config> config,
             IntFunction<Config> retuned,
-            Function<VirtualTime, Time> clock,
+            Function<VirtualTime, Clock> clock,
             UnaryOperator<Transport> planted,
             Consumer<String> log) {
         this.name = name;
@@ -87,15 +87,15 @@
 
     /** Number of open requests; 0 while it does not run. */
     int open() {
-        return proxy == null ? 0 : proxy.open();
+        return proxy == null ? 0 : proxy.openRequests();
     }
 
-    boolean runs() {
+    boolean isRunning() {
         return loop != null;
     }
 
     void start() {
-        if (runs()) {
+        if (isRunning()) {
             return;
         }
         life++;
@@ -115,7 +115,7 @@
                     record.add(
                             time.nowUs(), Event.Kind.RETUNED, name, "", Integer.toString(attempts));
                     leftOut.forEach(node -> leaveOut(proxy, node, true));
-                    world.execute(() -> front.use(door, true));
+                    world.execute(() -> front.setInUse(door, true));
                 });
     }
 
@@ -126,7 +126,7 @@
         } else {
             leftOut.remove(node);
         }
-        if (runs() && proxy != null) {
+        if (isRunning() && proxy != null) {
             Proxy told = proxy;
             loop.execute(() -> leaveOut(told, node, out));
         }
@@ -138,13 +138,13 @@
     }
 
     /** SIGHUP, with settings that allow this many attempts. */
-    void retune(int to) {
+    void reload(int to) {
         attempts = to;
-        if (runs() && proxy != null) {
+        if (isRunning() && proxy != null) {
             Proxy told = proxy;
             loop.execute(
                     () -> {
-                        told.taken(retuned.apply(to));
+                        told.applyConfig(retuned.apply(to));
                         record.add(
                                 time.nowUs(), Event.Kind.RETUNED, name, "", Integer.toString(to));
                     });
@@ -153,7 +153,7 @@
 
     /** Records the metrics that it exposes to operators at this moment. */
     void recordMetrics() {
-        if (!runs() || proxy == null) {
+        if (!isRunning() || proxy == null) {
             return;
         }
         Figures f = proxy.figures();
@@ -161,7 +161,7 @@
         long shed = 0;
         long errors = 0;
         for (RequestClass c : RequestClass.ALL) {
-            Figures.Outcomes o = f.of(c.name());
+            Figures.Outcomes o = f.forClass(c.name());
             ok += o.ok.get();
             shed += o.shed.get();
             errors += o.errors.get();
@@ -176,28 +176,30 @@
 
     /** SIGTERM; it is started again this many microseconds after its end. */
     void restart(long downUs) {
-        if (!runs() || proxy == null) {
+        if (!isRunning() || proxy == null) {
             return;
         }
         record.add(time.nowUs(), Event.Kind.FAULT, name, "", "told to end");
         int ending = life;
         loop.execute(
-                () -> proxy.end().addListener(f -> world.execute(() -> shutDown(ending, downUs))));
-        world.after(
+                () ->
+                        proxy.drain()
+                                .addListener(f -> world.execute(() -> shutDown(ending, downUs))));
+        world.schedule(
                 FRONT_TOLD_US,
                 () -> {
                     if (life == ending) {
-                        front.use(door, false);
+                        front.setInUse(door, false);
                     }
                 });
-        world.after(KILLED_AFTER_US, () -> shutDown(ending, downUs));
+        world.schedule(KILLED_AFTER_US, () -> shutDown(ending, downUs));
     }
 
     private void shutDown(int ending, long downUs) {
-        if (life == ending && runs()) {
+        if (life == ending && isRunning()) {
             over("ended");
-            front.use(door, false);
-            world.after(downUs, this::start);
+            front.setInUse(door, false);
+            world.schedule(downUs, this::start);
         }
     }
 
@@ -205,19 +207,19 @@
      * The process dies; the front keeps forwarding to it for a time, and it is restarted after another.
      */
     void kill(long noticedUs, long downUs) {
-        if (!runs()) {
+        if (!isRunning()) {
             return;
         }
         over("killed");
         int killed = life;
-        world.after(
+        world.schedule(
                 noticedUs,
                 () -> {
                     if (life == killed) {
-                        front.use(door, false);
+                        front.setInUse(door, false);
                     }
                 });
-        world.after(
+        world.schedule(
                 downUs,
                 () -> {
                     if (life == killed) {
@@ -228,28 +230,28 @@
 
     private void over(String how) {
         record.add(time.nowUs(), Event.Kind.FAULT, name, "", how);
-        loop.end(process::die);
+        loop.end(process::terminate);
         loop = null;
         proxy = null;
     }
 
     /** Sets whether the front forwards to it, regardless of its state. */
     void setForwarding(boolean up) {
-        front.use(door, up && runs());
+        front.setInUse(door, up && isRunning());
     }
 
     /** Pauses the process for this long. */
-    void hold(long us) {
-        if (runs()) {
+    void pause(long us) {
+        if (isRunning()) {
             record.add(time.nowUs(), Event.Kind.FAULT, name, "", "held " + us);
-            loop.hold(us);
+            loop.pause(us);
         }
     }
 
     /** Ends the process at the end of the run, without recording it. */
     void close() {
-        if (runs()) {
-            loop.end(process::die);
+        if (isRunning()) {
+            loop.end(process::terminate);
             loop = null;
         }
     }
--- a/src/main/java/holdproxy/lab/Scenario.java
+++ b/src/main/java/holdproxy/lab/Scenario.java
@@ -23,7 +23,7 @@
         Size town,
         Load load,
         List<Fault> faults,
-        Rooms rooms) {
+        ZoneLayout rooms) {
     /**
      * Size of a simulated site.
      *
@@ -62,16 +62,16 @@
      * @param delaysMs extra one-way delay between two zones, in the order 0-1, 0-2, .., 1-2, ..; or one
      *     value for all pairs
      */
-    record Rooms(int zones, List<Double> delaysMs) {
-        static final Rooms ONE = new Rooms(1, List.of(0.0));
+    record ZoneLayout(int zones, List<Double> delaysMs) {
+        static final ZoneLayout ONE = new ZoneLayout(1, List.of(0.0));
 
-        Rooms {
+        ZoneLayout {
             delaysMs = List.copyOf(delaysMs);
         }
     }
 
     static final Size SMALL = new Size(2, 8, 4, 20, 4000, 30, 700, 2.5, 0.2, 20, 60, 40);
-    static final Load PLAIN = Load.PLAIN;
+    static final Load PLAIN = Load.DEFAULT;
     private static final double FIRST_FAULT_S = 1;
     private static final int MOST_FAULTS = 5;
 
@@ -81,7 +81,7 @@
 
     /** A site without zones. */
     Scenario(String name, long seed, double seconds, Size town, Load load, List<Fault> faults) {
-        this(name, seed, seconds, town, load, faults, Rooms.ONE);
+        this(name, seed, seconds, town, load, faults, ZoneLayout.ONE);
     }
 
     Scenario withSeed(long other) {
@@ -97,7 +97,7 @@
     }
 
     /** The same site with this many proxies and nodes. */
-    Scenario withTown(int proxies, int nodes) {
+    Scenario withSize(int proxies, int nodes) {
         return new Scenario(
                 name,
                 seed,
@@ -169,18 +169,18 @@
         for (int i = random.nextInt(MOST_FAULTS + 1); i > 0; i--) {
             faults.add(drawnFault(random, size, load, random.nextDouble(FIRST_FAULT_S, seconds)));
         }
-        Rooms rooms = Rooms.ONE;
+        ZoneLayout rooms = ZoneLayout.ONE;
         if (random.nextInt(3) == 0) {
-            rooms = new Rooms(2 + random.nextInt(3), List.of(random.nextDouble(0, 3)));
+            rooms = new ZoneLayout(2 + random.nextInt(3), List.of(random.nextDouble(0, 3)));
             faults.add(drawnZoneFault(random, rooms, random.nextDouble(FIRST_FAULT_S, seconds)));
         }
         return new Scenario("drawn", seed, seconds, size, load, faults, rooms);
     }
 
-    private static Fault drawnZoneFault(SplittableRandom random, Rooms rooms, double atS) {
+    private static Fault drawnZoneFault(SplittableRandom random, ZoneLayout rooms, double atS) {
         Fault.Kind kind = Fault.Kind.OF_ZONES.get(random.nextInt(Fault.Kind.OF_ZONES.size()));
         boolean gray = kind == Fault.Kind.ZONE_GRAY;
-        boolean noticed = kind.figures.contains(Fault.Figure.NOTICED_S);
+        boolean noticed = kind.figures.contains(Fault.Parameter.NOTICED_S);
         return new Fault(
                 kind,
                 atS,
--- a/src/main/java/holdproxy/lab/ScenarioFile.java
+++ b/src/main/java/holdproxy/lab/ScenarioFile.java
@@ -1,7 +1,7 @@
 package holdproxy.lab;
 
 import holdproxy.input.BadInput;
-import holdproxy.toml.TomlPart;
+import holdproxy.toml.TomlSection;
 import holdproxy.toml.TomlText;
 import holdproxy.town.Load;
 import java.io.IOException;
@@ -35,103 +35,108 @@
 
     /** {@code file}: the file name, for errors and as the default scenario name. */
     static Scenario read(String file, String text) {
-        TomlPart top = TomlPart.parse(file, "the scenario", text);
-        String name = top.text("name", file);
+        TomlSection top = TomlSection.parse(file, "the scenario", text);
+        String name = top.string("name", file);
         long seed = (long) top.number("seed", 1, 0, Long.MAX_VALUE);
         double seconds = top.number("seconds", 30, 1, LONGEST_S);
-        TomlPart town = top.part("town");
+        TomlSection town = top.section("town");
         Scenario.Size size = size(town);
-        Scenario.Rooms rooms = rooms(town);
-        town.done();
-        Load load = Load.read(top.part("load"));
+        Scenario.ZoneLayout rooms = rooms(town);
+        town.rejectUnknownKeys();
+        Load load = Load.read(top.section("load"));
         List<Fault> faults = new ArrayList<>();
-        for (TomlPart fault : top.parts("fault")) {
+        for (TomlSection fault : top.sections("fault")) {
             faults.add(fault(fault, size, load, rooms.zones(), seconds));
         }
-        top.done();
+        top.rejectUnknownKeys();
         return new Scenario(name, seed, seconds, size, load, faults, rooms);
     }
 
-    private static Scenario.Size size(TomlPart p) {
+    private static Scenario.Size size(TomlSection p) {
         Scenario.Size d = Scenario.SMALL;
         Scenario.Size size =
                 new Scenario.Size(
-                        p.whole("proxies", d.proxies(), 1, 200),
-                        p.whole("nodes", d.nodes(), 1, 1000),
-                        p.whole("slots", d.slots(), 1, 1000),
-                        p.whole("queue", d.queue(), 0, 10_000),
-                        p.whole("memory_keys", d.memory(), 1, 1_000_000),
+                        p.integer("proxies", d.proxies(), 1, 200),
+                        p.integer("nodes", d.nodes(), 1, 1000),
+                        p.integer("slots", d.slots(), 1, 1000),
+                        p.integer("queue", d.queue(), 0, 10_000),
+                        p.integer("memory_keys", d.memory(), 1, 1_000_000),
                         p.number("ttl_s", d.ttlS(), 0.001, LONGEST_S),
-                        p.whole("connections", d.connections(), 1, 100_000),
+                        p.integer("connections", d.connections(), 1, 100_000),
                         p.number("handshake_ms", d.handshakeMs(), 0, 1000),
                         p.number("cold_from", d.coldFrom(), 0.01, 1),
                         p.number("cold_s", d.coldS(), 0.001, LONGEST_S),
                         p.number("origin_ms", d.originMs(), 0.1, 10_000),
-                        p.whole("origin_slots", d.originSlots(), 1, 100_000));
+                        p.integer("origin_slots", d.originSlots(), 1, 100_000));
         return size;
     }
 
-    private static Scenario.Rooms rooms(TomlPart p) {
-        int zones = p.whole("zones", 1, 1, Zones.MOST);
+    private static Scenario.ZoneLayout rooms(TomlSection p) {
+        int zones = p.integer("zones", 1, 1, ZoneNetwork.MOST);
         TomlArray each = p.array("zone_ms");
         List<Double> delays = new ArrayList<>();
         for (int i = 0; each != null && i < each.size(); i++) {
             double ms = each.get(i) instanceof Number n ? n.doubleValue() : -1;
             if (!(ms >= 0 && ms <= MOST_DELAY_MS)) {
-                throw p.bad(
+                throw p.error(
                         each.inputPositionOf(i),
                         "zone_ms holds something else than milliseconds from 0 to "
                                 + MOST_DELAY_MS);
             }
             delays.add(ms);
         }
-        int pairs = Zones.pairs(zones);
+        int pairs = ZoneNetwork.pairs(zones);
         if (each != null && delays.size() != 1 && delays.size() != pairs) {
-            throw p.bad(
-                    p.at("zone_ms"),
+            throw p.error(
+                    p.positionOf("zone_ms"),
                     "zone_ms holds "
                             + delays.size()
                             + " figures and not one for all, or one for each of the "
                             + pairs
                             + " pairs of zones");
         }
-        return new Scenario.Rooms(zones, delays.isEmpty() ? List.of(0.0) : delays);
+        return new Scenario.ZoneLayout(zones, delays.isEmpty() ? List.of(0.0) : delays);
     }
 
     private static Fault fault(
-            TomlPart p, Scenario.Size size, Load load, int zones, double seconds) {
-        String word = p.text("kind", "");
+            TomlSection p, Scenario.Size size, Load load, int zones, double seconds) {
+        String word = p.string("kind", "");
         Fault.Kind kind = null;
         for (Fault.Kind k : Fault.Kind.values()) {
-            kind = k.word().equals(word) ? k : kind;
+            kind = k.tomlName().equals(word) ? k : kind;
         }
         if (kind == null) {
-            throw p.bad(
-                    p.at("kind"),
+            throw p.error(
+                    p.positionOf("kind"),
                     "kind is not one of "
                             + String.join(
                                     ", ",
                                     Arrays.stream(Fault.Kind.values())
-                                            .map(Fault.Kind::word)
+                                            .map(Fault.Kind::tomlName)
                                             .toList()));
         }
-        Set<Fault.Figure> has = kind.figures;
-        double atS = p.needed("at_s", 0, seconds);
-        double forS = has.contains(Fault.Figure.FOR_S) ? p.number("for_s", 0, 0, LONGEST_S) : 0;
+        Set<Fault.Parameter> has = kind.figures;
+        double atS = p.requiredNumber("at_s", 0, seconds);
+        double forS = has.contains(Fault.Parameter.FOR_S) ? p.number("for_s", 0, 0, LONGEST_S) : 0;
         double noticedS =
-                has.contains(Fault.Figure.NOTICED_S) ? p.number("noticed_s", 2, 0, LONGEST_S) : 0;
+                has.contains(Fault.Parameter.NOTICED_S)
+                        ? p.number("noticed_s", 2, 0, LONGEST_S)
+                        : 0;
         int target =
-                has.contains(Fault.Figure.NODE)
-                        ? p.whole("node", 0, 0, size.nodes() - 1)
-                        : has.contains(Fault.Figure.PROXY)
-                                ? (int) p.needed("proxy", 0, size.proxies() - 1)
-                                : has.contains(Fault.Figure.CLUB)
-                                        ? (int) p.needed("club", 0, load.clubs().size() - 1)
-                                        : kind.ofZone() ? (int) p.needed("zone", 0, zones - 1) : 0;
-        double part = has.contains(Fault.Figure.PART) ? p.number("part", 0, 0, 1) : 0;
-        double times = has.contains(Fault.Figure.TIMES) ? p.needed("times", 0.01, 1000) : 0;
-        double chance = has.contains(Fault.Figure.CHANCE) ? p.needed("chance", 0, 1) : 0;
-        p.done();
+                has.contains(Fault.Parameter.NODE)
+                        ? p.integer("node", 0, 0, size.nodes() - 1)
+                        : has.contains(Fault.Parameter.PROXY)
+                                ? (int) p.requiredNumber("proxy", 0, size.proxies() - 1)
+                                : has.contains(Fault.Parameter.CLUB)
+                                        ? (int) p.requiredNumber("club", 0, load.clubs().size() - 1)
+                                        : kind.affectsZone()
+                                                ? (int) p.requiredNumber("zone", 0, zones - 1)
+                                                : 0;
+        double part = has.contains(Fault.Parameter.PART) ? p.number("part", 0, 0, 1) : 0;
+        double times =
+                has.contains(Fault.Parameter.TIMES) ? p.requiredNumber("times", 0.01, 1000) : 0;
+        double chance = has.contains(Fault.Parameter.CHANCE) ? p.requiredNumber("chance", 0, 1) : 0;
+        p.rejectUnknownKeys();
         return new Fault(kind, atS, forS, noticedS, target, part, times, chance);
     }
 
@@ -165,9 +170,9 @@
         line(out, "clubs", s.load().clubs());
         for (Fault f : s.faults()) {
             out.append("\n[[fault]]\n");
-            line(out, "kind", "\"" + f.kind().word() + "\"");
+            line(out, "kind", "\"" + f.kind().tomlName() + "\"");
             line(out, "at_s", f.atS());
-            for (Fault.Figure figure : f.kind().figures) {
+            for (Fault.Parameter figure : f.kind().figures) {
                 line(
                         out,
                         figure.name().toLowerCase(Locale.ROOT),
--- a/src/main/java/holdproxy/lab/Shrinker.java
+++ b/src/main/java/holdproxy/lab/ScenarioShrinker.java
@@ -8,18 +8,18 @@
  * Reduces a scenario as long as it still breaks the same rule: fewer faults, less time, fewer nodes,
  * proxies and requests. The caller decides what breaks, so this class runs no simulation itself.
  */
-final class Shrinker {
+final class ScenarioShrinker {
     private final Predicate<Scenario> breaks;
     private Scenario least;
 
-    private Shrinker(Scenario whole, Predicate<Scenario> breaks) {
+    private ScenarioShrinker(Scenario whole, Predicate<Scenario> breaks) {
         this.breaks = breaks;
         least = whole;
     }
 
     /** The smallest scenario found, starting from one for which {@code breaks} holds. */
     static Scenario shrink(Scenario whole, Predicate<Scenario> breaks) {
-        Shrinker s = new Shrinker(whole, breaks);
+        ScenarioShrinker s = new ScenarioShrinker(whole, breaks);
         while (s.dropFault() | s.shorten() | s.reduceNodes() | s.reduceProxies() | s.reduceLoad()) {
             continue; // one reduction may make another possible
         }
@@ -53,18 +53,19 @@
 
     private boolean reduceNodes() {
         int fewer = least.town().nodes() / 2;
-        return keepsTargets(fewer) && tryReduction(least.withTown(least.town().proxies(), fewer));
+        return keepsTargets(fewer) && tryReduction(least.withSize(least.town().proxies(), fewer));
     }
 
     private boolean reduceProxies() {
         int fewer = least.town().proxies() / 2;
-        return keepsTargets(fewer) && tryReduction(least.withTown(fewer, least.town().nodes()));
+        return keepsTargets(fewer) && tryReduction(least.withSize(fewer, least.town().nodes()));
     }
 
     /** Whether every fault's target still exists with this many nodes or proxies. */
     private boolean keepsTargets(int fewer) {
         return fewer >= 1
-                && least.faults().stream().allMatch(f -> f.kind().ofZone() || f.target() < fewer);
+                && least.faults().stream()
+                        .allMatch(f -> f.kind().affectsZone() || f.target() < fewer);
     }
 
     private boolean reduceLoad() {
--- a/src/main/java/holdproxy/lab/SimulatedClock.java
+++ b/src/main/java/holdproxy/lab/SimulatedClock.java
@@ -1,6 +1,6 @@
 package holdproxy.lab;
 
-import holdproxy.town.Timeline;
+import holdproxy.town.Scheduler;
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
@@ -8,7 +8,7 @@
  * Virtual time: advances from task to task; tasks due at the same time run in the order they were
  * scheduled.
  */
-public final class SimulatedClock implements Timeline {
+public final class SimulatedClock implements Scheduler {
     private record Task(long us, long order, Runnable what) {}
 
     private final PriorityQueue<Task> tasks =
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public void after(long delayUs, Runnable task) {
+    public void schedule(long delayUs, Runnable task) {
         tasks.add(new Task(nowUs + Math.max(0, delayUs), order++, task));
     }
 
--- a/src/main/java/holdproxy/lab/Link.java
+++ b/src/main/java/holdproxy/lab/SimulatedConnection.java
@@ -15,14 +15,14 @@
  * and its peers are not notified. On a host whose connections are reset, a message may be lost whole or
  * in part together with its connection, or be delivered just before the reset.
  */
-final class Link extends ChannelDuplexHandler {
+final class SimulatedConnection extends ChannelDuplexHandler {
     private final VirtualLoop loop;
-    private final MemoryNetwork.Host host;
-    private final Function<String, MemoryNetwork.Way> ways;
+    private final InMemoryNetwork.Host host;
+    private final Function<String, InMemoryNetwork.NetworkPath> ways;
     private final ArrayDeque<Object> here = new ArrayDeque<>();
     private long inDueUs;
     private long outDueUs;
-    private MemoryNetwork.Way way;
+    private InMemoryNetwork.NetworkPath way;
     private boolean closing;
 
     /**
@@ -32,15 +32,18 @@
     private boolean streamGap;
 
     /** {@code ways}: lookup by the name of the connecting process. */
-    Link(VirtualLoop loop, MemoryNetwork.Host host, Function<String, MemoryNetwork.Way> ways) {
+    SimulatedConnection(
+            VirtualLoop loop,
+            InMemoryNetwork.Host host,
+            Function<String, InMemoryNetwork.NetworkPath> ways) {
         this.loop = loop;
         this.host = host;
         this.ways = ways;
     }
 
-    private MemoryNetwork.Way way(ChannelHandlerContext ctx) {
+    private InMemoryNetwork.NetworkPath way(ChannelHandlerContext ctx) {
         if (way == null) {
-            way = ways.apply(MemoryNetwork.peer(ctx.channel()));
+            way = ways.apply(InMemoryNetwork.peer(ctx.channel()));
         }
         return way;
     }
@@ -52,16 +55,16 @@
 
     private void out(ChannelHandlerContext ctx, Runnable task) {
         outDueUs = dueUs(ctx, false, outDueUs);
-        loop.after(outDueUs - loop.nowUs(), task);
+        loop.schedule(outDueUs - loop.nowUs(), task);
     }
 
     /** Whether a message is not delivered; reports it if a zone is the cause. */
     private boolean isUndelivered(ChannelHandlerContext ctx, boolean toHost) {
-        boolean gone = way(ctx).gone(toHost);
-        if (!host.silent && (gone || way.troubled())) {
-            way.lost(toHost, gone ? "message" : "late");
+        boolean gone = way(ctx).unreachable(toHost);
+        if (!host.partitioned && (gone || way.impaired())) {
+            way.recordLoss(toHost, gone ? "message" : "late");
         }
-        streamGap |= gone && !host.silent;
+        streamGap |= gone && !host.partitioned;
         return gone;
     }
 
@@ -72,7 +75,7 @@
         }
         ReferenceCountUtil.release(message);
         if (!closing) {
-            way.lost(false, "late");
+            way.recordLoss(false, "late");
             closing = true;
             ctx.close();
         }
@@ -89,12 +92,12 @@
             return;
         }
         inDueUs = dueUs(ctx, true, inDueUs);
-        loop.after(
+        loop.schedule(
                 inDueUs - loop.nowUs(),
                 () -> {
                     if (closing || isUndelivered(ctx, true)) {
                         ReferenceCountUtil.release(message);
-                    } else if (host.resets()) {
+                    } else if (host.drawsReset()) {
                         reset(ctx, (ByteBuf) message);
                     } else {
                         here.add(message);
@@ -117,7 +120,7 @@
     }
 
     private void reset(ChannelHandlerContext ctx, ByteBuf message) {
-        switch (host.pick(3)) {
+        switch (host.randomBelow(3)) {
             case 0 -> message.release();
             case 1 -> {
                 ctx.fireChannelRead(message.readRetainedSlice(message.readableBytes() / 2));
@@ -152,13 +155,13 @@
         if (!bytes.isReadable()) {
             // nothing to send: complete once the preceding messages have been sent
             bytes.release();
-            loop.after(outDueUs - loop.nowUs(), promise::trySuccess);
+            loop.schedule(outDueUs - loop.nowUs(), promise::trySuccess);
             return;
         }
         out(
                 ctx,
                 () -> {
-                    if (host.resets()) {
+                    if (host.drawsReset()) {
                         closing = true;
                         ctx.writeAndFlush(bytes.readRetainedSlice(bytes.readableBytes() / 2));
                         bytes.release();
--- a/src/main/java/holdproxy/lab/SimulatedProcess.java
+++ b/src/main/java/holdproxy/lab/SimulatedProcess.java
@@ -23,7 +23,7 @@
             return;
         }
         if (time.nowUs() < suspendedUntilUs) {
-            time.after(suspendedUntilUs - time.nowUs(), () -> run(task));
+            time.schedule(suspendedUntilUs - time.nowUs(), () -> run(task));
         } else {
             task.run();
         }
--- a/src/main/java/holdproxy/lab/Town.java
+++ b/src/main/java/holdproxy/lab/SimulatedSite.java
@@ -1,18 +1,18 @@
 package holdproxy.lab;
 
+import holdproxy.net.Clock;
 import holdproxy.net.Config;
-import holdproxy.net.Time;
 import holdproxy.net.Transport;
 import holdproxy.town.CacheNode;
 import holdproxy.town.Clients;
 import holdproxy.town.DiscoveryService;
 import holdproxy.town.Event;
-import holdproxy.town.Front;
 import holdproxy.town.Load;
-import holdproxy.town.MemberRegister;
+import holdproxy.town.LoadBalancer;
+import holdproxy.town.Origin;
 import holdproxy.town.ProxyConfig;
 import holdproxy.town.RequestClass;
-import holdproxy.town.TownRecord;
+import holdproxy.town.SiteRecord;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -29,7 +29,7 @@
  * another loop the cache nodes, the member register, discovery and clients. Each part draws from a random
  * stream of its own, so that adding a part does not shift the others' draws.
  */
-final class Town implements AutoCloseable {
+final class SimulatedSite implements AutoCloseable {
     /** Start time, a month into 1970, so that the start times of nodes don't look long past. */
     private static final long UNIX_MS = 2_592_000_000L;
 
@@ -52,9 +52,9 @@
     /** The event loop of everything but the proxies. */
     final VirtualLoop loop = time.loop(true);
 
-    final TownRecord record = new TownRecord();
-    final Zones zones;
-    final MemoryNetwork network;
+    final SiteRecord record = new SiteRecord();
+    final ZoneNetwork zones;
+    final InMemoryNetwork network;
     final DiscoveryService discovery;
 
     /** By position; a replaced node leaves its position to its successor. */
@@ -67,13 +67,13 @@
     final List<String> logs = new ArrayList<>();
 
     private final Scenario scenario;
-    final MemberRegister register;
-    private final Map<CacheNode, MemoryNetwork.Host> hosts = new HashMap<>();
+    final Origin register;
+    private final Map<CacheNode, InMemoryNetwork.Host> hosts = new HashMap<>();
     private final Map<CacheNode, String> listed = new HashMap<>();
     private double cores;
     private int made;
 
-    Town(Scenario scenario) {
+    SimulatedSite(Scenario scenario) {
         this(scenario, t -> t);
     }
 
@@ -81,15 +81,15 @@
      * {@code planted} is inserted between the proxies and their network: a fault that an auditor must
      * catch.
      */
-    Town(Scenario scenario, UnaryOperator<Transport> planted) {
+    SimulatedSite(Scenario scenario, UnaryOperator<Transport> planted) {
         this.scenario = scenario;
         Scenario.Size size = scenario.town();
         Load load = scenario.load();
         zones =
-                new Zones(
+                new ZoneNetwork(
                         scenario.rooms().zones(), scenario.rooms().delaysMs(), stream("zones", 0));
         network =
-                new MemoryNetwork(
+                new InMemoryNetwork(
                         zones,
                         (from, byPeople, to, zone, what) ->
                                 record.add(
@@ -99,29 +99,30 @@
                                         from,
                                         what + " " + byPeople + " " + zone));
         discovery =
-                new DiscoveryService(loop, record, CALL_US, network::silent, (proxy, node) -> node);
+                new DiscoveryService(
+                        loop, record, CALL_US, network::inPartitionedZone, (proxy, node) -> node);
         register =
-                new MemberRegister(
+                new Origin(
                         loop,
                         record,
                         size.originSlots(),
                         (long) (size.originMs() * 1000),
-                        ProxyConfig.REPEATS_DROPPED_US);
+                        ProxyConfig.REPEAT_WINDOW_US);
         InetSocketAddress registry = address(1, 0, 8500);
-        network.host("discovery", registry, 300, 100, stream("discovery", 0), Zones.NOWHERE);
-        discovery.start(network.process("discovery", loop, Zones.NOWHERE), registry);
+        network.host("discovery", registry, 300, 100, stream("discovery", 0), ZoneNetwork.NOWHERE);
+        discovery.start(network.process("discovery", loop, ZoneNetwork.NOWHERE), registry);
         for (int i = 0; i < size.nodes(); i++) {
             nodes.add(node(zones.of(i)));
             nodes.get(i).startWarm(load.keys());
-            relist(nodes.get(i));
+            publishNodeState(nodes.get(i));
         }
         double perS = cores / load.workMs() * 1000 * QUOTA_PART;
-        Front front = new Front();
-        List<MemoryNetwork.Process> people =
+        LoadBalancer front = new LoadBalancer();
+        List<InMemoryNetwork.Process> people =
                 IntStream.range(0, zones.count())
                         .mapToObj(
                                 z ->
-                                        network.people(
+                                        network.clients(
                                                 zones.count() == 1 ? "clients" : "clients-" + z,
                                                 loop,
                                                 z))
@@ -140,12 +141,12 @@
             proxies.add(proxy(i, front, registry, perS, planted));
             proxies.get(i).start();
         }
-        Troubles.scheduleAll(this, scenario.faults());
+        FaultInjector.scheduleAll(this, scenario.faults());
     }
 
     private ProxyProcess proxy(
             int i,
-            Front front,
+            LoadBalancer front,
             InetSocketAddress registry,
             double perS,
             UnaryOperator<Transport> planted) {
@@ -159,7 +160,7 @@
                         i,
                         size.proxies(),
                         zone,
-                        Zones.names(zones.count()),
+                        ZoneNetwork.names(zones.count()),
                         size.coldFrom(),
                         size.coldS(),
                         scenario.load().clubs(),
@@ -168,7 +169,7 @@
         return new ProxyProcess(
                 name,
                 zone,
-                front.door(address, zone),
+                front.addProxy(address, zone),
                 time,
                 loop,
                 network,
@@ -179,15 +180,19 @@
                                 name,
                                 address,
                                 registry,
-                                told.json(name, seeds.nextLong(), discovery.whole(name), attempts)),
+                                told.json(
+                                        name,
+                                        seeds.nextLong(),
+                                        discovery.fullList(name),
+                                        attempts)),
                 attempts ->
                         Config.of(
                                 name,
                                 address,
                                 registry,
-                                told.json(name, 0, ProxyConfig.NO_LIST, attempts)),
-                t -> new Time(t.ticker(), () -> UNIX_MS + t.nowUs() / 1000),
-                network -> clients.atDoor(name, planted.apply(network)),
+                                told.json(name, 0, ProxyConfig.EMPTY_NODE_LIST, attempts)),
+                t -> new Clock(t.ticker(), () -> UNIX_MS + t.nowUs() / 1000),
+                network -> clients.recordReads(name, planted.apply(network)),
                 logs::add);
     }
 
@@ -214,7 +219,7 @@
         cores += kind.speed() * kind.cores();
         String name = "s-" + number;
         InetSocketAddress address = address(2, number, 11211);
-        MemoryNetwork.Host host =
+        InMemoryNetwork.Host host =
                 network.host(name, address, 200, 50, stream("node network", number), zone);
         CacheNode node =
                 new CacheNode(
@@ -245,7 +250,8 @@
             SplittableRandom random = stream(scenario.seed(), "node kind", i);
             cores += speed(random, random.nextDouble() < FAST_SHARE);
         }
-        double work = RequestClass.ALL.stream().mapToDouble(c -> c.share() * c.work()).sum();
+        double work =
+                RequestClass.ALL.stream().mapToDouble(c -> c.share() * c.relativeWork()).sum();
         return cores * 1000 / (scenario.load().workMs() * work);
     }
 
@@ -266,38 +272,38 @@
     }
 
     /** Discovery checks a node and publishes its state if it has changed. */
-    void relist(CacheNode node) {
-        boolean gone = !node.up() || hosts.get(node).silent || zones.silent(node.zone);
-        String state = gone ? "DELETED" : node.drains() ? "DRAINING" : "SERVING";
+    void publishNodeState(CacheNode node) {
+        boolean gone = !node.isUp() || hosts.get(node).partitioned || zones.silent(node.zone);
+        String state = gone ? "DELETED" : node.isDraining() ? "DRAINING" : "SERVING";
         long startedMs = node.startedUs() == 0 ? 0 : UNIX_MS + node.startedUs() / 1000;
         String seen = state + (state.equals("SERVING") ? startedMs : "");
         if (!seen.equals(listed.getOrDefault(node, "DELETED"))) {
             listed.put(node, seen);
-            String room = Zones.names(zones.count()).get(node.zone);
-            discovery.set(node.name, node.address, room, node.kind.name(), state, startedMs);
+            String room = ZoneNetwork.names(zones.count()).get(node.zone);
+            discovery.setState(node.name, node.address, room, node.kind.name(), state, startedMs);
         }
     }
 
     /** Cuts a node's host off from the network, or reconnects it. */
-    void cut(CacheNode node, boolean off) {
+    void setDisconnected(CacheNode node, boolean off) {
         record.add(loop.nowUs(), Event.Kind.FAULT, node.name, "", off ? "silent" : "back");
-        hosts.get(node).silent = off;
+        hosts.get(node).partitioned = off;
     }
 
     /** From now on each message at a node's host resets its connection with this probability. */
-    void resets(CacheNode node, double chance) {
+    void setResetProbability(CacheNode node, double chance) {
         record.add(loop.nowUs(), Event.Kind.FAULT, node.name, "", "resets " + chance);
         hosts.get(node).resetChance = chance;
     }
 
-    void at(double seconds, Runnable happening) {
-        loop.after((long) (seconds * 1e6) - loop.nowUs(), happening);
+    void schedule(double seconds, Runnable happening) {
+        loop.schedule((long) (seconds * 1e6) - loop.nowUs(), happening);
     }
 
     /** Runs the clients for the scenario's duration, then waits for open requests to complete. */
-    void play() {
+    void run() {
         long endUs = (long) (scenario.seconds() * 1e6);
-        clients.ask(endUs);
+        clients.start(endUs);
         time.runUntil(endUs + (long) (LAST_TRIES_S * 1e6));
         proxies.forEach(ProxyProcess::recordMetrics);
     }
--- a/src/main/java/holdproxy/lab/Play.java
+++ b/src/main/java/holdproxy/lab/SimulationRun.java
@@ -3,7 +3,7 @@
 import holdproxy.net.Transport;
 import holdproxy.town.Auditors;
 import holdproxy.town.Event;
-import holdproxy.town.Service;
+import holdproxy.town.ServiceStatistics;
 import holdproxy.town.ZoneReport;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -19,44 +19,44 @@
  * @param broken the violated rules; empty if all rules were kept
  * @param hash hash of all recorded events: equal for two runs with the same course
  */
-record Play(
+record SimulationRun(
         Scenario scenario,
-        Service service,
+        ServiceStatistics service,
         Map<String, Object> figures,
-        List<Auditors.Broken> broken,
+        List<Auditors.Violation> broken,
         String hash) {
-    static Play of(Scenario scenario) {
+    static SimulationRun of(Scenario scenario) {
         return of(scenario, t -> t);
     }
 
     /** Runs a scenario; {@code planted} is inserted between the proxies and their network. */
-    static Play of(Scenario scenario, UnaryOperator<Transport> planted) {
-        try (Town town = new Town(scenario, planted)) {
-            town.play();
+    static SimulationRun of(Scenario scenario, UnaryOperator<Transport> planted) {
+        try (SimulatedSite town = new SimulatedSite(scenario, planted)) {
+            town.run();
             List<Event> events = town.record.events();
-            List<Auditors.Broken> broken = Auditors.broken(events);
+            List<Auditors.Violation> broken = Auditors.violations(events);
             town.logs.stream()
                     .filter(l -> l.contains(" fault: "))
-                    .forEach(l -> broken.add(new Auditors.Broken("no fault", l)));
+                    .forEach(l -> broken.add(new Auditors.Violation("no fault", l)));
             for (ProxyProcess p : town.proxies) {
                 if (p.open() != 0) {
                     broken.add(
-                            new Auditors.Broken(
+                            new Auditors.Violation(
                                     "nothing left open",
                                     p.name
                                             + " has "
                                             + p.open()
                                             + " requests open after all clients have gone"));
                 }
-                if (!p.runs()) {
-                    broken.add(new Auditors.Broken("runs", p.name + " does not run at the end"));
+                if (!p.isRunning()) {
+                    broken.add(new Auditors.Violation("runs", p.name + " does not run at the end"));
                 }
             }
-            Service service = new Service(events);
+            ServiceStatistics service = new ServiceStatistics(events);
             Map<String, Object> figures = new LinkedHashMap<>(service.figures());
             figures.put("register_peak_load", town.register.peakLoad());
             figures.putAll(new ZoneReport(events).figures());
-            return new Play(scenario, service, figures, broken, town.record.hash());
+            return new SimulationRun(scenario, service, figures, broken, town.record.hash());
         }
     }
 }
--- a/src/main/java/holdproxy/lab/StepCommand.java
+++ b/src/main/java/holdproxy/lab/StepCommand.java
@@ -1,7 +1,7 @@
 package holdproxy.lab;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import holdproxy.command.Plot;
+import holdproxy.command.LineChart;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -37,7 +37,7 @@
     /** After the step down: settled once the share served is back at its level before, less this. */
     private static final double LESS = 0.05;
 
-    private static final int WINDOW = (int) (1 / LoadSeries.BIN_S);
+    private static final int WINDOW = (int) (1 / LoadTimeSeries.BIN_S);
 
     @Mixin private LoadOptions options;
 
@@ -93,10 +93,10 @@
                                                 high / low,
                                                 0))
                         .toList();
-        List<LoadSeries> plays =
-                Plays.all(
-                        options.towns(low, upAt + forS + afterS, surges),
-                        LoadSeries::of,
+        List<LoadTimeSeries> plays =
+                ParallelRuns.all(
+                        options.scenarios(low, upAt + forS + afterS, surges),
+                        LoadTimeSeries::of,
                         p -> true);
         double[] wanted = mean(plays.stream().map(p -> over(p.wanted(), p)).toList());
         double[] inTime = mean(plays.stream().map(p -> over(p.inTime(), p)).toList());
@@ -120,10 +120,10 @@
                                             : v));
         }
         if (options.plot != null) {
-            Plot plot = new Plot("A step in load", "second", "relative to node capacity");
+            LineChart plot = new LineChart("A step in load", "second", "relative to node capacity");
             double[] x =
                     IntStream.range(0, wanted.length)
-                            .mapToDouble(i -> i * LoadSeries.BIN_S)
+                            .mapToDouble(i -> i * LoadTimeSeries.BIN_S)
                             .toArray();
             plot.line("wanted", x, wanted);
             plot.line("in time", x, inTime);
@@ -145,7 +145,7 @@
         f.put("up_attempts_level", sentLevel);
         f.put(
                 "up_rise_s",
-                LoadSeries.BIN_S
+                LoadTimeSeries.BIN_S
                         * IntStream.range(0, down - up)
                                 .filter(i -> window(inTime, up + i) >= RISEN * level)
                                 .findFirst()
@@ -184,11 +184,11 @@
                         .filter(i -> beyond.applyAsDouble(i) > 0)
                         .max()
                         .orElse(from - 1);
-        return (last + 1 - from) * LoadSeries.BIN_S;
+        return (last + 1 - from) * LoadTimeSeries.BIN_S;
     }
 
     private static int bin(double second) {
-        return (int) (second / LoadSeries.BIN_S);
+        return (int) (second / LoadTimeSeries.BIN_S);
     }
 
     /** Mean of the last seconds before a bin. */
@@ -200,8 +200,8 @@
         return Arrays.stream(bins, from, from + WINDOW).average().orElse(0);
     }
 
-    private static double[] over(double[] bins, LoadSeries play) {
-        return Arrays.stream(bins).map(x -> x / LoadSeries.BIN_S / play.capacityPerS).toArray();
+    private static double[] over(double[] bins, LoadTimeSeries play) {
+        return Arrays.stream(bins).map(x -> x / LoadTimeSeries.BIN_S / play.capacityPerS).toArray();
     }
 
     private static double[] mean(List<double[]> all) {
--- a/src/main/java/holdproxy/lab/VirtualLoop.java
+++ b/src/main/java/holdproxy/lab/VirtualLoop.java
@@ -1,6 +1,6 @@
 package holdproxy.lab;
 
-import holdproxy.town.Timeline;
+import holdproxy.town.Scheduler;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelPromise;
@@ -23,7 +23,7 @@
  * or ended. Netty's {@code ManualIoEventLoop} is identified by its thread, but here all loops share one
  * thread: a task for another loop's channels has to wait until that loop runs, as between processes.
  */
-final class VirtualLoop extends AbstractScheduledEventExecutor implements IoEventLoop, Timeline {
+final class VirtualLoop extends AbstractScheduledEventExecutor implements IoEventLoop, Scheduler {
     private final VirtualTime time;
     private final boolean strict;
     private final Thread thread = Thread.currentThread();
@@ -48,12 +48,12 @@
     }
 
     @Override
-    public void after(long delayUs, Runnable task) {
+    public void schedule(long delayUs, Runnable task) {
         schedule(task, Math.max(0, delayUs), TimeUnit.MICROSECONDS);
     }
 
     /** Pauses the loop for this many microseconds from now: no task runs, whatever is due. */
-    void hold(long us) {
+    void pause(long us) {
         heldUntilNs = Math.max(heldUntilNs, time.nowNs() + us * 1000);
     }
 
--- a/src/main/java/holdproxy/lab/Zones.java
+++ b/src/main/java/holdproxy/lab/ZoneNetwork.java
@@ -9,7 +9,7 @@
  * each link has a direction, and can be cut, lose messages or be slow. {@link #NOWHERE} stands for hosts
  * outside all zones: they are equally near to all, and only a zone's own silence cuts it off from them.
  */
-final class Zones {
+final class ZoneNetwork {
     static final int NOWHERE = -1;
     static final int MOST = 8;
     private static final List<String> NAMES =
@@ -43,7 +43,7 @@
     /**
      * {@code delaysMs}: for each pair, in the order 0-1, 0-2, .., 1-2, ..; or one value for all pairs.
      */
-    Zones(int count, List<Double> delaysMs, SplittableRandom random) {
+    ZoneNetwork(int count, List<Double> delaysMs, SplittableRandom random) {
         this.random = random;
         silent = new boolean[count];
         ways = new Way[count][count];
@@ -91,7 +91,7 @@
     }
 
     /** Each message from and to a zone is lost with this probability, and its delay is multiplied. */
-    void gray(int zone, double lost, double times) {
+    void degradeLinks(int zone, double lost, double times) {
         for (boolean inwards : new boolean[] {true, false}) {
             forEachLink(
                     zone,
@@ -129,7 +129,7 @@
     }
 
     /** Whether a late or lost message is due to a simulated fault. */
-    boolean troubled(int from, int to) {
+    boolean isAffectedByFault(int from, int to) {
         return silent(from)
                 || silent(to)
                 || from != NOWHERE
--- a/src/main/java/holdproxy/lease/LeaseClient.java
+++ b/src/main/java/holdproxy/lease/LeaseClient.java
@@ -54,7 +54,7 @@
         void after(long us, Runnable task);
 
         /** Notifies a process that a role is free; the message may be lost. */
-        void notifyFree(String name, String role, long token);
+        void notifyRoleFree(String name, String role, long token);
 
         /** This process holds the lease from now on. */
         void granted(String role, long token);
@@ -64,12 +64,12 @@
     }
 
     /** An action performed under a lease; the lease is not released before it is closed. */
-    public final class Act implements AutoCloseable {
+    public final class GuardedAction implements AutoCloseable {
         private final WantedRole wantedRole;
         private final long token;
         private final long untilUs;
 
-        private Act(WantedRole wantedRole) {
+        private GuardedAction(WantedRole wantedRole) {
             this.wantedRole = wantedRole;
             token = wantedRole.token;
             untilUs = wantedRole.untilUs;
@@ -184,8 +184,8 @@
     }
 
     /** Begins an action; null if this process may not act. */
-    public Act begin(String role) {
-        return mayAct(role).isPresent() ? new Act(wanted.get(role)) : null;
+    public GuardedAction begin(String role) {
+        return mayAct(role).isPresent() ? new GuardedAction(wanted.get(role)) : null;
     }
 
     /** Releases all held leases once their actions have ended; completes when that is done. */
@@ -350,7 +350,7 @@
     }
 
     /** The leader has notified this process that a role is free. */
-    public void notifiedFree(String role, long token) {
+    public void roleFreed(String role, long token) {
         WantedRole wantedRole = wanted.get(role);
         if (wantedRole != null && !wantedRole.holds && token >= wantedRole.lastSeenToken) {
             wantedRole.lastSeenToken = token;
@@ -377,8 +377,8 @@
         }
         changedUs.remove(role);
         Set<String> all = waiting.remove(role);
-        if (all != null && group.leads()) {
-            all.forEach(who -> host.notifyFree(who, role, table.lastToken(role)));
+        if (all != null && group.isLeader()) {
+            all.forEach(who -> host.notifyRoleFree(who, role, table.lastToken(role)));
         }
     }
 
@@ -397,7 +397,7 @@
         double factor = safeguards.contains(Safeguard.BOUND) ? 1 + CLOCK_BOUND : 1;
         long endsUs = changedUs.get(role) + (long) (lease.durationMs() * US_PER_MS * factor);
         long nowUs = host.nowUs();
-        if (nowUs >= endsUs && group.leads()) {
+        if (nowUs >= endsUs && group.isLeader()) {
             group.propose(LeaseTable.expire(lease), lease.durationMs() * US_PER_MS);
         }
         host.after(
--- a/src/main/java/holdproxy/lease/LeaseTable.java
+++ b/src/main/java/holdproxy/lease/LeaseTable.java
@@ -107,7 +107,7 @@
 
     /** Refuses requests for a taken lease without the log, which forty waiting processes would fill. */
     @Override
-    public Object atOnce(Object operation) {
+    public Object answerWithoutReplication(Object operation) {
         List<?> op = (List<?>) operation;
         Lease lease = op.get(0).equals("ask") ? held.get(op.get(1)) : null;
         if (lease == null
--- a/src/main/java/holdproxy/membership/Links.java
+++ b/src/main/java/holdproxy/membership/Links.java
@@ -40,7 +40,7 @@
  */
 public final class Links implements AutoCloseable {
     /** Longest frame, in bytes, without its header. */
-    public static final int LONGEST_FRAME = 1 << 20;
+    public static final int MAX_FRAME_BYTES = 1 << 20;
 
     private static final int VERSION = 1;
     private static final int HEADER_BYTES = 2;
@@ -116,7 +116,7 @@
                                                 .addLast(
                                                         new IdleStateHandler(READ_TIMEOUT_S, 0, 0),
                                                         new LengthFieldBasedFrameDecoder(
-                                                                LONGEST_FRAME
+                                                                MAX_FRAME_BYTES
                                                                         + LENGTH_BYTES
                                                                         + HEADER_BYTES,
                                                                 0,
@@ -149,7 +149,7 @@
     /** Sends to the route of this name, if there is one, else to the address; the name may be null. */
     public void send(String name, String address, int kind, byte[] frame) {
         InetSocketAddress to = resolve(name, address);
-        if (to == null || frame.length > LONGEST_FRAME) {
+        if (to == null || frame.length > MAX_FRAME_BYTES) {
             dropped++;
             return;
         }
--- a/src/main/java/holdproxy/membership/Change.java
+++ b/src/main/java/holdproxy/membership/MemberChange.java
@@ -7,4 +7,4 @@
  * @param now the member as known now
  * @param voices number of processes that reported it, this one included
  */
-public record Change(Member before, Member now, int voices) {}
+public record MemberChange(Member before, Member now, int voices) {}
--- a/src/main/java/holdproxy/membership/Membership.java
+++ b/src/main/java/holdproxy/membership/Membership.java
@@ -27,7 +27,7 @@
  * <p>Bounded: {@link #MOST_MEMBERS} processes, {@link Settings#updatesPerMessage} updates a message.
  */
 public final class Membership {
-    public static final int MOST_MEMBERS = 1000;
+    public static final int MAX_MEMBERS = 1000;
     private static final int MEMBERS_PER_VIEW = 64;
     private static final int MAX_RELAYED_PINGS = 256;
     private static final int MAX_HEALTH_SCORE = 8;
@@ -51,7 +51,7 @@
         void send(String name, String address, Message message);
 
         /** What is known of a process has changed. */
-        void changed(Change change);
+        void changed(MemberChange change);
 
         /** A later generation of this name runs elsewhere; this process has stopped taking part. */
         void superseded(Member by);
@@ -78,7 +78,7 @@
             int voices,
             int updatesPerMessage,
             int gossipRounds) {
-        public static final Settings USUAL = new Settings(500_000, 200_000, 3, 4, 4, 3, 8, 3);
+        public static final Settings DEFAULT = new Settings(500_000, 200_000, 3, 4, 4, 3, 8, 3);
     }
 
     /** What is known of another process. */
@@ -602,7 +602,7 @@
         }
         Entry entry = entries.get(update.name());
         if (entry == null) {
-            if (update.live() && entries.size() < MOST_MEMBERS) {
+            if (update.live() && entries.size() < MAX_MEMBERS) {
                 entry = new Entry(update);
                 othersDigest += hash(update);
                 entry.suspectedUs = nowUs;
@@ -722,7 +722,7 @@
 
     private void changed(Member before, Entry entry, int voices, long nowUs) {
         changedUs = nowUs;
-        out.changed(new Change(before, entry.member, voices));
+        out.changed(new MemberChange(before, entry.member, voices));
     }
 
     /** Gossiped updates, and the receiver's own entry if it is not ALIVE, so that it can refute it. */
--- a/src/main/java/holdproxy/membership/MembershipService.java
+++ b/src/main/java/holdproxy/membership/MembershipService.java
@@ -33,13 +33,13 @@
      * @param routes addresses, by process name, that replace the advertised ones of processes that cannot be
      *     reached there from here
      */
-    public record Place(
+    public record Endpoint(
             String name,
             String address,
             InetSocketAddress listen,
             List<String> seeds,
             Map<String, InetSocketAddress> routes) {
-        public Place {
+        public Endpoint {
             seeds = List.copyOf(seeds);
             routes = Map.copyOf(routes);
         }
@@ -48,7 +48,7 @@
     /** Called on the event loop. */
     public interface Listener {
         /** What is known of a process has changed. */
-        void changed(Change change);
+        void changed(MemberChange change);
 
         /** A later generation of this name runs elsewhere; this process has stopped taking part. */
         void superseded(Member by);
@@ -57,11 +57,11 @@
         void sent(long frames, long bytes, long dropped);
 
         /** A line for the log. */
-        void line(String text);
+        void logLine(String text);
     }
 
     /** Frame kind of the consensus group and the leases. */
-    public static final int CONSENSUS = 2;
+    public static final int CONSENSUS_FRAME_KIND = 2;
 
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -73,9 +73,9 @@
     private long timerDueUs;
 
     private MembershipService(
-            Place place, Function<String, InetSocketAddress> addresses, Listener listener) {
+            Endpoint place, Function<String, InetSocketAddress> addresses, Listener listener) {
         this.listener = listener;
-        links = new Links(loop, place.routes(), addresses, listener::line);
+        links = new Links(loop, place.routes(), addresses, listener::logLine);
     }
 
     /**
@@ -83,7 +83,7 @@
      * invalid. Throws {@link BadInput} if the process cannot listen.
      */
     public static MembershipService start(
-            Place place,
+            Endpoint place,
             long generation,
             Function<String, InetSocketAddress> addresses,
             Listener listener) {
@@ -116,10 +116,10 @@
         return service;
     }
 
-    private void startMembership(Place place, long generation) {
+    private void startMembership(Endpoint place, long generation) {
         membership =
                 new Membership(
-                        Membership.Settings.USUAL,
+                        Membership.Settings.DEFAULT,
                         place.name(),
                         place.address(),
                         generation,
@@ -130,7 +130,7 @@
         links.receive(
                 MEMBERSHIP,
                 frame -> {
-                    membership.received(nowUs(), MessageCodec.message(frame));
+                    membership.received(nowUs(), MessageCodec.decode(frame));
                     scheduleTick();
                 });
         scheduleTick();
@@ -183,7 +183,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            listener.line("could not notify other members of the shutdown: " + e);
+            listener.logLine("could not notify other members of the shutdown: " + e);
         }
     }
 
@@ -191,11 +191,11 @@
     private final class LinkOutput implements Membership.Output {
         @Override
         public void send(String name, String address, Message message) {
-            links.send(name, address, MEMBERSHIP, MessageCodec.bytes(message));
+            links.send(name, address, MEMBERSHIP, MessageCodec.encode(message));
         }
 
         @Override
-        public void changed(Change change) {
+        public void changed(MemberChange change) {
             if (change.now().state() == Member.State.SUSPECT) {
                 // the connection may be at fault: the next frame opens a new one
                 links.closeConnection(change.now().name(), change.now().address());
--- a/src/main/java/holdproxy/membership/MessageCodec.java
+++ b/src/main/java/holdproxy/membership/MessageCodec.java
@@ -21,7 +21,7 @@
     private MessageCodec() {}
 
     /** Encodes a message as one frame. */
-    public static byte[] bytes(Message message) {
+    public static byte[] encode(Message message) {
         List<Object> updates = new ArrayList<>();
         message.updates().forEach(m -> updates.add(list(m)));
         try {
@@ -49,7 +49,7 @@
     }
 
     /** Decodes a message; throws {@link BadInput} if the bytes are malformed. */
-    public static Message message(byte[] bytes) {
+    public static Message decode(byte[] bytes) {
         List<Object> parts;
         try {
             parts = CBOR.listFrom(bytes);
--- a/src/main/java/holdproxy/net/Attempt.java
+++ b/src/main/java/holdproxy/net/Attempt.java
@@ -10,7 +10,7 @@
     final long sentUs;
 
     /** Total time that the event loop had been stalled when the attempt was sent. */
-    final long stoodStillUs;
+    final long stalledUsAtSend;
 
     /** How long the proxy waits for the response. */
     final long waitUs;
@@ -18,13 +18,13 @@
     /** Whether its last byte has been handed to the kernel; from then on the node may execute it. */
     boolean written;
 
-    boolean over;
+    boolean done;
 
     /** Whether its outcome proves that the node did no work on it. */
     boolean neverRan;
 
     /** Deadline for sending its last byte; an attempt that misses it is aborted before that byte is sent. */
-    final long lastByteByUs;
+    final long lastByteDeadlineUs;
 
     /** Latency of the first bytes of a streamed value, less event loop stalls; -1 until they arrive. */
     long firstBytesUs = -1;
@@ -36,13 +36,13 @@
         this.exchange = exchange;
         this.number = number;
         this.sentUs = sentUs;
-        this.stoodStillUs = stoodStillUs;
+        this.stalledUsAtSend = stoodStillUs;
         this.waitUs = waitUs;
-        lastByteByUs = exchange.lastByteByUs();
+        lastByteDeadlineUs = exchange.lastByteDeadlineUs();
     }
 
     /** The outcome if its connection breaks. */
-    Router.Outcome broken() {
+    Router.Outcome outcomeIfDisconnected() {
         return written ? Router.Outcome.RESET : Router.Outcome.CONNECT_FAILED;
     }
 }
--- a/src/main/java/holdproxy/net/Room.java
+++ b/src/main/java/holdproxy/net/ByteBudget.java
@@ -1,16 +1,16 @@
 package holdproxy.net;
 
 /** A memory budget, in bytes, that all connections share for one purpose. */
-final class Room {
+final class ByteBudget {
     private final long limitBytes;
     private long reservedBytes;
 
-    Room(long limitBytes) {
+    ByteBudget(long limitBytes) {
         this.limitBytes = limitBytes;
     }
 
     /** Reserves this many bytes if they are available; returns whether it did. */
-    boolean take(int bytes) {
+    boolean reserve(int bytes) {
         if (reservedBytes + bytes > limitBytes) {
             return false;
         }
@@ -18,7 +18,7 @@
         return true;
     }
 
-    void give(int bytes) {
+    void release(int bytes) {
         reservedBytes -= bytes;
     }
 }
--- a/src/main/java/holdproxy/net/Reception.java
+++ b/src/main/java/holdproxy/net/ClientListener.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Accepts client connections up to a limit, from listening until the last connection has closed. */
-final class Reception {
+final class ClientListener {
     /** After SIGTERM new connections still arrive for 0.4 s; those that arrive after 0.7 s may be cut off. */
     private static final long ACCEPT_WHILE_DRAINING_MS = 500;
 
@@ -44,7 +44,7 @@
     private volatile boolean listening;
     private volatile boolean draining;
 
-    Reception(
+    ClientListener(
             Proxy proxy,
             InetSocketAddress listenAddress,
             EventLoop loop,
@@ -75,7 +75,7 @@
     }
 
     /** Whether it accepts connections, which may still be so during shutdown. */
-    boolean listens() {
+    boolean acceptsConnections() {
         return listener != null;
     }
 
@@ -102,7 +102,7 @@
             } else {
                 s.refuseRequests();
             }
-            if (sessions.size() > maxConnections + Descriptors.REFUSING) {
+            if (sessions.size() > maxConnections + ConnectionLimits.REFUSAL_RESERVE) {
                 // out of descriptors, not even a connection to a node could be opened
                 s.abort();
             }
@@ -123,7 +123,7 @@
     }
 
     void shutDownOutput(Channel channel) {
-        transport.endSending(channel);
+        transport.shutdownOutput(channel);
     }
 
     void closed(ClientSession s) {
@@ -135,8 +135,8 @@
     // ---- shutdown ----
 
     /** Shuts down as on SIGTERM; the future completes once every connection has closed. */
-    Future<Void> end() {
-        return end(ACCEPT_WHILE_DRAINING_MS);
+    Future<Void> shutDown() {
+        return shutDown(ACCEPT_WHILE_DRAINING_MS);
     }
 
     /**
@@ -145,7 +145,7 @@
      * each of its own right after a response, when the client is least likely to be sending. Connections that
      * stay idle are closed after {@code openMs}.
      */
-    Future<Void> end(long openMs) {
+    Future<Void> shutDown(long openMs) {
         loop.execute(
                 () -> {
                     if (draining) {
@@ -154,7 +154,7 @@
                     draining = true;
                     log.line(
                             "ending: "
-                                    + proxy.open()
+                                    + proxy.openRequests()
                                     + " requests open, "
                                     + sessions.size()
                                     + " connections");
@@ -162,7 +162,7 @@
                         finishDrain(); // it never listened, so there are no clients
                         return;
                     }
-                    sharedListener = transport.shared();
+                    sharedListener = transport.sharesListener();
                     if (sharedListener) {
                         listener.config().setAutoRead(false);
                     }
@@ -170,7 +170,10 @@
                             () -> stopListening(-1, MAX_ACCEPT_CHECKS),
                             openMs,
                             TimeUnit.MILLISECONDS);
-                    loop.schedule(proxy::lastWord, proxy.lastWordMs(), TimeUnit.MILLISECONDS);
+                    loop.schedule(
+                            proxy::failOpenRequests,
+                            proxy.failOpenRequestsAfterMs(),
+                            TimeUnit.MILLISECONDS);
                 });
         return drained;
     }
--- a/src/main/java/holdproxy/net/ClientSession.java
+++ b/src/main/java/holdproxy/net/ClientSession.java
@@ -45,7 +45,7 @@
         private Exchange exchange;
 
         /** Streams the value; null for a response that is written whole. */
-        private Relay stream;
+        private ValueStream stream;
 
         /** Consecutive refused requests that this slot stands for, counted but not stored; 0: none. */
         private int refused;
@@ -138,10 +138,10 @@
         slots.add(slot);
         proxy.reception.busy(this);
         if (message instanceof Command.ValueDropped t) {
-            answer(slot, proxy.shed(t.command()));
+            answer(slot, proxy.shedAnswer(t.command()));
         } else if (refusing && message instanceof Command c) {
             closing = true;
-            answer(slot, proxy.shed(c));
+            answer(slot, proxy.shedAnswer(c));
         } else if (message instanceof Command c) {
             slot.exchange = proxy.request(this, slot, c);
         } else if (message instanceof Command.Greeting) {
@@ -163,9 +163,9 @@
             ignoringInput = true;
             closing = true;
         } else if (message instanceof Command c) {
-            proxy.shed(c);
+            proxy.shedAnswer(c);
         } else if (message instanceof Command.ValueDropped t) {
-            proxy.shed(t.command());
+            proxy.shedAnswer(t.command());
         }
         Slot last = slots.peekLast();
         if (last == null || last.refused == 0) {
@@ -226,7 +226,8 @@
             return true;
         }
         int size = answer.readableBytes();
-        boolean accepted = size <= FAILED.length() || proxy.untakenRoom(size, unwrittenBytes == 0);
+        boolean accepted =
+                size <= FAILED.length() || proxy.hasUnreadRoom(size, unwrittenBytes == 0);
         if (!accepted) {
             answer.release();
         }
@@ -239,7 +240,7 @@
 
     private void addUnwritten(int change) {
         unwrittenBytes += change;
-        proxy.untaken(change);
+        proxy.addUnreadBytes(change);
     }
 
     /** Writes ready responses in order while the channel is writable, then resumes a streamed value. */
@@ -287,7 +288,7 @@
 
     // ---- for streamed values ----
 
-    void setStream(Slot slot, Relay stream) {
+    void setStream(Slot slot, ValueStream stream) {
         slot.stream = stream;
     }
 
@@ -368,7 +369,7 @@
             } else if (s.stream != null) {
                 s.stream.clientGone();
             } else if (s.exchange != null) {
-                proxy.clientGone(s.exchange);
+                proxy.clientDisconnected(s.exchange);
             }
         }
         slots.clear();
--- a/src/main/java/holdproxy/net/Time.java
+++ b/src/main/java/holdproxy/net/Clock.java
@@ -7,31 +7,31 @@
  * The only source of time: the ticker of the event loop's timers, and a wall clock that is read once. Both
  * are passed in, so that tests and simulations can control them.
  */
-public final class Time {
+public final class Clock {
     private final Ticker ticker;
     private final long originNs;
     private final long unixAtOriginUs;
 
     /** {@code ticker}: that of the event loop; {@code unixMs}: the wall clock. */
-    public Time(Ticker ticker, LongSupplier unixMs) {
+    public Clock(Ticker ticker, LongSupplier unixMs) {
         this.ticker = ticker;
         originNs = ticker.nanoTime();
         unixAtOriginUs = unixMs.getAsLong() * 1000;
     }
 
     /** Uses the system's clocks. */
-    static Time system() {
-        return new Time(Ticker.systemTicker(), System::currentTimeMillis);
+    static Clock system() {
+        return new Clock(Ticker.systemTicker(), System::currentTimeMillis);
     }
 
     /** Monotonic microseconds since this object was created: the router's clock. */
-    long us() {
+    long nowUs() {
         return (ticker.nanoTime() - originNs) / 1000;
     }
 
     /** Unix time, from that clock and the one reading of the wall clock. */
     long unixMs() {
-        return (unixAtOriginUs + us()) / 1000;
+        return (unixAtOriginUs + nowUs()) / 1000;
     }
 
     /**
--- a/src/main/java/holdproxy/net/Command.java
+++ b/src/main/java/holdproxy/net/Command.java
@@ -166,14 +166,14 @@
     void fill(Router.Request q) {
         q.tenant = tenant;
         q.key = key;
-        q.costUs = costUs;
+        q.workUs = costUs;
         q.sizeBytes = sizeBytes;
         q.repeat = repeat;
         q.write = write;
     }
 
     /** Whether its value is sent to a node in slices after {@link #encode}. */
-    boolean large() {
+    boolean isLarge() {
         return valueBytes() > MetaDecoder.MAX_BUFFERED_VALUE_BYTES;
     }
 
@@ -189,7 +189,7 @@
     ByteBuf encode(ByteBufAllocator alloc, long waitUs) {
         String wait =
                 afterWait == null ? "" : Long.toString(Math.max(1, waitUs / 1000)) + afterWait;
-        boolean whole = value != null && !large();
+        boolean whole = value != null && !isLarge();
         ByteBuf out =
                 alloc.buffer(beforeWait.length() + wait.length() + 4 + (whole ? value.length : 0));
         out.writeCharSequence(beforeWait, StandardCharsets.ISO_8859_1);
@@ -209,14 +209,14 @@
         private final Names names;
         private Command pending;
         private String pendingFault;
-        private final Room budget;
+        private final ByteBudget budget;
         private byte[] buffer = EMPTY;
         private int received;
         private int length;
         private boolean discarding;
 
         /** The last parameter is the memory budget for values that are still arriving. */
-        Decoder(Names names, Room budget) {
+        Decoder(Names names, ByteBudget budget) {
             this.names = names;
             this.budget = budget;
         }
@@ -268,7 +268,7 @@
 
         @Override
         void onBlockPart(ByteBuf in, int bytes, List<Object> out) {
-            if (discarding || !budget.take(bytes)) {
+            if (discarding || !budget.reserve(bytes)) {
                 releaseBuffer();
                 // the rest is read, to find the next command, but not stored
                 discarding = true;
@@ -289,7 +289,7 @@
         }
 
         private void releaseBuffer() {
-            budget.give(received);
+            budget.release(received);
             received = 0;
             buffer = EMPTY;
         }
