--- a/src/main/java/holdproxy/net/Config.java
+++ b/src/main/java/holdproxy/net/Config.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import holdproxy.input.BadInput;
-import holdproxy.input.SettingsText;
-import holdproxy.input.Shape;
+import holdproxy.input.RequiredKeys;
+import holdproxy.input.SettingsReader;
 import holdproxy.policy.Router;
 import io.netty.util.NetUtil;
 import java.io.IOException;
@@ -36,7 +36,7 @@
     final List<?> kinds;
 
     /** The node list to start with, in discovery's JSON form. */
-    final Map<String, Object> known;
+    final Map<String, Object> initialList;
 
     private final Map<String, Object> json;
 
@@ -58,11 +58,11 @@
                     "limits.sockets in the configuration is not a number of at least 128");
         }
         sockets = n.intValue();
-        known = object(json, "known", "the configuration");
+        initialList = object(json, "known", "the configuration");
         Map<String, Object> raw = object(json, "settings", "the configuration");
         Map<String, String> pairs = new HashMap<>();
         flatten("", raw, pairs);
-        settings = new SettingsText(pairs).settings();
+        settings = new SettingsReader(pairs).settings();
         try {
             settings.check();
         } catch (IllegalArgumentException e) {
@@ -107,7 +107,7 @@
         Map<String, Object> inUse = new HashMap<>(json);
         // a running proxy has its node list from discovery: this one is checked only at a start
         inUse.replace("known", Map.of());
-        Shape.check(inUse, now);
+        RequiredKeys.check(inUse, now);
     }
 
     private Config next(InetSocketAddress discoveryNow, Map<String, Object> now) {
@@ -151,10 +151,10 @@
     public Set<String> unknownSettings() {
         Map<String, String> pairs = new HashMap<>();
         flatten("", object(json, "settings", "the configuration"), pairs);
-        SettingsText text = new SettingsText(pairs);
+        SettingsReader text = new SettingsReader(pairs);
         text.settings();
         text.reportFields();
-        Set<String> unknown = text.unknown();
+        Set<String> unknown = text.unreadPaths();
         unknown.removeAll(Set.of("localities", "kinds"));
         return unknown;
     }
@@ -213,7 +213,7 @@
         } catch (NumberFormatException | UnknownHostException e) {
             // reported below
         }
-        throw new BadInput(what + " is not an address and port: " + shown(text));
+        throw new BadInput(what + " is not an address and port: " + printable(text));
     }
 
     private static long seed(String text) {
@@ -221,7 +221,7 @@
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
             throw new BadInput(
-                    "seed in the configuration is not a hexadecimal number: " + shown(text));
+                    "seed in the configuration is not a hexadecimal number: " + printable(text));
         }
     }
 
@@ -264,7 +264,7 @@
         }
     }
 
-    static String shown(String text) {
+    static String printable(String text) {
         String line = text.replaceAll("\\p{Cntrl}", "?");
         return line.length() <= 80 ? line : line.substring(0, 80) + "...";
     }
--- a/src/main/java/holdproxy/net/Descriptors.java
+++ b/src/main/java/holdproxy/net/ConnectionLimits.java
@@ -1,9 +1,9 @@
 package holdproxy.net;
 
 /** Limits on the connections to clients and to nodes, which together keep within the descriptor limit. */
-record Descriptors(int clients, int nodes) {
+record ConnectionLimits(int clients, int nodes) {
     /** Connections above the client limit that are still accepted to send them a refusal. */
-    static final int REFUSING = 16;
+    static final int REFUSAL_RESERVE = 16;
 
     /** Reserved for the process: libraries, selectors, listeners, console connections, discovery. */
     private static final int RESERVED = 48;
@@ -16,13 +16,14 @@
      * clients are counted once, whichever process holds them, but each process needs its own descriptors for
      * node connections and for itself.
      */
-    static Descriptors of(int limit, boolean shared) {
+    static ConnectionLimits of(int limit, boolean shared) {
         if (!shared) {
             int available = limit - RESERVED;
-            return new Descriptors(available / 2, available - available / 2 - REFUSING);
+            return new ConnectionLimits(available / 2, available - available / 2 - REFUSAL_RESERVE);
         }
         int clients = limit / SHARED_CLIENTS_DIVISOR;
-        return new Descriptors(
-                clients, Math.max(REFUSING, (limit - clients - REFUSING - 2 * RESERVED) / 2));
+        return new ConnectionLimits(
+                clients,
+                Math.max(REFUSAL_RESERVE, (limit - clients - REFUSAL_RESERVE - 2 * RESERVED) / 2));
     }
 }
--- a/src/main/java/holdproxy/net/CounterLog.java
+++ b/src/main/java/holdproxy/net/CounterLog.java
@@ -1,6 +1,6 @@
 package holdproxy.net;
 
-import holdproxy.policy.Tally;
+import holdproxy.policy.PolicyCounters;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
@@ -25,24 +25,24 @@
      */
     private static final long MIN_LOGGED_IDLE_TURNS = 250;
 
-    private final Tally tally;
+    private final PolicyCounters tally;
     private final Supplier<String> connections;
-    private final Lateness lateness;
-    private final Tally logged = new Tally();
-    private Turns turns;
+    private final LoopLag lateness;
+    private final PolicyCounters logged = new PolicyCounters();
+    private LoopIoHandlerFactory turns;
     private long loggedTurns;
     private long loggedIdleTurns;
     private long loggedLateUs;
 
     /** {@code connections} returns the connection counters since its last call, as text. */
-    CounterLog(Tally tally, Supplier<String> connections, Lateness lateness) {
+    CounterLog(PolicyCounters tally, Supplier<String> connections, LoopLag lateness) {
         this.tally = tally;
         this.connections = connections;
         this.lateness = lateness;
     }
 
     /** Sets the iteration counters of the event loop; there are none without real sockets. */
-    void setTurns(Turns loop) {
+    void setTurns(LoopIoHandlerFactory loop) {
         turns = loop;
     }
 
@@ -61,7 +61,7 @@
 
     /** The counters that changed since the last call, each with a space before it. */
     String changesSinceLastCall(long now) {
-        return tally.sinceThen(logged) + connections.get() + loopChanges(now);
+        return tally.takeIncreases(logged) + connections.get() + loopChanges(now);
     }
 
     private String loopChanges(long now) {
--- a/src/main/java/holdproxy/net/Discovery.java
+++ b/src/main/java/holdproxy/net/Discovery.java
@@ -64,13 +64,13 @@
         long now();
 
         /** Converts a Unix time in milliseconds to the time of {@link #now}. */
-        long monotonic(long unixMs);
+        long toMonotonicUs(long unixMs);
 
         /** A list was received, or a call failed: then {@code kind} says so and there are no entries. */
-        void nodes(Router.ListKind kind, List<Entry> entries);
+        void onList(Router.ListKind kind, List<Entry> entries);
 
         /** No connection to discovery could be opened. */
-        void unreachable();
+        void onUnreachable();
     }
 
     private final Receiver receiver;
@@ -103,20 +103,20 @@
     /** Pushed lists take effect at once, so a failing connection attempt must end within the drain grace. */
     private static int connectTimeoutMs(Router.Settings settings) {
         long graceMs = settings.drainGraceUs / 1000;
-        return settings.askForNodes || graceMs == 0
+        return settings.subscribesToNodes || graceMs == 0
                 ? CONNECT_TIMEOUT_MS
                 : (int) Math.max(1, Math.min(CONNECT_TIMEOUT_MS, graceMs / PUSHED_GRACE_DIVISOR));
     }
 
     /** Reports the list that the configuration contains. */
-    void start() {
-        List<Entry> entries = parseEntries(config.known);
-        version = parseVersion(config.known);
-        receiver.nodes(Router.ListKind.CACHED, entries);
+    void reportConfiguredList() {
+        List<Entry> entries = parseEntries(config.initialList);
+        version = parseVersion(config.initialList);
+        receiver.onList(Router.ListKind.CACHED, entries);
     }
 
     /** Opens a watch unless one is open: each call costs discovery the lines of a list. */
-    void watch() {
+    void ensureWatch() {
         if (watch == null || watch.ended) {
             openWatch(version);
         }
@@ -135,7 +135,7 @@
      * address count from the signal on. If zones or kinds are numbered differently now, the full list is
      * requested, which gives the nodes their new numbers.
      */
-    void taken(Config reloaded) {
+    void reconfigure(Config reloaded) {
         boolean renumbered = !reloaded.zones.equals(zones) || !reloaded.kinds.equals(kinds);
         boolean moved = !reloaded.discovery.equals(address);
         zones = reloaded.zones;
@@ -161,7 +161,7 @@
         }
     }
 
-    void fetch() {
+    void fetchFullList() {
         new Call(PATH, false);
     }
 
@@ -205,7 +205,7 @@
         n.cell = (int) numberField(m, "cell", 0);
         n.weight = numberField(m, "weight", 1);
         double started = numberField(m, "started_ms", 0);
-        n.startedUs = started > 0 ? receiver.monotonic((long) started) : Long.MIN_VALUE;
+        n.startedUs = started > 0 ? receiver.toMonotonicUs((long) started) : Long.MIN_VALUE;
         InetSocketAddress address =
                 n.state == Router.NodeState.GONE && !(m.get("addr") instanceof String)
                         ? null
@@ -307,7 +307,7 @@
                                     f.channel().writeAndFlush(get);
                                 } else {
                                     fail("no connection");
-                                    receiver.unreachable();
+                                    receiver.onUnreachable();
                                 }
                             });
         }
@@ -338,7 +338,7 @@
             }
             log.line("discovery: " + why);
             afterSilence = kind == Router.ListKind.SILENT;
-            receiver.nodes(kind, List.of());
+            receiver.onList(kind, List.of());
         }
 
         @Override
@@ -393,7 +393,7 @@
             Map<String, Object> list = Config.parse(text);
             try {
                 if (list == null) {
-                    throw new BadInput("not valid JSON: " + Config.shown(text));
+                    throw new BadInput("not valid JSON: " + Config.printable(text));
                 }
                 List<Entry> entries = parseEntries(list);
                 long newVersion = parseVersion(list);
@@ -410,7 +410,7 @@
                     return;
                 }
                 version = newVersion;
-                receiver.nodes(full ? Router.ListKind.FULL : Router.ListKind.DELTA, entries);
+                receiver.onList(full ? Router.ListKind.FULL : Router.ListKind.DELTA, entries);
             } catch (BadInput e) {
                 fail("list rejected: " + e.getMessage());
             }
--- a/src/main/java/holdproxy/net/DiscoveryWatch.java
+++ b/src/main/java/holdproxy/net/DiscoveryWatch.java
@@ -17,10 +17,10 @@
          * A list was received: full or a delta, with its version, its number of entries and the start time of
          * the last entry's node (0 if there are none).
          */
-        void list(boolean full, long version, int entries, long lastStartedUnixUs);
+        void onList(boolean full, long version, int entries, long lastStartedUnixUs);
 
         /** The call ended without a list; the listener has to call {@link #open} again. */
-        void failed();
+        void onFailure();
     }
 
     private final Discovery discovery;
@@ -32,7 +32,7 @@
             LongSupplier unixUs,
             Consumer<String> log,
             Listener listener) {
-        Time time = new Time(Ticker.systemTicker(), System::currentTimeMillis);
+        Clock time = new Clock(Ticker.systemTicker(), System::currentTimeMillis);
         discovery =
                 new Discovery(
                         new ListReceiver(unixUs, listener), config, transport, new Log(time, log));
@@ -40,7 +40,7 @@
 
     /** Opens a watch for changes after the version that is held, unless one is open. */
     public void open() {
-        discovery.watch();
+        discovery.ensureWatch();
     }
 
     /** Closes the watch; it can be opened again. */
@@ -68,24 +68,24 @@
         }
 
         @Override
-        public long monotonic(long unixMs) {
+        public long toMonotonicUs(long unixMs) {
             return unixMs * 1000;
         }
 
         @Override
-        public void nodes(Router.ListKind kind, List<Discovery.Entry> entries) {
+        public void onList(Router.ListKind kind, List<Discovery.Entry> entries) {
             if (kind == Router.ListKind.FAILED || kind == Router.ListKind.SILENT) {
-                listener.failed();
+                listener.onFailure();
                 return;
             }
             long lastStarted =
                     entries.isEmpty() ? 0 : entries.get(entries.size() - 1).node().startedUs;
-            listener.list(
+            listener.onList(
                     kind == Router.ListKind.FULL, discovery.version(), entries.size(), lastStarted);
         }
 
         @Override
-        public void unreachable() {
+        public void onUnreachable() {
             // nodes() reports the failed call
         }
     }
--- a/src/main/java/holdproxy/net/Events.java
+++ b/src/main/java/holdproxy/net/EventQueue.java
@@ -10,7 +10,7 @@
  * later in the same iteration, or for a client whose disconnect is. Calls to the router do not nest: events
  * that its own actions cause are delivered after it returns.
  */
-final class Events {
+final class EventQueue {
     /**
      * No attempt may start more than 0.1 s after its client disconnected. Input that was read together with
      * an event may be up to one tick older than this limit, and the decision and the write take time too.
@@ -20,7 +20,7 @@
     private final Transport transport;
     private final Log log;
     private final LongSupplier clock;
-    private final Lateness lateness;
+    private final LoopLag lateness;
     private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
 
     /** Number of events that were queued before the sockets were read again, at {@link #lastReadUs}. */
@@ -31,7 +31,7 @@
     private boolean deliveryScheduled;
 
     /** {@code clock}: in microseconds, the same clock that {@code lateness} uses. */
-    Events(Transport transport, Log log, LongSupplier clock, Lateness lateness) {
+    EventQueue(Transport transport, Log log, LongSupplier clock, LoopLag lateness) {
         this.transport = transport;
         this.log = log;
         this.clock = clock;
@@ -43,12 +43,12 @@
         queue.add(call);
         if (!deliveryScheduled) {
             deliveryScheduled = true;
-            transport.whenRead(this::deliver, false);
+            transport.afterReads(this::deliver, false);
         }
     }
 
     /** A node list is delivered ahead of queued events, so that no decision uses an outdated list. */
-    void list(Runnable call) {
+    void deliverList(Runnable call) {
         if (inRouterCall) {
             add(call);
         } else {
@@ -85,7 +85,7 @@
             return true;
         }
         queuedBeforeRead = 0;
-        return lateness.sinceDueUs(now) <= MAX_INPUT_AGE_US;
+        return lateness.sinceLastDueUs(now) <= MAX_INPUT_AGE_US;
     }
 
     /**
@@ -94,7 +94,7 @@
      */
     private void readAgain() {
         int all = queue.size();
-        transport.whenRead(
+        transport.afterReads(
                 () -> {
                     queuedBeforeRead = all;
                     lastReadUs = clock.getAsLong();
--- a/src/main/java/holdproxy/net/Exchange.java
+++ b/src/main/java/holdproxy/net/Exchange.java
@@ -23,9 +23,9 @@
     private final long repeatWindowUs;
 
     final List<Attempt> attempts = new ArrayList<>(2);
-    int out;
+    int openAttempts;
     boolean answered;
-    Future<?> overdue;
+    Future<?> overdueTimer;
 
     Exchange(
             long id,
@@ -46,7 +46,7 @@
     }
 
     /** Deadline for sending the last byte of the next attempt: later it might be executed a second time. */
-    long lastByteByUs() {
+    long lastByteDeadlineUs() {
         long by = Long.MAX_VALUE;
         for (Attempt a : attempts) {
             if (!repeatable && !a.neverRan) {
--- a/src/main/java/holdproxy/net/JsonFraming.java
+++ b/src/main/java/holdproxy/net/JsonFraming.java
@@ -34,7 +34,7 @@
                 if (depth == 0 && b != '{') {
                     throw new BadInput(
                             "not a JSON object: "
-                                    + Config.shown(
+                                    + Config.printable(
                                             (char) (b & 0xff)
                                                     + bytes.toString(StandardCharsets.ISO_8859_1)));
                 }
--- a/src/main/java/holdproxy/net/KeptOut.java
+++ b/src/main/java/holdproxy/net/LeftOutStore.java
@@ -19,7 +19,7 @@
  * time tells since when. A file exists or does not, so that no partial write can be read and two processes
  * need no lock. Not thread-safe.
  */
-final class KeptOut {
+final class LeftOutStore {
     /** How long the file of a returned node is of use: by then the node is warm for certain. */
     private static final long RETURN_RETENTION_MS = 600_000;
 
@@ -34,17 +34,17 @@
     /** Null: nothing is stored beyond this process. */
     private final Path folder;
 
-    private final Time time;
+    private final Clock time;
     private final Set<String> leftOut = new HashSet<>();
 
     /** {@code folder} is created if it does not exist; null: nothing is stored beyond this process. */
-    KeptOut(Path folder, Time time) throws IOException {
+    LeftOutStore(Path folder, Clock time) throws IOException {
         this.folder = folder == null ? null : Files.createDirectories(folder);
         this.time = time;
     }
 
     /** Reports all that is stored, at the start of a process: nodes left out and recent returns. */
-    void all(ChangeListener listener) throws IOException {
+    void loadAll(ChangeListener listener) throws IOException {
         Map<String, Long> returned = new HashMap<>();
         for (Map.Entry<String, Long> e : files(OUT).entrySet()) {
             leftOut.add(e.getKey());
@@ -61,7 +61,7 @@
     }
 
     /** Reports what another process has stored since the last call. On failure the state is unchanged. */
-    void changes(ChangeListener listener) throws IOException {
+    void pollChanges(ChangeListener listener) throws IOException {
         Map<String, Long> stored = files(OUT);
         for (Map.Entry<String, Long> e : stored.entrySet()) {
             if (leftOut.add(e.getKey())) {
@@ -78,7 +78,7 @@
     }
 
     /** Stores a change; returns its time in milliseconds since 1970. On failure nothing has changed. */
-    long keep(String node, boolean leaveOut) throws IOException {
+    long store(String node, boolean leaveOut) throws IOException {
         if (folder != null && leaveOut) {
             createIfAbsent(file(OUT, node));
         } else if (folder != null && Files.exists(file(OUT, node))) {
@@ -124,7 +124,7 @@
                 } catch (java.nio.file.NoSuchFileException e) {
                     // deleted since the folder was listed
                 } catch (IllegalArgumentException e) {
-                    throw new IOException("not an encoded node name: " + Config.shown(name));
+                    throw new IOException("not an encoded node name: " + Config.printable(name));
                 }
             }
         } catch (java.nio.file.DirectoryIteratorException e) {
--- a/src/main/java/holdproxy/net/Log.java
+++ b/src/main/java/holdproxy/net/Log.java
@@ -10,23 +10,23 @@
     private static final int MAX_LINES = 40;
     private static final long WINDOW_US = 10_000_000;
 
-    private final Time time;
+    private final Clock time;
     private final Consumer<String> consumer;
     private long windowStart;
     private int lines;
 
-    Log(Time time) {
+    Log(Clock time) {
         this(time, null); // linking a method reference would add some milliseconds to the start
     }
 
-    Log(Time time, Consumer<String> consumer) {
+    Log(Clock time, Consumer<String> consumer) {
         this.time = time;
         this.consumer = consumer;
-        windowStart = time.us();
+        windowStart = time.nowUs();
     }
 
     void line(String text) {
-        long now = time.us();
+        long now = time.nowUs();
         if (now - windowStart > WINDOW_US) {
             if (lines > MAX_LINES) {
                 out((lines - MAX_LINES) + " log lines suppressed");
--- a/src/main/java/holdproxy/net/Turns.java
+++ b/src/main/java/holdproxy/net/LoopIoHandlerFactory.java
@@ -20,18 +20,18 @@
  *
  * <p>Each object serves one loop; its counts are read on that loop's thread.
  */
-final class Turns implements IoHandlerFactory {
+final class LoopIoHandlerFactory implements IoHandlerFactory {
     private static final long MILLISECOND_NS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandlerFactory delegate;
     private long iterations;
     private long idleIterations;
 
-    Turns() {
+    LoopIoHandlerFactory() {
         this(NioIoHandler.newFactory());
     }
 
-    Turns(IoHandlerFactory delegate) {
+    LoopIoHandlerFactory(IoHandlerFactory delegate) {
         this.delegate = delegate;
     }
 
--- a/src/main/java/holdproxy/net/Lateness.java
+++ b/src/main/java/holdproxy/net/LoopLag.java
@@ -3,10 +3,10 @@
 /**
  * Measures how late the event loop runs, by a tick that is due at regular intervals. During a pause of the
  * garbage collector or of the machine, or while a start lacks processor time, no input is read and no timer
- * runs. All times are microseconds on the clock of {@link Time}; callers pass them in, and they never go
+ * runs. All times are microseconds on the clock of {@link Clock}; callers pass them in, and they never go
  * back.
  */
-final class Lateness {
+final class LoopLag {
     static final long TICK_US = 20_000;
 
     /** A tick within this time before a read counts as part of the same pause. */
@@ -17,7 +17,7 @@
     private long lastLateUs;
     private long totalUs;
 
-    Lateness(long now) {
+    LoopLag(long now) {
         lastTickUs = now;
         dueUs = now + TICK_US;
     }
@@ -44,7 +44,7 @@
      * How long ago the last tick that has run was due. All sockets have been read at that time or at most
      * {@link #TICK_US} before it, so no unread input is older than the sum of both.
      */
-    long sinceDueUs(long now) {
+    long sinceLastDueUs(long now) {
         return now - lastTickUs + lastLateUs;
     }
 
--- a/src/main/java/holdproxy/net/NodeConnection.java
+++ b/src/main/java/holdproxy/net/NodeConnection.java
@@ -43,12 +43,12 @@
     private boolean retired;
 
     /** Takes the pieces of the value that is being received; null: they are discarded. */
-    private Relay relay;
+    private ValueStream relay;
 
     /** A value is being received in pieces. */
     private boolean receivingPieces;
 
-    private Answer relayedAnswer;
+    private NodeResponse relayedAnswer;
 
     /** When it became idle last: after its last answer, or once established if nothing was sent on it. */
     long idleSinceUs;
@@ -79,7 +79,7 @@
      * to a command that such a second answer was taken to belong to.
      */
     boolean nextAnswerUnambiguous(long now) {
-        long quietUs = now - pool.pools.proxy.justStoodStillUs(now) - idleSinceUs;
+        long quietUs = now - pool.pools.proxy.recentStallUs(now) - idleSinceUs;
         return !anyAnswer || !lastAnswerUncertain && quietUs > SECOND_ANSWER_WINDOW_US;
     }
 
@@ -120,11 +120,11 @@
     private void write(Attempt a) {
         long waitUs = a.waitUs - (pool.pools.proxy.now() - a.sentUs);
         Command c = a.exchange.command;
-        if (c.large()) {
+        if (c.isLarge()) {
             sending.add(a); // first: the write of its command line may call sendSlices()
         }
         ChannelFuture written = channel.writeAndFlush(c.encode(channel.alloc(), waitUs));
-        if (c.large()) {
+        if (c.isLarge()) {
             sendSlices();
         } else {
             written.addListener(f -> onWritten(a, f.isSuccess()));
@@ -135,7 +135,7 @@
     private void sendSlices() {
         while (!sending.isEmpty() && channel.isWritable() && !closed) {
             Attempt a = sending.peek();
-            if (pool.pools.proxy.now() >= a.lastByteByUs) {
+            if (pool.pools.proxy.now() >= a.lastByteDeadlineUs) {
                 awaitingAnswer.remove(a);
                 end(a, Router.Outcome.NOT_SENT, null); // sent whole, it might run twice
                 close();
@@ -201,7 +201,7 @@
      * bytes must not be written here later.
      */
     boolean giveUp(Attempt a) {
-        a.over = true;
+        a.done = true;
         if (unsent.remove(a)) {
             if (awaitingAnswer.isEmpty() && unsent.isEmpty()) {
                 close();
@@ -231,30 +231,32 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
-        if (message instanceof Answer answer) {
+        if (message instanceof NodeResponse answer) {
             onAnswer(answer);
         } else if (message instanceof ByteBuf bytes) {
             if (relay != null) {
-                relay.more(bytes.retain());
+                relay.append(bytes.retain());
             }
         } else {
             valueComplete();
         }
     }
 
-    private void onAnswer(Answer answer) {
+    private void onAnswer(NodeResponse answer) {
         Attempt a = awaitingAnswer.peek();
         if (a == null || closed) {
             close(); // an answer without a command
             return;
         }
         boolean ours = answer.outcome != Router.Outcome.OK || matches(answer, a);
-        if (answer.broken || receivingPieces || !a.written || !ours) {
+        if (answer.protocolError || receivingPieces || !a.written || !ours) {
             pool.pools.log.line(
                     "node "
                             + pool.name
                             + " broke the protocol"
-                            + (answer.broken ? ": " + Config.shown(answer.receipt) : ""));
+                            + (answer.protocolError
+                                    ? ": " + Config.printable(answer.receipt)
+                                    : ""));
             // RESET, not ERROR: the command may have run, and this tells nothing of capacity
             if (!receivingPieces) {
                 awaitingAnswer.poll();
@@ -263,10 +265,10 @@
             close(); // further answers cannot be matched to attempts
             return;
         }
-        if (answer.follows > 0) {
+        if (answer.streamedLength > 0) {
             receivingPieces = true;
             relayedAnswer = answer;
-            relay = a.over ? null : pool.pools.proxy.relays.begin(a, answer, this);
+            relay = a.done ? null : pool.pools.proxy.relays.begin(a, answer, this);
             if (relay == null) {
                 end(a, answer.outcome, answer); // it stays queued until its pieces are read
                 if (!anyWaitingAfterFirst()) {
@@ -283,10 +285,10 @@
         receivingPieces = false;
         Attempt a = awaitingAnswer.peek();
         if (relay != null) {
-            Relay r = relay;
+            ValueStream r = relay;
             relay = null;
-            read(true);
-            r.whole();
+            setReading(true);
+            r.completed();
         }
         if (a != null) {
             answerComplete(a, relayedAnswer);
@@ -295,14 +297,14 @@
     }
 
     /** The first attempt of {@link #awaitingAnswer} has its whole answer. */
-    private void answerComplete(Attempt a, Answer answer) {
+    private void answerComplete(Attempt a, NodeResponse answer) {
         awaitingAnswer.poll();
         anyAnswer = true;
         lastAnswerUncertain = answer.outcome != Router.Outcome.OK;
         if (awaitingAnswer.isEmpty() && unsent.isEmpty() && !retired) {
             pool.onIdle(this);
         }
-        if (!a.over) {
+        if (!a.done) {
             end(a, answer.outcome, answer);
         }
         if (retired && !anyWaiting()) {
@@ -311,24 +313,24 @@
     }
 
     /** Turns reading from the connection on or off. */
-    void read(boolean on) {
+    void setReading(boolean on) {
         channel.config().setAutoRead(on);
     }
 
     /** The client that the value is being relayed to has left. */
-    void abandon(Attempt a) {
+    void stopRelaying(Attempt a) {
         relay = null;
-        read(true);
-        if (!a.over) {
+        setReading(true);
+        if (!a.done) {
             giveUp(a);
-            pool.pools.proxy.ended(a, Router.Outcome.CANCELLED, null);
+            pool.pools.proxy.attemptEnded(a, Router.Outcome.CANCELLED, null);
         }
     }
 
     /** Whether an attempt that was not given up waits for its answer. */
     private boolean anyWaiting() {
         for (Attempt a : awaitingAnswer) {
-            if (!a.over) {
+            if (!a.done) {
                 return true;
             }
         }
@@ -339,7 +341,7 @@
     private boolean anyWaitingAfterFirst() {
         boolean first = true;
         for (Attempt a : awaitingAnswer) {
-            if (!first && !a.over) {
+            if (!first && !a.done) {
                 return true;
             }
             first = false;
@@ -348,15 +350,15 @@
     }
 
     /** Whether an answer has the kind and the id that this attempt calls for. */
-    private static boolean matches(Answer answer, Attempt a) {
+    private static boolean matches(NodeResponse answer, Attempt a) {
         Command c = a.exchange.command;
         return c.opaque.equals(answer.opaque) && c.write != answer.isValue();
     }
 
-    private void end(Attempt a, Router.Outcome outcome, Answer answer) {
-        if (!a.over) {
-            a.over = true;
-            pool.pools.proxy.ended(a, outcome, answer);
+    private void end(Attempt a, Router.Outcome outcome, NodeResponse answer) {
+        if (!a.done) {
+            a.done = true;
+            pool.pools.proxy.attemptEnded(a, outcome, answer);
         }
     }
 
@@ -385,17 +387,17 @@
         closed = true;
         pool.onClosed(this);
         if (relay != null) {
-            Relay r = relay;
+            ValueStream r = relay;
             relay = null;
-            r.brokenOff();
+            r.nodeFailed();
         }
         while (!awaitingAnswer.isEmpty()) {
             Attempt a = awaitingAnswer.poll();
-            end(a, a.broken(), null);
+            end(a, a.outcomeIfDisconnected(), null);
         }
         while (!unsent.isEmpty()) {
             Attempt a = unsent.poll();
-            end(a, a.broken(), null);
+            end(a, a.outcomeIfDisconnected(), null);
         }
     }
 }
--- a/src/main/java/holdproxy/net/Members.java
+++ b/src/main/java/holdproxy/net/NodeDirectory.java
@@ -12,7 +12,7 @@
  * Tracks the cache nodes of the lists and those that operators have left out, and passes changes of either on
  * to the router and the connection pools. Confined to the request loop.
  */
-final class Members {
+final class NodeDirectory {
     private final Proxy proxy;
     private final NodePools pools;
     private final Discovery discovery;
@@ -29,7 +29,7 @@
     /** The names of the nodes that operators have left out; these may have gone from the list. */
     private final Set<String> leftOut = new HashSet<>();
 
-    Members(Proxy proxy, NodePools pools, Discovery discovery, Log log, EventLoop loop) {
+    NodeDirectory(Proxy proxy, NodePools pools, Discovery discovery, Log log, EventLoop loop) {
         firstList = loop.newPromise();
         firstListOrUnreachable = loop.newPromise();
         this.proxy = proxy;
@@ -39,7 +39,7 @@
     }
 
     /** Handles a list, or the failure of a call for one. */
-    void told(Router.ListKind kind, List<Discovery.Entry> entries) {
+    void onList(Router.ListKind kind, List<Discovery.Entry> entries) {
         Router.Node[] nodes = new Router.Node[entries.size()];
         Set<Integer> named = new HashSet<>();
         for (int i = 0; i < nodes.length; i++) {
@@ -51,7 +51,7 @@
                 listed.add(e.node().id);
             }
         }
-        proxy.events.list(
+        proxy.events.deliverList(
                 () -> proxy.router.onNodes(proxy.now(), kind, nodes, nodes.length, proxy));
         for (Router.Node n : nodes) {
             if (n.state != Router.NodeState.READY) {
@@ -73,17 +73,17 @@
     }
 
     /** May be called on any thread. */
-    Future<Void> first() {
+    Future<Void> firstList() {
         return firstList;
     }
 
     /** May be called on any thread. */
-    Future<Void> firstOrUnreachable() {
+    Future<Void> firstListOrUnreachable() {
         return firstListOrUnreachable;
     }
 
     /** A call could not connect to discovery, so that waiting for its list is of no use for now. */
-    void discoveryUnreachable() {
+    void onDiscoveryUnreachable() {
         firstListOrUnreachable.trySuccess(null);
     }
 
@@ -95,7 +95,7 @@
     }
 
     /** Whether operators may name this node: it is in the list, or is left out and to be used again. */
-    boolean knows(String node, boolean out) {
+    boolean acceptsLeaveOut(String node, boolean out) {
         return listed.contains(discovery.knownNumber(node)) || !out && leftOut.contains(node);
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** Updates the metrics that only the router knows. */
-    void refresh() {
-        proxy.figures().poolEjected.set(proxy.router.avoided(proxy.now()));
+    void updateFigures() {
+        proxy.figures().poolEjected.set(proxy.router.avoidedNodes(proxy.now()));
     }
 }
--- a/src/main/java/holdproxy/net/NodePool.java
+++ b/src/main/java/holdproxy/net/NodePool.java
@@ -42,7 +42,7 @@
         }
         if (c == null) {
             pools.log.line("no file descriptor left for a connection to node " + name);
-            pools.proxy.ended(a, a.broken(), null);
+            pools.proxy.attemptEnded(a, a.outcomeIfDisconnected(), null);
             return;
         }
         c.add(a);
--- a/src/main/java/holdproxy/net/NodePools.java
+++ b/src/main/java/holdproxy/net/NodePools.java
@@ -40,11 +40,11 @@
         this.maxConnections = maxConnections;
         this.loop = loop;
         this.transport = transport;
-        retune(config.settings);
+        applySettings(config.settings);
     }
 
     /** Applies settings to the connections that are opened from now on and to all idle ones. */
-    void retune(Router.Settings settings) {
+    void applySettings(Router.Settings settings) {
         // a drain may be received while an attempt waits for its connection: the attempt has to be
         // written within the drain's grace
         long graceUs = settings.drainGraceUs;
@@ -111,7 +111,7 @@
                 .connect(
                         pool.address,
                         (int) Math.max(1, dialTimeoutUs / 1000),
-                        new Answer.Decoder(),
+                        new NodeResponse.Decoder(),
                         c)
                 .addListener((ChannelFutureListener) c::onConnectDone);
         return c;
@@ -126,7 +126,7 @@
     }
 
     /** Connections opened, failed and reused since the last call, and how many are open. */
-    String counted() {
+    String countsSinceLastCall() {
         String text =
                 dials + reused == 0
                         ? ""
--- a/src/main/java/holdproxy/net/Answer.java
+++ b/src/main/java/holdproxy/net/NodeResponse.java
@@ -1,6 +1,6 @@
 package holdproxy.net;
 
-import holdproxy.input.SettingsText;
+import holdproxy.input.SettingsReader;
 import holdproxy.policy.Router;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** A response from a cache node. */
-final class Answer {
+final class NodeResponse {
     final Router.Outcome outcome;
 
     /** The opaque id that it echoes; null on an error line. */
@@ -18,18 +18,18 @@
     byte[] value;
 
     /** Length of a value that is too large to buffer and follows in pieces; 0 if there is none. */
-    int follows;
+    int streamedLength;
 
     Router.CacheNote note = Router.CacheNote.NONE;
     private String load;
 
     /** Set when the node violated the protocol: what it sends after this cannot be decoded. */
-    boolean broken;
+    boolean protocolError;
 
     /** Marks the end of a value that was delivered in pieces. */
     static final Object VALUE_END = new Object();
 
-    private Answer(Router.Outcome outcome) {
+    private NodeResponse(Router.Outcome outcome) {
         this.outcome = outcome;
     }
 
@@ -43,7 +43,7 @@
             if (eq > 0) {
                 try {
                     double value = Double.parseDouble(field.substring(eq + 1));
-                    SettingsText.report(field.substring(0, eq), value, report);
+                    SettingsReader.setReportField(field.substring(0, eq), value, report);
                 } catch (NumberFormatException e) {
                     // ignore a malformed load value
                 }
@@ -52,7 +52,7 @@
     }
 
     boolean isValue() {
-        return value != null || follows > 0;
+        return value != null || streamedLength > 0;
     }
 
     /**
@@ -60,7 +60,7 @@
      * are meant for the proxy only.
      */
     ByteBuf encode(ByteBufAllocator alloc) {
-        int length = value == null ? follows : value.length;
+        int length = value == null ? streamedLength : value.length;
         ByteBuf out =
                 alloc.buffer(
                         opaque.length()
@@ -79,31 +79,33 @@
     }
 
     static final class Decoder extends MetaDecoder {
-        private Answer pending;
+        private NodeResponse pending;
 
         @Override
         int onLine(String line, List<Object> out) {
             String[] tokens = line.split(" ");
             switch (tokens.length == 0 ? "" : tokens[0]) {
                 case "VA" -> {
-                    pending = new Answer(Router.Outcome.OK);
+                    pending = new NodeResponse(Router.Outcome.OK);
                     parseFlags(pending, tokens, 2);
                     int length = tokens.length < 2 ? -2 : parseNumber(tokens[1]);
                     if (length > MAX_BUFFERED_VALUE_BYTES && length <= MAX_VALUE_BYTES) {
-                        pending.follows = length;
+                        pending.streamedLength = length;
                         out.add(pending);
                         pending = null;
                     }
                     return length;
                 }
                 case "HD" -> {
-                    Answer a = new Answer(Router.Outcome.OK);
+                    NodeResponse a = new NodeResponse(Router.Outcome.OK);
                     parseFlags(a, tokens, 1);
                     out.add(a);
                 }
                 case "SERVER_ERROR" -> {
                     boolean busy = tokens.length > 1 && tokens[1].equals("busy");
-                    Answer a = new Answer(busy ? Router.Outcome.OVERLOADED : Router.Outcome.ERROR);
+                    NodeResponse a =
+                            new NodeResponse(
+                                    busy ? Router.Outcome.OVERLOADED : Router.Outcome.ERROR);
                     parseFlags(a, tokens, 2);
                     a.opaque = null;
                     out.add(a);
@@ -113,7 +115,7 @@
             return NO_BLOCK;
         }
 
-        private static void parseFlags(Answer a, String[] tokens, int from) {
+        private static void parseFlags(NodeResponse a, String[] tokens, int from) {
             boolean fetching = false;
             for (int i = from; i < tokens.length; i++) {
                 String t = tokens[i];
@@ -151,8 +153,8 @@
 
         @Override
         void onProtocolError(String why, List<Object> out) {
-            Answer a = new Answer(Router.Outcome.ERROR);
-            a.broken = true;
+            NodeResponse a = new NodeResponse(Router.Outcome.ERROR);
+            a.protocolError = true;
             a.receipt = why;
             out.add(a);
         }
--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -1,8 +1,8 @@
 package holdproxy.net;
 
 import holdproxy.console.Figures;
-import holdproxy.policy.Choice;
 import holdproxy.policy.Router;
+import holdproxy.policy.RoutingPolicy;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
@@ -65,46 +65,48 @@
     /** The classes of the latest settings, without dropped ones that are still served. */
     private Router.RequestClass[] currentClasses;
 
-    private final Time time;
+    private final Clock time;
     private final Log log;
     private final EventLoop loop;
     private final Command.Names names = new Command.Names();
     private final NodePools pools;
     private final Discovery discovery;
-    final Choice router;
+    final RoutingPolicy router;
     private final Figures figures = new Figures();
     private final Map<Long, Exchange> exchanges = new HashMap<>();
     private final Router.Request request = new Router.Request();
     private final Router.Report report = new Router.Report();
-    private final Members members;
-    final Events events;
-    final Reception reception;
-    private final Lateness lateness;
+    private final NodeDirectory members;
+    final EventQueue events;
+    final ClientListener reception;
+    private final LoopLag lateness;
     final CounterLog counterLog;
     private long nextId = 1;
-    private final Room valueBytes = new Room(MAX_VALUE_BYTES);
+    private final ByteBudget valueBytes = new ByteBudget(MAX_VALUE_BYTES);
     private long unreadBytes;
-    final Relays relays = new Relays(this);
+    final ValueStreams relays = new ValueStreams(this);
 
-    Proxy(Config config, EventLoop loop, Time time, Transport transport, Log log) {
+    Proxy(Config config, EventLoop loop, Clock time, Transport transport, Log log) {
         this.loop = loop;
         this.time = time;
         this.log = log;
-        lateness = new Lateness(now());
-        Descriptors bound = Descriptors.of(config.sockets, transport != null && transport.shared());
-        events = new Events(transport, log, this::now, lateness);
-        reception = new Reception(this, config.listen, loop, transport, log, bound.clients());
+        lateness = new LoopLag(now());
+        ConnectionLimits bound =
+                ConnectionLimits.of(
+                        config.sockets, transport != null && transport.sharesListener());
+        events = new EventQueue(transport, log, this::now, lateness);
+        reception = new ClientListener(this, config.listen, loop, transport, log, bound.clients());
         settings = config.settings;
         currentClasses = settings.classes;
         names.set(settings);
         for (Router.RequestClass c : settings.classes) {
-            figures.of(c.name); // metrics exist before the first request
+            figures.forClass(c.name); // metrics exist before the first request
         }
         pools = new NodePools(this, config, loop, log, bound.nodes(), transport);
         discovery = new Discovery(new ListReceiver(), config, transport, log);
-        members = new Members(this, pools, discovery, log, loop);
-        router = new Choice(config.settings, config.seed, now(), this);
-        counterLog = new CounterLog(router.tally, pools::counted, lateness);
+        members = new NodeDirectory(this, pools, discovery, log, loop);
+        router = new RoutingPolicy(config.settings, config.seed, now(), this);
+        counterLog = new CounterLog(router.counters, pools::countsSinceLastCall, lateness);
     }
 
     /**
@@ -112,7 +114,7 @@
      * receives its log lines.
      */
     public static Proxy start(
-            Config config, EventLoop loop, Time time, Transport transport, Consumer<String> log) {
+            Config config, EventLoop loop, Clock time, Transport transport, Consumer<String> log) {
         Proxy proxy = new Proxy(config, loop, time, transport, new Log(time, log));
         proxy.begin();
         proxy.listen();
@@ -120,13 +122,13 @@
     }
 
     /** The number of requests that are unanswered or still have an attempt in flight. */
-    public int open() {
+    public int openRequests() {
         return exchanges.size();
     }
 
     /** Applies a reloaded configuration: its settings and discovery's address. */
-    public void taken(Config now) {
-        discovery.taken(now);
+    public void applyConfig(Config now) {
+        discovery.reconfigure(now);
         Router.RequestClass[] classes = now.settings.classes;
         now.settings.tenants =
                 SettingsReload.keepTenantIndexes(settings.tenants, now.settings.tenants);
@@ -161,9 +163,9 @@
         settings = next;
         names.set(next);
         for (Router.RequestClass c : next.classes) {
-            figures.of(c.name);
+            figures.forClass(c.name);
         }
-        pools.retune(next);
+        pools.applySettings(next);
         events.add(() -> router.onSettings(now(), next));
     }
 
@@ -176,9 +178,9 @@
     void begin() {
         scheduleTick();
         counterLog.start(loop, this);
-        discovery.start();
-        if (!settings.askForNodes) {
-            discovery.watch();
+        discovery.reportConfiguredList();
+        if (!settings.subscribesToNodes) {
+            discovery.ensureWatch();
         }
     }
 
@@ -186,8 +188,8 @@
         return reception.listen();
     }
 
-    boolean listens() {
-        return reception.listens();
+    boolean isListening() {
+        return reception.acceptsConnections();
     }
 
     InetSocketAddress address() {
@@ -200,12 +202,12 @@
     }
 
     /** Drains as at SIGTERM; the future completes when every connection has ended. */
-    public Future<Void> end() {
-        return reception.end();
+    public Future<Void> drain() {
+        return reception.shutDown();
     }
 
-    Future<Void> end(long openMs) {
-        return reception.end(openMs);
+    Future<Void> drain(long openMs) {
+        return reception.shutDown(openMs);
     }
 
     /** The channel handlers of a client connection. */
@@ -221,7 +223,7 @@
                     tick();
                     scheduleTick();
                 },
-                Lateness.TICK_US,
+                LoopLag.TICK_US,
                 TimeUnit.MICROSECONDS);
     }
 
@@ -231,11 +233,11 @@
 
     /** The router's clock: monotonic microseconds. */
     long now() {
-        return time.us();
+        return time.nowUs();
     }
 
     /** Converts a Unix time to the router's clock; a node's start time always gives the same value. */
-    long monotonic(long unixMs) {
+    long toRouterClock(long unixMs) {
         return time.monotonicUs(unixMs);
     }
 
@@ -252,8 +254,8 @@
             return null;
         }
         if (exchanges.size() >= Math.min(MAX_OPEN, settings.maxOpen)
-                || !valueBytes.take(c.valueBytes())) {
-            session.answer(slot, shed(c));
+                || !valueBytes.reserve(c.valueBytes())) {
+            session.answer(slot, shedAnswer(c));
             return null;
         }
         long now = now();
@@ -273,7 +275,7 @@
                         settings.classes[type]);
         exchanges.put(x.id, x);
         figures.active.add(1);
-        x.overdue =
+        x.overdueTimer =
                 loop.schedule(
                         () -> overdue(x),
                         Math.max(0, dueUs - now) + OVERDUE_US,
@@ -304,7 +306,7 @@
         }
     }
 
-    void clientGone(Exchange x) {
+    void clientDisconnected(Exchange x) {
         if (!x.answered) {
             markAnswered(x);
             events.add(() -> router.onAborted(now(), x.id, this));
@@ -314,22 +316,22 @@
     private void markAnswered(Exchange x) {
         x.answered = true;
         figures.active.add(-1);
-        x.overdue.cancel(false);
+        x.overdueTimer.cancel(false);
         removeIfFinished(x);
     }
 
     private void removeIfFinished(Exchange x) {
-        if (x.answered && x.out == 0 && exchanges.remove(x.id) != null) {
-            valueBytes.give(x.command.valueBytes());
+        if (x.answered && x.openAttempts == 0 && exchanges.remove(x.id) != null) {
+            valueBytes.release(x.command.valueBytes());
         }
     }
 
     Figures.Outcomes outcomes(Command c) {
-        return figures.of(c.requestClass);
+        return figures.forClass(c.requestClass);
     }
 
     /** Counts a request that is refused for lack of room without asking the router; returns the answer. */
-    String shed(Command c) {
+    String shedAnswer(Command c) {
         outcomes(c).shed.add(1);
         log.line("too much is open: refusing");
         return busyAnswer(
@@ -339,7 +341,7 @@
     }
 
     /** Adds to the bytes of answers that clients have not read yet. */
-    void untaken(int change) {
+    void addUnreadBytes(int change) {
         unreadBytes += change;
     }
 
@@ -347,7 +349,7 @@
      * Whether so many more bytes may be held; clients that have read all earlier answers have reserved
      * room.
      */
-    boolean untakenRoom(int bytes, boolean readAll) {
+    boolean hasUnreadRoom(int bytes, boolean readAll) {
         return unreadBytes + bytes <= MAX_UNREAD_BYTES + (readAll ? EXTRA_UNREAD_BYTES : 0);
     }
 
@@ -364,12 +366,12 @@
     }
 
     /** Ends an attempt: the first success answers the client, and the outcome is reported to the router. */
-    void ended(Attempt a, Router.Outcome outcome, Answer answer) {
+    void attemptEnded(Attempt a, Router.Outcome outcome, NodeResponse answer) {
         Exchange x = a.exchange;
-        a.over = true;
+        a.done = true;
         a.neverRan = outcome.neverRan;
         a.timer.cancel(false);
-        x.out--;
+        x.openAttempts--;
         if (outcome == Router.Outcome.OK && !x.answered) {
             markAnswered(x);
             boolean written = x.session.answer(x.slot, answer.encode(ByteBufAllocator.DEFAULT));
@@ -404,13 +406,13 @@
     }
 
     /** How long the loop was stalled just before now: input read now may have waited so long. */
-    long justStoodStillUs(long now) {
+    long recentStallUs(long now) {
         return lateness.recentUs(now);
     }
 
     /** How long the loop has been stalled since an attempt was sent. */
     private long stalledUs(Attempt a, long now) {
-        return lateness.totalUs(now) - a.stoodStillUs;
+        return lateness.totalUs(now) - a.stalledUsAtSend;
     }
 
     /**
@@ -419,12 +421,12 @@
      * nothing.
      */
     private void timedOut(Attempt a) {
-        if (!a.over) {
+        if (!a.done) {
             boolean ownFault = stalledUs(a, now()) > a.waitUs / STALL_DIVISOR;
             // a command that was not written whole cannot run on the node: the router may refuse
             // the request or send it elsewhere
             boolean neverRan = !a.connection.giveUp(a);
-            ended(
+            attemptEnded(
                     a,
                     neverRan
                             ? ownFault ? Router.Outcome.NOT_SENT : Router.Outcome.CONNECT_FAILED
@@ -437,7 +439,7 @@
      * When, after SIGTERM, to fail open requests. Counts the classes of the latest file, as whoever sends
      * SIGKILL does; a class without a deadline counts with the maximum.
      */
-    long lastWordMs() {
+    long failOpenRequestsAfterMs() {
         long longest = 0;
         for (Router.RequestClass c : currentClasses) {
             long ms = c.deadlineUs > 0 ? c.deadlineUs / 1000 : MAX_KILL_DEADLINE_MS;
@@ -446,7 +448,7 @@
         return longest + KILL_AFTER_MS - FAIL_BEFORE_KILL_MS;
     }
 
-    void lastWord() {
+    void failOpenRequests() {
         for (Exchange x : List.copyOf(exchanges.values())) {
             failOverdue(x, "a request is still open before the process is killed; failing it");
         }
@@ -455,7 +457,7 @@
     // ---- the node list ----
 
     void nodes(Router.ListKind kind, List<Discovery.Entry> entries) {
-        members.told(kind, entries);
+        members.onList(kind, entries);
     }
 
     private final class ListReceiver implements Discovery.Receiver {
@@ -465,18 +467,18 @@
         }
 
         @Override
-        public long monotonic(long unixMs) {
-            return Proxy.this.monotonic(unixMs);
+        public long toMonotonicUs(long unixMs) {
+            return Proxy.this.toRouterClock(unixMs);
         }
 
         @Override
-        public void nodes(Router.ListKind kind, List<Discovery.Entry> entries) {
+        public void onList(Router.ListKind kind, List<Discovery.Entry> entries) {
             Proxy.this.nodes(kind, entries);
         }
 
         @Override
-        public void unreachable() {
-            members.discoveryUnreachable();
+        public void onUnreachable() {
+            members.onDiscoveryUnreachable();
         }
     }
 
@@ -485,7 +487,7 @@
         members.leaveOut(node, out, now());
     }
 
-    Members members() {
+    NodeDirectory members() {
         return members;
     }
 
@@ -503,10 +505,10 @@
         long wait = timeoutUs != 0 ? Math.min(timeoutUs, left) : left;
         Attempt a = new Attempt(x, x.attempts.size(), now, lateness.totalUs(now), wait);
         x.attempts.add(a);
-        x.out++;
+        x.openAttempts++;
         a.timer = loop.schedule(() -> timedOut(a), Math.max(0, wait), TimeUnit.MICROSECONDS);
         if (x.answered || wait <= 0 || pool == null || a.number >= x.maxAttempts) {
-            ended(a, Router.Outcome.NOT_SENT, null);
+            attemptEnded(a, Router.Outcome.NOT_SENT, null);
         } else {
             pool.send(a);
         }
@@ -535,9 +537,9 @@
         Exchange x = exchanges.get(id);
         if (x != null && attempt < x.attempts.size()) {
             Attempt a = x.attempts.get(attempt);
-            if (!a.over) {
+            if (!a.done) {
                 a.connection.giveUp(a);
-                ended(a, Router.Outcome.CANCELLED, null);
+                attemptEnded(a, Router.Outcome.CANCELLED, null);
             }
         }
     }
@@ -570,16 +572,16 @@
 
     @Override
     public void subscribe() {
-        discovery.watch();
+        discovery.ensureWatch();
     }
 
     @Override
     public void fetchNodes() {
-        discovery.fetch();
+        discovery.fetchFullList();
     }
 
     @Override
-    public void tell(int router, byte[] data) {
+    public void sendMessage(int router, byte[] data) {
         log.line("messages to other proxies are not supported; message dropped");
     }
 
--- a/src/main/java/holdproxy/net/Service.java
+++ b/src/main/java/holdproxy/net/ProxyService.java
@@ -1,8 +1,8 @@
 package holdproxy.net;
 
 import holdproxy.console.Console;
+import holdproxy.console.ConsoleOperations;
 import holdproxy.console.Figures;
-import holdproxy.console.Operations;
 import holdproxy.input.BadInput;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -18,7 +18,7 @@
 import java.util.function.Supplier;
 
 /** The process around a proxy: inherited listening socket, signals, console and watchdog. */
-public final class Service implements Operations {
+public final class ProxyService implements ConsoleOperations {
     /**
      * The longest drain after SIGTERM. All requests are answered long before; what is left are values that
      * clients read slowly, which the process must not cut off.
@@ -55,11 +55,12 @@
     private final Proxy proxy;
     private final EventLoop loop;
     private final Log log;
-    private final KeptOut leftOut;
+    private final LeftOutStore leftOut;
     private final Consumer<String> lines;
     private EventLoop consoleLoop;
 
-    private Service(Proxy proxy, EventLoop loop, Log log, KeptOut leftOut, Consumer<String> lines) {
+    private ProxyService(
+            Proxy proxy, EventLoop loop, Log log, LeftOutStore leftOut, Consumer<String> lines) {
         this.proxy = proxy;
         this.loop = loop;
         this.log = log;
@@ -69,7 +70,7 @@
 
     /** Runs a proxy until SIGTERM; SIGHUP reloads its configuration. */
     public static void serve(Map<String, String> env) {
-        NettyLog.install(new Log(Time.system()));
+        NettyLog.install(new Log(Clock.system()));
         run(
                         Config.load(env),
                         ConfigSource.of(env),
@@ -91,21 +92,21 @@
      * @param lines receives the log lines, on any thread; null for standard error
      * @param end run at SIGTERM
      */
-    public static Service run(
+    public static ProxyService run(
             Config config,
             ConfigSource source,
             Map<String, String> env,
             Consumer<String> lines,
-            Consumer<Service> end) {
-        Log log = new Log(Time.system(), lines);
+            Consumer<ProxyService> end) {
+        Log log = new Log(Clock.system(), lines);
         ServerSocketChannel inherited = inherited(env);
-        KeptOut leftOut = openLeftOut(config, env, log);
-        Rehearsal.run(config, inherited == null ? Rehearsal.ROUNDS : Rehearsal.UPGRADE_ROUNDS);
-        Turns turns = new Turns();
+        LeftOutStore leftOut = openLeftOut(config, env, log);
+        WarmUp.run(config, inherited == null ? WarmUp.ROUNDS : WarmUp.UPGRADE_ROUNDS);
+        LoopIoHandlerFactory turns = new LoopIoHandlerFactory();
         EventLoop loop = loop(turns);
         Proxy proxy = prepare(config, loop, inherited, leftOut, lines);
         loop.execute(() -> proxy.counterLog.setTurns(turns));
-        Service service = new Service(proxy, loop, log, leftOut, lines);
+        ProxyService service = new ProxyService(proxy, loop, log, leftOut, lines);
         followChanges(source, () -> reload(config, proxy, loop, source), log);
         Thread drainHook = new Thread(() -> end.accept(service), "drain");
         Runtime.getRuntime().addShutdownHook(drainHook);
@@ -150,7 +151,7 @@
                 });
     }
 
-    static EventLoop loop(Turns turns) {
+    static EventLoop loop(LoopIoHandlerFactory turns) {
         return new MultiThreadIoEventLoopGroup(1, turns).next();
     }
 
@@ -167,7 +168,7 @@
             Config config,
             EventLoop loop,
             ServerSocketChannel inherited,
-            KeptOut leftOut,
+            LeftOutStore leftOut,
             Consumer<String> lines) {
         Proxy proxy = prepare(config, loop, inherited, leftOut, lines);
         listen(proxy, config, loop, inherited != null);
@@ -179,9 +180,9 @@
             Config config,
             EventLoop loop,
             ServerSocketChannel inherited,
-            KeptOut leftOut,
+            LeftOutStore leftOut,
             Consumer<String> lines) {
-        Time time = Time.system();
+        Clock time = Clock.system();
         try {
             return loop.submit(
                             () -> {
@@ -206,9 +207,10 @@
     }
 
     /** Applies the left-out nodes that the previous process recorded, before anything is sent. */
-    private static void restoreLeftOut(Proxy proxy, KeptOut leftOut) throws IOException {
+    private static void restoreLeftOut(Proxy proxy, LeftOutStore leftOut) throws IOException {
         if (leftOut != null) {
-            leftOut.all((node, out, at) -> proxy.members().restore(node, out, proxy.monotonic(at)));
+            leftOut.loadAll(
+                    (node, out, at) -> proxy.members().restore(node, out, proxy.toRouterClock(at)));
         }
     }
 
@@ -253,20 +255,20 @@
      */
     private static void awaitFirstList(Proxy proxy, Config config, boolean inherited)
             throws InterruptedException {
-        Members members = proxy.members();
+        NodeDirectory members = proxy.members();
         if (inherited) {
-            members.first().await(FIRST_LIST_MS);
-        } else if (config.settings.askForNodes) {
-            long validMs = config.settings.askWithinUs / 1000;
-            members.firstOrUnreachable()
+            members.firstList().await(FIRST_LIST_MS);
+        } else if (config.settings.subscribesToNodes) {
+            long validMs = config.settings.listFreshnessUs / 1000;
+            members.firstListOrUnreachable()
                     .await(Math.min(FIRST_LIST_ALONE_MS, validMs / VALIDITY_DIVISOR));
         } else {
-            members.first().await(FIRST_LIST_ALONE_MS);
+            members.firstList().await(FIRST_LIST_ALONE_MS);
         }
     }
 
     /** Null without a console, as then no node can be left out. */
-    private static KeptOut openLeftOut(Config config, Map<String, String> env, Log log) {
+    private static LeftOutStore openLeftOut(Config config, Map<String, String> env, Log log) {
         if (config.console == null) {
             return null;
         }
@@ -277,8 +279,8 @@
                             + " this process ends");
         }
         try {
-            return new KeptOut(
-                    folder.isEmpty() ? null : Path.of(folder, LEFT_OUT_FOLDER), Time.system());
+            return new LeftOutStore(
+                    folder.isEmpty() ? null : Path.of(folder, LEFT_OUT_FOLDER), Clock.system());
         } catch (IOException e) {
             throw new BadInput("TMPDIR cannot be used: " + e);
         }
@@ -296,7 +298,7 @@
         if (!descriptor.equals("0")) {
             throw new BadInput(
                     "LB_FD is not 0, the only descriptor that can be taken over: "
-                            + Config.shown(descriptor));
+                            + Config.printable(descriptor));
         }
         try {
             if (System.inheritedChannel() instanceof ServerSocketChannel server) {
@@ -310,12 +312,12 @@
     }
 
     private void startConsole(Config config) {
-        consoleLoop = loop(new Turns());
-        Time time = Time.system();
+        consoleLoop = loop(new LoopIoHandlerFactory());
+        Clock time = Clock.system();
         Log watchdogLog = new Log(time, lines);
         Watchdog watchdog = createWatchdog(time, watchdogLog, CHECK_MS);
         consoleLoop.scheduleAtFixedRate(
-                () -> watchdog.check(time.us()), CHECK_MS, CHECK_MS, TimeUnit.MILLISECONDS);
+                () -> watchdog.check(time.nowUs()), CHECK_MS, CHECK_MS, TimeUnit.MILLISECONDS);
         consoleLoop.execute(
                 () -> {
                     new Console(consoleLoop, this, line -> loop.execute(() -> proxy.log(line)))
@@ -329,13 +331,13 @@
                             this::applyRecordedChanges, CHECK_MS, CHECK_MS, TimeUnit.MILLISECONDS);
                 });
         loop.scheduleAtFixedRate(
-                proxy.members()::refresh, REFRESH_MS, REFRESH_MS, TimeUnit.MILLISECONDS);
+                proxy.members()::updateFigures, REFRESH_MS, REFRESH_MS, TimeUnit.MILLISECONDS);
     }
 
-    private Watchdog createWatchdog(Time time, Log log, int everyMs) {
-        Watchdog watchdog = new Watchdog(loopThread(), time.us(), log::line);
+    private Watchdog createWatchdog(Clock time, Log log, int everyMs) {
+        Watchdog watchdog = new Watchdog(loopThread(), time.nowUs(), log::line);
         loop.scheduleAtFixedRate(
-                () -> watchdog.beat(time.us()), everyMs, everyMs, TimeUnit.MILLISECONDS);
+                () -> watchdog.beat(time.nowUs()), everyMs, everyMs, TimeUnit.MILLISECONDS);
         return watchdog;
     }
 
@@ -343,7 +345,7 @@
      * Without a console, a separate thread checks the loop, less often as many processes may share a core.
      */
     private void startWatchdogThread() {
-        Time time = Time.system();
+        Clock time = Clock.system();
         Watchdog watchdog = createWatchdog(time, new Log(time, lines), CHECK_WITHOUT_CONSOLE_MS);
         Thread watchdogThread =
                 new Thread(
@@ -351,7 +353,7 @@
                             try {
                                 while (true) {
                                     Thread.sleep(CHECK_WITHOUT_CONSOLE_MS);
-                                    watchdog.check(time.us());
+                                    watchdog.check(time.nowUs());
                                 }
                             } catch (InterruptedException e) {
                                 // not expected: this daemon thread ends with the process
@@ -374,13 +376,15 @@
     /** Applies changes of left-out nodes that another process recorded, as during an upgrade. */
     private void applyRecordedChanges() {
         try {
-            leftOut.changes(
+            leftOut.pollChanges(
                     (node, out, atUnixMs) ->
                             loop.execute(
                                     () ->
                                             proxy.members()
                                                     .leaveOut(
-                                                            node, out, proxy.monotonic(atUnixMs))));
+                                                            node,
+                                                            out,
+                                                            proxy.toRouterClock(atUnixMs))));
         } catch (IOException e) {
             logOnLoop("the record of nodes left out by operators cannot be read: " + e);
         }
@@ -395,24 +399,24 @@
      * nothing.
      */
     @Override
-    public void leaveOut(String node, boolean out, Consumer<String> answer) {
+    public void setNodeExcluded(String node, boolean out, Consumer<String> answer) {
         loop.execute(
                 () -> {
-                    if (!proxy.members().knows(node, out)) {
-                        answer.accept("no cache node is called " + Config.shown(node));
+                    if (!proxy.members().acceptsLeaveOut(node, out)) {
+                        answer.accept("no cache node is called " + Config.printable(node));
                         return;
                     }
                     consoleLoop.execute(
                             () -> {
                                 try {
-                                    long atUnixMs = leftOut.keep(node, out);
+                                    long atUnixMs = leftOut.store(node, out);
                                     loop.execute(
                                             () -> {
                                                 proxy.members()
                                                         .leaveOut(
                                                                 node,
                                                                 out,
-                                                                proxy.monotonic(atUnixMs));
+                                                                proxy.toRouterClock(atUnixMs));
                                                 answer.accept(null);
                                             });
                                 } catch (IOException e) {
@@ -440,7 +444,7 @@
         synchronized (proxy) {
             try {
                 Config now = checked.get();
-                loop.execute(() -> proxy.taken(now));
+                loop.execute(() -> proxy.applyConfig(now));
                 return null;
             } catch (BadInput e) {
                 loop.execute(() -> proxy.reloadRejected(e.getMessage()));
@@ -454,14 +458,14 @@
      * {@link BadInput}; its calls never overlap with each other or with a reload at SIGHUP. Returns why it
      * was rejected, or null. Thread-safe.
      */
-    public String take(Supplier<Config> checked) {
+    public String applyConfig(Supplier<Config> checked) {
         return replace(checked, proxy, loop);
     }
 
     /** Drains as at SIGTERM and waits for the end, for a bounded time. */
     public void drain() {
         try {
-            if (!proxy.end().await(MAX_DRAIN_MS)) {
+            if (!proxy.drain().await(MAX_DRAIN_MS)) {
                 log.line("the drain was not done in time; ending with connections open");
             }
         } catch (InterruptedException e) {
@@ -470,7 +474,7 @@
     }
 
     @Override
-    public boolean takesClients() {
+    public boolean acceptsClients() {
         return proxy.takesClients();
     }
 
--- a/src/main/java/holdproxy/net/SettingsReload.java
+++ b/src/main/java/holdproxy/net/SettingsReload.java
@@ -15,13 +15,13 @@
     /** Throws a {@link BadInput} that names a value that a running proxy cannot apply. */
     static void check(Router.Settings inUse, Router.Settings next) {
         reject(
-                inUse.aside != next.aside,
+                inUse.cacheAside != next.cacheAside,
                 "settings.familyInfo.mode cannot change while the proxy runs");
         reject(
                 inUse.originKind != next.originKind,
                 "settings.familyInfo.originKind cannot change while the proxy runs");
         reject(
-                inUse.askForNodes != next.askForNodes,
+                inUse.subscribesToNodes != next.subscribesToNodes,
                 "settings.registryMode cannot change while the proxy runs");
         Set<String> names = new HashSet<>();
         for (Router.RequestClass c : next.classes) {
--- a/src/main/java/holdproxy/net/Sockets.java
+++ b/src/main/java/holdproxy/net/Sockets.java
@@ -83,7 +83,7 @@
 
     /** An inherited socket is never closed: the JDK would then discard the log. */
     @Override
-    public boolean shared() {
+    public boolean sharesListener() {
         return inherited != null;
     }
 
@@ -92,7 +92,7 @@
      * on a socket, and its end, is read in the next pass.
      */
     @Override
-    public void whenRead(Runnable task, boolean stalled) {
+    public void afterReads(Runnable task, boolean stalled) {
         if (stalled) {
             loop.schedule(task, 1, TimeUnit.MILLISECONDS);
         } else {
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void endSending(Channel channel) {
+    public void shutdownOutput(Channel channel) {
         ((SocketChannel) channel).shutdownOutput();
     }
 }
--- a/src/main/java/holdproxy/net/Transport.java
+++ b/src/main/java/holdproxy/net/Transport.java
@@ -18,7 +18,7 @@
     ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers);
 
     /** Whether the listening socket is shared with other processes, for which it then stays open. */
-    default boolean shared() {
+    default boolean sharesListener() {
         return false;
     }
 
@@ -27,10 +27,10 @@
      * by one, that is at once. {@code stalled}: the event loop was stalled, so that the end of a connection
      * may follow what was read from it.
      */
-    default void whenRead(Runnable task, boolean stalled) {
+    default void afterReads(Runnable task, boolean stalled) {
         task.run();
     }
 
     /** Ends the output of an accepted connection, after what was written; it can still be read from. */
-    void endSending(Channel channel);
+    void shutdownOutput(Channel channel);
 }
--- a/src/main/java/holdproxy/net/Relay.java
+++ b/src/main/java/holdproxy/net/ValueStream.java
@@ -10,7 +10,7 @@
  * is read only while the client takes the data, so that each value takes no more than about 64 KiB in
  * its client's output buffer plus the data of one read.
  */
-final class Relay {
+final class ValueStream {
     /** A node that sends nothing for this long is considered unreachable. */
     private static final long NODE_TIMEOUT_US = 5_000_000;
 
@@ -20,7 +20,7 @@
     private static final int STALL_CHECK_MS = 500;
 
     private final Proxy proxy;
-    private final Relays streams;
+    private final ValueStreams streams;
     private final Attempt attempt;
     private final NodeConnection node;
     private final ClientSession session;
@@ -39,7 +39,8 @@
     private boolean reading = true;
     private long lastProgressUs;
 
-    Relay(Proxy proxy, Relays streams, Attempt attempt, NodeConnection node, ByteBuf head) {
+    ValueStream(
+            Proxy proxy, ValueStreams streams, Attempt attempt, NodeConnection node, ByteBuf head) {
         this.proxy = proxy;
         this.attempt = attempt;
         this.node = node;
@@ -54,7 +55,7 @@
     }
 
     /** The next part of the value; takes ownership of the buffer. */
-    void more(ByteBuf bytes) {
+    void append(ByteBuf bytes) {
         if (finished) {
             bytes.release();
             return;
@@ -65,7 +66,7 @@
     }
 
     /** The value is complete and correctly framed. */
-    void whole() {
+    void completed() {
         complete = true;
         pending.add(Unpooled.wrappedBuffer(new byte[] {'\r', '\n'}));
         pump();
@@ -103,7 +104,7 @@
             lastProgressUs = proxy.now(); // the node could not send anything until now
         }
         reading = on;
-        node.read(on);
+        node.setReading(on);
     }
 
     private void write(ByteBuf bytes) {
@@ -153,7 +154,7 @@
      * The node's connection closed, or the node violated the protocol. The client's connection is closed too,
      * which shows the client that its value is incomplete.
      */
-    void brokenOff() {
+    void nodeFailed() {
         if (!finished) {
             finish();
             streams.nodeFailed(attempt.exchange);
@@ -166,7 +167,7 @@
         if (!finished) {
             finish();
             streams.finished(attempt.exchange, false);
-            node.abandon(attempt);
+            node.stopRelaying(attempt);
         }
     }
 
--- a/src/main/java/holdproxy/net/Relays.java
+++ b/src/main/java/holdproxy/net/ValueStreams.java
@@ -4,14 +4,14 @@
 import io.netty.buffer.ByteBufAllocator;
 
 /** Starts and finishes streamed values, and keeps count of the memory that all of them hold. */
-final class Relays {
+final class ValueStreams {
     /** Limit for all streamed values together; above it, only those that hold nothing are read on. */
     private static final long MAX_HELD_BYTES = 12L << 20;
 
     private final Proxy proxy;
     private long heldBytes;
 
-    Relays(Proxy proxy) {
+    ValueStreams(Proxy proxy) {
         this.proxy = proxy;
     }
 
@@ -19,17 +19,17 @@
      * Called when a node begins such a value: from here on only this attempt can answer the request. Returns
      * null if the request has been answered already.
      */
-    Relay begin(Attempt a, Answer answer, NodeConnection node) {
+    ValueStream begin(Attempt a, NodeResponse answer, NodeConnection node) {
         Exchange x = a.exchange;
         if (x.answered) {
             return null;
         }
         x.answered = true;
-        x.overdue.cancel(false);
+        x.overdueTimer.cancel(false);
         a.timer.cancel(false);
         a.firstBytesUs = proxy.latencyUs(a, proxy.now());
         proxy.events.add(() -> proxy.router.onStreaming(proxy.now(), x.id, a.number, proxy));
-        return new Relay(proxy, this, a, node, answer.encode(ByteBufAllocator.DEFAULT));
+        return new ValueStream(proxy, this, a, node, answer.encode(ByteBufAllocator.DEFAULT));
     }
 
     /** The value was written to its end if {@code whole}; otherwise the client did not take all of it. */
--- a/src/main/java/holdproxy/net/Rehearsal.java
+++ b/src/main/java/holdproxy/net/WarmUp.java
@@ -18,7 +18,7 @@
  * client and node, without sockets. In a fresh JVM each step loads classes and runs interpreted; on half a
  * core the first clients would time out, which the router would take for a lack of capacity.
  */
-final class Rehearsal implements Transport {
+final class WarmUp implements Transport {
     /** Enough to have the code of the request path compiled, which takes 200 calls and some time after. */
     static final int ROUNDS = 600;
 
@@ -29,16 +29,16 @@
 
     private final List<EmbeddedChannel> nodes = new ArrayList<>();
 
-    private Rehearsal() {}
+    private WarmUp() {}
 
     /** Returns the number of requests served. */
     static int run(Config config, int rounds) {
-        return new Rehearsal().serve(config, rounds);
+        return new WarmUp().serve(config, rounds);
     }
 
     private int serve(Config config, int rounds) {
         // nothing runs this event loop, so no timer set here fires, such as that for the node list
-        Time time = Time.system();
+        Clock time = Clock.system();
         Proxy proxy =
                 new Proxy(config, new EmbeddedChannel().eventLoop(), time, this, new Log(time));
         Router.Node node = new Router.Node();
@@ -54,14 +54,14 @@
                 client = new EmbeddedChannel(proxy.handlers());
             }
             client.writeInbound(request(config.settings, i));
-            nodes.forEach(Rehearsal::answer);
+            nodes.forEach(WarmUp::answer);
             String answer = text(client);
             if (answer.startsWith("VA ") || answer.startsWith("HD ")) {
                 served++;
             }
         }
         close(client);
-        nodes.forEach(Rehearsal::close);
+        nodes.forEach(WarmUp::close);
         return served;
     }
 
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public void endSending(Channel channel) {
+    public void shutdownOutput(Channel channel) {
         channel.close();
     }
 
--- a/src/main/java/holdproxy/policy/Door.java
+++ b/src/main/java/holdproxy/policy/AdmissionControl.java
@@ -1,7 +1,7 @@
 package holdproxy.policy;
 
 /** Admission control: FAIR's table of the tenants' refusal probabilities, and its updates from outcomes. */
-final class Door {
+final class AdmissionControl {
     // FAIR: levels x buckets. Two tenants share all buckets with probability 64^-3; two tables take
     // 5 KB per proxy.
     static final int LEVELS = 3;
@@ -45,8 +45,8 @@
 
     private final RequestRates demand;
     private final SplitMix64 random;
-    private Blue live;
-    private Blue shadow;
+    private BlueTable live;
+    private BlueTable shadow;
     private long nextRotation;
 
     /** Recent share of answers that indicate queueing. */
@@ -57,11 +57,11 @@
     private double failureShare;
     private long failureShareAt;
 
-    Door(RequestRates demand, SplitMix64 random) {
+    AdmissionControl(RequestRates demand, SplitMix64 random) {
         this.demand = demand;
         this.random = random;
-        live = new Blue(LEVELS, BUCKETS, DECAY_MAX_US, random.nextLong());
-        shadow = new Blue(LEVELS, BUCKETS, DECAY_MAX_US, random.nextLong());
+        live = new BlueTable(LEVELS, BUCKETS, DECAY_MAX_US, random.nextLong());
+        shadow = new BlueTable(LEVELS, BUCKETS, DECAY_MAX_US, random.nextLong());
     }
 
     /** Schedules the first rotation, after half to all of the rotation period. */
@@ -72,7 +72,7 @@
     /** Rotation: the shadow table, which has learnt in the meantime, replaces the live one. */
     void rotateIfDue(long now) {
         if (now >= nextRotation) {
-            Blue old = live;
+            BlueTable old = live;
             live = shadow;
             old.reset(random.nextLong());
             shadow = old;
@@ -109,7 +109,7 @@
      * silent or late.
      */
     void recordOutcome(
-            Open r,
+            OpenRequest r,
             boolean failed,
             boolean ok,
             boolean fromOrigin,
@@ -156,7 +156,8 @@
     }
 
     /** Applies FAIR's steps to the live and the shadow table; a request counts as one failure at most. */
-    private void step(Open r, boolean failure, boolean success, double tenantShare, long now) {
+    private void step(
+            OpenRequest r, boolean failure, boolean success, double tenantShare, long now) {
         if (failure ? r.blamed : !success) {
             return;
         }
@@ -164,8 +165,8 @@
         double step =
                 Math.min(PI_MAX, 1 / (demand.admittedRate(r.tenant, now) * SATURATION_S + 1e-9));
         step *= failure ? quotaFactor(r.tenant, now) * tenantShare : -PD_FRACTION;
-        live.add(r.tenant, step, Blue.PROBABILITY_MAX, now);
-        shadow.add(r.tenant, step, Blue.PROBABILITY_MAX, now);
+        live.add(r.tenant, step, BlueTable.PROBABILITY_MAX, now);
+        shadow.add(r.tenant, step, BlueTable.PROBABILITY_MAX, now);
     }
 
     /**
--- a/src/main/java/holdproxy/policy/Blue.java
+++ b/src/main/java/holdproxy/policy/BlueTable.java
@@ -6,7 +6,7 @@
  * FAIR's table: levels x buckets, each with a value and the time of its last update; values decay
  * exponentially.
  */
-final class Blue {
+final class BlueTable {
     /** Upper limit of every probability: some trial requests always get through. */
     static final double PROBABILITY_MAX = 0.98;
 
@@ -18,7 +18,7 @@
     private long seed;
 
     /** {@code buckets} must be a power of two. */
-    Blue(int levels, int buckets, double decayUs, long seed) {
+    BlueTable(int levels, int buckets, double decayUs, long seed) {
         this.levels = levels;
         this.buckets = buckets;
         this.decayUs = decayUs;
--- a/src/main/java/holdproxy/policy/Idling.java
+++ b/src/main/java/holdproxy/policy/IdleLimit.java
@@ -4,7 +4,7 @@
  * How long a connection may idle before it is no longer trusted, learnt from connections used after
  * idling.
  */
-final class Idling {
+final class IdleLimit {
     // A failure divides the time that a connection may idle by e; successful use after idling
     // restores it.
     static final double REDUCTION_STEP = 1;
@@ -21,7 +21,7 @@
     /** The longest idle time after which a connection recently still worked. */
     private final DecayingValue survivedUs = new DecayingValue(SURVIVED_DECAY_US);
 
-    Idling(long maxUs) {
+    IdleLimit(long maxUs) {
         this.maxUs = maxUs;
     }
 
--- a/src/main/java/holdproxy/policy/Placement.java
+++ b/src/main/java/holdproxy/policy/NodeSelector.java
@@ -1,13 +1,13 @@
 package holdproxy.policy;
 
-import holdproxy.policy.Tally.Count;
+import holdproxy.policy.PolicyCounters.Count;
 import java.util.Arrays;
 
 /**
  * Selects the node for a request: the less busy of two hashed candidates, without those that fail or warm
  * up.
  */
-final class Placement {
+final class NodeSelector {
     // Candidates ranked for a key: two, and spares for those that fail, warm up or were tried.
     static final int CHOICES = 2;
     static final int RANKED = 12;
@@ -48,22 +48,22 @@
     private final NodeTable fleet;
     private final RequestRates demand;
     private final SplitMix64 random;
-    private final Tally tally;
-    private final Blue heat;
+    private final PolicyCounters tally;
+    private final BlueTable heat;
     private final DecayingValue heatCount = new DecayingValue(HEAT_US);
-    private final Target[] top = new Target[RANKED];
+    private final TrackedNode[] top = new TrackedNode[RANKED];
     private final double[] topScore = new double[RANKED];
     private Router.Settings set;
 
     /** The median probability of being passed over among the nodes that attempts were sent to. */
     private double usualNode;
 
-    Placement(NodeTable fleet, RequestRates demand, SplitMix64 random, Tally tally) {
+    NodeSelector(NodeTable fleet, RequestRates demand, SplitMix64 random, PolicyCounters tally) {
         this.fleet = fleet;
         this.demand = demand;
         this.random = random;
         this.tally = tally;
-        heat = new Blue(Door.LEVELS, HEAT_BUCKETS, HEAT_US, random.nextLong());
+        heat = new BlueTable(AdmissionControl.LEVELS, HEAT_BUCKETS, HEAT_US, random.nextLong());
     }
 
     void settings(Router.Settings settings) {
@@ -90,18 +90,18 @@
      * Of two hashed candidates, the one with fewer of this proxy's requests in flight; ties go to the
      * first.
      */
-    Target choose(Open r, long now) {
+    TrackedNode choose(OpenRequest r, long now) {
         long key = r.key != 0 ? r.key : random.nextLong();
         int copies = r.key != 0 ? hotCopies(r.key, now) : 1;
         r.hot = copies > 1;
         if (copies > 1) {
             key ^= (long) (random.nextUnit() * copies) << 48;
         }
-        Target[] ranked = rank(key);
-        Target best = null;
+        TrackedNode[] ranked = rank(key);
+        TrackedNode best = null;
         int seen = 0;
         for (int i = 0; i < ranked.length && ranked[i] != null && seen < CHOICES; i++) {
-            Target t = ranked[i];
+            TrackedNode t = ranked[i];
             if (!counted(Count.DOWN, t.isDown(now))
                     && !r.tried(t)
                     && r.mayGoTo(t, set, now)
@@ -117,7 +117,7 @@
      * Weighted rendezvous hashing: the nodes with the lowest of about exp(1)/weight, best first. The
      * array is reused by the next call and ends with null if fewer are ready.
      */
-    private Target[] rank(long key) {
+    private TrackedNode[] rank(long key) {
         Arrays.fill(top, null);
         int topCount = 0;
         int most = Math.min(RANKED, fleet.readyCount);
@@ -151,7 +151,7 @@
      * Fewer of this proxy's requests in flight; with few per proxy most are ties, which reported load
      * decides.
      */
-    private static boolean lessBusy(Target t, Target best, long now) {
+    private static boolean lessBusy(TrackedNode t, TrackedNode best, long now) {
         int more = t.inFlight - best.inFlight;
         return more < 0 || more == 0 && best.busyShare.get(now) > t.busyShare.get(now) + BUSY_TIE;
     }
@@ -173,7 +173,7 @@
      * within what the node can handle. Hot keys and retries are not sent there: they would come on top of
      * that budget.
      */
-    private boolean admits(Target t, Open r, long key, long now) {
+    private boolean admits(TrackedNode t, OpenRequest r, long key, long now) {
         long since = t.warmUpStart();
         if (since == Long.MIN_VALUE || now - since >= set.coldUs) {
             return true;
@@ -196,7 +196,7 @@
      * a hash of key and node, so that all proxies move the same keys first and each of these is cached in
      * one other place.
      */
-    private boolean passedOver(Target t, long key, long now) {
+    private boolean passedOver(TrackedNode t, long key, long now) {
         double chance = t.passOver.get(now) - USUAL_PART * usualNode;
         return counted(
                 Count.PASSED_OVER,
@@ -217,8 +217,8 @@
 
     /** Updates how busy a node is, from its report or, without one, from the latency. */
     void busy(
-            Open r,
-            Target t,
+            OpenRequest r,
+            TrackedNode t,
             Router.Outcome o,
             Router.CacheNote note,
             Router.Report report,
@@ -239,12 +239,12 @@
     }
 
     /** Counts a failure or success in the node's own bucket. */
-    void evidence(Target t, boolean failure, double weight, long now) {
+    void evidence(TrackedNode t, boolean failure, double weight, long now) {
         double rate = demand.rate(now) / Math.max(1, fleet.readyCount);
         step(t.passOver, failure, rate, weight, now);
         t.passOver.setDecayUs(
                 Math.max(
-                        Target.DECAY_US,
+                        TrackedNode.DECAY_US,
                         Math.min(NODE_FADE_MOST_US, NODE_FADE_VISITS / rate * 1e6)));
     }
 
@@ -252,6 +252,6 @@
     static void step(DecayingValue chance, boolean failure, double rate, double weight, long now) {
         double step =
                 Math.max(NODE_PI, Math.min(NODE_PI_MOST, 1 / (rate * NODE_EVIDENCE_S + 1e-9)));
-        chance.add(failure ? step * weight : -step * NODE_PD_SHARE, Blue.PROBABILITY_MAX, now);
+        chance.add(failure ? step * weight : -step * NODE_PD_SHARE, BlueTable.PROBABILITY_MAX, now);
     }
 }
--- a/src/main/java/holdproxy/policy/NodeTable.java
+++ b/src/main/java/holdproxy/policy/NodeTable.java
@@ -7,31 +7,31 @@
 
 /**
  * The node list as last received, without nodes that are gone and have no attempt outstanding; and flat
- * arrays of those that accept requests. {@link Target#takesNew} decides which do; this class only keeps
+ * arrays of those that accept requests. {@link TrackedNode#takesNew} decides which do; this class only keeps
  * the lists.
  */
 final class NodeTable {
-    private final LongMap<Target> byId = new LongMap<>();
+    private final LongMap<TrackedNode> byId = new LongMap<>();
     private final boolean cacheAside;
     private final int originKind;
 
     /** Nodes that operators have left out, whether listed or not. */
     private final Set<Integer> leftOut = new HashSet<>();
 
-    private Target[] knownNodes = new Target[16];
+    private TrackedNode[] knownNodes = new TrackedNode[16];
     private int nodeCount;
-    Target[] readyNodes = new Target[0];
+    TrackedNode[] readyNodes = new TrackedNode[0];
     long[] readySalts = new long[0];
     double[] readyInverseWeights = new double[0];
     int readyCount;
-    Target[] origins = new Target[0];
+    TrackedNode[] origins = new TrackedNode[0];
 
     NodeTable(Router.Settings settings) {
-        cacheAside = settings.aside;
+        cacheAside = settings.cacheAside;
         originKind = settings.originKind;
     }
 
-    boolean isOrigin(Target t) {
+    boolean isOrigin(TrackedNode t) {
         return cacheAside && t.kind == originKind;
     }
 
@@ -50,9 +50,9 @@
 
     private void update(Router.Node n) {
         long id = n.id & 0xffffffffL;
-        Target t = byId.get(id);
+        TrackedNode t = byId.get(id);
         if (t == null) {
-            t = new Target(n.id);
+            t = new TrackedNode(n.id);
             t.leftOut = leftOut.contains(n.id);
             byId.put(id, t);
             if (nodeCount == knownNodes.length) {
@@ -74,7 +74,7 @@
 
     /** Applies an operator's command, which holds whatever the lists say until it is revoked. */
     void setLeftOut(int id, boolean out, long at) {
-        Target t = byId.get(id & 0xffffffffL);
+        TrackedNode t = byId.get(id & 0xffffffffL);
         if (out) {
             leftOut.add(id);
         } else {
@@ -90,7 +90,7 @@
     }
 
     /** The number of known nodes that match. */
-    int countMatching(Predicate<Target> condition) {
+    int countMatching(Predicate<TrackedNode> condition) {
         int count = 0;
         for (int i = 0; i < nodeCount; i++) {
             count += condition.test(knownNodes[i]) ? 1 : 0;
@@ -106,7 +106,7 @@
     private void removeGone() {
         int kept = 0;
         for (int i = 0; i < nodeCount; i++) {
-            Target t = knownNodes[i];
+            TrackedNode t = knownNodes[i];
             if (t.state == Router.NodeState.GONE && t.inFlight == 0) {
                 byId.remove(t.id & 0xffffffffL);
             } else {
@@ -118,14 +118,14 @@
     }
 
     private void rebuildArrays() {
-        readyNodes = new Target[nodeCount];
+        readyNodes = new TrackedNode[nodeCount];
         readySalts = new long[nodeCount];
         readyInverseWeights = new double[nodeCount];
         readyCount = 0;
-        Target[] foundOrigins = new Target[nodeCount];
+        TrackedNode[] foundOrigins = new TrackedNode[nodeCount];
         int originCount = 0;
         for (int i = 0; i < nodeCount; i++) {
-            Target t = knownNodes[i];
+            TrackedNode t = knownNodes[i];
             if (!t.acceptsNew()) {
                 continue;
             }
--- a/src/main/java/holdproxy/policy/Open.java
+++ b/src/main/java/holdproxy/policy/OpenRequest.java
@@ -1,7 +1,7 @@
 package holdproxy.policy;
 
 /** A request that is not yet answered, or has attempts outstanding. */
-final class Open {
+final class OpenRequest {
     static final int ATTEMPTS_MOST = 8;
 
     final long id;
@@ -28,14 +28,15 @@
     /** Bit mask of the attempts that are not proven never to have run. */
     int mayHaveRun;
 
-    final Target[] node = new Target[ATTEMPTS_MOST];
+    final TrackedNode[] node = new TrackedNode[ATTEMPTS_MOST];
 
     /** How long the connection had been idle when the attempt was sent; -1: it was new. */
     final long[] idledUs = new long[ATTEMPTS_MOST];
 
     final long[] sentAt = new long[ATTEMPTS_MOST];
 
-    Open(Router.Request q, Router.RequestClass type, int tenant, int attemptsMost, long now) {
+    OpenRequest(
+            Router.Request q, Router.RequestClass type, int tenant, int attemptsMost, long now) {
         this.attemptsMost = Math.min(ATTEMPTS_MOST, attemptsMost);
         id = q.id;
         key = q.key;
@@ -43,16 +44,16 @@
         due = q.dueUs;
         this.type = type;
         this.tenant = tenant;
-        costUs = q.costUs;
+        costUs = q.workUs;
         write = q.write;
     }
 
     /** Time beyond the request's own stated work, as a fraction of its latency target. */
     double waited(long latencyUs) {
-        return Math.max(0, latencyUs - costUs) / type.aimUs;
+        return Math.max(0, latencyUs - costUs) / type.targetUs;
     }
 
-    void sent(Target t, long now) {
+    void sent(TrackedNode t, long now) {
         node[attempts] = t;
         sentAt[attempts] = now;
         out |= 1 << attempts;
@@ -74,7 +75,7 @@
         }
     }
 
-    boolean tried(Target t) {
+    boolean tried(TrackedNode t) {
         for (int i = 0; i < attempts; i++) {
             if (node[i] == t) {
                 return true;
@@ -84,7 +85,7 @@
     }
 
     /** Whether another attempt may go to this node now without the risk of repeating a side effect. */
-    boolean mayGoTo(Target t, Router.Settings set, long now) {
+    boolean mayGoTo(TrackedNode t, Router.Settings set, long now) {
         if (type.effect == Router.Effect.SAFE || mayHaveRun == 0) {
             return true;
         }
@@ -96,7 +97,7 @@
         if (now - sentAt[first] >= type.repeatWindowUs - 2 * set.tickUs - set.dialTimeoutUs) {
             return false;
         }
-        Target ran = node[first];
+        TrackedNode ran = node[first];
         return switch (type.group) {
             case ALL -> true;
             case ZONE -> ran.zone == t.zone;
--- a/src/main/java/holdproxy/policy/Tally.java
+++ b/src/main/java/holdproxy/policy/PolicyCounters.java
@@ -4,7 +4,7 @@
  * Counters of what a routing module did and why, since its start. They affect no decision: the process
  * logs them for monitoring a whole fleet.
  */
-public final class Tally {
+public final class PolicyCounters {
     /** The counters; their names appear in the log. */
     public enum Count {
         REQUESTS,
@@ -48,7 +48,7 @@
      * The non-zero increases since {@code since} as {@code name=count}; sets {@code since} to the present
      * counts.
      */
-    public String sinceThen(Tally since) {
+    public String takeIncreases(PolicyCounters since) {
         StringBuilder text = new StringBuilder();
         for (Count c : ALL) {
             long more = counts[c.ordinal()] - since.counts[c.ordinal()];
--- a/src/main/java/holdproxy/policy/Router.java
+++ b/src/main/java/holdproxy/policy/Router.java
@@ -129,10 +129,10 @@
         public Group group = Group.ALL;
 
         /** Latency target: an answer within this time of the request's arrival earns its full worth. */
-        public long aimUs;
+        public long targetUs;
 
         /** The latency target of a request grows by this multiple of its own work, up to the deadline. */
-        public double aimStretch;
+        public double targetStretch;
 
         public long deadlineUs;
 
@@ -170,13 +170,13 @@
          * Cache-aside mode. True: a miss is reported and the router sends to the origin; false: nodes
          * fetch for themselves.
          */
-        public boolean aside;
+        public boolean cacheAside;
 
         /** Cache-aside mode: the node kind that marks the origin; -1 if there is none. */
         public int originKind = -1;
 
         /** True: the node list comes only after a subscribe or fetch. */
-        public boolean askForNodes;
+        public boolean subscribesToNodes;
 
         public boolean mayCancel;
         public boolean mayProbe;
@@ -203,13 +203,13 @@
         public boolean clientsMarkRepeats;
 
         /** Whether {@link Actions#tell} may be used. */
-        public boolean mayTell;
+        public boolean mayMessageRouters;
 
         /** True: worth is counted per unit of work; false: per request. */
-        public boolean countedByWork;
+        public boolean worthPerWork;
 
         /** Worth of a request beyond its tenant's quota, as a share of its class's worth. */
-        public double overShareWorth = 1;
+        public double overQuotaWorth = 1;
 
         /** If sent this multiple of its capacity for {@link #originFallUs}, the origin stops; 0: never. */
         public double originFallMultiple;
@@ -246,7 +246,7 @@
         public double probePrice;
 
         /** Unit: one message of 256 bytes per request. */
-        public double tellPrice;
+        public double messagePrice;
 
         /** Unit: one fetch from the origin per request. */
         public double originPrice;
@@ -273,7 +273,7 @@
         /** Share of the score that a new connection for each request would cost; 0: no price. */
         public double handshakePrice;
 
-        public long askWithinUs = 10_000_000;
+        public long listFreshnessUs = 10_000_000;
         public double coldFrom = 1;
         public long coldUs;
         public long drainGraceUs;
@@ -287,12 +287,14 @@
         public void check() {
             reject(classes.length == 0, "classes is empty: at least one request class is needed");
             for (RequestClass c : classes) {
-                reject(c.aimUs <= 0, "class '" + c.name + "' needs an aim above 0, not " + c.aimUs);
+                reject(
+                        c.targetUs <= 0,
+                        "class '" + c.name + "' needs an aim above 0, not " + c.targetUs);
             }
             reject(routers < 1, "routers must be at least 1, not " + routers);
             reject(maxAttempts < 1, "maxAttempts must be at least 1, not " + maxAttempts);
             reject(
-                    aside && originKind < 0,
+                    cacheAside && originKind < 0,
                     "aside mode needs originKind, the kind of the origin's entry");
             reject(
                     !(coldFrom > 0 && coldFrom <= 1),
@@ -335,7 +337,7 @@
         public long dueUs;
 
         /** Expected work in microseconds on a standard core; 0 if unknown. */
-        public double costUs;
+        public double workUs;
 
         /** Size of the value in bytes; 0 if unknown. */
         public double sizeBytes;
@@ -374,7 +376,7 @@
         void fetchNodes();
 
         /** Sends up to 256 bytes to another router of the tier by its index, or to all with {@link #ALL}. */
-        void tell(int router, byte[] data);
+        void sendMessage(int router, byte[] data);
 
         int ALL = 0xffff;
 
--- a/src/main/java/holdproxy/policy/Choice.java
+++ b/src/main/java/holdproxy/policy/RoutingPolicy.java
@@ -1,6 +1,6 @@
 package holdproxy.policy;
 
-import holdproxy.policy.Tally.Count;
+import holdproxy.policy.PolicyCounters.Count;
 import java.util.Arrays;
 
 // The interface, with its types, events and actions, is in Router.java.
@@ -9,10 +9,10 @@
  * The routing policy of holdproxy: admission by stochastic fair BLUE in each proxy, after "FAIR:
  * Allocating Resources Fairly at Scale" (M. Sathe), and node selection among two hashed candidates per
  * key. This class handles attempts, retries and their budget, connections, and calls to discovery. {@link
- * Door} admits or refuses requests, {@link Placement} selects nodes. Comments name each departure from
- * FAIR and when it applies.
+ * AdmissionControl} admits or refuses requests, {@link NodeSelector} selects nodes. Comments name each
+ * departure from FAIR and when it applies.
  */
-public final class Choice implements Router {
+public final class RoutingPolicy implements Router {
     // About this fraction of all requests goes on to the origin. It only scales the steps of the
     // origin's bucket.
     static final double ORIGIN_PART = 0.1;
@@ -49,17 +49,17 @@
     static final int TIMER_COPY = 1;
 
     /** Counters for operators; no decision depends on them. */
-    public final Tally tally = new Tally();
+    public final PolicyCounters counters = new PolicyCounters();
 
     private Settings set;
     private final SplitMix64 random;
     private final RequestRates demand;
-    private final Door door;
+    private final AdmissionControl door;
     private final NodeTable fleet;
-    private final Placement placement;
-    private final DecayingValue originChance = new DecayingValue(Target.DECAY_US);
-    private final LongMap<Open> open = new LongMap<>();
-    private Idling idling;
+    private final NodeSelector placement;
+    private final DecayingValue originChance = new DecayingValue(TrackedNode.DECAY_US);
+    private final LongMap<OpenRequest> open = new LongMap<>();
+    private IdleLimit idling;
     private double leastWorth;
     private double budget = BUDGET_FIRST;
     private double meanUs;
@@ -68,15 +68,15 @@
     private boolean subscribed;
     private int askFailures;
 
-    public Choice(Settings settings, long seed, long nowUs, Actions out) {
+    public RoutingPolicy(Settings settings, long seed, long nowUs, Actions out) {
         random = new SplitMix64(seed);
         demand = new RequestRates(nowUs);
-        door = new Door(demand, random);
+        door = new AdmissionControl(demand, random);
         fleet = new NodeTable(settings);
-        placement = new Placement(fleet, demand, random, tally);
+        placement = new NodeSelector(fleet, demand, random, counters);
         door.scheduleRotation(nowUs);
         onSettings(nowUs, settings);
-        if (settings.askForNodes) {
+        if (settings.subscribesToNodes) {
             // the list from before the start may be stale, and changes count for a new process too
             out.timer(0, TIMER_ASK);
         }
@@ -86,7 +86,7 @@
     public void onSettings(long now, Settings settings) {
         settings.check();
         if (set == null || set.idleCloseUs != settings.idleCloseUs) {
-            idling = new Idling(settings.idleCloseUs);
+            idling = new IdleLimit(settings.idleCloseUs);
         }
         set = settings;
         leastWorth =
@@ -101,7 +101,7 @@
     @Override
     public void onNodes(long now, ListKind kind, Node[] nodes, int count, Actions out) {
         boolean none = kind == ListKind.FAILED || kind == ListKind.SILENT;
-        tally.add(none ? Count.LISTS_FAILED : Count.LISTS);
+        counters.add(none ? Count.LISTS_FAILED : Count.LISTS);
         if (none) {
             subscribed = false;
             report(now, "discovery call failed", out);
@@ -121,7 +121,7 @@
      * so the delay is short.
      */
     private double askAgainUs(ListKind kind) {
-        if (!set.askForNodes) {
+        if (!set.subscribesToNodes) {
             askFailures++;
             double within =
                     set.drainGraceUs > 0 ? PUSHED_RETRY_PART * set.drainGraceUs : PUSHED_RETRY_US;
@@ -132,7 +132,7 @@
                     * Math.min(SILENT_SPREAD_US, SILENT_US_PER_ROUTER * set.routers);
         }
         double retry = ASK_RETRY_US_PER_ROUTER * set.routers * (1L << Math.min(askFailures++, 5));
-        double most = Math.min(ASK_RETRY_MOST_US, ASK_RETRY_PART * set.askWithinUs);
+        double most = Math.min(ASK_RETRY_MOST_US, ASK_RETRY_PART * set.listFreshnessUs);
         return random.nextUnit() * Math.min(retry, most);
     }
 
@@ -145,7 +145,7 @@
      * The number of listed nodes that are avoided: left out by operators, down, or passed over more often
      * than not.
      */
-    public int avoided(long now) {
+    public int avoidedNodes(long now) {
         return placement.avoided(now);
     }
 
@@ -155,18 +155,18 @@
     public void onRequest(long now, Request q, Actions out) {
         door.rotateIfDue(now);
         int tenant = demand.tenantIndex(q.tenant);
-        tally.add(q.repeat ? Count.REPEATS : Count.REQUESTS);
+        counters.add(q.repeat ? Count.REPEATS : Count.REQUESTS);
         demand.countArrival(tenant, q.repeat, now);
         double chance = door.refusalProbability(tenant, now);
         if (chance > 0 && random.nextUnit() < chance) {
-            tally.add(Count.REFUSED_BY_CHANCE);
+            counters.add(Count.REFUSED_BY_CHANCE);
             report(now, "refusing requests", out);
             out.refuse(q.id, retryAfter(chance));
             return;
         }
         demand.countAdmission(tenant, now);
         int type = Math.max(0, Math.min(q.requestClass, set.classes.length - 1));
-        Open r = new Open(q, set.classes[type], tenant, set.maxAttempts, now);
+        OpenRequest r = new OpenRequest(q, set.classes[type], tenant, set.maxAttempts, now);
         open.put(r.id, r);
         placement.wanted(r.key, now);
         start(r, now, out);
@@ -195,23 +195,23 @@
 
     // ---- node selection ----
 
-    private void start(Open r, long now, Actions out) {
-        if (set.aside && r.write) {
+    private void start(OpenRequest r, long now, Actions out) {
+        if (set.cacheAside && r.write) {
             sendToOrigin(r, now, out);
         } else {
             send(r, placement.choose(r, now), now, out);
         }
         if (!r.done && set.secondCopies) {
-            double aim = r.type.aimUs;
+            double aim = r.type.targetUs;
             double wait =
                     Math.max(COPY_SOONEST * aim, Math.min(COPY_LATEST * aim, meanUs + 4 * devUs));
             out.timer((long) wait, r.id << 3 | TIMER_COPY);
         }
     }
 
-    private Target origin() {
-        Target best = null;
-        for (Target t : fleet.origins) {
+    private TrackedNode origin() {
+        TrackedNode best = null;
+        for (TrackedNode t : fleet.origins) {
             if (best == null || t.inFlight < best.inFlight) {
                 best = t;
             }
@@ -225,17 +225,17 @@
      * When an answer loses its value: at the latency target if late answers earn nothing, else at the due
      * time.
      */
-    private long giveUpAt(Open r) {
+    private long giveUpAt(OpenRequest r) {
         return r.type.lateWorth > 0
                 ? r.due
-                : Math.min(r.due, r.arrived + r.type.aimUs - 2 * set.tickUs);
+                : Math.min(r.due, r.arrived + r.type.targetUs - 2 * set.tickUs);
     }
 
-    private void send(Open r, Target t, long now, Actions out) {
+    private void send(OpenRequest r, TrackedNode t, long now, Actions out) {
         long left = giveUpAt(r) - now;
         if (t == null || left <= 0 || r.attempts >= r.attemptsMost) {
             if (r.out == 0) {
-                tally.add(
+                counters.add(
                         left <= 0
                                 ? Count.REFUSED_WITHOUT_TIME
                                 : r.attempts > 0 && budget < 1
@@ -249,7 +249,7 @@
             closeIdle(t, out);
         }
         r.idledUs[r.attempts] = t.idleSince != Long.MIN_VALUE ? now - t.idleSince : -1;
-        tally.add(r.attempts == 0 ? Count.ATTEMPTS : r.out == 0 ? Count.FURTHER : Count.COPIES);
+        counters.add(r.attempts == 0 ? Count.ATTEMPTS : r.out == 0 ? Count.FURTHER : Count.COPIES);
         r.sent(t, now);
         out.send(r.id, t.id, giveUpAt(r) < r.due ? left : 0);
     }
@@ -262,8 +262,8 @@
      * was observed. A node that is down refuses connections too: where the whole fleet pays for each new
      * connection, that is no reason to close those to all other nodes.
      */
-    private void released(Open r, int attempt, Outcome o, long now, Actions out) {
-        Target t = r.node[attempt];
+    private void released(OpenRequest r, int attempt, Outcome o, long now, Actions out) {
+        TrackedNode t = r.node[attempt];
         double limit = idling.limitUs(now);
         if (fleet.isOrigin(t)) {
             return; // shared by all proxies: a handshake costs the most while it is slow
@@ -289,18 +289,18 @@
         }
     }
 
-    private void closeIdle(Target t, Actions out) {
-        tally.add(Count.IDLE_CLOSED);
+    private void closeIdle(TrackedNode t, Actions out) {
+        counters.add(Count.IDLE_CLOSED);
         t.idleSince = Long.MIN_VALUE;
         out.closeIdle(t.id);
     }
 
-    private void sendToOrigin(Open r, long now, Actions out) {
+    private void sendToOrigin(OpenRequest r, long now, Actions out) {
         double chance = originChance.get(now);
         // the higher a class's worth, the later it is refused: its worth is the exponent
         boolean refused =
                 chance > 0 && random.nextUnit() < Math.pow(chance, r.type.worth / leastWorth);
-        Target t = refused ? null : origin();
+        TrackedNode t = refused ? null : origin();
         // an earlier attempt of a read that missed may have run, which limits the nodes allowed now
         t = t == null || r.mayGoTo(t, set, now) ? t : null;
         r.atOrigin |= t != null;
@@ -308,16 +308,16 @@
     }
 
     /** Retries must not multiply an overload: they are paid from what ordinary requests have earned. */
-    private void retry(Open r, long now, Actions out) {
-        boolean toOrigin = set.aside && r.write;
+    private void retry(OpenRequest r, long now, Actions out) {
+        boolean toOrigin = set.cacheAside && r.write;
         if (r.out != 0 && budget < COPY_PRICE) {
-            tally.add(Count.COPIES_WITHOUT_BUDGET);
+            counters.add(Count.COPIES_WITHOUT_BUDGET);
         }
         // an attempt that never started cost no node any work: the next one counts as the first
         boolean begun = r.last != Outcome.CONNECT_FAILED && r.last != Outcome.NOT_SENT;
         double price = r.out != 0 ? COPY_PRICE : begun ? 1 : 0;
         boolean may = budget >= price && giveUpAt(r) > now && (r.out == 0 || set.secondCopies);
-        Target t =
+        TrackedNode t =
                 !may || r.attempts >= r.attemptsMost
                         ? null
                         : toOrigin ? origin() : placement.choose(r, now);
@@ -333,20 +333,20 @@
         }
     }
 
-    private void finish(Open r, long now, Actions out) {
+    private void finish(OpenRequest r, long now, Actions out) {
         if (r.done) {
             return;
         }
         if (r.mayRefuse()) {
             out.refuse(r.id, retryAfter(door.refusalProbability(r.tenant, now)));
         } else {
-            tally.add(Count.FAILED);
+            counters.add(Count.FAILED);
             out.fail(r.id);
         }
         conclude(r, out);
     }
 
-    private void conclude(Open r, Actions out) {
+    private void conclude(OpenRequest r, Actions out) {
         for (int i = 0; i < r.attempts && set.mayCancel && !r.done; i++) {
             if (r.isOut(i)) {
                 out.cancel(r.id, i);
@@ -371,11 +371,11 @@
             CacheNote note,
             Report report,
             Actions out) {
-        Open r = open.get(id);
+        OpenRequest r = open.get(id);
         if (r == null || !r.isOut(attempt)) {
             return;
         }
-        Target t = r.node[attempt];
+        TrackedNode t = r.node[attempt];
         r.ended(attempt, o);
         if (o == Outcome.CONNECT_FAILED) {
             t.recordFailedDial(now);
@@ -389,12 +389,12 @@
         placement.busy(r, t, o, note, report, latency, now);
         boolean fromOrigin = fleet.isOrigin(t);
         switch (o) {
-            case OK -> tally.add(now - r.arrived > r.type.aimUs ? Count.LATE : Count.SERVED);
-            case ERROR -> tally.add(Count.ERRORS);
-            case OVERLOADED -> tally.add(Count.OVERLOADED);
-            case TIMEOUT -> tally.add(Count.TIMEOUTS);
-            case CONNECT_FAILED -> tally.add(Count.CONNECT_FAILED);
-            case RESET -> tally.add(Count.RESETS);
+            case OK -> counters.add(now - r.arrived > r.type.targetUs ? Count.LATE : Count.SERVED);
+            case ERROR -> counters.add(Count.ERRORS);
+            case OVERLOADED -> counters.add(Count.OVERLOADED);
+            case TIMEOUT -> counters.add(Count.TIMEOUTS);
+            case CONNECT_FAILED -> counters.add(Count.CONNECT_FAILED);
+            case RESET -> counters.add(Count.RESETS);
             default -> {}
         }
         if (o != Outcome.CANCELLED && o != Outcome.NOT_SENT) {
@@ -412,9 +412,9 @@
     }
 
     private void learn(
-            Open r,
+            OpenRequest r,
             int attempt,
-            Target t,
+            TrackedNode t,
             boolean fromOrigin,
             Outcome o,
             CacheNote note,
@@ -422,21 +422,22 @@
             long now) {
         boolean good = o == Outcome.OK || o == Outcome.MISS;
         // by the latency, which excludes the time that the answer waited to be read
-        boolean late = good && r.sentAt[attempt] + latency - r.arrived > r.type.aimUs;
-        boolean fetched = !set.aside && !r.write && note != CacheNote.HIT && note != CacheNote.NONE;
+        boolean late = good && r.sentAt[attempt] + latency - r.arrived > r.type.targetUs;
+        boolean fetched =
+                !set.cacheAside && !r.write && note != CacheNote.HIT && note != CacheNote.NONE;
         // before this outcome is counted, which is a single failure
         double ofNode = t.passOver.get(now);
         if (fromOrigin || fetched) {
-            boolean failed = !good || fetched && latency > r.type.aimUs;
+            boolean failed = !good || fetched && latency > r.type.targetUs;
             originFailed(failed, ORIGIN_WEIGHT, now);
         }
         if (!fromOrigin && o != Outcome.CONNECT_FAILED && (good || !fetched)) {
-            boolean lateHit = latency > r.type.aimUs && !fetched;
-            double weight = o == Outcome.TIMEOUT || o == Outcome.OK ? Placement.SOFT : 1;
+            boolean lateHit = latency > r.type.targetUs && !fetched;
+            double weight = o == Outcome.TIMEOUT || o == Outcome.OK ? NodeSelector.SOFT : 1;
             placement.evidence(t, !good || lateHit, weight, now);
         }
         if (o == Outcome.OK || o == Outcome.OVERLOADED) {
-            door.recordAnswer(o == Outcome.OK, latency, r.type.aimUs, now);
+            door.recordAnswer(o == Outcome.OK, latency, r.type.targetUs, now);
         }
         if (o == Outcome.OK && !r.write) {
             devUs += (Math.abs(latency - meanUs) - devUs) / 8;
@@ -450,7 +451,7 @@
                     late
                             || o == Outcome.TIMEOUT
                             || o == Outcome.OVERLOADED
-                            || o == Outcome.ERROR && !set.aside;
+                            || o == Outcome.ERROR && !set.cacheAside;
             // Blame: failures of the origin are attributed to the origin first; so are those of a
             // node that fails more than others to that node, unless the tenant exceeds its quota by
             // more than the mean request does.
@@ -463,14 +464,14 @@
     }
 
     private void originFailed(boolean failed, double weight, long now) {
-        Placement.step(originChance, failed, demand.rate(now) * ORIGIN_PART, weight, now);
+        NodeSelector.step(originChance, failed, demand.rate(now) * ORIGIN_PART, weight, now);
     }
 
     // ---- other events ----
 
     @Override
     public void onStreaming(long now, long id, int attempt, Actions out) {
-        Open r = open.get(id);
+        OpenRequest r = open.get(id);
         if (r == null || r.done) {
             return;
         }
@@ -485,7 +486,7 @@
 
     @Override
     public void onAborted(long now, long id, Actions out) {
-        Open r = open.get(id);
+        OpenRequest r = open.get(id);
         if (r != null && !r.done) {
             conclude(r, out);
         }
@@ -494,7 +495,7 @@
     @Override
     public void onTimer(long now, long label, Actions out) {
         int kind = (int) label & 7;
-        Open r = kind == TIMER_ASK ? null : open.get(label >>> 3);
+        OpenRequest r = kind == TIMER_ASK ? null : open.get(label >>> 3);
         if (kind == TIMER_ASK && !subscribed) {
             subscribed = true;
             out.subscribe();
@@ -503,18 +504,18 @@
         } else if (kind == TIMER_COPY && r.out != 0 && r.write && r.atOrigin && r.attempts == 1) {
             // a write still outstanding indicates a slow origin before its time-out, which would be
             // too late
-            originFailed(true, ORIGIN_WEIGHT * Placement.SOFT, now);
+            originFailed(true, ORIGIN_WEIGHT * NodeSelector.SOFT, now);
         } else if (kind == TIMER_COPY && r.out != 0 && !r.atOrigin) {
             // slow compared with others: without this, a node whose copies are answered first
             // elsewhere would never be blamed
             int first = Integer.numberOfTrailingZeros(r.out);
-            Target slow = r.node[first];
+            TrackedNode slow = r.node[first];
             if (idling.silentAfterIdling(r.idledUs[first], now)) {
                 closeIdle(slow, out);
             }
             double waited = r.waited(now - r.arrived);
             placement.evidence(
-                    slow, true, Placement.SOFT * Math.min(1, waited / COPY_SOONEST), now);
+                    slow, true, NodeSelector.SOFT * Math.min(1, waited / COPY_SOONEST), now);
             slow.busyShare.set(Math.max(slow.busyShare.get(now), waited), now);
             retry(r, now, out);
         }
--- a/src/main/java/holdproxy/policy/Target.java
+++ b/src/main/java/holdproxy/policy/TrackedNode.java
@@ -1,7 +1,7 @@
 package holdproxy.policy;
 
 /** The state that this proxy holds about a node or the origin. */
-final class Target {
+final class TrackedNode {
     /**
      * The probability of being passed over decays to 1/e in this time, slower in proxies with little
      * traffic.
@@ -45,7 +45,7 @@
     /** When an attempt last ended and left its connection idle; MIN_VALUE: no idle connection. */
     long idleSince = Long.MIN_VALUE;
 
-    Target(int id) {
+    TrackedNode(int id) {
         this.id = id;
     }
 
--- a/src/main/java/holdproxy/rig/Keeper.java
+++ b/src/main/java/holdproxy/rig/ChildReaper.java
@@ -17,18 +17,18 @@
  * process of its own: it reads the pid and start time of each child from its standard input, and at the end
  * of that input kills the children that still run. The start time guards against a reused pid.
  */
-public final class Keeper implements AutoCloseable {
+public final class ChildReaper implements AutoCloseable {
     private final Process process;
     private final OutputStream registrations;
 
-    private Keeper(Process process) {
+    private ChildReaper(Process process) {
         this.process = process;
         registrations = process.getOutputStream();
     }
 
     /** Starts the reaper process; {@code command} has to run {@link #keep}. */
-    public static Keeper start(List<String> command) throws IOException {
-        return new Keeper(
+    public static ChildReaper start(List<String> command) throws IOException {
+        return new ChildReaper(
                 new ProcessBuilder(command)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .redirectError(ProcessBuilder.Redirect.DISCARD)
@@ -36,7 +36,7 @@
     }
 
     /** Registers a child process, so that it does not outlive the rig. */
-    public synchronized void keeps(ProcessHandle child) throws IOException {
+    public synchronized void register(ProcessHandle child) throws IOException {
         registrations.write(
                 (child.pid() + " " + startedMs(child) + "\n").getBytes(StandardCharsets.UTF_8));
         registrations.flush();
@@ -60,7 +60,7 @@
     }
 
     /** The main loop of the reaper process; returns at the end of its input. */
-    public static void keep(InputStream in) throws IOException {
+    public static void run(InputStream in) throws IOException {
         Map<Long, Long> startedMs = new LinkedHashMap<>();
         BufferedReader lines =
                 new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
--- a/src/main/java/holdproxy/rig/ConfigurationAuditor.java
+++ b/src/main/java/holdproxy/rig/ConfigurationAuditor.java
@@ -24,21 +24,23 @@
 
     private ConfigurationAuditor() {}
 
-    static List<Auditors.Broken> broken(List<Event> events) {
-        List<Auditors.Broken> found = new ArrayList<>();
+    static List<Auditors.Violation> broken(List<Event> events) {
+        List<Auditors.Violation> found = new ArrayList<>();
         Map<String, Version> inForce = new HashMap<>();
         for (Event e : events) {
             if (e.kind() != Event.Kind.SAID) {
                 continue;
             }
             if (e.detail().startsWith(STARTING)) {
-                inForce.remove(e.where()); // a new process has no version in force
+                inForce.remove(e.host()); // a new process has no version in force
             } else if (e.detail().startsWith(IN_FORCE)) {
                 // configuration in force epoch=E number=N sections=S
                 Version now = new Version(value(e, 3, "epoch="), value(e, 4, "number="));
-                Version before = inForce.put(e.where(), now);
+                Version before = inForce.put(e.host(), now);
                 if (before != null && !now.isAfter(before)) {
-                    found.add(new Auditors.Broken(IN_ORDER, before + " was in force before: " + e));
+                    found.add(
+                            new Auditors.Violation(
+                                    IN_ORDER, before + " was in force before: " + e));
                 }
             }
         }
--- a/src/main/java/holdproxy/rig/DaemonText.java
+++ b/src/main/java/holdproxy/rig/DaemonFormat.java
@@ -11,14 +11,14 @@
 import java.util.stream.Collectors;
 
 /** Writes a daemon's configuration file and parses the event lines of its log. */
-public final class DaemonText {
+public final class DaemonFormat {
     /** Platform settings that the program does not use, and that a daemon's file rejects as unknown. */
     private static final List<String> UNSUPPORTED_SETTINGS = List.of("domainType");
 
-    private DaemonText() {}
+    private DaemonFormat() {}
 
     /** An event that a process logged. {@code clockUs}: time on its own monotonic clock. */
-    public record Said(String clockUs, String what) {}
+    public record LoggedEvent(String clockUs, String text) {}
 
     /**
      * The sections of a daemon's file for cooperation with the other daemons.
@@ -31,7 +31,7 @@
      * @param leaseMs duration of those leases, in milliseconds
      * @param resource address of the guarded resource
      */
-    public record CooperationText(
+    public record PeerSettings(
             String listen,
             List<String> seeds,
             Map<String, String> routes,
@@ -43,14 +43,16 @@
             StringBuilder text =
                     new StringBuilder(
                             "[membership]\nlisten = "
-                                    + DaemonText.toml(listen)
+                                    + DaemonFormat.toml(listen)
                                     + "\nseeds = "
-                                    + DaemonText.toml(seeds)
+                                    + DaemonFormat.toml(seeds)
                                     + "\nroutes = "
-                                    + DaemonText.toml(routes)
+                                    + DaemonFormat.toml(routes)
                                     + "\n");
             if (!voters.isEmpty()) {
-                text.append("[consensus]\nvoters = ").append(DaemonText.toml(voters)).append('\n');
+                text.append("[consensus]\nvoters = ")
+                        .append(DaemonFormat.toml(voters))
+                        .append('\n');
             }
             for (int i = 0; i < drills; i++) {
                 text.append("[[drill]]\nrole = \"drill-")
@@ -58,7 +60,7 @@
                         .append("\"\nlease_ms = ")
                         .append(leaseMs)
                         .append("\nresource = ")
-                        .append(DaemonText.toml(resource))
+                        .append(DaemonFormat.toml(resource))
                         .append('\n');
             }
             return text.toString();
@@ -66,12 +68,12 @@
     }
 
     /** A daemon's file with the settings of {@code json}, a configuration of the platform. */
-    public static String of(
+    public static String configuration(
             String name,
             String listen,
             String discovery,
             Path folder,
-            CooperationText cooperation,
+            PeerSettings cooperation,
             String json) {
         Map<String, Object> settings = map(object(json).get("settings"));
         UNSUPPORTED_SETTINGS.forEach(settings::remove);
@@ -91,7 +93,7 @@
     }
 
     /** The event in a line of a daemon's log; empty for the proxy's ordinary log lines. */
-    public static Optional<Said> said(String line) {
+    public static Optional<LoggedEvent> parseEvent(String line) {
         if (!line.startsWith("{")) {
             return Optional.empty();
         }
@@ -112,7 +114,7 @@
         }
         return clockUs.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new Said(clockUs, what.toString()));
+                : Optional.of(new LoggedEvent(clockUs, what.toString()));
     }
 
     private static Map<String, Object> object(String json) {
@@ -136,7 +138,9 @@
                     .collect(Collectors.joining(", ", "{", "}"));
         }
         if (value instanceof List<?> list) {
-            return list.stream().map(DaemonText::toml).collect(Collectors.joining(", ", "[", "]"));
+            return list.stream()
+                    .map(DaemonFormat::toml)
+                    .collect(Collectors.joining(", ", "[", "]"));
         }
         return value instanceof String text ? TomlText.quoted(text) : String.valueOf(value);
     }
--- a/src/main/java/holdproxy/rig/DistributionSetup.java
+++ b/src/main/java/holdproxy/rig/DistributionSetup.java
@@ -4,8 +4,8 @@
 import holdproxy.town.Auditors;
 import holdproxy.town.DiscoveryService;
 import holdproxy.town.Event;
-import holdproxy.town.Timeline;
-import holdproxy.town.TownRecord;
+import holdproxy.town.Scheduler;
+import holdproxy.town.SiteRecord;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -40,10 +40,10 @@
     private final Schedule schedule;
     private final Path folder;
     private final Links links;
-    private final Keeper keeper;
+    private final ChildReaper keeper;
     private final Function<String[], List<String>> program;
-    private final Timeline time;
-    private final TownRecord record;
+    private final Scheduler time;
+    private final SiteRecord record;
     private final List<InetSocketAddress> listenAddresses = new ArrayList<>();
     private final List<InetSocketAddress> adminAddresses = new ArrayList<>();
     private final List<PublishCommand> commands = new ArrayList<>();
@@ -55,10 +55,10 @@
             Schedule schedule,
             Path folder,
             Links links,
-            Keeper keeper,
+            ChildReaper keeper,
             Function<String[], List<String>> program,
-            Timeline time,
-            TownRecord record) {
+            Scheduler time,
+            SiteRecord record) {
         this.schedule = schedule;
         this.folder = folder;
         this.links = links;
@@ -93,10 +93,10 @@
         line(text, "site", SITE);
         text.append("lease_ms = ").append(schedule.fleet().leaseMs()).append('\n');
         if (!role.equals("proxy")) {
-            line(text, "listen", DiscoveryService.text(listenAddresses.get(daemon)));
+            line(text, "listen", DiscoveryService.formatAddress(listenAddresses.get(daemon)));
         }
         if (role.equals("control")) {
-            line(text, "admin", DiscoveryService.text(adminAddresses.get(daemon)));
+            line(text, "admin", DiscoveryService.formatAddress(adminAddresses.get(daemon)));
         } else {
             text.append("upstream = ")
                     .append(upstream(daemon, role).map(TomlText::quoted).toList())
@@ -117,7 +117,7 @@
                         : IntStream.range(controlCount(), controlCount() + relayCount());
         return parents.mapToObj(
                 other ->
-                        DiscoveryService.text(
+                        DiscoveryService.formatAddress(
                                 links.open(
                                         "proxy-" + daemon,
                                         "proxy-" + other + CHANGE_LINK_SUFFIX,
@@ -132,7 +132,7 @@
                             CompletableFuture<Void> exited = new CompletableFuture<>();
                             start(publication)
                                     .onExit()
-                                    .thenRun(() -> time.after(0, () -> exited.complete(null)));
+                                    .thenRun(() -> time.schedule(0, () -> exited.complete(null)));
                             return exited;
                         });
     }
@@ -142,16 +142,19 @@
         Path file = folder.resolve("publish-" + number + ".toml");
         List<String> arguments = new ArrayList<>(List.of("daemon", "publish"));
         adminAddresses.forEach(
-                each -> arguments.addAll(List.of("--control", DiscoveryService.text(each))));
+                each ->
+                        arguments.addAll(
+                                List.of("--control", DiscoveryService.formatAddress(each))));
         arguments.addAll(List.of("--wait", Integer.toString(PUBLISH_TIMEOUT_S), file.toString()));
         try {
-            Files.writeString(file, "settings = " + DaemonText.toml(publication.settings()) + "\n");
+            Files.writeString(
+                    file, "settings = " + DaemonFormat.toml(publication.settings()) + "\n");
             Process process =
                     new ProcessBuilder(program.apply(arguments.toArray(String[]::new)))
                             .redirectErrorStream(true)
                             .redirectOutput(log(number).toFile())
                             .start();
-            keeper.keeps(process.toHandle());
+            keeper.register(process.toHandle());
             commands.add(new PublishCommand(publication, number, process));
             record.add(
                     time.nowUs(),
@@ -170,15 +173,15 @@
     }
 
     /** Awaits all publish commands; returns a broken rule for each unexpected exit code. */
-    List<Auditors.Broken> awaitCommands()
+    List<Auditors.Violation> awaitCommands()
             throws InterruptedException, ExecutionException, TimeoutException {
         lastExit.get(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
-        List<Auditors.Broken> broken = new ArrayList<>();
+        List<Auditors.Violation> broken = new ArrayList<>();
         for (PublishCommand each : commands) {
             int code = each.process.onExit().get(EXIT_TIMEOUT_S, TimeUnit.SECONDS).exitValue();
             if (code != each.publication.exitCode()) {
                 broken.add(
-                        new Auditors.Broken(
+                        new Auditors.Violation(
                                 "published",
                                 "publication "
                                         + each.number
--- a/src/main/java/holdproxy/rig/ExpectedEvent.java
+++ b/src/main/java/holdproxy/rig/ExpectedEvent.java
@@ -24,7 +24,7 @@
                                         e ->
                                                 e.us() >= startUs + afterS * 1e6
                                                         && (e.kind() == Event.Kind.SAID
-                                                                        && e.where().equals(p)
+                                                                        && e.host().equals(p)
                                                                 || e.kind() == Event.Kind.ACTED
                                                                         && e.id().equals(p))
                                                         && e.detail().contains(text));
--- a/src/main/java/holdproxy/rig/GuardedResource.java
+++ b/src/main/java/holdproxy/rig/GuardedResource.java
@@ -1,9 +1,9 @@
 package holdproxy.rig;
 
 import holdproxy.town.Event;
-import holdproxy.town.Timeline;
-import holdproxy.town.TownNetwork;
-import holdproxy.town.TownRecord;
+import holdproxy.town.Scheduler;
+import holdproxy.town.SiteNetwork;
+import holdproxy.town.SiteRecord;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -22,14 +22,14 @@
     static final String NAME = "resource";
     private static final int MAX_LINE_BYTES = 256;
 
-    private final Timeline time;
-    private final TownRecord record;
-    private final TownNetwork network;
+    private final Scheduler time;
+    private final SiteRecord record;
+    private final SiteNetwork network;
     private final boolean checksTokens;
     private final Map<String, Long> highest = new HashMap<>();
 
     /** {@code checksTokens}: false to test that {@link LeaseAuditor} finds accepted stale tokens. */
-    GuardedResource(Timeline time, TownRecord record, TownNetwork network, boolean checksTokens) {
+    GuardedResource(Scheduler time, SiteRecord record, SiteNetwork network, boolean checksTokens) {
         this.time = time;
         this.record = record;
         this.network = network;
@@ -57,7 +57,7 @@
                     time.nowUs(),
                     Event.Kind.ACTED,
                     NAME,
-                    network.peer(ctx.channel()),
+                    network.peerName(ctx.channel()),
                     fields[0] + " " + token + (accepted ? " taken" : " refused"));
         }
     }
--- a/src/main/java/holdproxy/rig/LeaseAuditor.java
+++ b/src/main/java/holdproxy/rig/LeaseAuditor.java
@@ -16,8 +16,8 @@
 
     private LeaseAuditor() {}
 
-    static List<Auditors.Broken> broken(List<Event> events) {
-        List<Auditors.Broken> found = new ArrayList<>();
+    static List<Auditors.Violation> broken(List<Event> events) {
+        List<Auditors.Violation> found = new ArrayList<>();
         Map<String, String> holders = new HashMap<>();
         Map<String, Long> highest = new HashMap<>();
         for (Event e : events) {
@@ -25,7 +25,7 @@
                 long token = Long.parseLong(e.word(1));
                 if (e.word(2).equals("taken") && token < highest.getOrDefault(e.word(0), 0L)) {
                     found.add(
-                            new Auditors.Broken(
+                            new Auditors.Violation(
                                     ONE_HOLDER,
                                     "an act was accepted with a token below the highest one: "
                                             + e));
@@ -38,7 +38,7 @@
                 recordHolder(
                         holders,
                         role + " " + e.word(3).substring("token=".length()),
-                        e.where(),
+                        e.host(),
                         e,
                         found);
             }
@@ -51,10 +51,10 @@
             String grant,
             String who,
             Event e,
-            List<Auditors.Broken> found) {
+            List<Auditors.Violation> found) {
         String before = holders.putIfAbsent(grant, who);
         if (before != null && !before.equals(who)) {
-            found.add(new Auditors.Broken(ONE_HOLDER, before + " held the same token: " + e));
+            found.add(new Auditors.Violation(ONE_HOLDER, before + " held the same token: " + e));
         }
     }
 }
--- a/src/main/java/holdproxy/rig/Links.java
+++ b/src/main/java/holdproxy/rig/Links.java
@@ -1,6 +1,6 @@
 package holdproxy.rig;
 
-import holdproxy.town.TownNetwork;
+import holdproxy.town.SiteNetwork;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -113,11 +113,11 @@
     }
 
     /** The network of a modelled endpoint: a port and a link for each of its possible callers. */
-    TownNetwork networkFor(String name, List<String> from) {
+    SiteNetwork networkFor(String name, List<String> from) {
         return new EndpointNetwork(name, from);
     }
 
-    private final class EndpointNetwork implements TownNetwork {
+    private final class EndpointNetwork implements SiteNetwork {
         private final String name;
         private final Map<String, InetSocketAddress> ports = new LinkedHashMap<>();
 
@@ -176,12 +176,12 @@
         }
 
         @Override
-        public void endSending(Channel channel) {
+        public void shutdownOutput(Channel channel) {
             ((SocketChannel) channel).shutdownOutput();
         }
 
         @Override
-        public String peer(Channel accepted) {
+        public String peerName(Channel accepted) {
             return callers.get(((InetSocketAddress) accepted.localAddress()).getPort());
         }
     }
--- a/src/main/java/holdproxy/rig/LoopTimeline.java
+++ b/src/main/java/holdproxy/rig/LoopTimeline.java
@@ -1,11 +1,11 @@
 package holdproxy.rig;
 
-import holdproxy.town.Timeline;
+import holdproxy.town.Scheduler;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
 /** Real time: a monotonic clock that starts at 0 on creation, and the timers of an event loop. */
-public final class LoopTimeline implements Timeline {
+public final class LoopTimeline implements Scheduler {
     private final EventLoop loop;
     private final long startNs = System.nanoTime();
 
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public void after(long delayUs, Runnable task) {
+    public void schedule(long delayUs, Runnable task) {
         loop.schedule(task, Math.max(0, delayUs), TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/holdproxy/rig/ProgramLine.java
+++ b/src/main/java/holdproxy/rig/ProgramCommand.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /** Builds command lines that start this program again with the same Java and class path. */
-public final class ProgramLine {
-    private ProgramLine() {}
+public final class ProgramCommand {
+    private ProgramCommand() {}
 
     /** {@code heap}: in the format of {@code -Xmx}; {@code options}: further JVM options. */
     public static List<String> of(String heap, List<String> options, String... arguments) {
--- a/src/main/java/holdproxy/rig/RigCommand.java
+++ b/src/main/java/holdproxy/rig/RigCommand.java
@@ -45,11 +45,11 @@
 
     /** The command line that starts this program again with other arguments. */
     static List<String> ownCommand(String... arguments) {
-        return ProgramLine.of(HEAP, List.of("-XX:TieredStopAtLevel=1"), arguments);
+        return ProgramCommand.of(HEAP, List.of("-XX:TieredStopAtLevel=1"), arguments);
     }
 
     private static ScheduleRun.Outcome play(Schedule schedule, Path folder) throws Exception {
-        try (Keeper keeper = Keeper.start(ownCommand("rig", "keep"));
+        try (ChildReaper keeper = ChildReaper.start(ownCommand("rig", "keep"));
                 ScheduleRun run =
                         new ScheduleRun(schedule, folder, keeper, RigCommand::ownCommand)) {
             return run.play();
@@ -203,7 +203,7 @@
                         "seed %d: %d faults, in time %.3f, %d broken%n",
                         seed,
                         schedule.faults().size(),
-                        outcome.service().share(),
+                        outcome.service().servedValueShare(),
                         outcome.broken().size());
                 if (!outcome.broken().isEmpty()) {
                     System.out.println("replay with: rig replay " + each.resolve("schedule.toml"));
@@ -248,7 +248,7 @@
                                 + (outcome.broken().isEmpty()
                                         ? "kept"
                                         : outcome.broken().stream()
-                                                .map(Auditors.Broken::rule)
+                                                .map(Auditors.Violation::rule)
                                                 .distinct()
                                                 .toList()));
             }
@@ -257,12 +257,12 @@
         }
     }
 
-    /** Internal: the process of {@link Keeper}. */
+    /** Internal: the process of {@link ChildReaper}. */
     @Command(name = "keep", hidden = true)
     static final class Keep implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
-            Keeper.keep(System.in);
+            ChildReaper.run(System.in);
             return 0;
         }
     }
--- a/src/main/java/holdproxy/rig/Schedule.java
+++ b/src/main/java/holdproxy/rig/Schedule.java
@@ -1,7 +1,7 @@
 package holdproxy.rig;
 
 import holdproxy.input.BadInput;
-import holdproxy.toml.TomlPart;
+import holdproxy.toml.TomlSection;
 import holdproxy.toml.TomlText;
 import holdproxy.town.Load;
 import java.io.IOException;
@@ -110,20 +110,20 @@
 
     /** {@code file}: its name, for errors and as the name of a schedule that has none. */
     static Schedule read(String file, String text) {
-        TomlPart top = TomlPart.parse(file, "the schedule", text);
-        String name = top.text("name", file);
+        TomlSection top = TomlSection.parse(file, "the schedule", text);
+        String name = top.string("name", file);
         long seed = (long) top.number("seed", 1, 0, Long.MAX_VALUE);
         double seconds = top.number("seconds", 15, 1, MAX_SECONDS);
-        TomlPart section = top.part("town");
+        TomlSection section = top.section("town");
         boolean daemons = section.flag("daemons");
-        int proxies = section.whole("proxies", 5, 1, 40);
+        int proxies = section.integer("proxies", 5, 1, 40);
         Fleet fleet =
                 new Fleet(
-                        section.whole("voters", 0, 0, 5),
-                        section.whole("drills", 0, 0, 20),
-                        section.whole("lease_ms", 1_000, 200, MAX_MS),
+                        section.integer("voters", 0, 0, 5),
+                        section.integer("drills", 0, 0, 20),
+                        section.integer("lease_ms", 1_000, 200, MAX_MS),
                         section.flag("quiet"),
-                        section.whole("relays", 0, 0, MAX_RELAYS));
+                        section.integer("relays", 0, 0, MAX_RELAYS));
         boolean valid =
                 fleet.voters == 0
                         ? fleet.drills == 0 && fleet.relays == 0
@@ -131,34 +131,34 @@
                                 && (fleet.voters == 3 || fleet.voters == 5)
                                 && fleet.voters + fleet.relays <= proxies;
         if (!valid) {
-            throw section.bad(
-                    section.at("voters"),
+            throw section.error(
+                    section.positionOf("voters"),
                     "voters must be 3 or 5, need daemons, and with the relays must not exceed"
                             + " proxies; drills and relays need voters");
         }
-        int nodes = section.whole("nodes", 6, 1, 100);
-        section.done();
-        Load load = Load.read(top.part("load"));
+        int nodes = section.integer("nodes", 6, 1, 100);
+        section.rejectUnknownKeys();
+        Load load = Load.read(top.section("load"));
         List<RigFault> faults = new ArrayList<>();
-        for (TomlPart fault : top.parts("fault")) {
+        for (TomlSection fault : top.sections("fault")) {
             faults.add(fault(fault, proxies, nodes, seconds));
         }
         List<ExpectedEvent> expected = new ArrayList<>();
-        for (TomlPart each : top.parts("expect")) {
+        for (TomlSection each : top.sections("expect")) {
             expected.add(
                     new ExpectedEvent(
                             each.flag("any"),
-                            each.text("by", "*"),
-                            each.read("said", t -> t),
+                            each.string("by", "*"),
+                            each.requiredString("said", t -> t),
                             each.number("after_s", 0, 0, seconds),
                             each.number("within_s", 60, 0, MAX_SECONDS)));
-            each.done();
+            each.rejectUnknownKeys();
         }
         List<Publication> publications = new ArrayList<>();
-        for (TomlPart each : top.parts("publish")) {
+        for (TomlSection each : top.sections("publish")) {
             publications.add(publication(each, fleet, seconds));
         }
-        top.done();
+        top.rejectUnknownKeys();
         return new Schedule(
                 name,
                 seed,
@@ -173,29 +173,31 @@
                 publications);
     }
 
-    private static Publication publication(TomlPart part, Fleet fleet, double seconds) {
+    private static Publication publication(TomlSection part, Fleet fleet, double seconds) {
         if (fleet.relays == 0) {
-            throw part.bad(part.at("at_s"), "nothing can be published without relays in [town]");
+            throw part.error(
+                    part.positionOf("at_s"), "nothing can be published without relays in [town]");
         }
         Publication publication =
                 new Publication(
-                        part.needed("at_s", 0, seconds),
+                        part.requiredNumber("at_s", 0, seconds),
                         part.map("settings"),
-                        part.whole("exit_code", 0, 0, MAX_EXIT_CODE));
-        part.done();
+                        part.integer("exit_code", 0, 0, MAX_EXIT_CODE));
+        part.rejectUnknownKeys();
         return publication;
     }
 
-    private static RigFault fault(TomlPart p, int proxies, int nodes, double seconds) {
+    private static RigFault fault(TomlSection p, int proxies, int nodes, double seconds) {
         RigFault.Kind kind =
                 RigFault.Kind.valueOf(
-                        p.word("kind", RigFault.Kind.CONFIG_NAMES).toUpperCase(Locale.ROOT));
-        double atS = p.needed("at_s", 0, seconds);
+                        p.requiredChoice("kind", RigFault.Kind.CONFIG_NAMES)
+                                .toUpperCase(Locale.ROOT));
+        double atS = p.requiredNumber("at_s", 0, seconds);
         double forS = kind == RigFault.Kind.RESET ? 0 : p.number("for_s", 0, 0, MAX_SECONDS);
         RigFault fault;
         if (kind.targetsLinks()) {
-            String from = p.text("from", "*");
-            String to = p.text("to", "*");
+            String from = p.string("from", "*");
+            String to = p.string("to", "*");
             boolean hasStates = kind == RigFault.Kind.LINK;
             fault =
                     RigFault.links(
@@ -204,13 +206,13 @@
                             forS,
                             from,
                             to,
-                            hasStates ? state(p.part("there")) : LinkState.HEALTHY,
-                            hasStates ? state(p.part("back")) : LinkState.HEALTHY);
+                            hasStates ? state(p.section("there")) : LinkState.HEALTHY,
+                            hasStates ? state(p.section("back")) : LinkState.HEALTHY);
         } else {
             int target =
                     kind.targetsProxy()
-                            ? (int) p.needed("proxy", 0, proxies - 1)
-                            : (int) p.needed("node", 0, nodes - 1);
+                            ? (int) p.requiredNumber("proxy", 0, proxies - 1)
+                            : (int) p.requiredNumber("node", 0, nodes - 1);
             fault =
                     RigFault.process(
                             kind,
@@ -219,21 +221,21 @@
                             kind.hasNoticeDelay() ? p.number("noticed_s", 2, 0, MAX_SECONDS) : 0,
                             target);
         }
-        p.done();
+        p.rejectUnknownKeys();
         return fault;
     }
 
-    private static LinkState state(TomlPart p) {
+    private static LinkState state(TomlSection p) {
         LinkState state =
                 new LinkState(
                         p.flag("cut"),
                         p.flag("unread"),
-                        p.whole("delay_ms", 0, 0, MAX_MS),
-                        p.whole("jitter_ms", 0, 0, MAX_MS),
-                        p.whole("growth_ms", 0, 0, MAX_MS),
-                        p.whole("bytes_per_s", 0, 0, MAX_BYTES),
-                        p.whole("tear_after", 0, 0, MAX_BYTES));
-        p.done();
+                        p.integer("delay_ms", 0, 0, MAX_MS),
+                        p.integer("jitter_ms", 0, 0, MAX_MS),
+                        p.integer("growth_ms", 0, 0, MAX_MS),
+                        p.integer("bytes_per_s", 0, 0, MAX_BYTES),
+                        p.integer("tear_after", 0, 0, MAX_BYTES));
+        p.rejectUnknownKeys();
         return state;
     }
 
@@ -292,7 +294,7 @@
             out.append("\n[[publish]]\n");
             line(out, "at_s", each.atS());
             line(out, "exit_code", each.exitCode());
-            line(out, "settings", DaemonText.toml(each.settings()));
+            line(out, "settings", DaemonFormat.toml(each.settings()));
         }
         return out.toString();
     }
@@ -341,7 +343,7 @@
                 fleet,
                 proxies,
                 nodes,
-                Load.PLAIN,
+                Load.DEFAULT,
                 faults,
                 List.of());
     }
--- a/src/main/java/holdproxy/rig/ScheduleRun.java
+++ b/src/main/java/holdproxy/rig/ScheduleRun.java
@@ -5,11 +5,11 @@
 import holdproxy.town.Clients;
 import holdproxy.town.DiscoveryService;
 import holdproxy.town.Event;
-import holdproxy.town.Front;
-import holdproxy.town.MemberRegister;
+import holdproxy.town.LoadBalancer;
+import holdproxy.town.Origin;
 import holdproxy.town.ProxyConfig;
-import holdproxy.town.Service;
-import holdproxy.town.TownRecord;
+import holdproxy.town.ServiceStatistics;
+import holdproxy.town.SiteRecord;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -70,15 +70,15 @@
 
     private final Schedule schedule;
     private final Path folder;
-    private final Keeper keeper;
+    private final ChildReaper keeper;
     private final Function<String[], List<String>> program;
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final LoopTimeline time = new LoopTimeline(loop);
     private final PrintWriter history;
-    private final TownRecord record;
+    private final SiteRecord record;
     private final Links links;
-    private final Front front = new Front();
+    private final LoadBalancer front = new LoadBalancer();
     private final List<CacheNode> nodes = new ArrayList<>();
     private final Map<InetSocketAddress, String> nodeNames = new HashMap<>();
     private final List<ServeProcess> proxies = new ArrayList<>();
@@ -108,19 +108,25 @@
      * is for configurations, logs and the history.
      */
     ScheduleRun(
-            Schedule schedule, Path folder, Keeper keeper, Function<String[], List<String>> program)
+            Schedule schedule,
+            Path folder,
+            ChildReaper keeper,
+            Function<String[], List<String>> program)
             throws IOException {
         this.schedule = schedule;
         this.folder = Files.createDirectories(folder);
         this.keeper = keeper;
         this.program = program;
         history = new PrintWriter(Files.newBufferedWriter(folder.resolve("history.txt")));
-        record = new TownRecord(history::println);
+        record = new SiteRecord(history::println);
         links = new Links(loop, schedule.seed());
     }
 
     /** The result of a schedule; {@code late}: broken timing rules, which do not fail it. */
-    record Outcome(Service service, List<Auditors.Broken> broken, List<Auditors.Broken> late) {}
+    record Outcome(
+            ServiceStatistics service,
+            List<Auditors.Violation> broken,
+            List<Auditors.Violation> late) {}
 
     /** Plays the schedule to its end and checks the rules. */
     Outcome play() throws InterruptedException, ExecutionException, TimeoutException {
@@ -136,7 +142,7 @@
                     schedule.publications()
                             .forEach(p -> after(p.atS(), () -> distribution.publish(p)));
                     if (!schedule.fleet().quiet()) {
-                        clients.ask(time.nowUs() + (long) (schedule.seconds() * 1e6));
+                        clients.start(time.nowUs() + (long) (schedule.seconds() * 1e6));
                     }
                     after(
                             schedule.seconds() + (schedule.fleet().quiet() ? 0 : LAST_REQUESTS_S),
@@ -144,7 +150,7 @@
                 });
         finished.get();
         List<ExpectedEvent> unmet = unmet();
-        List<Auditors.Broken> unpublished =
+        List<Auditors.Violation> unpublished =
                 distribution == null ? List.of() : distribution.awaitCommands();
         loop.submit(this::terminateAll).get();
         for (ServeProcess p : proxies) {
@@ -175,30 +181,30 @@
         }
     }
 
-    private Outcome checkRules(List<ExpectedEvent> unmet, List<Auditors.Broken> unpublished) {
+    private Outcome checkRules(List<ExpectedEvent> unmet, List<Auditors.Violation> unpublished) {
         history.flush();
         List<Event> events = record.events();
-        List<Auditors.Broken> broken = Auditors.brokenWhateverTheTime(events);
+        List<Auditors.Violation> broken = Auditors.untimedViolations(events);
         broken.addAll(LeaseAuditor.broken(events));
         broken.addAll(ConfigurationAuditor.broken(events));
         broken.addAll(unpublished);
-        crashes.forEach(c -> broken.add(new Auditors.Broken("no crash", c)));
+        crashes.forEach(c -> broken.add(new Auditors.Violation("no crash", c)));
         unmet.forEach(
                 e ->
                         broken.add(
-                                new Auditors.Broken(
+                                new Auditors.Violation(
                                         "progress",
                                         "expected event of "
                                                 + e.by()
                                                 + " did not occur: "
                                                 + e.text())));
-        List<Auditors.Broken> late = new ArrayList<>(Auditors.broken(events));
+        List<Auditors.Violation> late = new ArrayList<>(Auditors.violations(events));
         late.removeAll(broken);
-        return new Outcome(new Service(events), broken, late);
+        return new Outcome(new ServiceStatistics(events), broken, late);
     }
 
     private void after(double seconds, Runnable task) {
-        time.after((long) (seconds * 1e6), task);
+        time.schedule((long) (seconds * 1e6), task);
     }
 
     private static SplittableRandom random(long seed, String part, int number) {
@@ -218,9 +224,8 @@
                         proxy -> false,
                         (proxy, node) -> links.get(proxy, nodeNames.get(node)).address());
         discovery.start(links.networkFor(DISCOVERY, names), placeholderAddress(1, 0));
-        MemberRegister register =
-                new MemberRegister(
-                        time, record, REGISTER_SLOTS, REGISTER_US, ProxyConfig.REPEATS_DROPPED_US);
+        Origin register =
+                new Origin(time, record, REGISTER_SLOTS, REGISTER_US, ProxyConfig.REPEAT_WINDOW_US);
         double workUs = schedule.load().workMs() * 1000;
         CacheNode.Kind kind =
                 new CacheNode.Kind(
@@ -269,7 +274,7 @@
                         ProxyConfig.clubNames(schedule.load().clubs().size()),
                         front,
                         schedule.proxies());
-        clients.takenWhenWritten();
+        clients.countReadWhenWritten();
         for (int i = 0; i < schedule.proxies(); i++) {
             peerAddresses.add(links.freeAddress());
         }
@@ -295,7 +300,7 @@
                                 .redirectErrorStream(true)
                                 .redirectOutput(folder.resolve("found-" + i + ".log").toFile())
                                 .start();
-                keeper.keeps(each.toHandle());
+                keeper.register(each.toHandle());
                 commands.add(each);
             }
             for (Process each : commands) {
@@ -323,7 +328,7 @@
 
     private void setListed(CacheNode node, String state) {
         long agoMs = (time.nowUs() - node.startedUs()) / 1000;
-        discovery.set(
+        discovery.setState(
                 node.name,
                 node.address,
                 "room-north",
@@ -334,7 +339,7 @@
 
     private ServeProcess createProxy(int i, String name) {
         InetSocketAddress listenAddress = links.freeAddress();
-        front.door(links.open(CLIENTS, name, listenAddress), 0);
+        front.addProxy(links.open(CLIENTS, name, listenAddress), 0);
         ProxyConfig config =
                 new ProxyConfig(
                         i,
@@ -349,18 +354,18 @@
                 config.json(
                         name,
                         random(schedule.seed(), "proxy", i).nextLong(),
-                        discovery.whole(name),
-                        ProxyConfig.ATTEMPTS);
-        String discoveryAt = DiscoveryService.text(links.get(name, DISCOVERY).address());
+                        discovery.fullList(name),
+                        ProxyConfig.MAX_ATTEMPTS);
+        String discoveryAt = DiscoveryService.formatAddress(links.get(name, DISCOVERY).address());
         Path file = folder.resolve(name + (schedule.daemons() ? ".toml" : ".json"));
         try {
             Files.writeString(
                     file,
                     !schedule.daemons()
                             ? platforms
-                            : DaemonText.of(
+                            : DaemonFormat.configuration(
                                             name,
-                                            DiscoveryService.text(listenAddress),
+                                            DiscoveryService.formatAddress(listenAddress),
                                             discoveryAt,
                                             folder.resolve(name),
                                             peerSettings(i),
@@ -377,7 +382,7 @@
                                 "LB_NAME",
                                 name,
                                 "LB_LISTEN",
-                                DiscoveryService.text(listenAddress),
+                                DiscoveryService.formatAddress(listenAddress),
                                 "LB_DISCOVERY",
                                 discoveryAt,
                                 "LB_CONFIG",
@@ -391,14 +396,14 @@
     }
 
     /** A daemon's settings for its peers, with a link to each of them. */
-    private DaemonText.CooperationText peerSettings(int i) {
+    private DaemonFormat.PeerSettings peerSettings(int i) {
         Map<String, String> routes = new LinkedHashMap<>();
         for (int other = 0; other < schedule.proxies(); other++) {
             if (other != i) {
                 String name = "proxy-" + other;
                 routes.put(
                         name,
-                        DiscoveryService.text(
+                        DiscoveryService.formatAddress(
                                 links.open("proxy-" + i, name, peerAddresses.get(other))));
             }
         }
@@ -406,10 +411,10 @@
         String resource =
                 schedule.fleet().drills() == 0
                         ? ""
-                        : DiscoveryService.text(
+                        : DiscoveryService.formatAddress(
                                 links.get("proxy-" + i, GuardedResource.NAME).address());
-        return new DaemonText.CooperationText(
-                DiscoveryService.text(peerAddresses.get(i)),
+        return new DaemonFormat.PeerSettings(
+                DiscoveryService.formatAddress(peerAddresses.get(i)),
                 seeds,
                 routes,
                 IntStream.range(0, schedule.fleet().voters()).mapToObj(v -> "proxy-" + v).toList(),
@@ -429,7 +434,7 @@
         endReasons.remove(p);
         p.start(
                 line -> {
-                    DaemonText.said(line)
+                    DaemonFormat.parseEvent(line)
                             .ifPresent(
                                     said ->
                                             record.add(
@@ -437,10 +442,10 @@
                                                     Event.Kind.SAID,
                                                     p.name,
                                                     said.clockUs(),
-                                                    said.what()));
+                                                    said.text()));
                     if (line.contains(LISTENING) && !ready.get(p).isDone()) {
                         recordFault(p, "started");
-                        front.use(proxies.indexOf(p), true);
+                        front.setInUse(proxies.indexOf(p), true);
                         ready.get(p).complete(null);
                     }
                 },
@@ -461,7 +466,7 @@
                             + code);
         }
         if (by == null || !by.equals("killed")) {
-            front.use(proxies.indexOf(p), false);
+            front.setInUse(proxies.indexOf(p), false);
         }
         ready.get(p).complete(null); // ends the wait for its start; the exit is recorded above
         exited.get(p).complete(null);
@@ -492,7 +497,7 @@
                 .thenRun(
                         () -> {
                             if (p.isRunning() && endReasons.putIfAbsent(p, "ended") == null) {
-                                p.end();
+                                p.terminate();
                                 onSignal.run();
                             }
                         });
@@ -523,7 +528,7 @@
                 f.noticedS(),
                 () -> {
                     if (!p.isRunning()) {
-                        front.use(f.target(), false);
+                        front.setInUse(f.target(), false);
                     }
                 });
         if (f.forS() > 0) {
@@ -567,18 +572,18 @@
                 p,
                 () -> {
                     recordFault(p, "told to end");
-                    front.use(f.target(), false);
+                    front.setInUse(f.target(), false);
                     exited.get(p).thenRun(() -> after(f.forS(), () -> start(p)));
                 });
     }
 
     private void crash(RigFault f) {
         CacheNode node = nodes.get(f.target());
-        node.end("crash");
+        node.stop("crash");
         after(
                 f.noticedS(),
                 () -> {
-                    if (!node.up()) {
+                    if (!node.isUp()) {
                         setListed(node, "DELETED");
                     }
                 });
@@ -586,7 +591,7 @@
             after(
                     f.forS(),
                     () -> {
-                        if (!node.up()) {
+                        if (!node.isUp()) {
                             node.startCold();
                             after(LISTING_DELAY_S, () -> setListed(node, "SERVING"));
                         }
--- a/src/main/java/holdproxy/rig/ServeProcess.java
+++ b/src/main/java/holdproxy/rig/ServeProcess.java
@@ -26,7 +26,7 @@
     private final List<String> command;
     private final Map<String, String> env;
     private final Path log;
-    private final Keeper keeper;
+    private final ChildReaper keeper;
     private final Executor loop;
     private Process process;
     private int runNumber;
@@ -37,7 +37,7 @@
             List<String> command,
             Map<String, String> env,
             Path log,
-            Keeper keeper,
+            ChildReaper keeper,
             Executor loop) {
         this.name = name;
         this.command = command;
@@ -56,7 +56,7 @@
             builder.environment().putAll(env);
             process = builder.start();
             process.getOutputStream().close();
-            keeper.keeps(process.toHandle());
+            keeper.register(process.toHandle());
         } catch (IOException e) {
             throw new UncheckedIOException("the process " + name + " cannot be started", e);
         }
@@ -116,12 +116,12 @@
     }
 
     /** SIGHUP. */
-    public void hangUp() {
+    public void sendHangUp() {
         signal("HUP");
     }
 
     /** SIGTERM. */
-    public void end() {
+    public void terminate() {
         if (isRunning()) {
             // Process.destroy would also close the pipe with the last output; the handle's does not
             process.toHandle().destroy();
--- a/src/main/java/holdproxy/scale/AskersChild.java
+++ b/src/main/java/holdproxy/scale/AskersChild.java
@@ -89,7 +89,7 @@
         Asker(int number, List<String> names, Map<String, InetSocketAddress> routes) {
             links = new Links(loop, routes, text -> Config.address(text, "an address"), line -> {});
             links.listen(address(fleet, number));
-            links.receive(MembershipService.CONSENSUS, this::received);
+            links.receive(MembershipService.CONSENSUS_FRAME_KIND, this::received);
             LeaseTable table = new LeaseTable();
             group = new RaftGroup(name(number), names, this, new Random(number), table);
             LeaseClient client =
@@ -128,27 +128,27 @@
             links.send(
                     to,
                     "",
-                    MembershipService.CONSENSUS,
+                    MembershipService.CONSENSUS_FRAME_KIND,
                     ByteBuffer.allocate(1 + frame.length).put(CONSENSUS_FRAME).put(frame).array());
         }
 
         @Override
-        public void leads(boolean now) {
+        public void leadershipChanged(boolean now) {
             // cannot happen: it has no vote
         }
 
         @Override
-        public void failed(RuntimeException failure) {
+        public void taskFailed(RuntimeException failure) {
             // cannot happen: without a vote it runs no Raft library code
         }
 
         @Override
-        public void out(String why) {
+        public void stoppedVoting(String why) {
             // cannot happen: it has no vote
         }
 
         @Override
-        public void notifyFree(String to, String duty, long token) {
+        public void notifyRoleFree(String to, String duty, long token) {
             // only a voter's lease client notifies others
         }
 
--- a/src/main/java/holdproxy/scale/ChildProcess.java
+++ b/src/main/java/holdproxy/scale/ChildProcess.java
@@ -1,7 +1,7 @@
 package holdproxy.scale;
 
-import holdproxy.rig.Keeper;
-import holdproxy.rig.ProgramLine;
+import holdproxy.rig.ChildReaper;
+import holdproxy.rig.ProgramCommand;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -41,20 +41,20 @@
 
     /** Starts {@code scale child KIND OPTIONS}; its standard error goes to a log file in {@code folder}. */
     static ChildProcess start(
-            String name, Path folder, String heap, Keeper reaper, String... arguments) {
+            String name, Path folder, String heap, ChildReaper reaper, String... arguments) {
         List<String> commandLine = new ArrayList<>(List.of("scale", "child"));
         commandLine.addAll(List.of(arguments));
         Path log = folder.resolve(name + ".log");
         try {
             Process process =
                     new ProcessBuilder(
-                                    ProgramLine.of(
+                                    ProgramCommand.of(
                                             heap,
                                             Port.options(),
                                             commandLine.toArray(String[]::new)))
                             .redirectError(log.toFile())
                             .start();
-            reaper.keeps(process.toHandle());
+            reaper.register(process.toHandle());
             return new ChildProcess(name, log, process);
         } catch (IOException e) {
             throw new UncheckedIOException("the process " + name + " cannot be started", e);
--- a/src/main/java/holdproxy/scale/ConnectionsByNodes.java
+++ b/src/main/java/holdproxy/scale/ConnectionsByNodes.java
@@ -4,11 +4,11 @@
 import holdproxy.town.CacheNode;
 import holdproxy.town.Clients;
 import holdproxy.town.DiscoveryService;
-import holdproxy.town.Front;
 import holdproxy.town.Load;
-import holdproxy.town.MemberRegister;
+import holdproxy.town.LoadBalancer;
+import holdproxy.town.Origin;
 import holdproxy.town.ProxyConfig;
-import holdproxy.town.TownRecord;
+import holdproxy.town.SiteRecord;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -86,7 +86,7 @@
         private final EventLoop loop =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         private final LoopTimeline time = new LoopTimeline(loop);
-        private final TownRecord record = new TownRecord();
+        private final SiteRecord record = new SiteRecord();
         private final LoopbackNetwork nodeNetwork = new LoopbackNetwork(loop, null);
         private final LoopbackNetwork clientNetwork = new LoopbackNetwork(loop, null);
         private final InetSocketAddress discovery;
@@ -100,13 +100,13 @@
             DiscoveryService service =
                     new DiscoveryService(
                             time, record, 0, proxy -> true, (proxy, address) -> address);
-            MemberRegister register =
-                    new MemberRegister(
+            Origin register =
+                    new Origin(
                             time,
                             record,
                             REGISTER_SLOTS,
                             REGISTER_US,
-                            ProxyConfig.REPEATS_DROPPED_US);
+                            ProxyConfig.REPEAT_WINDOW_US);
             CacheNode.Kind kind =
                     new CacheNode.Kind(
                             DiscoveryChild.KIND,
@@ -137,7 +137,8 @@
                                 register,
                                 new SplittableRandom(i));
                 node.startCold();
-                service.set(node.name, address, DiscoveryChild.ZONE, kind.name(), "SERVING", 0);
+                service.setState(
+                        node.name, address, DiscoveryChild.ZONE, kind.name(), "SERVING", 0);
             }
             service.start(clientNetwork, discovery);
         }
@@ -145,9 +146,13 @@
         void startLoad(DaemonFleet fleet, double seconds) throws Exception {
             loop.submit(
                             () -> {
-                                Front front = new Front();
+                                LoadBalancer front = new LoadBalancer();
                                 fleet.daemons()
-                                        .forEach(d -> front.use(front.door(d.clients, 0), true));
+                                        .forEach(
+                                                d ->
+                                                        front.setInUse(
+                                                                front.addProxy(d.clients, 0),
+                                                                true));
                                 Clients clients =
                                         new Clients(
                                                 time,
@@ -158,8 +163,8 @@
                                                 ProxyConfig.clubNames(1),
                                                 front,
                                                 fleet.daemons().size());
-                                clients.takenWhenWritten();
-                                clients.ask(time.nowUs() + (long) (seconds * 1e6));
+                                clients.countReadWhenWritten();
+                                clients.start(time.nowUs() + (long) (seconds * 1e6));
                             })
                     .get();
         }
--- a/src/main/java/holdproxy/scale/ConsensusByAskers.java
+++ b/src/main/java/holdproxy/scale/ConsensusByAskers.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-import holdproxy.rig.DaemonText;
+import holdproxy.rig.DaemonFormat;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -80,11 +80,11 @@
                             words.toArray(String[]::new))) {
                 RunContext.pause(SETTLE_S);
                 DaemonFleet.Daemon leader = leader(fleet);
-                DaemonText.Said first = awaitLinksEvent(leader, context);
+                DaemonFormat.LoggedEvent first = awaitLinksEvent(leader, context);
                 ProcessUsage before = leader.usage();
                 JsonPart askersBefore = askers.ask("stats");
                 RunContext.pause(Math.max(spec.seconds(), LINKS_INTERVAL_S));
-                DaemonText.Said last = awaitLinksEvent(leader, context);
+                DaemonFormat.LoggedEvent last = awaitLinksEvent(leader, context);
                 ProcessUsage after = leader.usage();
                 JsonPart askersAfter = askers.ask("stats");
                 double seconds =
@@ -110,8 +110,8 @@
 
     private static DaemonFleet.Daemon leader(DaemonFleet fleet) {
         for (DaemonFleet.Daemon each : fleet.daemons()) {
-            DaemonText.Said said = each.last("leads");
-            if (said != null && !said.what().startsWith("leads no longer")) {
+            DaemonFormat.LoggedEvent said = each.last("leads");
+            if (said != null && !said.text().startsWith("leads no longer")) {
                 return each;
             }
         }
@@ -119,9 +119,9 @@
     }
 
     /** Waits for the next log event with the link counters. */
-    private static DaemonText.Said awaitLinksEvent(DaemonFleet.Daemon daemon, RunContext context)
-            throws InterruptedException {
-        DaemonText.Said previous = daemon.last(LINKS_EVENT);
+    private static DaemonFormat.LoggedEvent awaitLinksEvent(
+            DaemonFleet.Daemon daemon, RunContext context) throws InterruptedException {
+        DaemonFormat.LoggedEvent previous = daemon.last(LINKS_EVENT);
         context.await(
                 "the leader logs its link counters",
                 () ->
@@ -130,8 +130,9 @@
         return daemon.last(LINKS_EVENT);
     }
 
-    private static double increase(DaemonText.Said first, DaemonText.Said last, String field) {
-        return Long.parseLong(DaemonFleet.field(last.what(), field))
-                - Long.parseLong(DaemonFleet.field(first.what(), field));
+    private static double increase(
+            DaemonFormat.LoggedEvent first, DaemonFormat.LoggedEvent last, String field) {
+        return Long.parseLong(DaemonFleet.field(last.text(), field))
+                - Long.parseLong(DaemonFleet.field(first.text(), field));
     }
 }
--- a/src/main/java/holdproxy/scale/ControlChild.java
+++ b/src/main/java/holdproxy/scale/ControlChild.java
@@ -31,7 +31,7 @@
 
     @Override
     void start() {
-        log.found(1);
+        log.initialize(1);
         for (int i = 0; i < KEYS; i++) {
             append(0);
         }
@@ -71,13 +71,13 @@
             case "commit" -> {
                 long unixUs = CommitStamp.unixUs();
                 append(unixUs);
-                server.advanced();
+                server.sourceChanged();
                 answer.put("committed_us", unixUs);
             }
             case "stats" -> putCounters(answer);
             default -> throw unknownCommand(words);
         }
         answer.put("number", log.position().number());
-        answer.put("in_force", server.relay().report().inForceAt(log.position()));
+        answer.put("in_force", server.relay().report().countInForceAtOrAfter(log.position()));
     }
 }
--- a/src/main/java/holdproxy/scale/DaemonFleet.java
+++ b/src/main/java/holdproxy/scale/DaemonFleet.java
@@ -1,8 +1,8 @@
 package holdproxy.scale;
 
-import holdproxy.rig.DaemonText;
-import holdproxy.rig.Keeper;
-import holdproxy.rig.ProgramLine;
+import holdproxy.rig.ChildReaper;
+import holdproxy.rig.DaemonFormat;
+import holdproxy.rig.ProgramCommand;
 import holdproxy.rig.ServeProcess;
 import holdproxy.town.ProxyConfig;
 import java.io.IOException;
@@ -48,9 +48,9 @@
                 lines.add(line);
             }
             if (pid == 0) {
-                DaemonText.said(line)
-                        .filter(said -> said.what().startsWith("starting "))
-                        .ifPresent(said -> pid = Long.parseLong(field(said.what(), "pid")));
+                DaemonFormat.parseEvent(line)
+                        .filter(said -> said.text().startsWith("starting "))
+                        .ifPresent(said -> pid = Long.parseLong(field(said.text(), "pid")));
             }
         }
 
@@ -68,11 +68,12 @@
         }
 
         /** The last event whose text starts with {@code beginning}, or null. */
-        DaemonText.Said last(String beginning) {
+        DaemonFormat.LoggedEvent last(String beginning) {
             synchronized (lines) {
                 for (int i = lines.size() - 1; i >= 0; i--) {
-                    DaemonText.Said said = DaemonText.said(lines.get(i)).orElse(null);
-                    if (said != null && said.what().startsWith(beginning)) {
+                    DaemonFormat.LoggedEvent said =
+                            DaemonFormat.parseEvent(lines.get(i)).orElse(null);
+                    if (said != null && said.text().startsWith(beginning)) {
                         return said;
                     }
                 }
@@ -85,12 +86,12 @@
         }
 
         void sendHangup() {
-            process.hangUp();
+            process.sendHangUp();
         }
     }
 
     private final Path folder;
-    private final Keeper reaper;
+    private final ChildReaper reaper;
     private final ExecutorService loop = Executors.newSingleThreadExecutor();
     private final List<Daemon> daemons = new ArrayList<>();
     private final Map<String, String> routes = new LinkedHashMap<>();
@@ -164,8 +165,8 @@
                 peerRoutes.put(names.get(other), HollowWatches.addressText(memberAddress(other)));
             }
         }
-        DaemonText.CooperationText peers =
-                new DaemonText.CooperationText(
+        DaemonFormat.PeerSettings peers =
+                new DaemonFormat.PeerSettings(
                         HollowWatches.addressText(memberAddress(i)),
                         List.of(HollowWatches.addressText(memberAddress(0))),
                         peerRoutes,
@@ -182,7 +183,7 @@
                         file,
                         new ServeProcess(
                                 names.get(i),
-                                ProgramLine.of(
+                                ProgramCommand.of(
                                         HEAP,
                                         List.of("-XX:TieredStopAtLevel=1"),
                                         "daemon",
@@ -195,7 +196,7 @@
         configurations.put(
                 daemon,
                 attempts ->
-                        DaemonText.of(
+                        DaemonFormat.configuration(
                                         daemon.name,
                                         HollowWatches.addressText(clients),
                                         HollowWatches.addressText(discovery),
@@ -213,10 +214,10 @@
                                                 .json(
                                                         daemon.name,
                                                         1,
-                                                        ProxyConfig.NO_LIST,
+                                                        ProxyConfig.EMPTY_NODE_LIST,
                                                         attempts))
                                 + extraSection.apply(i));
-        write(daemon, ProxyConfig.ATTEMPTS);
+        write(daemon, ProxyConfig.MAX_ATTEMPTS);
         return daemon;
     }
 
@@ -233,12 +234,12 @@
     private void foundGroup(Daemon daemon) throws IOException, InterruptedException {
         Process process =
                 new ProcessBuilder(
-                                ProgramLine.of(
+                                ProgramCommand.of(
                                         HEAP, List.of(), "daemon", "found", daemon.file.toString()))
                         .redirectErrorStream(true)
                         .redirectOutput(folder.resolve("found-" + daemon.name + ".log").toFile())
                         .start();
-        reaper.keeps(process.toHandle());
+        reaper.register(process.toHandle());
         if (process.waitFor() != 0) {
             throw new IllegalStateException(
                     "cannot found the consensus group; see the logs in " + folder);
@@ -251,7 +252,7 @@
 
     @Override
     public void close() throws Exception {
-        loop.submit(() -> daemons.forEach(d -> d.process.end())).get();
+        loop.submit(() -> daemons.forEach(d -> d.process.terminate())).get();
         long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(EXIT_TIMEOUT_S);
         while (!daemons.stream().allMatch(d -> d.ended) && System.nanoTime() < endNs) {
             RunContext.pause(0.05);
--- a/src/main/java/holdproxy/scale/DecisionByNodes.java
+++ b/src/main/java/holdproxy/scale/DecisionByNodes.java
@@ -1,7 +1,7 @@
 package holdproxy.scale;
 
-import holdproxy.policy.Choice;
 import holdproxy.policy.Router;
+import holdproxy.policy.RoutingPolicy;
 import java.util.ArrayDeque;
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -58,7 +58,7 @@
     private static Router.Settings settings() {
         Router.RequestClass read = new Router.RequestClass();
         read.effect = Router.Effect.SAFE;
-        read.aimUs = 500 * MS;
+        read.targetUs = 500 * MS;
         read.deadlineUs = 1_500 * MS;
         Router.Settings settings = new Router.Settings();
         settings.classes = new Router.RequestClass[] {read};
@@ -79,7 +79,7 @@
     /** Requests at the rate of one proxy of the target fleet, each answered after 5 ms of simulated time. */
     private static final class Workload implements Router.Actions {
         private final SplittableRandom random = new SplittableRandom(1);
-        private final Choice module;
+        private final RoutingPolicy module;
         private final Router.Node[] nodes;
         private final Router.Request request = new Router.Request();
         private final Router.Report report = new Router.Report();
@@ -95,7 +95,7 @@
                 nodes[i] = new Router.Node();
                 nodes[i].id = random.nextInt();
             }
-            module = new Choice(settings(), 1, 0, this);
+            module = new RoutingPolicy(settings(), 1, 0, this);
             sendList();
         }
 
@@ -179,7 +179,7 @@
         }
 
         @Override
-        public void tell(int router, byte[] data) {
+        public void sendMessage(int router, byte[] data) {
             // there is no other proxy
         }
 
--- a/src/main/java/holdproxy/scale/DiscoveryChild.java
+++ b/src/main/java/holdproxy/scale/DiscoveryChild.java
@@ -2,7 +2,7 @@
 
 import holdproxy.rig.LoopTimeline;
 import holdproxy.town.DiscoveryService;
-import holdproxy.town.TownRecord;
+import holdproxy.town.SiteRecord;
 import java.net.InetSocketAddress;
 import java.util.Map;
 import picocli.CommandLine.Command;
@@ -33,7 +33,7 @@
         discovery =
                 new DiscoveryService(
                         new LoopTimeline(loop),
-                        new TownRecord(),
+                        new SiteRecord(),
                         callUs,
                         proxy -> true,
                         (proxy, address) -> address);
@@ -44,7 +44,7 @@
     }
 
     private void set(int node, long startedMs) {
-        discovery.set(
+        discovery.setState(
                 "node-" + node,
                 LoopbackNetwork.address(1, node / 250, node % 250 + 1, 11_211),
                 ZONE,
@@ -58,8 +58,8 @@
     void handle(String[] words, Map<String, Object> answer) throws Exception {
         switch (words[0]) {
             case "change" -> set((int) (version % nodes), System.currentTimeMillis());
-            case "down" -> discovery.down(true);
-            case "up" -> discovery.down(false);
+            case "down" -> discovery.setDown(true);
+            case "up" -> discovery.setDown(false);
             case "stats" -> {}
             default -> throw unknownCommand(words);
         }
--- a/src/main/java/holdproxy/scale/LoopbackNetwork.java
+++ b/src/main/java/holdproxy/scale/LoopbackNetwork.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-import holdproxy.town.TownNetwork;
+import holdproxy.town.SiteNetwork;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -22,7 +22,7 @@
 import java.util.function.Supplier;
 
 /** TCP on one event loop, which counts bytes and accepted connections. */
-final class LoopbackNetwork implements TownNetwork {
+final class LoopbackNetwork implements SiteNetwork {
     private static final int BACKLOG = 4096;
     private static final int LOOPBACK = 127;
 
@@ -88,12 +88,12 @@
     }
 
     @Override
-    public void endSending(Channel channel) {
+    public void shutdownOutput(Channel channel) {
         ((SocketChannel) channel).shutdownOutput();
     }
 
     @Override
-    public String peer(Channel channel) {
+    public String peerName(Channel channel) {
         return String.valueOf(channel.remoteAddress());
     }
 
--- a/src/main/java/holdproxy/scale/MeasureSpec.java
+++ b/src/main/java/holdproxy/scale/MeasureSpec.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-import holdproxy.toml.TomlPart;
+import holdproxy.toml.TomlSection;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -30,28 +30,31 @@
     private static final int MAX_REAL_PROXIES = 10;
     private static final double MAX_SECONDS = 3_600;
 
-    static MeasureSpec read(TomlPart part) {
-        MeasurementKind kind = MeasurementKind.named(part.word("kind", MeasurementKind.NAMES));
+    static MeasureSpec read(TomlSection part) {
+        MeasurementKind kind =
+                MeasurementKind.named(part.requiredChoice("kind", MeasurementKind.NAMES));
         List<Integer> sizes = sizes(part);
         double seconds = part.number("seconds", 10, 0.1, MAX_SECONDS);
-        int nodes = part.whole("nodes", 100, 1, MAX_NODES);
-        int proxies = part.whole("proxies", 3, 1, MAX_REAL_PROXIES);
+        int nodes = part.integer("nodes", 100, 1, MAX_NODES);
+        int proxies = part.integer("proxies", 3, 1, MAX_REAL_PROXIES);
         List<FanoutFault> faults =
-                part.texts("faults", FanoutFault::named).stream().map(FanoutFault::named).toList();
-        int line = part.at("kind").line();
-        part.done();
+                part.strings("faults", FanoutFault::named).stream()
+                        .map(FanoutFault::named)
+                        .toList();
+        int line = part.positionOf("kind").line();
+        part.rejectUnknownKeys();
         return new MeasureSpec(kind, sizes, seconds, nodes, proxies, faults, line);
     }
 
-    private static List<Integer> sizes(TomlPart part) {
+    private static List<Integer> sizes(TomlSection part) {
         TomlArray array = part.array("sizes");
         if (array == null || array.isEmpty()) {
-            throw part.bad(part.at("sizes"), "sizes is missing from [[measure]]");
+            throw part.error(part.positionOf("sizes"), "sizes is missing from [[measure]]");
         }
         List<Integer> sizes = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
             if (!(array.get(i) instanceof Long size) || size < 1 || size > MAX_SIZE) {
-                throw part.bad(
+                throw part.error(
                         array.inputPositionOf(i),
                         String.format(
                                 Locale.ROOT,
--- a/src/main/java/holdproxy/scale/MembershipBySize.java
+++ b/src/main/java/holdproxy/scale/MembershipBySize.java
@@ -1,8 +1,8 @@
 package holdproxy.scale;
 
 import holdproxy.lab.SimulatedClock;
-import holdproxy.membership.Change;
 import holdproxy.membership.Member;
+import holdproxy.membership.MemberChange;
 import holdproxy.membership.Membership;
 import holdproxy.membership.Message;
 import holdproxy.membership.MessageCodec;
@@ -137,7 +137,7 @@
                 byAddress.put(address, this);
                 rules =
                         new Membership(
-                                Membership.Settings.USUAL,
+                                Membership.Settings.DEFAULT,
                                 "proxy-" + number,
                                 address,
                                 1,
@@ -156,7 +156,7 @@
                 long dueUs = Math.max(rules.dueUs(), time.nowUs());
                 if (dueUs < timerUs) {
                     timerUs = dueUs;
-                    time.after(dueUs - time.nowUs(), () -> onTimer(dueUs));
+                    time.schedule(dueUs - time.nowUs(), () -> onTimer(dueUs));
                 }
             }
 
@@ -173,23 +173,23 @@
 
             @Override
             public void send(String name, String address, Message message) {
-                byte[] frame = MessageCodec.bytes(message);
+                byte[] frame = MessageCodec.encode(message);
                 messages++;
                 bytes += frame.length + FRAME_BYTES;
                 SimulatedMember to = byAddress.get(address);
-                time.after(
+                time.schedule(
                         MIN_DELAY_US + random.nextInt(DELAY_SPREAD_US), () -> to.received(frame));
             }
 
             private void received(byte[] frame) {
                 if (!stopped) {
-                    rules.received(time.nowUs(), MessageCodec.message(frame));
+                    rules.received(time.nowUs(), MessageCodec.decode(frame));
                     scheduleTick();
                 }
             }
 
             @Override
-            public void changed(Change change) {
+            public void changed(MemberChange change) {
                 // live members are read from the rules
             }
 
--- a/src/main/java/holdproxy/scale/RelaysChild.java
+++ b/src/main/java/holdproxy/scale/RelaysChild.java
@@ -64,7 +64,7 @@
                             new Random(zone));
             server = new RelayServer(context, client.subscriber());
             server.listen(topology().relay(zone));
-            client.candidates(topology().relayUpstreams());
+            client.setCandidates(topology().relayUpstreams());
         }
 
         private RelayServer server() {
@@ -72,7 +72,7 @@
         }
 
         private void advanced() {
-            server.advanced();
+            server.sourceChanged();
         }
     }
 }
--- a/src/main/java/holdproxy/scale/RunContext.java
+++ b/src/main/java/holdproxy/scale/RunContext.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-import holdproxy.rig.Keeper;
+import holdproxy.rig.ChildReaper;
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
@@ -14,7 +14,7 @@
  * @param reaper ends the processes that were started if this process ends without doing so
  * @param progress takes progress lines
  */
-record RunContext(Path folder, Keeper reaper, Consumer<String> progress) {
+record RunContext(Path folder, ChildReaper reaper, Consumer<String> progress) {
     private static final long POLL_MS = 50;
     private static final double MAX_WAIT_S = 180;
 
--- a/src/main/java/holdproxy/scale/ScaleCommand.java
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -2,8 +2,8 @@
 
 import holdproxy.command.Commands;
 import holdproxy.input.BadInput;
-import holdproxy.rig.Keeper;
-import holdproxy.rig.ProgramLine;
+import holdproxy.rig.ChildReaper;
+import holdproxy.rig.ProgramCommand;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.io.IOException;
@@ -47,7 +47,8 @@
             throws Exception {
         long startNs = System.nanoTime();
         Findings findings = new Findings();
-        try (Keeper reaper = Keeper.start(ProgramLine.of("32m", List.of(), "scale", "keep"))) {
+        try (ChildReaper reaper =
+                ChildReaper.start(ProgramCommand.of("32m", List.of(), "scale", "keep"))) {
             RunContext context =
                     new RunContext(
                             folder,
@@ -162,7 +163,7 @@
     static final class Keep implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
-            Keeper.keep(System.in);
+            ChildReaper.run(System.in);
             return 0;
         }
     }
--- a/src/main/java/holdproxy/scale/ScaleFile.java
+++ b/src/main/java/holdproxy/scale/ScaleFile.java
@@ -1,7 +1,7 @@
 package holdproxy.scale;
 
 import holdproxy.input.BadInput;
-import holdproxy.toml.TomlPart;
+import holdproxy.toml.TomlSection;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -30,15 +30,15 @@
     }
 
     static ScaleFile read(String file, String text) {
-        TomlPart top = TomlPart.parse(file, "the run", text);
-        String name = top.text("name", file.replace(".toml", ""));
+        TomlSection top = TomlSection.parse(file, "the run", text);
+        String name = top.string("name", file.replace(".toml", ""));
         double memoryGb = top.number("memory_gb", MEMORY_GB, 0.5, 1024);
         List<MeasureSpec> measurements = new ArrayList<>();
-        top.parts("measure").forEach(part -> measurements.add(MeasureSpec.read(part)));
+        top.sections("measure").forEach(part -> measurements.add(MeasureSpec.read(part)));
         if (measurements.isEmpty()) {
-            throw top.bad(null, "[[measure]] is missing from the run");
+            throw top.error(null, "[[measure]] is missing from the run");
         }
-        top.done();
+        top.rejectUnknownKeys();
         return new ScaleFile(file, name, memoryGb, List.copyOf(measurements));
     }
 
--- a/src/main/java/holdproxy/scale/SlopePlot.java
+++ b/src/main/java/holdproxy/scale/SlopePlot.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-import holdproxy.command.Plot;
+import holdproxy.command.LineChart;
 import java.nio.file.Path;
 
 /** Plots the series of a run, each in percent of its largest value, with its fitted line. */
@@ -10,7 +10,7 @@
     private SlopePlot() {}
 
     static void write(ResultFile result, Path file) {
-        Plot plot = new Plot(result.run(), "n", "% of the series' largest value");
+        LineChart plot = new LineChart(result.run(), "n", "% of the series' largest value");
         for (Series series : result.findings().series()) {
             double max = series.points().stream().mapToDouble(p -> Math.abs(p.y())).max().orElse(1);
             double[] x = series.points().stream().mapToDouble(Point::x).toArray();
--- a/src/main/java/holdproxy/scale/StateByNodes.java
+++ b/src/main/java/holdproxy/scale/StateByNodes.java
@@ -1,8 +1,8 @@
 package holdproxy.scale;
 
+import holdproxy.net.Clock;
 import holdproxy.net.Config;
 import holdproxy.net.Proxy;
-import holdproxy.net.Time;
 import holdproxy.town.ProxyConfig;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -50,7 +50,7 @@
                 context.logProgress(
                         "%s: %d proxies of %d nodes", spec.kind().configName, proxies.size(), size);
                 for (Proxy proxy : proxies) {
-                    loop.submit(proxy::end).get();
+                    loop.submit(proxy::drain).get();
                 }
             }
         } finally {
@@ -76,7 +76,7 @@
         String known = "{\"version\":" + nodes + ",\"full\":true,\"servers\":[" + servers + "]}";
         String json =
                 new ProxyConfig(0, 1, 0, List.of(DiscoveryChild.ZONE), 1, 1, List.of(1.0), 1)
-                        .json("proxy", 1, known, ProxyConfig.ATTEMPTS);
+                        .json("proxy", 1, known, ProxyConfig.MAX_ATTEMPTS);
         return Config.of("proxy", ANY_PORT, UNUSED_ADDRESS, json);
     }
 
@@ -86,7 +86,7 @@
                                 Proxy.start(
                                         config,
                                         loop,
-                                        new Time(Ticker.systemTicker(), System::currentTimeMillis),
+                                        new Clock(Ticker.systemTicker(), System::currentTimeMillis),
                                         new LoopbackNetwork(loop, null),
                                         line -> {}))
                 .get();
--- a/src/main/java/holdproxy/scale/SubscribersChild.java
+++ b/src/main/java/holdproxy/scale/SubscribersChild.java
@@ -119,7 +119,7 @@
 
         void start() {
             FanoutTopology topology = topology();
-            client.candidates(topology.proxyUpstreams("proxy-" + number, topology.zone(number)));
+            client.setCandidates(topology.proxyUpstreams("proxy-" + number, topology.zone(number)));
         }
 
         /** Simulates a restart of the proxy's process, without stored state. */
--- a/src/main/java/holdproxy/scale/WatchesChild.java
+++ b/src/main/java/holdproxy/scale/WatchesChild.java
@@ -64,7 +64,11 @@
                                         1,
                                         List.of(1.0),
                                         1)
-                                .json("hollow", 1, ProxyConfig.NO_LIST, ProxyConfig.ATTEMPTS));
+                                .json(
+                                        "hollow",
+                                        1,
+                                        ProxyConfig.EMPTY_NODE_LIST,
+                                        ProxyConfig.MAX_ATTEMPTS));
         startAll();
     }
 
@@ -99,7 +103,7 @@
         }
 
         @Override
-        public void list(boolean whole, long now, int changes, long lastStartedUnixUs) {
+        public void onList(boolean whole, long now, int changes, long lastStartedUnixUs) {
             lists++;
             entries += changes;
             if (version + changes != now) {
@@ -112,7 +116,7 @@
         }
 
         @Override
-        public void failed() {
+        public void onFailure() {
             if (closed) {
                 return;
             }
