--- a/src/test/java/holdproxy/policy/RoutingPolicyTest.java
+++ b/src/test/java/holdproxy/policy/RoutingPolicyTest.java
@@ -17,7 +17,7 @@
 
     @Test
     void blueTakesTheMinimumOfItsLevelsAndKeepsTenantsApart() {
-        Blue blue = new Blue(3, 64, 1e6, 7);
+        BlueTable blue = new BlueTable(3, 64, 1e6, 7);
         blue.add(1, 0.5, 1, 0);
         assertEquals(0.5, blue.min(1, 0), 1e-6);
         int touched = 0;
@@ -31,7 +31,7 @@
 
     @Test
     void blueStaysWithinItsBoundsFadesAndForgetsOnRestart() {
-        Blue blue = new Blue(3, 64, 1e6, 7);
+        BlueTable blue = new BlueTable(3, 64, 1e6, 7);
         blue.add(1, 5, 0.95, 0);
         assertEquals(0.95, blue.min(1, 0), 1e-6);
         assertEquals(0.95 / Math.E, blue.min(1, 1_000_000), 1e-6);
@@ -44,7 +44,8 @@
 
     @Test
     void timeOutsOfATenantLeadToRefusalsWithRetryAfterThatDecay() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         failMany(router, 60, 0);
         int before = out.refused.size();
         int refused = offer(router, 1000, 50, 0, 2 * S);
@@ -56,7 +57,8 @@
 
     @Test
     void failuresOfOneTenantDoNotRefuseAnother() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         failMany(router, 60, 0);
         Router.Request q = Fixture.request(5000, 77, 3 * S);
         q.tenant = 1;
@@ -68,7 +70,7 @@
     @Test
     void rotationKeepsLearntProbabilities() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
-        Choice router = out.choice(s, 1, Fixture.nodes(8));
+        RoutingPolicy router = out.choice(s, 1, Fixture.nodes(8));
         for (int second = 0; second < 130; second++) { // two rotations: within 60 s, and 60 s later
             failMany(router, 50, second * S);
             if (second >= 10) {
@@ -84,7 +86,7 @@
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.tenants[0].quotaPerS = 4;
         s.tenants[1].quotaPerS = 400;
-        Choice router = out.choice(s, 1, Fixture.nodes(8));
+        RoutingPolicy router = out.choice(s, 1, Fixture.nodes(8));
         int[] refusals = new int[2];
         for (int i = 0; i < 600; i++) {
             Router.Request q = Fixture.request(i, 1000 + i, 0);
@@ -116,7 +118,8 @@
 
     @Test
     void aKeyStaysAtItsFirstNodeUnlessTheSecondIsLessBusy() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         Set<Integer> nodesUsed = new HashSet<>();
         for (int i = 0; i < 3; i++) {
             router.onRequest(i * 100 * S, Fixture.request(i, 42, (i + 1) * 100 * S), out);
@@ -133,7 +136,8 @@
 
     @Test
     void tiesInFlightGoToTheCandidateThatReportsLessLoad() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         router.onRequest(0, Fixture.request(1, 42, S), out);
         int first = out.lastNode();
         Router.Report report = new Router.Report();
@@ -145,7 +149,8 @@
 
     @Test
     void aHotKeyIsSpreadOverMoreThanTwoNodesAndOthersAreNot() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(20));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(20));
         Set<Integer> hot = new HashSet<>();
         Set<Integer> cold = new HashSet<>();
         for (int i = 0; i < 400; i++) {
@@ -164,7 +169,8 @@
 
     @Test
     void aFailingNodeIsPassedOverAndStillTried() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         router.onRequest(0, Fixture.request(1, 42, S), out);
         int first = out.lastNode();
         out.outcome(router, 0, 1, 0, Router.Outcome.OK);
@@ -189,7 +195,8 @@
 
     @Test
     void furtherAttemptsAreLimitedByABudgetThatOnlySuccessesFill() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         for (int i = 0; i < 100; i++) {
             router.onRequest(i * MS, Fixture.request(i, 1 + i, i * MS + S), out);
             for (int a = 0; out.sent.get(out.sent.size() - 1).request() == i && a < 4; a++) {
@@ -204,7 +211,7 @@
     void requestsWithoutKeyOrTenantOrNodesAreAnswered() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.tenants = new Router.Tenant[0];
-        Choice router = out.choice(s, 1);
+        RoutingPolicy router = out.choice(s, 1);
         router.onRequest(0, Fixture.request(1, 0, S), out);
         assertEquals(1, out.refused.size(), "no node to send to: refused at once");
         router.onNodes(0, Router.ListKind.DELTA, Fixture.nodes(3), 3, out);
@@ -219,12 +226,12 @@
     @Test
     void asksForTheListAtOnceAndBacksOffAfterFailuresWithFullJitter() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
-        s.askForNodes = true;
+        s.subscribesToNodes = true;
         s.routers = 1000;
         Set<Long> moments = new HashSet<>();
         for (int seed = 0; seed < 50; seed++) {
             Fixture f = new Fixture();
-            Choice each = f.choice(s, seed * 7919, Fixture.nodes(2));
+            RoutingPolicy each = f.choice(s, seed * 7919, Fixture.nodes(2));
             assertEquals(0, f.timers.get(0)[0], "the first call is made at once");
             f.fireTimers(each, 0);
             each.onNodes(S, Router.ListKind.FAILED, new Router.Node[0], 0, f);
@@ -232,7 +239,7 @@
         }
         assertTrue(
                 moments.size() >= 15, "delays spread over 2 s, in tenths of a second: " + moments);
-        Choice router = out.choice(s, 3, Fixture.nodes(2));
+        RoutingPolicy router = out.choice(s, 3, Fixture.nodes(2));
         for (int i = 1; i <= 10; i++) {
             out.fireTimers(router, 8 * i * S);
             assertEquals(i, out.subscribes);
@@ -248,12 +255,12 @@
     @Test
     void theBoundOfTheBackoffGoesByTheNumberOfRoutersAndDoubles() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
-        s.askForNodes = true;
+        s.subscribesToNodes = true;
         s.routers = 2;
         long[] longest = new long[6];
         for (int seed = 0; seed < 200; seed++) {
             Fixture f = new Fixture();
-            Choice router = f.choice(s, seed * 7919, Fixture.nodes(2));
+            RoutingPolicy router = f.choice(s, seed * 7919, Fixture.nodes(2));
             for (int i = 0; i < longest.length; i++) {
                 f.fireTimers(router, 10 * i * S);
                 router.onNodes(10 * i * S + S, Router.ListKind.FAILED, new Router.Node[0], 0, f);
@@ -272,7 +279,7 @@
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         // far above the demand: blame is small until failures are consecutive
         s.tenants[0].quotaPerS = 1000;
-        Choice router = out.choice(s, 1, Fixture.nodes(8));
+        RoutingPolicy router = out.choice(s, 1, Fixture.nodes(8));
         failMany(router, 150, 0);
         int refused = offer(router, 1000, 50, 0, 3 * S);
         assertTrue(refused > 25, "most load is taken off: " + refused + " of 50");
@@ -284,7 +291,8 @@
      */
     @Test
     void anAttemptStillOutWhenItsCopyIsDueCountsAgainstItsNode() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(4));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(4));
         int there = 0;
         for (int i = 0; i < 300; i++) {
             long now = i * 400 * MS;
@@ -315,7 +323,8 @@
         int[] refused = new int[2];
         for (int fetch = 0; fetch < 2; fetch++) {
             Fixture f = new Fixture();
-            Choice router = f.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+            RoutingPolicy router =
+                    f.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
             for (int i = 0; i < 200; i++) {
                 long now = i * 20 * MS;
                 boolean hit = i % 2 == 0;
@@ -351,7 +360,7 @@
     void connectionsIdleAsLongAsOneThatFellSilentAreClosed() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.idleCloseUs = 60 * S;
-        Choice router = out.choice(s, 1, Fixture.nodes(1));
+        RoutingPolicy router = out.choice(s, 1, Fixture.nodes(1));
         router.onRequest(0, Fixture.request(1, 1, S), out);
         out.outcome(router, MS, 1, 0, Router.Outcome.OK);
         int silent = 0;
@@ -388,7 +397,7 @@
     void slowAnswersOnConnectionsThatIdledShortlyCloseNone() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.idleCloseUs = 60 * S;
-        Choice router = out.choice(s, 1, Fixture.nodes(1));
+        RoutingPolicy router = out.choice(s, 1, Fixture.nodes(1));
         for (int i = 0; i < 400; i++) {
             long now = i * 300 * MS;
             out.timers.clear();
@@ -408,7 +417,7 @@
     void idleConnectionsAreClosedWhereNodesRefuseNewOnes() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.idleCloseUs = 60 * S;
-        Choice router = out.choice(s, 1, Fixture.nodes(8));
+        RoutingPolicy router = out.choice(s, 1, Fixture.nodes(8));
         for (int i = 0; i < 40; i++) {
             long now = i * 500 * MS;
             router.onRequest(now, Fixture.request(i, 1 + i, now + S), out);
@@ -433,7 +442,7 @@
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
         s.idleCloseUs = 30 * S;
         s.handshakePrice = 0.08;
-        Choice router = out.choice(s, 1, Fixture.nodes(8));
+        RoutingPolicy router = out.choice(s, 1, Fixture.nodes(8));
         int down = 0;
         for (int i = 0; i < 400; i++) {
             long now = i * 50 * MS;
@@ -465,7 +474,8 @@
      */
     @Test
     void aNodeThatRefusesConnectionsGetsOnlyTrialsUntilItRecovers() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         int dead = 0;
         int first = -1;
         for (int i = 0; i < 400; i++) {
@@ -501,7 +511,8 @@
      */
     @Test
     void theRetryAfterAFailedDialCostsNoBudget() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(20));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(20));
         for (int i = 0; i < 60; i++) {
             router.onRequest(0, Fixture.request(i, 1 + i, S), out);
         }
@@ -525,7 +536,7 @@
         double little = coldNodeShare(0.01);
         assertEquals(1 / 0.7, less / full, 0.2);
         assertEquals(
-                1 / Placement.LOAD_LEAST,
+                1 / NodeSelector.LOAD_LEAST,
                 little / full,
                 0.3,
                 "low rates of a new process are not trusted");
@@ -540,7 +551,7 @@
         s.tenants[0].quotaPerS = 100 * s.routers / load;
         Router.Node[] nodes = Fixture.nodes(8);
         nodes[0].startedUs = 0;
-        Choice router = f.choice(s, 1, nodes);
+        RoutingPolicy router = f.choice(s, 1, nodes);
         for (int i = 0; i < 12_000; i++) {
             long now = i * 10 * MS;
             router.onRequest(now, Fixture.request(i, 1 + i, now + S), f);
@@ -555,7 +566,8 @@
      */
     @Test
     void withoutHitNotesASlowNodeLosesTies() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         int slow = 0;
         for (int i = 0; i < 2000; i++) {
             long now = i * 100 * MS;
@@ -600,7 +612,7 @@
         s.secondCopies = false;
         s.maxAttempts = 1;
         s.tenants[0].quotaPerS = 50 * s.routers / demand;
-        Choice router = f.choice(s, 1, Fixture.nodes(12));
+        RoutingPolicy router = f.choice(s, 1, Fixture.nodes(12));
         java.util.Random random = new java.util.Random(1);
         for (int i = 0; i < 1500; i++) {
             long now = i * 20 * MS;
@@ -615,7 +627,8 @@
     /** With 36 of 60 nodes down, six ranked candidates were all down for one key in twenty. */
     @Test
     void aKeyMostOfWhoseCandidatesAreDownIsStillSent() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(60));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(60));
         int served = 0;
         for (int i = 0; i < 1200; i++) {
             long now = i * MS;
@@ -649,7 +662,7 @@
         for (int seed = 1; seed <= 20; seed++) {
             for (int spread = 0; spread < 2; spread++) {
                 Fixture f = new Fixture();
-                Choice router =
+                RoutingPolicy router =
                         f.choice(Fixture.settings(Router.Effect.SAFE), seed, Fixture.nodes(8));
                 for (int i = 0; i < 300; i++) {
                     long now = i * 100 * MS;
@@ -678,7 +691,8 @@
 
     @Test
     void aClassOrTenantOutOfRangeIsAnswered() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(3));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(3));
         int[] odd = {-1, 7, Integer.MIN_VALUE, Integer.MAX_VALUE};
         for (int i = 0; i < odd.length; i++) {
             Router.Request q = Fixture.request(i, 1 + i, S);
@@ -691,7 +705,8 @@
 
     @Test
     void logLinesAreFew() {
-        Choice router = out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
+        RoutingPolicy router =
+                out.choice(Fixture.settings(Router.Effect.SAFE), 1, Fixture.nodes(8));
         failMany(router, 60, 0);
         offer(router, 1000, 200, 0, 2 * S);
         long lines =
@@ -713,7 +728,8 @@
 
     private static java.util.List<String> run(long seed) {
         Fixture f = new Fixture();
-        Choice router = f.choice(Fixture.settings(Router.Effect.SAFE), seed, Fixture.nodes(9));
+        RoutingPolicy router =
+                f.choice(Fixture.settings(Router.Effect.SAFE), seed, Fixture.nodes(9));
         for (int i = 0; i < 300; i++) {
             router.onRequest(
                     i * MS, Fixture.request(i, i % 17 == 0 ? 0 : 1 + i % 23, i * MS + S), f);
@@ -724,7 +740,7 @@
         return f.actions;
     }
 
-    private void failMany(Choice router, int count, long from) {
+    private void failMany(RoutingPolicy router, int count, long from) {
         for (int i = 0; i < count; i++) {
             long now = from + i * 20 * MS;
             long id = from + 100_000 + i;
@@ -735,7 +751,7 @@
     }
 
     /** Sends requests at the same time and returns how many are refused before any attempt. */
-    private int offer(Choice router, int firstId, int count, int tenant, long now) {
+    private int offer(RoutingPolicy router, int firstId, int count, int tenant, long now) {
         int before = out.refused.size();
         for (int i = firstId; i < firstId + count; i++) {
             Router.Request q = Fixture.request(i, 1_000_000 + i, now + 600 * MS);
--- a/src/test/java/holdproxy/policy/SettingsTextTest.java
+++ b/src/test/java/holdproxy/policy/SettingsTextTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import holdproxy.input.BadInput;
-import holdproxy.input.SettingsText;
+import holdproxy.input.SettingsReader;
 import org.junit.jupiter.api.Test;
 
 class SettingsTextTest {
@@ -57,17 +57,17 @@
 
     @Test
     void valuesAreReadAndUnknownPathsIgnored() {
-        SettingsText text = new SettingsText(TEXT);
+        SettingsReader text = new SettingsReader(TEXT);
         Router.Settings s = text.settings();
         assertEquals(2, s.zone);
         assertEquals(26, s.routers);
         assertEquals(6, s.maxAttempts);
-        assertTrue(s.mayCancel && !s.secondCopies && s.aside && s.askForNodes);
+        assertTrue(s.mayCancel && !s.secondCopies && s.cacheAside && s.subscribesToNodes);
         assertEquals(3, s.originKind);
         assertEquals(2_000_000, s.maxRetryAfterUs);
         assertEquals(Router.Effect.KEYED, s.classes[0].effect);
         assertEquals(Router.Group.CELL, s.classes[0].group);
-        assertEquals(1_500_000, s.classes[0].aimUs);
+        assertEquals(1_500_000, s.classes[0].targetUs);
         assertEquals(2_000_500, s.classes[0].repeatWindowUs);
         assertEquals(Router.Effect.SAFE, s.classes[1].effect);
         assertEquals(0.3, s.coldFrom);
@@ -78,9 +78,9 @@
         assertEquals(16, s.streamsPerConnection);
         assertEquals(60_000_000, s.idleCloseUs);
         assertEquals(250_000, s.dialTimeoutUs);
-        assertEquals(2.5, s.classes[0].aimStretch);
-        assertEquals(0.05, s.overShareWorth);
-        assertTrue(s.clientsMarkRepeats && s.mayTell && s.countedByWork);
+        assertEquals(2.5, s.classes[0].targetStretch);
+        assertEquals(0.05, s.overQuotaWorth);
+        assertTrue(s.clientsMarkRepeats && s.mayMessageRouters && s.worthPerWork);
         assertEquals(Router.Weights.ROUGH, s.weights);
         assertEquals(Router.ReportSource.ANSWERS, s.reports);
         assertEquals(3.0, s.originFallMultiple);
@@ -98,7 +98,7 @@
     void aMissingEffectIsTakenAsUnsafe() {
         assertEquals(
                 Router.Effect.UNSAFE,
-                new SettingsText("grades.count=1\n").settings().classes[0].effect);
+                new SettingsReader("grades.count=1\n").settings().classes[0].effect);
     }
 
     @Test
@@ -116,10 +116,11 @@
                     "familyInfo.mode=sideways",
                     "tickMs=-1"
                 }) {
-            BadInput e = assertThrows(BadInput.class, () -> new SettingsText(bad).settings(), bad);
+            BadInput e =
+                    assertThrows(BadInput.class, () -> new SettingsReader(bad).settings(), bad);
             assertTrue(e.getMessage().contains(bad.substring(0, bad.indexOf('='))), e.getMessage());
         }
-        assertThrows(BadInput.class, () -> new SettingsText("no equals sign"));
+        assertThrows(BadInput.class, () -> new SettingsReader("no equals sign"));
     }
 
     @Test
@@ -131,12 +132,12 @@
                         .getMessage()
                         .contains("coldFrom"));
         s.coldFrom = 1;
-        s.aside = true;
+        s.cacheAside = true;
         assertTrue(
                 assertThrows(IllegalArgumentException.class, s::check)
                         .getMessage()
                         .contains("originKind"));
-        s.aside = false;
+        s.cacheAside = false;
         s.maxAttempts = 0;
         assertTrue(
                 assertThrows(IllegalArgumentException.class, s::check)
--- a/src/test/java/holdproxy/rig/DistributionScheduleTest.java
+++ b/src/test/java/holdproxy/rig/DistributionScheduleTest.java
@@ -18,7 +18,7 @@
     @Test
     void proxiesEndAtTheNewestVersionThoughEachRelayIsKilled() throws Exception {
         Schedule schedule = Schedule.read(Path.of("rig/distribution/relays-killed.toml"));
-        try (Keeper keeper = Keeper.start(RigCommand.ownCommand("rig", "keep"));
+        try (ChildReaper keeper = ChildReaper.start(RigCommand.ownCommand("rig", "keep"));
                 ScheduleRun run =
                         new ScheduleRun(schedule, folder, keeper, RigCommand::ownCommand)) {
             assertEquals(List.of(), run.play().broken());
--- a/src/test/java/holdproxy/rig/LeaseSchedulesTest.java
+++ b/src/test/java/holdproxy/rig/LeaseSchedulesTest.java
@@ -32,14 +32,14 @@
         }
         assertEquals(12, files.size());
         ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_RUNS);
-        Map<String, List<Auditors.Broken>> broken = new TreeMap<>();
+        Map<String, List<Auditors.Violation>> broken = new TreeMap<>();
         int acts = 0;
         try {
             List<Future<ScheduleRun.Outcome>> runs = new ArrayList<>();
             files.forEach(f -> runs.add(executor.submit(() -> play(f))));
             for (int i = 0; i < files.size(); i++) {
                 String name = files.get(i).getFileName().toString();
-                List<Auditors.Broken> found = runs.get(i).get().broken();
+                List<Auditors.Violation> found = runs.get(i).get().broken();
                 if (!found.isEmpty()) {
                     broken.put(name, found);
                 }
@@ -53,7 +53,7 @@
     }
 
     private ScheduleRun.Outcome play(Path file) throws Exception {
-        try (Keeper keeper = Keeper.start(RigCommand.ownCommand("rig", "keep"));
+        try (ChildReaper keeper = ChildReaper.start(RigCommand.ownCommand("rig", "keep"));
                 ScheduleRun run =
                         new ScheduleRun(
                                 Schedule.read(file),
--- a/src/test/java/holdproxy/rig/RigTest.java
+++ b/src/test/java/holdproxy/rig/RigTest.java
@@ -40,7 +40,7 @@
                 Schedule.Fleet.NONE,
                 proxies,
                 4,
-                Load.PLAIN,
+                Load.DEFAULT,
                 List.of(faults),
                 List.of());
     }
@@ -51,7 +51,7 @@
 
     private ScheduleRun.Outcome play(Schedule schedule, Function<String[], List<String>> program)
             throws Exception {
-        try (Keeper keeper = Keeper.start(RigCommand.ownCommand("rig", "keep"));
+        try (ChildReaper keeper = ChildReaper.start(RigCommand.ownCommand("rig", "keep"));
                 ScheduleRun run = new ScheduleRun(schedule, folder, keeper, program)) {
             return run.play();
         }
@@ -106,7 +106,8 @@
                                         LinkState.HEALTHY)),
                         RigCommand::ownCommand);
         assertEquals(List.of(), outcome.broken());
-        assertTrue(outcome.service().served() > 50, outcome.service().figures().toString());
+        assertTrue(
+                outcome.service().operationsServed() > 50, outcome.service().figures().toString());
         String history = history();
         for (String happened :
                 List.of(
@@ -137,7 +138,7 @@
                         new Schedule.Fleet(3, 2, 1_000, false),
                         3,
                         4,
-                        Load.PLAIN,
+                        Load.DEFAULT,
                         List.of(
                                 process(RigFault.Kind.KILL, 1, 12, 0),
                                 process(RigFault.Kind.RESTART, 2, 0.2, 1)),
@@ -172,11 +173,12 @@
         // the last one cannot occur: that it is reported shows that the others were checked
         assertEquals(
                 List.of(
-                        new Auditors.Broken(
+                        new Auditors.Violation(
                                 "progress",
                                 "expected event of proxy-2 did not occur: member member=proxy-9")),
                 outcome.broken());
-        assertTrue(outcome.service().served() > 20, outcome.service().figures().toString());
+        assertTrue(
+                outcome.service().operationsServed() > 20, outcome.service().figures().toString());
         String history = history();
         assertEquals(
                 5,
@@ -204,7 +206,7 @@
                                 new Schedule.Fleet(0, 0, 1_000, true),
                                 1,
                                 1,
-                                Load.PLAIN,
+                                Load.DEFAULT,
                                 List.of(process(RigFault.Kind.KILL, 0.1, 2.85, 0)),
                                 List.of()),
                         RigCommand::ownCommand);
@@ -267,9 +269,10 @@
         List<String> ends = List.of("sh", "-c", "echo 'listening on nothing'; exit 3");
         ScheduleRun.Outcome outcome = play(schedule(1, 1), words -> ends);
         assertEquals(
-                List.of("no crash"), outcome.broken().stream().map(Auditors.Broken::rule).toList());
+                List.of("no crash"),
+                outcome.broken().stream().map(Auditors.Violation::rule).toList());
         assertTrue(
-                outcome.broken().get(0).what().endsWith("with code 3"),
+                outcome.broken().get(0).evidence().endsWith("with code 3"),
                 outcome.broken().toString());
     }
 
@@ -289,7 +292,7 @@
     }
 
     private static List<String> rules(List<Event> events) {
-        return Auditors.brokenWhateverTheTime(events).stream().map(Auditors.Broken::rule).toList();
+        return Auditors.untimedViolations(events).stream().map(Auditors.Violation::rule).toList();
     }
 
     @Test
--- a/src/test/java/holdproxy/sim/FrameProtocolTest.java
+++ b/src/test/java/holdproxy/sim/FrameProtocolTest.java
@@ -66,7 +66,7 @@
 
     private static byte[] run(byte[] input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimHost(new ByteArrayInputStream(input), out).run();
+        new SimulatorHost(new ByteArrayInputStream(input), out).run();
         return out.toByteArray();
     }
 
@@ -75,7 +75,7 @@
         BadInput e =
                 assertThrows(
                         BadInput.class,
-                        () -> new SimHost(new ByteArrayInputStream(input), out).run());
+                        () -> new SimulatorHost(new ByteArrayInputStream(input), out).run());
         assertEquals(12 * repliesBefore, out.size(), "no partial reply");
         assertTrue(!e.getMessage().contains("\n"), "the message is a single line");
         return e.getMessage();
@@ -123,7 +123,7 @@
         w.closeIdle(7);
         w.subscribe();
         w.fetchNodes();
-        w.tell(Router.Actions.ALL, new byte[] {0x68, 0x69, 0x20, 0x37});
+        w.sendMessage(Router.Actions.ALL, new byte[] {0x68, 0x69, 0x20, 0x37});
         w.writeBug("x");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         w.flush(1, out);
@@ -296,7 +296,7 @@
                 hex("08 3f800000 40000000 3f000000 41200000 40800000 40a00000 3e800000 40c00000");
         r.range(b, 0, b.length, "test");
         Router.Report report = new Router.Report();
-        SimHost.readReport(r, "rif,q,busy,lat_ms,rate,fail_rate,x0,x1".split(","), report);
+        SimulatorHost.readReport(r, "rif,q,busy,lat_ms,rate,fail_rate,x0,x1".split(","), report);
         assertEquals(1, report.inFlight);
         assertEquals(2, report.queue);
         assertEquals(0.5, report.busy);
@@ -306,7 +306,7 @@
         assertEquals(0.25, report.hitShare);
         assertEquals(6, report.fetchesOut);
         r.range(hex("00"), 0, 1, "test");
-        SimHost.readReport(r, new String[] {"busy"}, report);
+        SimulatorHost.readReport(r, new String[] {"busy"}, report);
         assertTrue(
                 Double.isNaN(report.busy) && Double.isNaN(report.queue),
                 "values of the previous report are cleared");
@@ -321,13 +321,13 @@
                                 + " 4028000000000000 44e10000 07");
         r.range(b, 0, b.length, "test");
         Router.Request q = new Router.Request();
-        SimHost.readRequest(r, q);
+        SimulatorHost.readRequest(r, q);
         assertEquals(0x0008e32b5d3a91c4L, q.id);
         assertEquals(2, q.requestClass);
         assertEquals(5, q.tenant);
         assertEquals(0x91f03b7c55d20a64L, q.key);
         assertEquals(8_652_250, q.dueUs);
-        assertEquals(12_000, q.costUs);
+        assertEquals(12_000, q.workUs);
         assertEquals(1800, q.sizeBytes);
         assertTrue(q.repeat && q.write);
     }
