--- a/src/main/java/holdproxy/Main.java
+++ b/src/main/java/holdproxy/Main.java
@@ -1,12 +1,12 @@
 package holdproxy;
 
 import holdproxy.daemon.DaemonCommand;
+import holdproxy.harness.RigCommand;
 import holdproxy.input.BadInput;
-import holdproxy.lab.LabCommand;
 import holdproxy.net.ProxyService;
-import holdproxy.rig.RigCommand;
 import holdproxy.scale.ScaleCommand;
 import holdproxy.sim.SimulatorHost;
+import holdproxy.simulation.LabCommand;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
--- a/src/main/java/holdproxy/town/Event.java
+++ b/src/main/java/holdproxy/emulator/Event.java
@@ -1,4 +1,4 @@
-package holdproxy.town;
+package holdproxy.emulator;
 
 /**
  * An entry of the record of an emulated site, which the auditors read.
--- a/src/main/java/holdproxy/town/Load.java
+++ b/src/main/java/holdproxy/emulator/Load.java
@@ -1,4 +1,4 @@
-package holdproxy.town;
+package holdproxy.emulator;
 
 import holdproxy.toml.TomlSection;
 import java.util.ArrayList;
--- a/src/main/java/holdproxy/town/LoadBalancer.java
+++ b/src/main/java/holdproxy/emulator/LoadBalancer.java
@@ -1,4 +1,4 @@
-package holdproxy.town;
+package holdproxy.emulator;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/holdproxy/town/MetaProtocolDecoder.java
+++ b/src/main/java/holdproxy/emulator/MetaProtocolDecoder.java
@@ -1,4 +1,4 @@
-package holdproxy.town;
+package holdproxy.emulator;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/holdproxy/town/ProxyConfig.java
+++ b/src/main/java/holdproxy/emulator/ProxyConfig.java
@@ -1,4 +1,4 @@
-package holdproxy.town;
+package holdproxy.emulator;
 
 import java.util.List;
 import java.util.stream.Collectors;
--- a/src/main/java/holdproxy/town/Scheduler.java
+++ b/src/main/java/holdproxy/emulator/Scheduler.java
@@ -1,4 +1,4 @@
-package holdproxy.town;
+package holdproxy.emulator;
 
 /** Clock and scheduler of a part of the site: virtual, or a real event loop. Its tasks run one at a time. */
 public interface Scheduler {
--- a/src/main/java/holdproxy/town/SiteNetwork.java
+++ b/src/main/java/holdproxy/emulator/SiteNetwork.java
@@ -1,4 +1,4 @@
-package holdproxy.town;
+package holdproxy.emulator;
 
 import holdproxy.net.Transport;
 import io.netty.channel.Channel;
--- a/src/main/java/holdproxy/town/SiteRecord.java
+++ b/src/main/java/holdproxy/emulator/SiteRecord.java
@@ -1,4 +1,4 @@
-package holdproxy.town;
+package holdproxy.emulator;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
--- a/src/main/java/holdproxy/rig/ConfigurationAuditor.java
+++ b/src/main/java/holdproxy/harness/ConfigurationAuditor.java
@@ -1,7 +1,7 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
-import holdproxy.town.Auditors;
-import holdproxy.town.Event;
+import holdproxy.emulator.Auditors;
+import holdproxy.emulator.Event;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/holdproxy/rig/DaemonFormat.java
+++ b/src/main/java/holdproxy/harness/DaemonFormat.java
@@ -1,4 +1,4 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import holdproxy.toml.TomlText;
--- a/src/main/java/holdproxy/rig/DistributionSetup.java
+++ b/src/main/java/holdproxy/harness/DistributionSetup.java
@@ -1,11 +1,11 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
+import holdproxy.emulator.Auditors;
+import holdproxy.emulator.DiscoveryService;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.Scheduler;
+import holdproxy.emulator.SiteRecord;
 import holdproxy.toml.TomlText;
-import holdproxy.town.Auditors;
-import holdproxy.town.DiscoveryService;
-import holdproxy.town.Event;
-import holdproxy.town.Scheduler;
-import holdproxy.town.SiteRecord;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/holdproxy/rig/ExpectedEvent.java
+++ b/src/main/java/holdproxy/harness/ExpectedEvent.java
@@ -1,6 +1,6 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
-import holdproxy.town.Event;
+import holdproxy.emulator.Event;
 import java.util.List;
 import java.util.function.Predicate;
 
--- a/src/main/java/holdproxy/rig/GuardedResource.java
+++ b/src/main/java/holdproxy/harness/GuardedResource.java
@@ -1,9 +1,9 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
-import holdproxy.town.Event;
-import holdproxy.town.Scheduler;
-import holdproxy.town.SiteNetwork;
-import holdproxy.town.SiteRecord;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.Scheduler;
+import holdproxy.emulator.SiteNetwork;
+import holdproxy.emulator.SiteRecord;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/holdproxy/rig/Link.java
+++ b/src/main/java/holdproxy/harness/Link.java
@@ -1,4 +1,4 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/holdproxy/rig/LinkState.java
+++ b/src/main/java/holdproxy/harness/LinkState.java
@@ -1,4 +1,4 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 /**
  * The faults on one direction of a link. A link applies a new state to the bytes that it reads from then on.
--- a/src/main/java/holdproxy/rig/LoopTimeline.java
+++ b/src/main/java/holdproxy/harness/LoopTimeline.java
@@ -1,6 +1,6 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
-import holdproxy.town.Scheduler;
+import holdproxy.emulator.Scheduler;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
--- a/src/main/java/holdproxy/rig/ProgramCommand.java
+++ b/src/main/java/holdproxy/harness/ProgramCommand.java
@@ -1,4 +1,4 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/holdproxy/rig/RigCommand.java
+++ b/src/main/java/holdproxy/harness/RigCommand.java
@@ -1,8 +1,8 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 import holdproxy.command.Commands;
+import holdproxy.emulator.Auditors;
 import holdproxy.input.BadInput;
-import holdproxy.town.Auditors;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.io.IOException;
--- a/src/main/java/holdproxy/rig/RigFault.java
+++ b/src/main/java/holdproxy/harness/RigFault.java
@@ -1,4 +1,4 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/holdproxy/rig/Schedule.java
+++ b/src/main/java/holdproxy/harness/Schedule.java
@@ -1,9 +1,9 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
+import holdproxy.emulator.Load;
 import holdproxy.input.BadInput;
 import holdproxy.toml.TomlSection;
 import holdproxy.toml.TomlText;
-import holdproxy.town.Load;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/holdproxy/rig/ScheduleRun.java
+++ b/src/main/java/holdproxy/harness/ScheduleRun.java
@@ -1,15 +1,15 @@
-package holdproxy.rig;
-
-import holdproxy.town.Auditors;
-import holdproxy.town.CacheNode;
-import holdproxy.town.Clients;
-import holdproxy.town.DiscoveryService;
-import holdproxy.town.Event;
-import holdproxy.town.LoadBalancer;
-import holdproxy.town.Origin;
-import holdproxy.town.ProxyConfig;
-import holdproxy.town.ServiceStatistics;
-import holdproxy.town.SiteRecord;
+package holdproxy.harness;
+
+import holdproxy.emulator.Auditors;
+import holdproxy.emulator.CacheNode;
+import holdproxy.emulator.Clients;
+import holdproxy.emulator.DiscoveryService;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.LoadBalancer;
+import holdproxy.emulator.Origin;
+import holdproxy.emulator.ProxyConfig;
+import holdproxy.emulator.ServiceStatistics;
+import holdproxy.emulator.SiteRecord;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/holdproxy/rig/ServeProcess.java
+++ b/src/main/java/holdproxy/harness/ServeProcess.java
@@ -1,4 +1,4 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/main/java/holdproxy/scale/ChildProcess.java
+++ b/src/main/java/holdproxy/scale/ChildProcess.java
@@ -1,7 +1,7 @@
 package holdproxy.scale;
 
-import holdproxy.rig.ChildReaper;
-import holdproxy.rig.ProgramCommand;
+import holdproxy.harness.ChildReaper;
+import holdproxy.harness.ProgramCommand;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/src/main/java/holdproxy/scale/ConnectionsByNodes.java
+++ b/src/main/java/holdproxy/scale/ConnectionsByNodes.java
@@ -1,14 +1,14 @@
 package holdproxy.scale;
 
-import holdproxy.rig.LoopTimeline;
-import holdproxy.town.CacheNode;
-import holdproxy.town.Clients;
-import holdproxy.town.DiscoveryService;
-import holdproxy.town.Load;
-import holdproxy.town.LoadBalancer;
-import holdproxy.town.Origin;
-import holdproxy.town.ProxyConfig;
-import holdproxy.town.SiteRecord;
+import holdproxy.emulator.CacheNode;
+import holdproxy.emulator.Clients;
+import holdproxy.emulator.DiscoveryService;
+import holdproxy.emulator.Load;
+import holdproxy.emulator.LoadBalancer;
+import holdproxy.emulator.Origin;
+import holdproxy.emulator.ProxyConfig;
+import holdproxy.emulator.SiteRecord;
+import holdproxy.harness.LoopTimeline;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/holdproxy/scale/ConsensusByAskers.java
+++ b/src/main/java/holdproxy/scale/ConsensusByAskers.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-import holdproxy.rig.DaemonFormat;
+import holdproxy.harness.DaemonFormat;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/holdproxy/scale/DaemonFleet.java
+++ b/src/main/java/holdproxy/scale/DaemonFleet.java
@@ -1,10 +1,10 @@
 package holdproxy.scale;
 
-import holdproxy.rig.ChildReaper;
-import holdproxy.rig.DaemonFormat;
-import holdproxy.rig.ProgramCommand;
-import holdproxy.rig.ServeProcess;
-import holdproxy.town.ProxyConfig;
+import holdproxy.emulator.ProxyConfig;
+import holdproxy.harness.ChildReaper;
+import holdproxy.harness.DaemonFormat;
+import holdproxy.harness.ProgramCommand;
+import holdproxy.harness.ServeProcess;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/holdproxy/scale/DiscoveryChild.java
+++ b/src/main/java/holdproxy/scale/DiscoveryChild.java
@@ -1,8 +1,8 @@
 package holdproxy.scale;
 
-import holdproxy.rig.LoopTimeline;
-import holdproxy.town.DiscoveryService;
-import holdproxy.town.SiteRecord;
+import holdproxy.emulator.DiscoveryService;
+import holdproxy.emulator.SiteRecord;
+import holdproxy.harness.LoopTimeline;
 import java.net.InetSocketAddress;
 import java.util.Map;
 import picocli.CommandLine.Command;
--- a/src/main/java/holdproxy/scale/MembershipBySize.java
+++ b/src/main/java/holdproxy/scale/MembershipBySize.java
@@ -1,11 +1,11 @@
 package holdproxy.scale;
 
-import holdproxy.lab.SimulatedClock;
 import holdproxy.membership.Member;
 import holdproxy.membership.MemberChange;
 import holdproxy.membership.Membership;
 import holdproxy.membership.Message;
 import holdproxy.membership.MessageCodec;
+import holdproxy.simulation.SimulatedClock;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/holdproxy/scale/RunContext.java
+++ b/src/main/java/holdproxy/scale/RunContext.java
@@ -1,6 +1,6 @@
 package holdproxy.scale;
 
-import holdproxy.rig.ChildReaper;
+import holdproxy.harness.ChildReaper;
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/holdproxy/scale/ScaleCommand.java
+++ b/src/main/java/holdproxy/scale/ScaleCommand.java
@@ -1,9 +1,9 @@
 package holdproxy.scale;
 
 import holdproxy.command.Commands;
+import holdproxy.harness.ChildReaper;
+import holdproxy.harness.ProgramCommand;
 import holdproxy.input.BadInput;
-import holdproxy.rig.ChildReaper;
-import holdproxy.rig.ProgramCommand;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.io.IOException;
--- a/src/main/java/holdproxy/scale/StateByNodes.java
+++ b/src/main/java/holdproxy/scale/StateByNodes.java
@@ -1,9 +1,9 @@
 package holdproxy.scale;
 
+import holdproxy.emulator.ProxyConfig;
 import holdproxy.net.Clock;
 import holdproxy.net.Config;
 import holdproxy.net.Proxy;
-import holdproxy.town.ProxyConfig;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/holdproxy/scale/WatchesChild.java
+++ b/src/main/java/holdproxy/scale/WatchesChild.java
@@ -1,8 +1,8 @@
 package holdproxy.scale;
 
+import holdproxy.emulator.ProxyConfig;
 import holdproxy.net.Config;
 import holdproxy.net.DiscoveryWatch;
-import holdproxy.town.ProxyConfig;
 import java.net.InetSocketAddress;
 import java.time.Instant;
 import java.util.ArrayList;
--- a/src/main/java/holdproxy/lab/ConsensusCommand.java
+++ b/src/main/java/holdproxy/simulation/ConsensusCommand.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import java.util.EnumSet;
 import java.util.Set;
--- a/src/main/java/holdproxy/lab/ConsensusFleet.java
+++ b/src/main/java/holdproxy/simulation/ConsensusFleet.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import holdproxy.consensus.RaftGroup;
 import holdproxy.consensus.StateMachine;
--- a/src/main/java/holdproxy/lab/ConsensusFleetOptions.java
+++ b/src/main/java/holdproxy/simulation/ConsensusFleetOptions.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import holdproxy.input.BadInput;
 import java.util.List;
--- a/src/main/java/holdproxy/lab/FanoutCommand.java
+++ b/src/main/java/holdproxy/simulation/FanoutCommand.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import holdproxy.fanout.Safeguard;
 import holdproxy.input.BadInput;
--- a/src/main/java/holdproxy/lab/FanoutFault.java
+++ b/src/main/java/holdproxy/simulation/FanoutFault.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 /** Faults that the fan-out simulation injects into a fleet. */
 enum FanoutFault {
--- a/src/main/java/holdproxy/lab/FanoutProcesses.java
+++ b/src/main/java/holdproxy/simulation/FanoutProcesses.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import holdproxy.fanout.Change;
 import holdproxy.fanout.ChangeLog;
--- a/src/main/java/holdproxy/lab/FanoutSimulation.java
+++ b/src/main/java/holdproxy/simulation/FanoutSimulation.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import holdproxy.fanout.AppendResult;
 import holdproxy.fanout.ChangeLog;
@@ -12,9 +12,9 @@
 import holdproxy.fanout.Replica;
 import holdproxy.fanout.Safeguard;
 import holdproxy.fanout.Value;
-import holdproxy.lab.FanoutProcesses.Control;
-import holdproxy.lab.FanoutProcesses.Proxy;
-import holdproxy.lab.FanoutProcesses.SiteRelay;
+import holdproxy.simulation.FanoutProcesses.Control;
+import holdproxy.simulation.FanoutProcesses.Proxy;
+import holdproxy.simulation.FanoutProcesses.SiteRelay;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.HashSet;
--- a/src/main/java/holdproxy/lab/FaultInjector.java
+++ b/src/main/java/holdproxy/simulation/FaultInjector.java
@@ -1,8 +1,8 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
-import holdproxy.town.CacheNode;
-import holdproxy.town.Event;
-import holdproxy.town.ProxyConfig;
+import holdproxy.emulator.CacheNode;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.ProxyConfig;
 import java.util.List;
 import java.util.stream.IntStream;
 
--- a/src/main/java/holdproxy/lab/InMemoryNetwork.java
+++ b/src/main/java/holdproxy/simulation/InMemoryNetwork.java
@@ -1,6 +1,6 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
-import holdproxy.town.SiteNetwork;
+import holdproxy.emulator.SiteNetwork;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/holdproxy/lab/LabCommand.java
+++ b/src/main/java/holdproxy/simulation/LabCommand.java
@@ -1,10 +1,10 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import holdproxy.command.Commands;
+import holdproxy.emulator.Auditors;
+import holdproxy.emulator.ServiceStatistics;
 import holdproxy.input.BadInput;
-import holdproxy.town.Auditors;
-import holdproxy.town.ServiceStatistics;
 import io.netty.util.ResourceLeakDetector;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
--- a/src/main/java/holdproxy/lab/LeaseCommand.java
+++ b/src/main/java/holdproxy/simulation/LeaseCommand.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import holdproxy.lease.LeaseClient;
 import java.util.EnumSet;
--- a/src/main/java/holdproxy/lab/LoadOptions.java
+++ b/src/main/java/holdproxy/simulation/LoadOptions.java
@@ -1,7 +1,7 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
+import holdproxy.emulator.Load;
 import holdproxy.input.BadInput;
-import holdproxy.town.Load;
 import java.nio.file.Path;
 import java.util.Collections;
 import java.util.List;
--- a/src/main/java/holdproxy/lab/LoadTimeSeries.java
+++ b/src/main/java/holdproxy/simulation/LoadTimeSeries.java
@@ -1,9 +1,9 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
-import holdproxy.town.Auditors;
-import holdproxy.town.Event;
-import holdproxy.town.MetaProtocolDecoder;
-import holdproxy.town.RequestClass;
+import holdproxy.emulator.Auditors;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.MetaProtocolDecoder;
+import holdproxy.emulator.RequestClass;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/holdproxy/lab/MembershipSimulation.java
+++ b/src/main/java/holdproxy/simulation/MembershipSimulation.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import holdproxy.membership.Member;
 import holdproxy.membership.MemberChange;
--- a/src/main/java/holdproxy/lab/MemoryDisk.java
+++ b/src/main/java/holdproxy/simulation/MemoryDisk.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import holdproxy.consensus.Disk;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/holdproxy/lab/OverloadCommand.java
+++ b/src/main/java/holdproxy/simulation/OverloadCommand.java
@@ -1,8 +1,8 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import holdproxy.command.LineChart;
-import holdproxy.town.Auditors;
+import holdproxy.emulator.Auditors;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/holdproxy/lab/ProxyProcess.java
+++ b/src/main/java/holdproxy/simulation/ProxyProcess.java
@@ -1,15 +1,15 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import holdproxy.console.Figures;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.LoadBalancer;
+import holdproxy.emulator.ProxyConfig;
+import holdproxy.emulator.RequestClass;
+import holdproxy.emulator.SiteRecord;
 import holdproxy.net.Clock;
 import holdproxy.net.Config;
 import holdproxy.net.Proxy;
 import holdproxy.net.Transport;
-import holdproxy.town.Event;
-import holdproxy.town.LoadBalancer;
-import holdproxy.town.ProxyConfig;
-import holdproxy.town.RequestClass;
-import holdproxy.town.SiteRecord;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
--- a/src/main/java/holdproxy/lab/Scenario.java
+++ b/src/main/java/holdproxy/simulation/Scenario.java
@@ -1,6 +1,6 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
-import holdproxy.town.Load;
+import holdproxy.emulator.Load;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/main/java/holdproxy/lab/SimulatedClock.java
+++ b/src/main/java/holdproxy/simulation/SimulatedClock.java
@@ -1,6 +1,6 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
-import holdproxy.town.Scheduler;
+import holdproxy.emulator.Scheduler;
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
--- a/src/main/java/holdproxy/lab/SimulatedConnection.java
+++ b/src/main/java/holdproxy/simulation/SimulatedConnection.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelDuplexHandler;
--- a/src/main/java/holdproxy/lab/SimulatedLinks.java
+++ b/src/main/java/holdproxy/simulation/SimulatedLinks.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import java.util.Collection;
 import java.util.HashMap;
--- a/src/main/java/holdproxy/lab/SimulatedProcess.java
+++ b/src/main/java/holdproxy/simulation/SimulatedProcess.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 /** A simulated process, which can be suspended or ended. */
 abstract class SimulatedProcess {
--- a/src/main/java/holdproxy/lab/SimulationRun.java
+++ b/src/main/java/holdproxy/simulation/SimulationRun.java
@@ -1,10 +1,10 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
+import holdproxy.emulator.Auditors;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.ServiceStatistics;
+import holdproxy.emulator.ZoneReport;
 import holdproxy.net.Transport;
-import holdproxy.town.Auditors;
-import holdproxy.town.Event;
-import holdproxy.town.ServiceStatistics;
-import holdproxy.town.ZoneReport;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/holdproxy/lab/StepCommand.java
+++ b/src/main/java/holdproxy/simulation/StepCommand.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import holdproxy.command.LineChart;
--- a/src/main/java/holdproxy/lab/VirtualLoop.java
+++ b/src/main/java/holdproxy/simulation/VirtualLoop.java
@@ -1,6 +1,6 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
-import holdproxy.town.Scheduler;
+import holdproxy.emulator.Scheduler;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelPromise;
--- a/src/main/java/holdproxy/lab/VirtualTime.java
+++ b/src/main/java/holdproxy/simulation/VirtualTime.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import io.netty.util.concurrent.MockTicker;
 import io.netty.util.concurrent.Ticker;
--- a/src/test/java/holdproxy/ArchitectureTest.java
+++ b/src/test/java/holdproxy/ArchitectureTest.java
@@ -61,7 +61,7 @@
                 .resideInAPackage("holdproxy.net..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("holdproxy.sim..", "holdproxy.lab..", "holdproxy")
+                .resideInAnyPackage("holdproxy.sim..", "holdproxy.simulation..", "holdproxy")
                 .check(MAIN);
     }
 
@@ -70,10 +70,10 @@
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
-                        "holdproxy.lab..",
-                        "holdproxy.town..",
+                        "holdproxy.simulation..",
+                        "holdproxy.emulator..",
                         "holdproxy.toml..",
-                        "holdproxy.rig..",
+                        "holdproxy.harness..",
                         "holdproxy.command..",
                         "holdproxy.daemon..",
                         "holdproxy.scale..")
@@ -279,14 +279,15 @@
     void townDependsOnTransportAndTomlOnly() {
         noClasses()
                 .that()
-                .resideInAPackage("holdproxy.town")
+                .resideInAPackage("holdproxy.emulator")
                 .should()
                 .dependOnClassesThat(
                         JavaClass.Predicates.resideInAnyPackage("holdproxy..")
                                 .and(
                                         not(
                                                 JavaClass.Predicates.resideInAnyPackage(
-                                                                "holdproxy.town", "holdproxy.toml")
+                                                                "holdproxy.emulator",
+                                                                "holdproxy.toml")
                                                         .or(
                                                                 JavaClass.Predicates.simpleName(
                                                                         "Transport")))))
@@ -297,14 +298,14 @@
     void rigDoesNotDependOnTheProgramUnderTest() {
         noClasses()
                 .that()
-                .resideInAPackage("holdproxy.rig")
+                .resideInAPackage("holdproxy.harness")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "holdproxy.net..",
                         "holdproxy.policy..",
                         "holdproxy.console..",
-                        "holdproxy.lab..",
+                        "holdproxy.simulation..",
                         "holdproxy.sim..",
                         "holdproxy.daemon..")
                 .check(MAIN);
--- a/src/test/java/holdproxy/rig/DistributionScheduleTest.java
+++ b/src/test/java/holdproxy/harness/DistributionScheduleTest.java
@@ -1,9 +1,9 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import holdproxy.town.Event;
+import holdproxy.emulator.Event;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/holdproxy/rig/LeaseSchedulesTest.java
+++ b/src/test/java/holdproxy/harness/LeaseSchedulesTest.java
@@ -1,9 +1,9 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import holdproxy.town.Auditors;
+import holdproxy.emulator.Auditors;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/holdproxy/rig/LinkTest.java
+++ b/src/test/java/holdproxy/harness/LinkTest.java
@@ -1,4 +1,4 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/holdproxy/rig/RigTest.java
+++ b/src/test/java/holdproxy/harness/RigTest.java
@@ -1,4 +1,4 @@
-package holdproxy.rig;
+package holdproxy.harness;
 
 import static holdproxy.Awaiting.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import holdproxy.emulator.Auditors;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.Load;
 import holdproxy.input.BadInput;
-import holdproxy.town.Auditors;
-import holdproxy.town.Event;
-import holdproxy.town.Load;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/holdproxy/lab/AuditorsTest.java
+++ b/src/test/java/holdproxy/simulation/AuditorsTest.java
@@ -1,12 +1,12 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import holdproxy.emulator.Auditors;
+import holdproxy.emulator.Event;
 import holdproxy.net.Transport;
-import holdproxy.town.Auditors;
-import holdproxy.town.Event;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/test/java/holdproxy/lab/ColdNodeLoad.java
+++ b/src/test/java/holdproxy/simulation/ColdNodeLoad.java
@@ -1,6 +1,6 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
-import holdproxy.town.Event;
+import holdproxy.emulator.Event;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/test/java/holdproxy/lab/ColdNodesOfManyProxiesTest.java
+++ b/src/test/java/holdproxy/simulation/ColdNodesOfManyProxiesTest.java
@@ -1,13 +1,13 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import holdproxy.town.CacheNode;
-import holdproxy.town.Event;
-import holdproxy.town.Load;
-import holdproxy.town.RequestClass;
+import holdproxy.emulator.CacheNode;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.Load;
+import holdproxy.emulator.RequestClass;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/test/java/holdproxy/lab/OscillationTest.java
+++ b/src/test/java/holdproxy/simulation/OscillationTest.java
@@ -1,4 +1,4 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/holdproxy/lab/SimulatedSiteTest.java
+++ b/src/test/java/holdproxy/simulation/SimulatedSiteTest.java
@@ -1,13 +1,13 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import holdproxy.town.Auditors;
-import holdproxy.town.Event;
-import holdproxy.town.Load;
-import holdproxy.town.ServiceStatistics;
+import holdproxy.emulator.Auditors;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.Load;
+import holdproxy.emulator.ServiceStatistics;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/holdproxy/lab/ZonesTest.java
+++ b/src/test/java/holdproxy/simulation/ZonesTest.java
@@ -1,15 +1,15 @@
-package holdproxy.lab;
+package holdproxy.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import holdproxy.emulator.Auditors;
+import holdproxy.emulator.Event;
+import holdproxy.emulator.LoadBalancer;
+import holdproxy.emulator.ServiceStatistics;
 import holdproxy.input.BadInput;
-import holdproxy.town.Auditors;
-import holdproxy.town.Event;
-import holdproxy.town.LoadBalancer;
-import holdproxy.town.ServiceStatistics;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.SplittableRandom;
