--- a/src/main/java/holdproxy/daemon/ConsensusPart.java
+++ b/src/main/java/holdproxy/daemon/ConsensusPart.java
@@ -118,13 +118,13 @@
         return group.propose(operation, withinUs);
     }
 
-    /** See {@link RaftGroup#leaderSilentUs}. */
+    /** See {@link RaftGroup#leaderSilenceUs}. */
     long leaderSilentUs() {
         return group.leaderSilenceUs();
     }
 
     /**
-     * Requests the lease on a role whenever it is free, from now on; {@code listener} is told when it is
+     * Requests the lease on a role whenever it is free, from now on; {@code listener} is called when it is
      * granted or ends. May be called on any thread.
      */
     void requestLease(String role, int leaseMs, LeaseListener listener) {
--- a/src/main/java/holdproxy/daemon/Daemon.java
+++ b/src/main/java/holdproxy/daemon/Daemon.java
@@ -17,7 +17,7 @@
 
 /** The life cycle of a daemon: starts the proxy and the parts around it and stops them in order. */
 final class Daemon {
-    /** Variable that tells {@link Service} where to keep its files; set to the daemon's folder. */
+    /** Variable that tells {@link ProxyService} where to keep its files; set to the daemon's folder. */
     private static final String KEPT_FILES_VARIABLE = "TMPDIR";
 
     private static final long NS_PER_US = 1_000;
--- a/src/main/java/holdproxy/daemon/ReplicatedState.java
+++ b/src/main/java/holdproxy/daemon/ReplicatedState.java
@@ -48,13 +48,14 @@
         return changes;
     }
 
-    /** The operation that appends a publication; {@link ChangeLogOperations#result} decodes its answer. */
+    /** Operation that appends a publication; {@link ChangeLogOperations#decodeResult} decodes its answer. */
     static List<Object> append(Publication publication) {
         return List.of(CHANGES_MARK, ChangeLogOperations.append(publication));
     }
 
     /**
-     * The operation that gives an empty log its epoch; {@link ChangeLogOperations#result} decodes its answer.
+     * The operation that gives an empty log its epoch; {@link ChangeLogOperations#decodeResult} decodes its
+     * answer.
      */
     static List<Object> found(long epoch) {
         return List.of(CHANGES_MARK, ChangeLogOperations.initialize(epoch));
--- a/src/main/java/holdproxy/emulator/Clients.java
+++ b/src/main/java/holdproxy/emulator/Clients.java
@@ -58,7 +58,7 @@
     private long untilUs;
     private long operations;
 
-    /** Creates clients that send nothing before {@link #ask}. */
+    /** Creates clients that send nothing before {@link #start}. */
     public Clients(
             Scheduler loop,
             List<? extends Transport> networks,
@@ -102,8 +102,8 @@
 
     /**
      * Counts a request as read by the proxy as soon as it is written, for runs where the proxies' networks
-     * are not observed by {@link #atDoor}: a request may then have run when its connection closes, and isn't
-     * sent once more for that.
+     * are not observed by {@link #recordReads}: a request may then have run when its connection closes, and
+     * isn't sent once more for that.
      */
     public void countReadWhenWritten() {
         countsReadWhenWritten = true;
--- a/src/main/java/holdproxy/emulator/DiscoveryService.java
+++ b/src/main/java/holdproxy/emulator/DiscoveryService.java
@@ -58,8 +58,9 @@
      * Creates a service that isn't started.
      *
      * @param callUs time that each call takes
-     * @param unheard whether messages to this proxy are lost
-     * @param places maps a proxy and a node's address to the address at which that proxy reaches the node
+     * @param unreachable whether messages to this proxy are lost
+     * @param addressForProxy maps a proxy and a node's address to the address at which that proxy reaches
+     *     the node
      */
     public DiscoveryService(
             Scheduler loop,
@@ -113,7 +114,7 @@
                 });
     }
 
-    /** The current full list for a proxy that starts with it; recorded as told to the proxy. */
+    /** The current full list for a proxy that starts with it; recorded as sent to the proxy. */
     public String fullList(String proxy) {
         latest.values().forEach(c -> recordTold(proxy, c));
         return list(proxy, true, List.copyOf(latest.values()));
--- a/src/main/java/holdproxy/emulator/Load.java
+++ b/src/main/java/holdproxy/emulator/Load.java
@@ -19,7 +19,7 @@
         double ratePerS, double workMs, int keys, double zipf, int retries, List<Double> clubs) {
     public static final Load DEFAULT = new Load(62, 40, 20_000, 0.9, 2, List.of(0.45, 0.37, 0.18));
 
-    /** Reads the load of a scenario file; missing keys take their value from {@link #PLAIN}. */
+    /** Reads the load of a scenario file; missing keys take their value from {@link #DEFAULT}. */
     public static Load read(TomlSection part) {
         Load defaults = DEFAULT;
         double ratePerS = part.number("rate_per_s", defaults.ratePerS(), 0.1, 100_000);
--- a/src/main/java/holdproxy/emulator/Origin.java
+++ b/src/main/java/holdproxy/emulator/Origin.java
@@ -73,7 +73,7 @@
      * Applies a write and passes its receipt to {@code done}.
      *
      * @param writeKey the client's idempotency key
-     * @param group from {@link #came(String)} for a write whose repeats are dropped, else null
+     * @param group from {@link #groupOnArrival(String)} for a write whose repeats are dropped, else null
      */
     public void write(String id, String key, String writeKey, String group, Consumer<String> done) {
         submit(new Request(id, key, writeKey, group, done));
--- a/src/main/java/holdproxy/emulator/ServiceStatistics.java
+++ b/src/main/java/holdproxy/emulator/ServiceStatistics.java
@@ -105,7 +105,7 @@
         return seconds;
     }
 
-    /** {@link #share(Second)} over the whole record. */
+    /** {@link #servedValueShare(ServiceCounts)} over the whole record. */
     public double servedValueShare() {
         return servedValueShare(all);
     }
--- a/src/main/java/holdproxy/fanout/ChangeLogOperations.java
+++ b/src/main/java/holdproxy/fanout/ChangeLogOperations.java
@@ -18,7 +18,7 @@
 
     private ChangeLogOperations() {}
 
-    /** The operation {@link ChangeLog#found}. */
+    /** The operation {@link ChangeLog#initialize}. */
     public static List<Object> initialize(long epoch) {
         return List.of(FOUND, epoch);
     }
--- a/src/main/java/holdproxy/fanout/Relay.java
+++ b/src/main/java/holdproxy/fanout/Relay.java
@@ -33,7 +33,7 @@
         /** The age if the replica has never been known to be the newest. */
         long UNKNOWN_AGE_US = Long.MAX_VALUE;
 
-        /** Always the same instance; its owner calls {@link Relay#advanced} after each change. */
+        /** Always the same instance; its owner calls {@link Relay#sourceChanged} after each change. */
         Replica replica();
 
         /** Time since the replica was last known to be the newest, or {@link #UNKNOWN_AGE_US}. */
--- a/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
+++ b/src/main/java/holdproxy/fanout/transport/SubscriberClient.java
@@ -35,7 +35,7 @@
     /**
      * Creates a client that is not started; the parameters are those of {@link Subscriber}.
      *
-     * @param below supplies the report on the proxies below a relay; null for a proxy
+     * @param downstreamReport supplies the report on the proxies below a relay; null for a proxy
      */
     public SubscriberClient(
             TransportContext context,
--- a/src/main/java/holdproxy/harness/ChildReaper.java
+++ b/src/main/java/holdproxy/harness/ChildReaper.java
@@ -26,7 +26,7 @@
         registrations = process.getOutputStream();
     }
 
-    /** Starts the reaper process; {@code command} has to run {@link #keep}. */
+    /** Starts the reaper process; {@code command} has to run {@link #run}. */
     public static ChildReaper start(List<String> command) throws IOException {
         return new ChildReaper(
                 new ProcessBuilder(command)
--- a/src/main/java/holdproxy/harness/Link.java
+++ b/src/main/java/holdproxy/harness/Link.java
@@ -28,8 +28,8 @@
  * The link from one process to another: a TCP relay that the caller uses instead of the target's own address.
  * It forwards bytes both ways and applies the {@link LinkState} of each direction. Runs on one event loop.
  *
- * <p>Memory is bounded: each direction of a connection is read only while less than {@link #MOST_HELD} bytes
- * of it are queued. In a cut direction bytes are dropped, not queued.
+ * <p>Memory is bounded: each direction of a connection is read only while less than {@link
+ * #MAX_QUEUED_BYTES} bytes of it are queued. In a cut direction bytes are dropped, not queued.
  */
 public final class Link implements AutoCloseable {
     /** Limit of the bytes queued in one direction of one connection. */
@@ -66,8 +66,8 @@
         Link link = new Link(loop, address, target, seed);
         ChannelFuture bound = link.bind();
         if (!loop.inEventLoop()) {
-            bound.syncUninterruptibly(); // on the loop, the bind completes later and waiting
-            // would deadlock
+            // on the loop, the bind completes later and waiting would deadlock
+            bound.syncUninterruptibly();
         }
         return link;
     }
--- a/src/main/java/holdproxy/input/SettingsReader.java
+++ b/src/main/java/holdproxy/input/SettingsReader.java
@@ -9,8 +9,8 @@
 import java.util.TreeSet;
 
 /**
- * Reads settings from path=value lines. Unknown paths are ignored but can be listed with {@link #unknown};
- * missing ones get a safe default.
+ * Reads settings from path=value lines. Unknown paths are ignored but can be listed with {@link
+ * #unreadPaths}; missing ones get a safe default.
  */
 public final class SettingsReader {
     private static final int MAX_ITEMS = 100_000;
--- a/src/main/java/holdproxy/membership/Membership.java
+++ b/src/main/java/holdproxy/membership/Membership.java
@@ -24,7 +24,7 @@
  * the suspect and other processes are probed once more, and the others must answer while the suspect does
  * not. So a process that is cut off from the network cannot declare the others dead.
  *
- * <p>Bounded: {@link #MOST_MEMBERS} processes, {@link Settings#updatesPerMessage} updates a message.
+ * <p>Bounded: {@link #MAX_MEMBERS} processes, {@link Settings#updatesPerMessage} updates a message.
  */
 public final class Membership {
     public static final int MAX_MEMBERS = 1000;
@@ -578,7 +578,7 @@
     private void sendView(Member to, long number) {
         List<Member> all = new ArrayList<>();
         entries.values().forEach(e -> all.add(e.member));
-        // the asker itself comes first: there may be a later generation of it
+        // the requesting process comes first: there may be a later generation of it
         int asker = all.indexOf(to);
         if (asker > 0) {
             Collections.swap(all, 0, asker);
--- a/src/main/java/holdproxy/net/CounterLog.java
+++ b/src/main/java/holdproxy/net/CounterLog.java
@@ -23,27 +23,27 @@
      * Idle iterations within one interval from which they are logged; a loop that waits for its timers has
      * about 10.
      */
-    private static final long MIN_LOGGED_IDLE_TURNS = 250;
+    private static final long MIN_LOGGED_IDLE_ITERATIONS = 250;
 
-    private final PolicyCounters tally;
+    private final PolicyCounters counters;
     private final Supplier<String> connections;
-    private final LoopLag lateness;
+    private final LoopLag loopLag;
     private final PolicyCounters logged = new PolicyCounters();
-    private LoopIoHandlerFactory turns;
-    private long loggedTurns;
-    private long loggedIdleTurns;
+    private LoopIoHandlerFactory handlerFactory;
+    private long loggedIterations;
+    private long loggedIdleIterations;
     private long loggedLateUs;
 
     /** {@code connections} returns the connection counters since its last call, as text. */
-    CounterLog(PolicyCounters tally, Supplier<String> connections, LoopLag lateness) {
-        this.tally = tally;
+    CounterLog(PolicyCounters counters, Supplier<String> connections, LoopLag loopLag) {
+        this.counters = counters;
         this.connections = connections;
-        this.lateness = lateness;
+        this.loopLag = loopLag;
     }
 
     /** Sets the iteration counters of the event loop; there are none without real sockets. */
     void setTurns(LoopIoHandlerFactory loop) {
-        turns = loop;
+        handlerFactory = loop;
     }
 
     void start(EventLoop loop, Proxy proxy) {
@@ -61,20 +61,20 @@
 
     /** The counters that changed since the last call, each with a space before it. */
     String changesSinceLastCall(long now) {
-        return tally.takeIncreases(logged) + connections.get() + loopChanges(now);
+        return counters.takeIncreases(logged) + connections.get() + loopChanges(now);
     }
 
     private String loopChanges(long now) {
-        long lateUs = lateness.totalUs(now);
+        long lateUs = loopLag.totalUs(now);
         long late = lateUs - loggedLateUs;
         loggedLateUs = lateUs;
         String text = late >= MIN_LOGGED_LATE_US ? " late_ms=" + late / 1000 : "";
-        if (turns != null) {
-            long all = turns.iterations() - loggedTurns;
-            long idle = turns.idleIterations() - loggedIdleTurns;
-            loggedTurns += all;
-            loggedIdleTurns += idle;
-            if (idle >= MIN_LOGGED_IDLE_TURNS) {
+        if (handlerFactory != null) {
+            long all = handlerFactory.iterations() - loggedIterations;
+            long idle = handlerFactory.idleIterations() - loggedIdleIterations;
+            loggedIterations += all;
+            loggedIdleIterations += idle;
+            if (idle >= MIN_LOGGED_IDLE_ITERATIONS) {
                 text += " turns=" + all + " idle_turns=" + idle;
             }
         }
--- a/src/main/java/holdproxy/net/Proxy.java
+++ b/src/main/java/holdproxy/net/Proxy.java
@@ -554,7 +554,7 @@
 
     @Override
     public void probe(int node) {
-        // this router sends no probes; one that did would be told that none was sent
+        // probes are not supported: any probe ends as not sent
         events.add(
                 () -> {
                     report.clear();
--- a/src/main/java/holdproxy/net/ProxyService.java
+++ b/src/main/java/holdproxy/net/ProxyService.java
@@ -102,10 +102,10 @@
         ServerSocketChannel inherited = inherited(env);
         LeftOutStore leftOut = openLeftOut(config, env, log);
         WarmUp.run(config, inherited == null ? WarmUp.ROUNDS : WarmUp.UPGRADE_ROUNDS);
-        LoopIoHandlerFactory turns = new LoopIoHandlerFactory();
-        EventLoop loop = loop(turns);
+        LoopIoHandlerFactory handlerFactory = new LoopIoHandlerFactory();
+        EventLoop loop = loop(handlerFactory);
         Proxy proxy = prepare(config, loop, inherited, leftOut, lines);
-        loop.execute(() -> proxy.counterLog.setTurns(turns));
+        loop.execute(() -> proxy.counterLog.setTurns(handlerFactory));
         ProxyService service = new ProxyService(proxy, loop, log, leftOut, lines);
         followChanges(source, () -> reload(config, proxy, loop, source), log);
         Thread drainHook = new Thread(() -> end.accept(service), "drain");
@@ -151,8 +151,8 @@
                 });
     }
 
-    static EventLoop loop(LoopIoHandlerFactory turns) {
-        return new MultiThreadIoEventLoopGroup(1, turns).next();
+    static EventLoop loop(LoopIoHandlerFactory handlerFactory) {
+        return new MultiThreadIoEventLoopGroup(1, handlerFactory).next();
     }
 
     private static void removeShutdownHook(Thread hook) {
--- a/src/main/java/holdproxy/net/Transport.java
+++ b/src/main/java/holdproxy/net/Transport.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** Opens the proxy's connections: sockets in service, in-memory channels in rehearsal and lab. */
+/** Opens the proxy's connections: sockets in service, in-memory channels in warm-up and simulation. */
 public interface Transport {
     /**
      * Opens a connection with these handlers, the first next to the network. The future fails if it is not
--- a/src/main/java/holdproxy/policy/AdmissionControl.java
+++ b/src/main/java/holdproxy/policy/AdmissionControl.java
@@ -12,10 +12,8 @@
     static final double PD_FRACTION = 0.01;
     static final double PI_MAX = 0.8;
     // Decay: a probability falls to 1/e in this time while SLOW_DECAY_FAILURES of the requests fail
-    // or
-    // SLOW_DECAY_QUEUEING of the answers indicate queueing, proportionally sooner while fewer do:
-    // refusals
-    // end once their cause is gone.
+    // or SLOW_DECAY_QUEUEING of the answers indicate queueing, proportionally sooner while fewer
+    // do: refusals end once their cause is gone.
     static final double DECAY_MAX_US = 10e6;
     static final double DECAY_MIN_US = 0.4e6;
     static final double SLOW_DECAY_FAILURES = 0.1;
--- a/src/main/java/holdproxy/policy/DecayingValue.java
+++ b/src/main/java/holdproxy/policy/DecayingValue.java
@@ -17,10 +17,10 @@
     }
 
     /** Extends an array to at least {@code n} elements; the given ones come first. */
-    static DecayingValue[] extended(DecayingValue[] before, int n, double fadeUs) {
+    static DecayingValue[] extended(DecayingValue[] before, int n, double decayUs) {
         DecayingValue[] all = Arrays.copyOf(before, Math.max(before.length, n));
         for (int i = before.length; i < all.length; i++) {
-            all[i] = new DecayingValue(fadeUs);
+            all[i] = new DecayingValue(decayUs);
         }
         return all;
     }
@@ -29,9 +29,9 @@
         return decayed(value, updated, now, decayUs);
     }
 
-    /** Adds a positive or negative step, clamped to 0 to {@code most}; returns the new value. */
-    double add(double step, double most, long now) {
-        set(Math.max(0, Math.min(most, get(now) + step)), now);
+    /** Adds a positive or negative step, clamped to 0 to {@code max}; returns the new value. */
+    double add(double step, double max, long now) {
+        set(Math.max(0, Math.min(max, get(now) + step)), now);
         return value;
     }
 
@@ -50,7 +50,7 @@
         updated = now;
     }
 
-    static double decayed(double value, long since, long now, double fadeUs) {
-        return value == 0 ? 0 : value * Math.exp((since - now) / fadeUs);
+    static double decayed(double value, long since, long now, double decayUs) {
+        return value == 0 ? 0 : value * Math.exp((since - now) / decayUs);
     }
 }
--- a/src/main/java/holdproxy/policy/NodeTable.java
+++ b/src/main/java/holdproxy/policy/NodeTable.java
@@ -7,8 +7,8 @@
 
 /**
  * The node list as last received, without nodes that are gone and have no attempt outstanding; and flat
- * arrays of those that accept requests. {@link TrackedNode#takesNew} decides which do; this class only keeps
- * the lists.
+ * arrays of those that accept requests. {@link TrackedNode#acceptsNew} decides which do; this class only
+ * keeps the lists.
  */
 final class NodeTable {
     private final LongMap<TrackedNode> byId = new LongMap<>();
--- a/src/main/java/holdproxy/policy/Router.java
+++ b/src/main/java/holdproxy/policy/Router.java
@@ -202,7 +202,7 @@
         /** True: requests repeated by clients are marked. */
         public boolean clientsMarkRepeats;
 
-        /** Whether {@link Actions#tell} may be used. */
+        /** Whether {@link Actions#sendMessage} may be used. */
         public boolean mayMessageRouters;
 
         /** True: worth is counted per unit of work; false: per request. */
@@ -289,13 +289,13 @@
             for (RequestClass c : classes) {
                 reject(
                         c.targetUs <= 0,
-                        "class '" + c.name + "' needs an aim above 0, not " + c.targetUs);
+                        "class '" + c.name + "' needs a latency target above 0, not " + c.targetUs);
             }
             reject(routers < 1, "routers must be at least 1, not " + routers);
             reject(maxAttempts < 1, "maxAttempts must be at least 1, not " + maxAttempts);
             reject(
                     cacheAside && originKind < 0,
-                    "aside mode needs originKind, the kind of the origin's entry");
+                    "cache-aside mode needs originKind, the kind of the origin's entry");
             reject(
                     !(coldFrom > 0 && coldFrom <= 1),
                     "coldFrom must be above 0 and up to 1, not " + coldFrom);
@@ -427,6 +427,6 @@
     /** The result of a {@link Actions#probe}. */
     void onProbe(long nowUs, int node, Outcome outcome, long latencyUs, Report report, Actions out);
 
-    /** A message that another router of the tier sent with {@link Actions#tell}; it may be late or lost. */
+    /** A message that another router sent with {@link Actions#sendMessage}; it may be late or lost. */
     void onMessage(long nowUs, int router, byte[] data, Actions out);
 }
--- a/src/main/java/holdproxy/policy/RoutingPolicy.java
+++ b/src/main/java/holdproxy/policy/RoutingPolicy.java
@@ -54,12 +54,12 @@
     private Settings set;
     private final SplitMix64 random;
     private final RequestRates demand;
-    private final AdmissionControl door;
+    private final AdmissionControl admission;
     private final NodeTable fleet;
-    private final NodeSelector placement;
+    private final NodeSelector selector;
     private final DecayingValue originChance = new DecayingValue(TrackedNode.DECAY_US);
     private final LongMap<OpenRequest> open = new LongMap<>();
-    private IdleLimit idling;
+    private IdleLimit idleLimit;
     private double leastWorth;
     private double budget = BUDGET_FIRST;
     private double meanUs;
@@ -71,10 +71,10 @@
     public RoutingPolicy(Settings settings, long seed, long nowUs, Actions out) {
         random = new SplitMix64(seed);
         demand = new RequestRates(nowUs);
-        door = new AdmissionControl(demand, random);
+        admission = new AdmissionControl(demand, random);
         fleet = new NodeTable(settings);
-        placement = new NodeSelector(fleet, demand, random, counters);
-        door.scheduleRotation(nowUs);
+        selector = new NodeSelector(fleet, demand, random, counters);
+        admission.scheduleRotation(nowUs);
         onSettings(nowUs, settings);
         if (settings.subscribesToNodes) {
             // the list from before the start may be stale, and changes count for a new process too
@@ -86,14 +86,14 @@
     public void onSettings(long now, Settings settings) {
         settings.check();
         if (set == null || set.idleCloseUs != settings.idleCloseUs) {
-            idling = new IdleLimit(settings.idleCloseUs);
+            idleLimit = new IdleLimit(settings.idleCloseUs);
         }
         set = settings;
         leastWorth =
                 Math.max(
                         1e-6, Arrays.stream(set.classes).mapToDouble(c -> c.worth).min().orElse(1));
         demand.applySettings(settings);
-        placement.settings(settings);
+        selector.settings(settings);
     }
 
     // ---- node list ----
@@ -146,18 +146,18 @@
      * than not.
      */
     public int avoidedNodes(long now) {
-        return placement.avoided(now);
+        return selector.avoided(now);
     }
 
     // ---- request arrival: admission by the tenant's refusal probability ----
 
     @Override
     public void onRequest(long now, Request q, Actions out) {
-        door.rotateIfDue(now);
+        admission.rotateIfDue(now);
         int tenant = demand.tenantIndex(q.tenant);
         counters.add(q.repeat ? Count.REPEATS : Count.REQUESTS);
         demand.countArrival(tenant, q.repeat, now);
-        double chance = door.refusalProbability(tenant, now);
+        double chance = admission.refusalProbability(tenant, now);
         if (chance > 0 && random.nextUnit() < chance) {
             counters.add(Count.REFUSED_BY_CHANCE);
             report(now, "refusing requests", out);
@@ -168,7 +168,7 @@
         int type = Math.max(0, Math.min(q.requestClass, set.classes.length - 1));
         OpenRequest r = new OpenRequest(q, set.classes[type], tenant, set.maxAttempts, now);
         open.put(r.id, r);
-        placement.wanted(r.key, now);
+        selector.wanted(r.key, now);
         start(r, now, out);
     }
 
@@ -182,7 +182,7 @@
                             + ": origin refusal probability "
                             + Math.round(100 * originChance.get(now)) / 100.0
                             + ", "
-                            + door.statusText()
+                            + admission.statusText()
                             + ", consecutive failed discovery calls "
                             + askFailures);
         }
@@ -199,12 +199,14 @@
         if (set.cacheAside && r.write) {
             sendToOrigin(r, now, out);
         } else {
-            send(r, placement.choose(r, now), now, out);
+            send(r, selector.choose(r, now), now, out);
         }
         if (!r.done && set.secondCopies) {
-            double aim = r.type.targetUs;
+            double latencyTargetUs = r.type.targetUs;
             double wait =
-                    Math.max(COPY_SOONEST * aim, Math.min(COPY_LATEST * aim, meanUs + 4 * devUs));
+                    Math.max(
+                            COPY_SOONEST * latencyTargetUs,
+                            Math.min(COPY_LATEST * latencyTargetUs, meanUs + 4 * devUs));
             out.timer((long) wait, r.id << 3 | TIMER_COPY);
         }
     }
@@ -245,7 +247,7 @@
             }
             return;
         }
-        if (t.idleSince != Long.MIN_VALUE && now - t.idleSince > idling.limitUs(now)) {
+        if (t.idleSince != Long.MIN_VALUE && now - t.idleSince > idleLimit.limitUs(now)) {
             closeIdle(t, out);
         }
         r.idledUs[r.attempts] = t.idleSince != Long.MIN_VALUE ? now - t.idleSince : -1;
@@ -264,25 +266,25 @@
      */
     private void released(OpenRequest r, int attempt, Outcome o, long now, Actions out) {
         TrackedNode t = r.node[attempt];
-        double limit = idling.limitUs(now);
+        double limit = idleLimit.limitUs(now);
         if (fleet.isOrigin(t)) {
             return; // shared by all proxies: a handshake costs the most while it is slow
         }
         if (o == Outcome.CONNECT_FAILED) {
             if (set.handshakePrice == 0) {
-                idling.connectionRefused(now);
+                idleLimit.connectionRefused(now);
             }
         } else if (o == Outcome.RESET) {
             t.idleSince = Long.MIN_VALUE;
         } else {
             if (o == Outcome.OK) {
-                idling.servedAfterIdling(r.idledUs[attempt], limit, now);
+                idleLimit.servedAfterIdling(r.idledUs[attempt], limit, now);
             }
             t.idleSince = now;
             boolean freely = set.handshakePrice == 0 || limit < set.idleCloseUs / 2.0;
             // silence says nothing about those that idled no longer than others that still worked
             boolean suspect =
-                    o == Outcome.TIMEOUT && idling.idledBeyondSurvived(r.idledUs[attempt], now);
+                    o == Outcome.TIMEOUT && idleLimit.idledBeyondSurvived(r.idledUs[attempt], now);
             if (suspect || freely && fleet.readyCount / demand.rate(now) * 1e6 > limit) {
                 closeIdle(t, out);
             }
@@ -320,7 +322,7 @@
         TrackedNode t =
                 !may || r.attempts >= r.attemptsMost
                         ? null
-                        : toOrigin ? origin() : placement.choose(r, now);
+                        : toOrigin ? origin() : selector.choose(r, now);
         if (t == null || !r.mayGoTo(t, set, now)) {
             send(r, null, now, out);
             return;
@@ -338,7 +340,7 @@
             return;
         }
         if (r.mayRefuse()) {
-            out.refuse(r.id, retryAfter(door.refusalProbability(r.tenant, now)));
+            out.refuse(r.id, retryAfter(admission.refusalProbability(r.tenant, now)));
         } else {
             counters.add(Count.FAILED);
             out.fail(r.id);
@@ -386,7 +388,7 @@
             t.markUp();
         }
         released(r, attempt, o, now, out);
-        placement.busy(r, t, o, note, report, latency, now);
+        selector.busy(r, t, o, note, report, latency, now);
         boolean fromOrigin = fleet.isOrigin(t);
         switch (o) {
             case OK -> counters.add(now - r.arrived > r.type.targetUs ? Count.LATE : Count.SERVED);
@@ -434,10 +436,10 @@
         if (!fromOrigin && o != Outcome.CONNECT_FAILED && (good || !fetched)) {
             boolean lateHit = latency > r.type.targetUs && !fetched;
             double weight = o == Outcome.TIMEOUT || o == Outcome.OK ? NodeSelector.SOFT : 1;
-            placement.evidence(t, !good || lateHit, weight, now);
+            selector.evidence(t, !good || lateHit, weight, now);
         }
         if (o == Outcome.OK || o == Outcome.OVERLOADED) {
-            door.recordAnswer(o == Outcome.OK, latency, r.type.targetUs, now);
+            admission.recordAnswer(o == Outcome.OK, latency, r.type.targetUs, now);
         }
         if (o == Outcome.OK && !r.write) {
             devUs += (Math.abs(latency - meanUs) - devUs) / 8;
@@ -456,10 +458,10 @@
             // node that fails more than others to that node, unless the tenant exceeds its quota by
             // more than the mean request does.
             boolean over = demand.quotaRatio(r.tenant, now) > demand.meanRatio();
-            double beyond = placement.learnUsual(ofNode);
+            double beyond = selector.learnUsual(ofNode);
             double known = fromOrigin || fetched ? originChance.get(now) : over ? 0 : beyond;
-            boolean told = o == Outcome.OVERLOADED || o == Outcome.ERROR;
-            door.recordOutcome(r, failed, o == Outcome.OK, fromOrigin, known, told, now);
+            boolean reported = o == Outcome.OVERLOADED || o == Outcome.ERROR;
+            admission.recordOutcome(r, failed, o == Outcome.OK, fromOrigin, known, reported, now);
         }
     }
 
@@ -510,11 +512,11 @@
             // elsewhere would never be blamed
             int first = Integer.numberOfTrailingZeros(r.out);
             TrackedNode slow = r.node[first];
-            if (idling.silentAfterIdling(r.idledUs[first], now)) {
+            if (idleLimit.silentAfterIdling(r.idledUs[first], now)) {
                 closeIdle(slow, out);
             }
             double waited = r.waited(now - r.arrived);
-            placement.evidence(
+            selector.evidence(
                     slow, true, NodeSelector.SOFT * Math.min(1, waited / COPY_SOONEST), now);
             slow.busyShare.set(Math.max(slow.busyShare.get(now), waited), now);
             retry(r, now, out);
--- a/src/main/java/holdproxy/policy/TrackedNode.java
+++ b/src/main/java/holdproxy/policy/TrackedNode.java
@@ -87,7 +87,7 @@
 
     /**
      * For monitoring: listed, but left out, down, or passed over with a probability of more than {@code
-     * most} beyond the usual.
+     * threshold} beyond the usual.
      */
     boolean isAvoided(double usualProbability, double threshold, long now) {
         return state != Router.NodeState.GONE
--- a/src/main/java/holdproxy/simulation/FaultInjector.java
+++ b/src/main/java/holdproxy/simulation/FaultInjector.java
@@ -18,20 +18,20 @@
 
     private static final double TOLD_S = 0.1;
 
-    private final SimulatedSite town;
+    private final SimulatedSite site;
 
-    private FaultInjector(SimulatedSite town) {
-        this.town = town;
+    private FaultInjector(SimulatedSite site) {
+        this.site = site;
     }
 
-    static void scheduleAll(SimulatedSite town, List<Fault> faults) {
-        FaultInjector troubles = new FaultInjector(town);
-        faults.forEach(f -> town.schedule(f.atS(), () -> troubles.apply(f)));
+    static void scheduleAll(SimulatedSite site, List<Fault> faults) {
+        FaultInjector injector = new FaultInjector(site);
+        faults.forEach(f -> site.schedule(f.atS(), () -> injector.apply(f)));
     }
 
     /** Schedules a task this many seconds from now. */
     private void schedule(double seconds, Runnable task) {
-        town.loop.schedule((long) (seconds * 1e6), task);
+        site.loop.schedule((long) (seconds * 1e6), task);
     }
 
     /** Schedules a task at the fault's end, unless it has none. */
@@ -51,18 +51,18 @@
                                             p.kill(
                                                     (long) (f.noticedS() * 1e6),
                                                     (long) (f.forS() * 1e6)));
-            case HOLD -> town.proxies.get(f.target()).pause((long) (f.forS() * 1e6));
+            case HOLD -> site.proxies.get(f.target()).pause((long) (f.forS() * 1e6));
             case DISCOVERY_DOWN -> {
-                town.discovery.setDown(true);
-                scheduleEnd(f, () -> town.discovery.setDown(false));
+                site.discovery.setDown(true);
+                scheduleEnd(f, () -> site.discovery.setDown(false));
             }
             case SURGE -> {
-                town.clients.setRateFactor(f.target(), f.times());
-                scheduleEnd(f, () -> town.clients.setRateFactor(f.target(), 1));
+                site.clients.setRateFactor(f.target(), f.times());
+                scheduleEnd(f, () -> site.clients.setRateFactor(f.target(), 1));
             }
             case RETUNE -> {
-                town.proxies.forEach(p -> p.reload(1));
-                scheduleEnd(f, () -> town.proxies.forEach(p -> p.reload(ProxyConfig.MAX_ATTEMPTS)));
+                site.proxies.forEach(p -> p.reload(1));
+                scheduleEnd(f, () -> site.proxies.forEach(p -> p.reload(ProxyConfig.MAX_ATTEMPTS)));
             }
             case ZONE_DEAD, ZONE_LOST, ZONE_SILENT -> applyZoneOutage(f);
             case ZONE_CUT -> {
@@ -73,22 +73,22 @@
             case ZONE_CUT_OUT -> cut(f, false);
             case ZONE_GRAY -> {
                 recordFault(f, "gray");
-                town.zones.degradeLinks(f.target(), f.chance(), f.times());
+                site.zones.degradeLinks(f.target(), f.chance(), f.times());
                 scheduleEnd(
                         f,
                         () -> {
-                            town.zones.degradeLinks(f.target(), 0, 1);
+                            site.zones.degradeLinks(f.target(), 0, 1);
                             recordFault(f, "sound");
                         });
             }
             case HOT_KEY -> {
-                town.clients.setHotKeyShare(f.part());
-                scheduleEnd(f, () -> town.clients.setHotKeyShare(0));
+                site.clients.setHotKeyShare(f.part());
+                scheduleEnd(f, () -> site.clients.setHotKeyShare(0));
             }
             default -> {
-                int count = f.count(town.nodes.size());
+                int count = f.count(site.nodes.size());
                 for (int i = 0; i < count; i++) {
-                    int place = (f.target() + i) % town.nodes.size();
+                    int place = (f.target() + i) % site.nodes.size();
                     if (f.kind() == Fault.Kind.REPLACE) {
                         schedule(f.forS() * i / count, () -> replace(place));
                     } else {
@@ -100,24 +100,24 @@
     }
 
     private List<ProxyProcess> proxies(Fault f) {
-        int all = town.proxies.size();
+        int all = site.proxies.size();
         return IntStream.range(0, f.count(all))
-                .mapToObj(i -> town.proxies.get((f.target() + i) % all))
+                .mapToObj(i -> site.proxies.get((f.target() + i) % all))
                 .toList();
     }
 
     private void recordFault(Fault f, String what) {
-        town.record.add(town.loop.nowUs(), Event.Kind.FAULT, "zone-" + f.target(), "", what);
+        site.record.add(site.loop.nowUs(), Event.Kind.FAULT, "zone-" + f.target(), "", what);
     }
 
     private void cut(Fault f, boolean inwards) {
         String way = inwards ? " inwards" : " outwards";
         recordFault(f, "cut" + way);
-        town.zones.cut(f.target(), inwards, true);
+        site.zones.cut(f.target(), inwards, true);
         scheduleEnd(
                 f,
                 () -> {
-                    town.zones.cut(f.target(), inwards, false);
+                    site.zones.cut(f.target(), inwards, false);
                     recordFault(f, "joined" + way);
                 });
     }
@@ -129,28 +129,28 @@
     private void applyZoneOutage(Fault f) {
         boolean dead = f.kind() == Fault.Kind.ZONE_DEAD;
         List<CacheNode> nodes =
-                town.nodes.stream().filter(n -> n.zone == f.target() && n.isUp()).toList();
+                site.nodes.stream().filter(n -> n.zone == f.target() && n.isUp()).toList();
         List<ProxyProcess> proxies =
-                town.proxies.stream().filter(p -> p.zone == f.target()).toList();
+                site.proxies.stream().filter(p -> p.zone == f.target()).toList();
         recordFault(f, dead ? "dead" : "silent");
         if (dead) {
             nodes.forEach(n -> n.stop("crash"));
             proxies.forEach(p -> p.kill((long) (f.noticedS() * 1e6), (long) (f.forS() * 1e6)));
         } else {
-            town.zones.silent(f.target(), true);
+            site.zones.silent(f.target(), true);
         }
         schedule(
                 f.noticedS(),
                 () -> {
-                    nodes.forEach(town::publishNodeState);
-                    if (!dead && town.zones.silent(f.target())) {
+                    nodes.forEach(site::publishNodeState);
+                    if (!dead && site.zones.silent(f.target())) {
                         proxies.forEach(p -> p.setForwarding(false));
                     }
                 });
         scheduleEnd(
                 f,
                 () -> {
-                    town.zones.silent(f.target(), false);
+                    site.zones.silent(f.target(), false);
                     recordFault(f, "back");
                     if (f.kind() == Fault.Kind.ZONE_LOST) {
                         nodes.forEach(n -> n.stop("crash"));
@@ -161,42 +161,42 @@
                     if (f.kind() != Fault.Kind.ZONE_SILENT) {
                         // the position may have another node by now, which may already be up
                         nodes.stream()
-                                .filter(n -> !n.isUp() && town.nodes.contains(n))
+                                .filter(n -> !n.isUp() && site.nodes.contains(n))
                                 .forEach(CacheNode::startCold);
                     }
-                    schedule(ADDED_S, () -> nodes.forEach(town::publishNodeState));
+                    schedule(ADDED_S, () -> nodes.forEach(site::publishNodeState));
                 });
     }
 
     private void applyToNode(Fault f, int place) {
-        CacheNode node = town.nodes.get(place);
+        CacheNode node = site.nodes.get(place);
         switch (f.kind()) {
             case CRASH -> {
                 node.stop("crash");
-                schedule(f.noticedS(), () -> town.publishNodeState(node));
+                schedule(f.noticedS(), () -> site.publishNodeState(node));
                 scheduleEnd(
                         f,
                         () -> {
-                            if (!node.isUp() && town.nodes.get(place) == node) {
+                            if (!node.isUp() && site.nodes.get(place) == node) {
                                 node.startCold();
-                                schedule(ADDED_S, () -> town.publishNodeState(node));
+                                schedule(ADDED_S, () -> site.publishNodeState(node));
                             }
                         });
             }
             case SILENT -> {
-                town.setDisconnected(node, true);
-                schedule(f.noticedS(), () -> town.publishNodeState(node));
+                site.setDisconnected(node, true);
+                schedule(f.noticedS(), () -> site.publishNodeState(node));
                 scheduleEnd(
                         f,
                         () -> {
-                            town.setDisconnected(node, false);
-                            schedule(ADDED_S, () -> town.publishNodeState(node));
+                            site.setDisconnected(node, false);
+                            schedule(ADDED_S, () -> site.publishNodeState(node));
                         });
             }
             case LEAVE_OUT -> leaveOut(f, node, place);
             case RESETS -> {
-                town.setResetProbability(node, f.chance());
-                scheduleEnd(f, () -> town.setResetProbability(node, 0));
+                site.setResetProbability(node, f.chance());
+                scheduleEnd(f, () -> site.setResetProbability(node, 0));
             }
             default -> {
                 node.setSlowdown(f.times());
@@ -206,43 +206,43 @@
     }
 
     private void leaveOut(Fault f, CacheNode node, int place) {
-        town.proxies.forEach(p -> p.leaveOut(node.name, true));
+        site.proxies.forEach(p -> p.leaveOut(node.name, true));
         schedule(
                 DRAIN_S / 2,
                 () -> {
-                    if (node.isUp() && town.nodes.get(place) == node) {
+                    if (node.isUp() && site.nodes.get(place) == node) {
                         node.stop("end");
                         schedule(
                                 SUCCEEDS_S,
                                 () -> {
-                                    if (!node.isUp() && town.nodes.get(place) == node) {
+                                    if (!node.isUp() && site.nodes.get(place) == node) {
                                         node.startCold();
-                                        schedule(ADDED_S, () -> town.publishNodeState(node));
+                                        schedule(ADDED_S, () -> site.publishNodeState(node));
                                     }
                                 });
                     }
                 });
-        scheduleEnd(f, () -> town.proxies.forEach(p -> p.leaveOut(node.name, false)));
+        scheduleEnd(f, () -> site.proxies.forEach(p -> p.leaveOut(node.name, false)));
     }
 
     private void replace(int place) {
-        CacheNode node = town.nodes.get(place);
+        CacheNode node = site.nodes.get(place);
         if (!node.isUp() || node.isDraining()) {
             return;
         }
         node.drain();
-        schedule(TOLD_S, () -> town.publishNodeState(node));
+        schedule(TOLD_S, () -> site.publishNodeState(node));
         schedule(
                 DRAIN_S,
                 () -> {
                     node.stop("end");
-                    town.publishNodeState(node);
+                    site.publishNodeState(node);
                     schedule(
                             SUCCEEDS_S,
                             () -> {
-                                CacheNode successor = town.successor(place);
+                                CacheNode successor = site.successor(place);
                                 successor.startCold();
-                                schedule(ADDED_S, () -> town.publishNodeState(successor));
+                                schedule(ADDED_S, () -> site.publishNodeState(successor));
                             });
                 });
     }
--- a/src/main/java/holdproxy/simulation/LoadTimeSeries.java
+++ b/src/main/java/holdproxy/simulation/LoadTimeSeries.java
@@ -58,9 +58,9 @@
 
     /** Runs a scenario with its auditors. */
     static LoadTimeSeries of(Scenario scenario) {
-        try (SimulatedSite town = new SimulatedSite(scenario)) {
-            town.run();
-            List<Event> events = town.record.events();
+        try (SimulatedSite site = new SimulatedSite(scenario)) {
+            site.run();
+            List<Event> events = site.record.events();
             return new LoadTimeSeries(scenario, events, Auditors.violations(events));
         }
     }
--- a/src/main/java/holdproxy/simulation/MemoryDisk.java
+++ b/src/main/java/holdproxy/simulation/MemoryDisk.java
@@ -8,7 +8,7 @@
 
 /**
  * A simulated disk: durable data survives the process, and a random part of the rest may. It fails
- * when told to.
+ * on request.
  */
 final class MemoryDisk implements Disk {
     private final Random random;
--- a/src/main/java/holdproxy/simulation/ProxyProcess.java
+++ b/src/main/java/holdproxy/simulation/ProxyProcess.java
@@ -26,11 +26,11 @@
     private static final long KILLED_AFTER_US = 3_700_000;
 
     /** New connections still arrive for this long after SIGTERM. */
-    private static final long FRONT_TOLD_US = 300_000;
+    private static final long FRONT_DELAY_US = 300_000;
 
     final String name;
     final int zone;
-    private final int door;
+    private final int frontIndex;
     private final VirtualTime time;
     private final VirtualLoop world;
     private final InMemoryNetwork network;
@@ -52,14 +52,14 @@
     private int life;
 
     /**
-     * {@code door}: its index at the front; {@code config}: the configuration read at each start, for a
+     * {@code frontIndex}: its index at the front; {@code config}: the configuration read at each start, for a
      * number of attempts; {@code retuned}: the configuration for a reload; {@code planted} is inserted
      * between the proxy and its network.
      */
     ProxyProcess(
             String name,
             int zone,
-            int door,
+            int frontIndex,
             VirtualTime time,
             VirtualLoop world,
             InMemoryNetwork network,
@@ -72,7 +72,7 @@
             Consumer<String> log) {
         this.name = name;
         this.zone = zone;
-        this.door = door;
+        this.frontIndex = frontIndex;
         this.time = time;
         this.world = world;
         this.network = network;
@@ -115,7 +115,7 @@
                     record.add(
                             time.nowUs(), Event.Kind.RETUNED, name, "", Integer.toString(attempts));
                     leftOut.forEach(node -> leaveOut(proxy, node, true));
-                    world.execute(() -> front.setInUse(door, true));
+                    world.execute(() -> front.setInUse(frontIndex, true));
                 });
     }
 
@@ -127,13 +127,13 @@
             leftOut.remove(node);
         }
         if (isRunning() && proxy != null) {
-            Proxy told = proxy;
-            loop.execute(() -> leaveOut(told, node, out));
+            Proxy target = proxy;
+            loop.execute(() -> leaveOut(target, node, out));
         }
     }
 
-    private void leaveOut(Proxy told, String node, boolean out) {
-        told.leaveOut(node, out);
+    private void leaveOut(Proxy target, String node, boolean out) {
+        target.leaveOut(node, out);
         record.add(time.nowUs(), Event.Kind.OUT, name, node, out ? "out" : "back");
     }
 
@@ -141,10 +141,10 @@
     void reload(int to) {
         attempts = to;
         if (isRunning() && proxy != null) {
-            Proxy told = proxy;
+            Proxy target = proxy;
             loop.execute(
                     () -> {
-                        told.applyConfig(retuned.apply(to));
+                        target.applyConfig(retuned.apply(to));
                         record.add(
                                 time.nowUs(), Event.Kind.RETUNED, name, "", Integer.toString(to));
                     });
@@ -186,10 +186,10 @@
                         proxy.drain()
                                 .addListener(f -> world.execute(() -> shutDown(ending, downUs))));
         world.schedule(
-                FRONT_TOLD_US,
+                FRONT_DELAY_US,
                 () -> {
                     if (life == ending) {
-                        front.setInUse(door, false);
+                        front.setInUse(frontIndex, false);
                     }
                 });
         world.schedule(KILLED_AFTER_US, () -> shutDown(ending, downUs));
@@ -198,7 +198,7 @@
     private void shutDown(int ending, long downUs) {
         if (life == ending && isRunning()) {
             over("ended");
-            front.setInUse(door, false);
+            front.setInUse(frontIndex, false);
             world.schedule(downUs, this::start);
         }
     }
@@ -216,7 +216,7 @@
                 noticedUs,
                 () -> {
                     if (life == killed) {
-                        front.setInUse(door, false);
+                        front.setInUse(frontIndex, false);
                     }
                 });
         world.schedule(
@@ -237,7 +237,7 @@
 
     /** Sets whether the front forwards to it, regardless of its state. */
     void setForwarding(boolean up) {
-        front.setInUse(door, up && isRunning());
+        front.setInUse(frontIndex, up && isRunning());
     }
 
     /** Pauses the process for this long. */
--- a/src/main/java/holdproxy/simulation/SimulationRun.java
+++ b/src/main/java/holdproxy/simulation/SimulationRun.java
@@ -31,14 +31,14 @@
 
     /** Runs a scenario; {@code planted} is inserted between the proxies and their network. */
     static SimulationRun of(Scenario scenario, UnaryOperator<Transport> planted) {
-        try (SimulatedSite town = new SimulatedSite(scenario, planted)) {
-            town.run();
-            List<Event> events = town.record.events();
+        try (SimulatedSite site = new SimulatedSite(scenario, planted)) {
+            site.run();
+            List<Event> events = site.record.events();
             List<Auditors.Violation> broken = Auditors.violations(events);
-            town.logs.stream()
+            site.logs.stream()
                     .filter(l -> l.contains(" fault: "))
                     .forEach(l -> broken.add(new Auditors.Violation("no fault", l)));
-            for (ProxyProcess p : town.proxies) {
+            for (ProxyProcess p : site.proxies) {
                 if (p.open() != 0) {
                     broken.add(
                             new Auditors.Violation(
@@ -54,9 +54,9 @@
             }
             ServiceStatistics service = new ServiceStatistics(events);
             Map<String, Object> figures = new LinkedHashMap<>(service.figures());
-            figures.put("register_peak_load", town.register.peakLoad());
+            figures.put("register_peak_load", site.register.peakLoad());
             figures.putAll(new ZoneReport(events).figures());
-            return new SimulationRun(scenario, service, figures, broken, town.record.hash());
+            return new SimulationRun(scenario, service, figures, broken, site.record.hash());
         }
     }
 }
--- a/src/main/java/holdproxy/toml/TomlSection.java
+++ b/src/main/java/holdproxy/toml/TomlSection.java
@@ -15,9 +15,9 @@
 import org.tomlj.TomlTable;
 
 /**
- * A table of a TOML file with checked access. It records which keys were read, so that {@link #done} can
- * report unknown ones. A value that is missing, unknown, of the wrong type or out of range is a {@link
- * BadInput} with the file and the line.
+ * A table of a TOML file with checked access. It records which keys were read, so that {@link
+ * #rejectUnknownKeys} can report unknown ones. A value that is missing, unknown, of the wrong type or
+ * out of range is a {@link BadInput} with the file and the line.
  */
 public final class TomlSection {
     private final String file;
--- a/src/test/java/holdproxy/harness/DistributionScheduleTest.java
+++ b/src/test/java/holdproxy/harness/DistributionScheduleTest.java
@@ -18,9 +18,9 @@
     @Test
     void proxiesEndAtTheNewestVersionThoughEachRelayIsKilled() throws Exception {
         Schedule schedule = Schedule.read(Path.of("rig/distribution/relays-killed.toml"));
-        try (ChildReaper keeper = ChildReaper.start(RigCommand.ownCommand("rig", "keep"));
+        try (ChildReaper reaper = ChildReaper.start(RigCommand.ownCommand("rig", "keep"));
                 ScheduleRun run =
-                        new ScheduleRun(schedule, folder, keeper, RigCommand::ownCommand)) {
+                        new ScheduleRun(schedule, folder, reaper, RigCommand::ownCommand)) {
             assertEquals(List.of(), run.play().broken());
         }
         String history = Files.readString(folder.resolve("history.txt"));
--- a/src/test/java/holdproxy/harness/LeaseSchedulesTest.java
+++ b/src/test/java/holdproxy/harness/LeaseSchedulesTest.java
@@ -53,12 +53,12 @@
     }
 
     private ScheduleRun.Outcome play(Path file) throws Exception {
-        try (ChildReaper keeper = ChildReaper.start(RigCommand.ownCommand("rig", "keep"));
+        try (ChildReaper reaper = ChildReaper.start(RigCommand.ownCommand("rig", "keep"));
                 ScheduleRun run =
                         new ScheduleRun(
                                 Schedule.read(file),
                                 folder.resolve(file.getFileName()),
-                                keeper,
+                                reaper,
                                 RigCommand::ownCommand)) {
             return run.play();
         }
--- a/src/test/java/holdproxy/harness/RigTest.java
+++ b/src/test/java/holdproxy/harness/RigTest.java
@@ -51,8 +51,8 @@
 
     private ScheduleRun.Outcome play(Schedule schedule, Function<String[], List<String>> program)
             throws Exception {
-        try (ChildReaper keeper = ChildReaper.start(RigCommand.ownCommand("rig", "keep"));
-                ScheduleRun run = new ScheduleRun(schedule, folder, keeper, program)) {
+        try (ChildReaper reaper = ChildReaper.start(RigCommand.ownCommand("rig", "keep"));
+                ScheduleRun run = new ScheduleRun(schedule, folder, reaper, program)) {
             return run.play();
         }
     }
--- a/src/test/java/holdproxy/net/CounterLogTest.java
+++ b/src/test/java/holdproxy/net/CounterLogTest.java
@@ -21,11 +21,11 @@
 
     @Test
     void idleIterationsAreLoggedOnlyFrom250InASecond() {
-        LoopIoHandlerFactory turns =
+        LoopIoHandlerFactory factory =
                 new LoopIoHandlerFactory(executor -> new LoopIoHandlerFactoryTest.FakeLoop());
         LoopIoHandlerFactoryTest.FakeLoop loop = new LoopIoHandlerFactoryTest.FakeLoop();
-        var handler = turns.newHandler(null);
-        counterLog.setTurns(turns);
+        var handler = factory.newHandler(null);
+        counterLog.setTurns(factory);
         for (int i = 0; i < 249; i++) {
             handler.run(loop);
         }
--- a/src/test/java/holdproxy/net/LoopIoHandlerFactoryTest.java
+++ b/src/test/java/holdproxy/net/LoopIoHandlerFactoryTest.java
@@ -69,8 +69,8 @@
     }
 
     private final FakeLoop fake = new FakeLoop();
-    private final LoopIoHandlerFactory turns = new LoopIoHandlerFactory(executor -> fake);
-    private final IoHandler handler = turns.newHandler(null);
+    private final LoopIoHandlerFactory factory = new LoopIoHandlerFactory(executor -> fake);
+    private final IoHandler handler = factory.newHandler(null);
 
     private long delaySeenFor(long delay) {
         fake.delay = delay;
@@ -97,18 +97,18 @@
         fake.input = 0;
         fake.canBlock = false;
         handler.run(fake);
-        assertEquals(3, turns.iterations());
-        assertEquals(1, turns.idleIterations());
+        assertEquals(3, factory.iterations());
+        assertEquals(1, factory.idleIterations());
     }
 
     @Test
     void aLoopOnSocketsDoesNotBusyPollBeforeItsTimers() throws Exception {
         int maxPolls = TIMERS * MAX_POLLS_PER_TIMER;
         int rounded = countPolls(LoopIoHandlerFactory::new);
-        assertTrue(rounded <= maxPolls, rounded + " turns for " + TIMERS + " timers");
+        assertTrue(rounded <= maxPolls, rounded + " iterations for " + TIMERS + " timers");
         // the test must detect the defect that Netty's handler has on its own
         int nettyDefault = countPolls(sockets -> sockets);
-        assertTrue(nettyDefault > maxPolls, "defect not detected: " + nettyDefault + " turns");
+        assertTrue(nettyDefault > maxPolls, "defect not detected: " + nettyDefault + " iterations");
     }
 
     /** How often a real loop polled for input during a chain of timers with fractions of a millisecond. */
--- a/src/test/java/holdproxy/net/UpgradeTest.java
+++ b/src/test/java/holdproxy/net/UpgradeTest.java
@@ -107,9 +107,8 @@
         loops.get(0).submit(() -> {}).sync();
         assertFalse(old.takesClients());
         for (int i = 0; i < 20; i++) {
-            Peer p =
-                    connectedClient(); // served by the new proxy: the old one would close after its
-            // answer
+            // served by the new proxy: the old one would close after its answer
+            Peer p = connectedClient();
             p.send("mn\r\n");
             p.expect("MN");
             p.close();
--- a/src/test/java/holdproxy/policy/RandomEventsTest.java
+++ b/src/test/java/holdproxy/policy/RandomEventsTest.java
@@ -32,7 +32,7 @@
     private static final class Proxy implements Router.Actions {
         final TestRandom random;
         final Router.Settings settings;
-        RoutingPolicy choice;
+        RoutingPolicy routingPolicy;
         final Map<Long, RequestState> requests = new HashMap<>();
         final List<Attempt> out = new ArrayList<>();
         final List<long[]> timers = new ArrayList<>();
@@ -58,7 +58,7 @@
             settings.subscribesToNodes = random.below(2) > 0;
             settings.cacheAside = aside;
             settings.originKind = aside ? 5 : -1;
-            choice = new RoutingPolicy(settings, seed, 0, this);
+            routingPolicy = new RoutingPolicy(settings, seed, 0, this);
             for (int i = 1; i <= 12; i++) {
                 Router.Node n = Fixture.node(i);
                 n.zone = i % 3;
@@ -70,7 +70,7 @@
         }
 
         void list(Router.ListKind kind, Router.Node... entries) {
-            choice.onNodes(now, kind, entries, entries.length, this);
+            routingPolicy.onNodes(now, kind, entries, entries.length, this);
         }
 
         void run(int steps) {
@@ -90,7 +90,7 @@
                                     firstSinceRestart
                                             + random.below((int) (id - firstSinceRestart) + 1));
                     gone.concluded = true;
-                    choice.onAborted(now, gone.request.id, this);
+                    routingPolicy.onAborted(now, gone.request.id, this);
                 }
             }
             for (int i = 0; i < 200; i++) {
@@ -109,7 +109,7 @@
             timers.clear();
             listOwed = false;
             firstSinceRestart = seed;
-            choice = new RoutingPolicy(settings, seed, now, this);
+            routingPolicy = new RoutingPolicy(settings, seed, now, this);
             list(Router.ListKind.CACHED, nodes.values().toArray(new Router.Node[0]));
         }
 
@@ -122,7 +122,7 @@
             state.request.write = state.request.requestClass > 0 && random.below(2) == 0;
             state.type = settings.classes[state.request.requestClass];
             requests.put(id, state);
-            choice.onRequest(now, state.request, this);
+            routingPolicy.onRequest(now, state.request, this);
         }
 
         private void changeList() {
@@ -156,7 +156,7 @@
             }
             List<long[]> fire = timers.stream().filter(t -> t[0] <= until).toList();
             timers.removeAll(fire);
-            fire.forEach(t -> choice.onTimer(until, t[1], this));
+            fire.forEach(t -> routingPolicy.onTimer(until, t[1], this));
         }
 
         private void end(Attempt a) {
@@ -175,7 +175,7 @@
             }
             state.concluded |= o == Router.Outcome.OK;
             Router.CacheNote note = Router.CacheNote.values()[random.below(4)];
-            choice.onOutcome(
+            routingPolicy.onOutcome(
                     now,
                     a.request,
                     a.number,
--- a/src/test/java/holdproxy/policy/RoutingPolicyTest.java
+++ b/src/test/java/holdproxy/policy/RoutingPolicyTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** FAIR's parts one by one, and the departures from it that the comments in Choice describe. */
+/** FAIR's parts one by one, and the departures from it that the comments in RoutingPolicy describe. */
 class RoutingPolicyTest {
     private static final long MS = Fixture.MS;
     private static final long S = Fixture.S;
@@ -273,7 +273,10 @@
         }
     }
 
-    /** Congested nodes recover only when most load is taken off them. */
+    /**
+     * Incidents i82db3d, icf0b68, i15b002: congested nodes recover only when most load is taken off
+     * them.
+     */
     @Test
     void consecutiveFailuresCauseRefusalsWithinAFewRequestsEvenBelowQuota() {
         Router.Settings s = Fixture.settings(Router.Effect.SAFE);
--- a/src/test/java/holdproxy/simulation/AuditorsTest.java
+++ b/src/test/java/holdproxy/simulation/AuditorsTest.java
@@ -88,10 +88,10 @@
     }
 
     private static List<Event> play(boolean atNodes, Function<Transport, Plant> fault) {
-        try (SimulatedSite town =
+        try (SimulatedSite site =
                 new SimulatedSite(SMALL, n -> new Planted(n, atNodes, fault.apply(n)))) {
-            town.run();
-            return town.record.events();
+            site.run();
+            return site.record.events();
         }
     }
 
@@ -189,48 +189,48 @@
 
     @Test
     void sendAfterDrainIsReported() {
-        try (SimulatedSite town = new SimulatedSite(SMALL)) {
-            town.schedule(
+        try (SimulatedSite site = new SimulatedSite(SMALL)) {
+            site.schedule(
                     1,
                     () -> {
-                        town.nodes.get(4).drain();
-                        town.publishNodeState(town.nodes.get(4));
+                        site.nodes.get(4).drain();
+                        site.publishNodeState(site.nodes.get(4));
                     });
-            town.schedule(
+            site.schedule(
                     2,
                     () ->
                             alsoSendTo(
-                                    town.network.process("proxy-0", town.loop, 0),
+                                    site.network.process("proxy-0", site.loop, 0),
                                     4,
                                     Unpooled.copiedBuffer(
                                             "mg a1 v Off Pc=card-check,d=500\r\n",
                                             StandardCharsets.ISO_8859_1),
                                     1));
-            town.run();
-            assertFalse(Auditors.drains(town.record.events()).isEmpty());
+            site.run();
+            assertFalse(Auditors.drains(site.record.events()).isEmpty());
         }
     }
 
     @Test
     void sendToALeftOutNodeIsReportedUntilItIsUsedAgain() {
         for (boolean back : new boolean[] {false, true}) {
-            try (SimulatedSite town = new SimulatedSite(SMALL)) {
-                town.schedule(1, () -> town.proxies.get(0).leaveOut("s-4", true));
+            try (SimulatedSite site = new SimulatedSite(SMALL)) {
+                site.schedule(1, () -> site.proxies.get(0).leaveOut("s-4", true));
                 if (back) {
-                    town.schedule(1.8, () -> town.proxies.get(0).leaveOut("s-4", false));
+                    site.schedule(1.8, () -> site.proxies.get(0).leaveOut("s-4", false));
                 }
-                town.schedule(
+                site.schedule(
                         2,
                         () ->
                                 alsoSendTo(
-                                        town.network.process("proxy-0", town.loop, 0),
+                                        site.network.process("proxy-0", site.loop, 0),
                                         4,
                                         Unpooled.copiedBuffer(
                                                 "mg a1 v Off Pc=card-check,d=500\r\n",
                                                 StandardCharsets.ISO_8859_1),
                                         1));
-                town.run();
-                assertEquals(back, Auditors.excludedNodes(town.record.events()).isEmpty());
+                site.run();
+                assertEquals(back, Auditors.excludedNodes(site.record.events()).isEmpty());
             }
         }
     }
@@ -274,7 +274,7 @@
 
     @Test
     void attemptBeyondTheSettingsInForceIsReported() {
-        try (SimulatedSite town =
+        try (SimulatedSite site =
                 new SimulatedSite(
                         SMALL,
                         n ->
@@ -287,15 +287,15 @@
                                                     alsoSendTo(n, 5, bytes, 1);
                                                     return bytes;
                                                 })))) {
-            town.schedule(1, () -> town.proxies.forEach(p -> p.reload(1)));
-            town.run();
-            assertFalse(Auditors.attempts(town.record.events()).isEmpty());
+            site.schedule(1, () -> site.proxies.forEach(p -> p.reload(1)));
+            site.run();
+            assertFalse(Auditors.attempts(site.record.events()).isEmpty());
         }
     }
 
     /** A node starts cold, all proxies know it, and each command is sent to it this many times more. */
     private static List<String> rushed(int times) {
-        try (SimulatedSite town =
+        try (SimulatedSite site =
                 new SimulatedSite(
                         SMALL,
                         n ->
@@ -306,15 +306,15 @@
                                             alsoSendTo(n, 5, bytes, times);
                                             return bytes;
                                         }))) {
-            town.schedule(0.5, () -> town.nodes.get(5).stop("crash"));
-            town.schedule(
+            site.schedule(0.5, () -> site.nodes.get(5).stop("crash"));
+            site.schedule(
                     1,
                     () -> {
-                        town.nodes.get(5).startCold();
-                        town.publishNodeState(town.nodes.get(5));
+                        site.nodes.get(5).startCold();
+                        site.publishNodeState(site.nodes.get(5));
                     });
-            town.run();
-            return Auditors.coldNodeBudgets(town.record.events());
+            site.run();
+            return Auditors.coldNodeBudgets(site.record.events());
         }
     }
 
--- a/src/test/java/holdproxy/simulation/ColdNodeLoad.java
+++ b/src/test/java/holdproxy/simulation/ColdNodeLoad.java
@@ -66,8 +66,8 @@
                 window.poll();
             }
             double work = window.stream().mapToDouble(Arrival::meanRequests).sum();
-            long told = window.stream().filter(Arrival::knowing).count();
-            boolean counts = told > KNOWING_PART * window.size();
+            long knowingCount = window.stream().filter(Arrival::knowing).count();
+            boolean counts = knowingCount > KNOWING_PART * window.size();
             return new Peak(
                     arrival.host(),
                     arrival.us(),
--- a/src/test/java/holdproxy/simulation/ColdNodesOfManyProxiesTest.java
+++ b/src/test/java/holdproxy/simulation/ColdNodesOfManyProxiesTest.java
@@ -53,8 +53,8 @@
             }
 
             @Override
-            void list(SimulatedSite town, CacheNode node) {
-                town.publishNodeState(node);
+            void list(SimulatedSite site, CacheNode node) {
+                site.publishNodeState(node);
             }
         },
 
@@ -69,16 +69,16 @@
             }
 
             @Override
-            void list(SimulatedSite town, CacheNode node) {
+            void list(SimulatedSite site, CacheNode node) {
                 String zone = ZoneNetwork.names(ZONES).get(node.zone);
-                town.discovery.setState(
+                site.discovery.setState(
                         node.name, node.address, zone, node.kind.name(), "SERVING", 0);
             }
         };
 
         abstract void start(CacheNode node);
 
-        abstract void list(SimulatedSite town, CacheNode node);
+        abstract void list(SimulatedSite site, CacheNode node);
     }
 
     /** The record as it would be if the nodes that started in the middle of the run were cold. */
@@ -94,68 +94,68 @@
         return new Event(up.us(), up.kind(), up.host(), up.id(), figures);
     }
 
-    private static void comesBackCold(SimulatedSite town, int place, double atS, Start start) {
-        CacheNode node = town.nodes.get(place);
-        town.schedule(
+    private static void comesBackCold(SimulatedSite site, int place, double atS, Start start) {
+        CacheNode node = site.nodes.get(place);
+        site.schedule(
                 atS,
                 () -> {
                     node.stop("crash");
-                    town.publishNodeState(node);
+                    site.publishNodeState(node);
                 });
-        town.schedule(atS + 1, () -> start.start(node));
-        town.schedule(atS + 1.5, () -> start.list(town, node));
+        site.schedule(atS + 1, () -> start.start(node));
+        site.schedule(atS + 1.5, () -> start.list(site, node));
     }
 
-    private static void joins(SimulatedSite town, int place, double atS, Start start) {
-        CacheNode before = town.nodes.get(place);
-        town.schedule(
+    private static void joins(SimulatedSite site, int place, double atS, Start start) {
+        CacheNode before = site.nodes.get(place);
+        site.schedule(
                 atS,
                 () -> {
                     before.drain();
-                    town.publishNodeState(before);
+                    site.publishNodeState(before);
                 });
-        town.schedule(
+        site.schedule(
                 atS + 1,
                 () -> {
                     before.stop("end");
-                    town.publishNodeState(before);
-                    CacheNode joining = town.successor(place);
+                    site.publishNodeState(before);
+                    CacheNode joining = site.successor(place);
                     start.start(joining);
-                    town.loop.schedule(500_000, () -> start.list(town, joining));
+                    site.loop.schedule(500_000, () -> start.list(site, joining));
                 });
     }
 
     /** In the first zones most proxies get no client, and the others there several times the mean. */
-    private static void loadUnevenly(SimulatedSite town) {
+    private static void loadUnevenly(SimulatedSite site) {
         int perZone = PROXIES / ZONES;
         for (int zone = 0; zone < ZONES; zone++) {
             for (int i = 1 + 2 * zone; i < perZone; i++) {
-                town.proxies.get(zone + i * ZONES).setForwarding(false);
+                site.proxies.get(zone + i * ZONES).setForwarding(false);
             }
         }
     }
 
     private static List<Event> play(long seed, boolean uneven, Start start) {
         Scenario.ZoneLayout rooms = new Scenario.ZoneLayout(ZONES, List.of(0.0));
-        try (SimulatedSite town =
+        try (SimulatedSite site =
                 new SimulatedSite(
                         new Scenario("cold", seed, SECONDS, SIZE, LOAD, List.of(), rooms))) {
             if (uneven) {
-                town.schedule(0.2, () -> loadUnevenly(town));
+                site.schedule(0.2, () -> loadUnevenly(site));
             }
-            town.schedule(
+            site.schedule(
                     BURST_AT_S,
                     () -> {
                         for (int club = 0; club < LOAD.clubs().size(); club++) {
-                            town.clients.setRateFactor(club, BURST);
+                            site.clients.setRateFactor(club, BURST);
                         }
                     });
             for (int i = 0; i < BACK_COLD.size(); i++) {
-                comesBackCold(town, BACK_COLD.get(i), 1 + 0.3 * i, start);
-                joins(town, JOINING.get(i), 1.1 + 0.3 * i, start);
+                comesBackCold(site, BACK_COLD.get(i), 1 + 0.3 * i, start);
+                joins(site, JOINING.get(i), 1.1 + 0.3 * i, start);
             }
-            town.run();
-            return new ArrayList<>(town.record.events());
+            site.run();
+            return new ArrayList<>(site.record.events());
         }
     }
 
--- a/src/test/java/holdproxy/simulation/SimulatedSiteTest.java
+++ b/src/test/java/holdproxy/simulation/SimulatedSiteTest.java
@@ -74,27 +74,27 @@
 
     @Test
     void killedProxyLosesItsRequestsAndClientsReconnect() {
-        SimulatedSite town = new SimulatedSite(small(4, fault(Fault.Kind.KILL, 4, 2, 0)));
-        town.run();
+        SimulatedSite site = new SimulatedSite(small(4, fault(Fault.Kind.KILL, 4, 2, 0)));
+        site.run();
         assertTrue(
-                town.record.events().stream().anyMatch(e -> e.kind() == Event.Kind.CUT),
+                site.record.events().stream().anyMatch(e -> e.kind() == Event.Kind.CUT),
                 "no connection was cut");
-        assertEquals(List.of(), Auditors.violations(town.record.events()));
-        assertTrue(new ServiceStatistics(town.record.events()).servedValueShare() > 0.8);
-        town.close();
+        assertEquals(List.of(), Auditors.violations(site.record.events()));
+        assertTrue(new ServiceStatistics(site.record.events()).servedValueShare() > 0.8);
+        site.close();
     }
 
     @Test
     void overloadedColdNodeFallsOver() {
         Scenario.Size weak = new Scenario.Size(1, 2, 4, 20, 4000, 30, 700, 2, 0.01, 60, 60, 40);
         Load heavy = new Load(100, 20, 20_000, 0.9, 0, List.of(1.0));
-        SimulatedSite town = new SimulatedSite(new Scenario("rush", 5, 8, weak, heavy, List.of()));
-        town.schedule(2, () -> town.nodes.get(0).stop("crash"));
+        SimulatedSite site = new SimulatedSite(new Scenario("rush", 5, 8, weak, heavy, List.of()));
+        site.schedule(2, () -> site.nodes.get(0).stop("crash"));
         // listed as long up: the proxies cannot know that it is cold
-        town.schedule(2.1, () -> town.nodes.get(0).startCold());
-        town.run();
-        assertTrue(town.record.events().stream().anyMatch(e -> e.detail().equals("falls over")));
-        town.close();
+        site.schedule(2.1, () -> site.nodes.get(0).startCold());
+        site.run();
+        assertTrue(site.record.events().stream().anyMatch(e -> e.detail().equals("falls over")));
+        site.close();
     }
 
     @Test
--- a/src/test/java/holdproxy/simulation/ZonesTest.java
+++ b/src/test/java/holdproxy/simulation/ZonesTest.java
@@ -21,7 +21,7 @@
     private static final double LOST_AT_S = 3;
 
     /** Three zones of two proxies and four nodes each; the fault hits zone 1. */
-    private static Scenario town(Fault.Kind kind, double forS, double delayMs) {
+    private static Scenario scenario(Fault.Kind kind, double forS, double delayMs) {
         return new Scenario(
                         "zones",
                         5,
@@ -35,8 +35,8 @@
                 .withSize(6, 12);
     }
 
-    private static long lost(SimulatedSite town, String what) {
-        return town.record.events().stream()
+    private static long lost(SimulatedSite site, String what) {
+        return site.record.events().stream()
                 .filter(e -> e.kind() == Event.Kind.LOST && e.word(0).equals(what))
                 .count();
     }
@@ -44,19 +44,19 @@
     @ParameterizedTest
     @EnumSource(value = Fault.Kind.class, mode = EnumSource.Mode.MATCH_ANY, names = "ZONE_.*")
     void siteWithAZoneFaultKeepsTheRulesAndRecovers(Fault.Kind kind) {
-        SimulationRun play = SimulationRun.of(town(kind, 4, 1));
+        SimulationRun play = SimulationRun.of(scenario(kind, 4, 1));
         assertEquals(List.of(), play.broken());
         ServiceStatistics.ServiceCounts last = play.service().seconds().get(13);
         assertTrue(
                 ServiceStatistics.servedValueShare(last) > 0.9,
                 "in time in the last second " + ServiceStatistics.servedValueShare(last));
-        assertNotEquals(SimulationRun.of(town(null, 0, 1)).hash(), play.hash());
-        assertEquals(SimulationRun.of(town(kind, 4, 1)).hash(), play.hash());
+        assertNotEquals(SimulationRun.of(scenario(null, 0, 1)).hash(), play.hash());
+        assertEquals(SimulationRun.of(scenario(kind, 4, 1)).hash(), play.hash());
     }
 
     @Test
     void silentZoneGetsRequestsOnlyUntilItIsDetected() {
-        SimulationRun play = SimulationRun.of(town(Fault.Kind.ZONE_SILENT, 6, 1));
+        SimulationRun play = SimulationRun.of(scenario(Fault.Kind.ZONE_SILENT, 6, 1));
         double lastSendS = (double) play.figures().get("last_send_into_zone_1_s");
         assertTrue(
                 lastSendS > 0 && lastSendS < 6,
@@ -76,13 +76,13 @@
         long[] lostOf = new long[3];
         Fault.Kind[] kinds = {Fault.Kind.ZONE_CUT, Fault.Kind.ZONE_CUT_IN, Fault.Kind.ZONE_CUT_OUT};
         for (int i = 0; i < kinds.length; i++) {
-            try (SimulatedSite town = new SimulatedSite(town(kinds[i], 4, 1))) {
-                town.run();
-                lostOf[i] = lost(town, "message") + lost(town, "dial");
+            try (SimulatedSite site = new SimulatedSite(scenario(kinds[i], 4, 1))) {
+                site.run();
+                lostOf[i] = lost(site, "message") + lost(site, "dial");
                 assertTrue(lostOf[i] > 0);
                 // its own nodes keep serving its own proxies
                 assertTrue(
-                        town.record.events().stream()
+                        site.record.events().stream()
                                 .anyMatch(
                                         e ->
                                                 e.kind() == Event.Kind.ARRIVED
@@ -93,7 +93,7 @@
                         "no request is served within the zone");
                 // messages from other zones arrive only if just the outward direction is cut
                 long in =
-                        town.record.events().stream()
+                        site.record.events().stream()
                                 .filter(
                                         e ->
                                                 e.kind() == Event.Kind.ARRIVED
@@ -113,18 +113,18 @@
 
     @Test
     void grayZoneDelaysMessagesButLosesNone() {
-        try (SimulatedSite town = new SimulatedSite(town(Fault.Kind.ZONE_GRAY, 4, 1))) {
-            town.run();
-            assertEquals(0, lost(town, "message"));
-            assertTrue(lost(town, "late") > 0);
+        try (SimulatedSite site = new SimulatedSite(scenario(Fault.Kind.ZONE_GRAY, 4, 1))) {
+            site.run();
+            assertEquals(0, lost(site, "message"));
+            assertTrue(lost(site, "late") > 0);
         }
     }
 
     @Test
     void messagesUndeliveredByAZoneFaultAreExcused() {
-        try (SimulatedSite town = new SimulatedSite(town(Fault.Kind.ZONE_SILENT, 4, 1))) {
-            town.run();
-            List<Event> events = town.record.events();
+        try (SimulatedSite site = new SimulatedSite(scenario(Fault.Kind.ZONE_SILENT, 4, 1))) {
+            site.run();
+            List<Event> events = site.record.events();
             assertEquals(List.of(), Auditors.oneAnswer(events));
             List<Event> unexcused =
                     events.stream().filter(e -> e.kind() != Event.Kind.LOST).toList();
@@ -134,8 +134,8 @@
 
     @Test
     void delayBetweenZonesAddsToLatency() {
-        long near = (long) SimulationRun.of(town(null, 0, 0)).figures().get("served_p50_ms");
-        long far = (long) SimulationRun.of(town(null, 0, 10)).figures().get("served_p50_ms");
+        long near = (long) SimulationRun.of(scenario(null, 0, 0)).figures().get("served_p50_ms");
+        long far = (long) SimulationRun.of(scenario(null, 0, 10)).figures().get("served_p50_ms");
         assertTrue(
                 far >= near + 8,
                 "median "
@@ -169,13 +169,13 @@
 
     @Test
     void aScenarioWithZonesIsWrittenAsItIsReadAndMistakesAreNamedWithTheirLine() {
-        Scenario town =
-                town(null, 0, 1.5)
+        Scenario scenario =
+                scenario(null, 0, 1.5)
                         .withFaults(
                                 List.of(
                                         new Fault(Fault.Kind.ZONE_GRAY, 3, 4, 0, 1, 0, 3, 0.2),
                                         new Fault(Fault.Kind.ZONE_LOST, 3, 4, 2, 2, 0, 0, 0)));
-        assertEquals(town, ScenarioFile.read("f", ScenarioFile.write(town)));
+        assertEquals(scenario, ScenarioFile.read("f", ScenarioFile.write(scenario)));
         assertBad("[town]\nzones = 3\nzone_ms = [1.0, 2.0]", "f line 3: zone_ms holds 2 figures");
         assertBad("[town]\nzones = 2\nzone_ms = [-1]", "f line 3: zone_ms holds something else");
         assertBad("[town]\nzones = 9", "f line 2: zones in [town] is not a number from 1.0 to 8.0");
