--- a/src/main/java/holdproxy/town/Auditors.java
+++ b/src/main/java/holdproxy/town/Auditors.java
@@ -11,20 +11,22 @@
 import java.util.function.Function;
 
 /**
- * The rules (BRIEF and PROTOCOL-pebbletide.md), judged on the town's own record after a run. Each
- * returns what it found broken, in the order of the record; none shares code with the proxy.
+ * Checks the event record of an emulated site against the rules of BRIEF and PROTOCOL-pebbletide.md after a
+ * run. Each check returns its violations in the order of the record; none shares code with the proxy.
  */
 public final class Auditors {
-    /** The figures of the rules; each time limit on sockets is 50 ms longer. */
+    /** Attempts per request that the rules allow unless a proxy's settings say otherwise. */
     public static final int ATTEMPTS = 3;
 
+    /** Added to each time limit of the rules, to allow for delays on sockets. */
     private static final long SLACK_US = 50_000;
+
     private static final long DRAIN_US = 500_000 + SLACK_US;
     private static final long REPEAT_US = 2_500_000 + SLACK_US;
     private static final double TIP = 4;
     private static final long TIP_US = 2_000_000;
 
-    /** Of the work that pushed a node over, this part has to come from proxies that knew of its start. */
+    /** Overload is a violation only if proxies that knew of the node's start sent more than this part. */
     private static final double TIP_KNOWN = 2.0 / 3;
 
     private static final Map<String, Function<List<Event>, List<String>>> RULES =
@@ -49,7 +51,7 @@
         TIMELESS.put("harmless refusals", Auditors::harmlessRefusals);
     }
 
-    /** A rule that was broken, and what shows it. */
+    /** A violation: the name of the rule and the event that shows it. */
     public record Broken(String rule, String what) {
         @Override
         public String toString() {
@@ -59,12 +61,12 @@
 
     private Auditors() {}
 
-    /** What any of them found. */
+    /** The violations of all rules. */
     public static List<Broken> broken(List<Event> events) {
         return broken(RULES, events);
     }
 
-    /** The same for the rules that ask what happened, and not within what time: those of real time. */
+    /** The violations of those rules that set no time limit, for runs in real time. */
     public static List<Broken> brokenWhateverTheTime(List<Event> events) {
         return broken(TIMELESS, events);
     }
@@ -78,18 +80,19 @@
         return found;
     }
 
-    /** An answer comes to somebody who waits for one, whoever has left meanwhile. */
+    /** Clients receive no answer without an open request; a missing answer is no violation here. */
     static List<String> unasked(List<Event> events) {
         return events.stream()
                 .filter(e -> e.kind() == Event.Kind.ANSWERED && e.id().isEmpty())
-                .map(e -> "an answer that nobody waits for: " + e)
+                .map(e -> "answer without an open request: " + e)
                 .toList();
     }
 
     /**
-     * A request that a proxy has taken gets exactly one answer before its client leaves, and no one gets
-     * another. Excused is what was out at a proxy that was killed or stood still by the town's doing, or that
-     * had messages to or from clients lost or late by the state of a zone.
+     * A request that a proxy has read gets exactly one answer before its client gives up, and no client
+     * receives an answer without an open request. Requests that were open at a proxy while an injected fault
+     * killed or suspended it, or while a zone fault lost or delayed messages between it and its clients, are
+     * excused.
      */
     public static List<String> oneAnswer(List<Event> events) {
         List<String> found = new ArrayList<>();
@@ -118,7 +121,7 @@
                 case TAKEN -> taken.add(e.id());
                 case ANSWERED -> {
                     if (e.id().isEmpty()) {
-                        found.add("an answer that nobody waits for: " + e);
+                        found.add("answer without an open request: " + e);
                     }
                 }
                 case LEFT, CUT -> {
@@ -131,8 +134,8 @@
                     if (!excused) {
                         found.add(
                                 e.kind() == Event.Kind.LEFT
-                                        ? "no answer while the client waited: " + e
-                                        : "the connection ended without an answer: " + e);
+                                        ? "no answer before the client gave up: " + e
+                                        : "connection closed without an answer: " + e);
                     }
                 }
                 default -> {}
@@ -141,7 +144,7 @@
         return found;
     }
 
-    /** What is served was made for this very request by a node or the register. */
+    /** A value or receipt that is served was produced for this request by a node or the origin. */
     public static List<String> honestValues(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, Set<String>> made = new HashMap<>();
@@ -152,11 +155,11 @@
                 String answer = e.detail();
                 boolean value = answer.startsWith("VA ");
                 if (value || answer.startsWith("HD ")) {
-                    // a receipt has its flag's letter before it
+                    // a receipt is preceded by the letter of its flag
                     String served = answer.substring(answer.lastIndexOf(' ') + (value ? 1 : 2));
                     boolean names = answer.contains(" O" + e.id() + " ");
                     if (!names || !made.getOrDefault(e.id(), Set.of()).contains(served)) {
-                        found.add("served with what no node made for it: " + e);
+                        found.add("served value was not produced for this request: " + e);
                     }
                 }
             }
@@ -164,7 +167,7 @@
         return found;
     }
 
-    /** No request is sent more often than the settings allowed that its proxy had when it came. */
+    /** No request is sent to nodes more often than the proxy's settings allowed when it read the request. */
     public static List<String> attempts(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, Integer> sent = new HashMap<>();
@@ -178,13 +181,13 @@
             } else if (e.kind() == Event.Kind.ARRIVED
                     && sent.merge(e.id(), 1, Integer::sum)
                             > allowed.getOrDefault(e.id(), ATTEMPTS)) {
-                found.add("too many attempts: " + e);
+                found.add("more attempts than allowed: " + e);
             }
         }
         return found;
     }
 
-    /** Nothing new goes to a node that operators left out later than the grace, until it is used again. */
+    /** A node that operators left out gets no command after the drain grace time, until it is used again. */
     public static List<String> leftOut(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, Long> outSince = new HashMap<>();
@@ -194,7 +197,7 @@
             } else if (e.kind() == Event.Kind.OUT) {
                 outSince.remove(e.where() + " " + e.id());
             } else if (over(e)) {
-                // its next life is told at its start what holds then
+                // a restarted proxy learns at its start which nodes are left out
                 outSince.keySet().removeIf(key -> key.startsWith(e.where() + " "));
             } else if (e.kind() == Event.Kind.ARRIVED) {
                 Long since = outSince.get(e.word(1) + " " + e.where());
@@ -211,8 +214,8 @@
     }
 
     /**
-     * What a proxy shows at the end is what its clients and nodes saw since it was started. Only what a
-     * client abandoned may be counted or not, and what was written may be lost under way.
+     * The counters that a proxy reports at the end agree with what its clients and nodes saw since its start.
+     * Abandoned requests may be counted or not, and attempts that were sent may be lost on the way to a node.
      */
     public static List<String> figures(List<Event> events) {
         List<String> found = new ArrayList<>();
@@ -229,7 +232,7 @@
         return found;
     }
 
-    /** What clients and nodes saw of one life of a proxy. */
+    /** What clients and nodes saw of a proxy since its last start. */
     private static final class Seen {
         private long taken;
         private long served;
@@ -288,7 +291,10 @@
         }
     }
 
-    /** An enrolment runs once at most; a renewal's repeats come within the time in which they are dropped. */
+    /**
+     * An enrolment runs at most once; a renewal is repeated only within the time for which repeats are
+     * dropped.
+     */
     public static List<String> repeats(List<Event> events) {
         List<String> found = once(events);
         Map<String, String> classOf = new HashMap<>();
@@ -300,14 +306,14 @@
                 long first = firstAt.getOrDefault(e.id(), e.us());
                 firstAt.put(e.id(), first);
                 if ("renewal".equals(classOf.get(e.id())) && e.us() - first > REPEAT_US) {
-                    found.add("a renewal repeated too late: " + e);
+                    found.add("renewal repeated after the repeat window: " + e);
                 }
             }
         }
         return found;
     }
 
-    /** No try of a write is applied twice, and an enrolment not with another try either. */
+    /** No request to write is applied twice, and an enrolment not for another try of the client either. */
     static List<String> once(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, String> classOf = new HashMap<>();
@@ -316,18 +322,17 @@
             if (e.kind() == Event.Kind.ASKED) {
                 classOf.put(e.id(), e.word(0));
             } else if (e.kind() == Event.Kind.APPLIED) {
-                // a renewal's key may run again when its client tries again later; an enrolment's
-                // never
+                // a later try of a client may apply a renewal's key again, but never an enrolment's
                 boolean once = "enrolment".equals(classOf.get(e.id()));
                 if (!applied.add(once ? e.detail() : e.id())) {
-                    found.add("a write has run twice: " + e);
+                    found.add("write applied twice: " + e);
                 }
             }
         }
         return found;
     }
 
-    /** Nothing new goes to a node later than the grace after its proxy was told that it drains or is gone. */
+    /** A node gets no command later than the grace time after the proxy learns that it drains or is gone. */
     public static List<String> drains(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, Map<String, Long>> toldAt = new HashMap<>();
@@ -341,14 +346,14 @@
                     told.putIfAbsent(e.id(), e.us());
                 }
             } else if (over(e)) {
-                toldAt.remove(e.where()); // its next life knows what it is told then
+                toldAt.remove(e.where()); // a restarted proxy gets a new list
             } else if (e.kind() == Event.Kind.ARRIVED) {
                 Long told = toldAt.getOrDefault(e.word(1), Map.of()).get(e.where());
                 if (told != null && e.us() - told > DRAIN_US) {
                     found.add(
                             "sent "
                                     + (e.us() - told) / 1000
-                                    + " ms after the proxy was told: "
+                                    + " ms after the proxy learned of the drain or removal: "
                                     + e);
                 }
             }
@@ -362,8 +367,8 @@
     }
 
     /**
-     * "Busy" promises that trying again is harmless: an enrolment so answered never runs, not later
-     * either.
+     * "Busy" states that the request may safely be sent again: an enrolment that got this answer runs at no
+     * time.
      */
     public static List<String> harmlessRefusals(List<Event> events) {
         List<String> found = new ArrayList<>();
@@ -380,13 +385,13 @@
             boolean refused =
                     e.kind() == Event.Kind.ANSWERED && e.detail().startsWith("SERVER_ERROR busy");
             if (refused && enrolments.contains(e.id()) && ran.contains(e.id())) {
-                found.add("refused though it ran: " + e);
+                found.add("answered busy but was applied: " + e);
             }
         }
         return found;
     }
 
-    /** A started node, and the work that has come to it lately. */
+    /** A started node and the work that it was sent within the last {@code TIP_US}. */
     private static final class Started {
         private record Work(long us, double workUs, boolean known) {}
 
@@ -411,7 +416,7 @@
             return from == warm || us - upUs >= coldUs;
         }
 
-        /** Whether with this more its budget is spent, by proxies that knew of its start above all. */
+        /** Adds work; whether it exceeds the budget, with enough from proxies that knew of the start. */
         boolean over(long us, double workUs, boolean known) {
             window.add(new Work(us, workUs, known));
             allUs += workUs;
@@ -426,7 +431,7 @@
         }
     }
 
-    /** The proxies together send no cold node more than it can stand; each node is named once a start. */
+    /** The proxies together send no cold node more than its budget; one violation per start of a node. */
     public static List<String> coldNodes(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, Started> started = new HashMap<>();
@@ -445,7 +450,7 @@
                 boolean known = knowing.get(e.where()).contains(e.word(1));
                 if (!node.found && node.over(e.us(), Double.parseDouble(e.word(2)), known)) {
                     node.found = true;
-                    found.add("a cold node is sent too much: " + e);
+                    found.add("cold node was sent more than its budget: " + e);
                 }
             }
         }
--- a/src/main/java/holdproxy/town/CacheNode.java
+++ b/src/main/java/holdproxy/town/CacheNode.java
@@ -18,27 +18,28 @@
 import java.util.SplittableRandom;
 
 /**
- * A cache node. What runs shares its cores evenly: with n requests running, each gets min(1, cores / n)
- * of a core of the node's speed. Up to {@code slots} run, {@code queue} more wait, and the next is turned
- * away. A started node has {@code coldFrom} of its speed and comes up to all of it over {@code coldUs}; sent
- * over {@code TIP} times what it can do then for {@code TIP_US}, it falls over and stays down.
+ * An emulated cache node. Running requests share its cores evenly: each of n gets min(1, cores / n) of a
+ * core. Up to {@code slots} run, {@code queue} more wait, and any further request is answered busy. A node
+ * that starts cold has {@code coldFrom} of its speed and reaches full speed over {@code coldUs}; if it is
+ * sent more than {@code TIP} times what it can do within {@code TIP_US} meanwhile, it fails and stays down.
  */
 public final class CacheNode {
     /**
-     * What a node is made of.
+     * Hardware and limits of a node.
      *
      * @param name as in the settings
-     * @param cores cores
-     * @param speed of a core, 1 being standard
-     * @param slots requests that run at once
-     * @param queue requests that wait
-     * @param workUs mean work of a request on a standard core, in microseconds; exponential, by class
-     * @param coldFrom part of its speed at its start
-     * @param coldUs until it has all of it
-     * @param keys keys that it holds
-     * @param ttlUs for how long it holds one
-     * @param connections that it takes; on more it says busy
-     * @param handshakeUs work of a new connection on a standard core, before its first request's
+     * @param cores number of cores
+     * @param speed of a core; 1 is a standard core
+     * @param slots most requests that run at once
+     * @param queue most requests that wait
+     * @param workUs mean work of a request on a standard core, in microseconds; exponentially distributed and
+     *     scaled by class
+     * @param coldFrom part of its speed right after its start
+     * @param coldUs time from its start to full speed
+     * @param keys most keys that it caches
+     * @param ttlUs how long it caches a key
+     * @param connections most connections; with more open it answers busy
+     * @param handshakeUs work of a new connection on a standard core, added to its first request
      */
     public record Kind(
             String name,
@@ -54,13 +55,13 @@
             int connections,
             double handshakeUs) {}
 
-    /** A command and the connection that is due its answer. */
+    /** A command and the connection on which it is answered. */
     private final class Job {
         final MetaLines.Message command;
         final Connection connection;
         final String id;
 
-        /** Of a write whose repeats are dropped, else null. */
+        /** Identifies a write and its repeats where repeats are dropped, else null. */
         final String group;
 
         final long ofLife = life;
@@ -92,10 +93,10 @@
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final Set<Channel> connections = new LinkedHashSet<>();
 
-    /** Keys held, and until when. */
+    /** Expiry time of each cached key; least recently used keys are evicted first. */
     private final Map<String, Long> memory;
 
-    /** Work that came within the last {@code TIP_US}: when, and how much. */
+    /** Work that arrived within the last {@code TIP_US}: pairs of time and amount. */
     private final ArrayDeque<double[]> lately = new ArrayDeque<>();
 
     private double latelyUs;
@@ -108,7 +109,7 @@
     private long made;
     private int life;
 
-    /** A node that is not started yet. */
+    /** Creates a node that is not started. */
     public CacheNode(
             String name,
             int zone,
@@ -140,7 +141,7 @@
         register.knows(this);
     }
 
-    /** Comes up as if it had run for long, with these keys kept, the most wanted first. */
+    /** Starts at full speed with this many of the most popular keys cached. */
     public void startWarm(int keys) {
         for (int i = Math.min(keys, kind.keys) - 1; i >= 0; i--) {
             memory.put(Clients.key(i), (long) (random.nextDouble() * kind.ttlUs));
@@ -148,7 +149,7 @@
         listen(Long.MIN_VALUE, 1);
     }
 
-    /** Comes up with nothing kept and short of its speed. */
+    /** Starts with an empty cache and reduced speed. */
     public void startCold() {
         memory.clear();
         listen(loop.nowUs(), kind.coldFrom);
@@ -171,28 +172,28 @@
                 speed * from + " " + speed + " " + kind.coldUs);
     }
 
-    /** Whether it takes connections. */
+    /** Whether it accepts connections. */
     public boolean up() {
         return listener != null;
     }
 
-    /** Whether it has announced that it ends. */
+    /** Whether {@link #drain} was called since its start. */
     public boolean drains() {
         return draining;
     }
 
-    /** Microseconds on the town's clock; 0 for long ago. */
+    /** Start time in microseconds of the site's clock; 0 if it started warm. */
     public long startedUs() {
         return Math.max(0, startedUs);
     }
 
-    /** Finishes what it has and turns the rest away. */
+    /** Finishes the requests it has and answers new ones busy. */
     public void drain() {
         draining = true;
         record.add(loop.nowUs(), Event.Kind.FAULT, name, "", "drain");
     }
 
-    /** The process is over, one way or another: connections are reset, what ran is gone. */
+    /** Ends the process: closes its connections and drops its requests; {@code how} goes into the record. */
     public void end(String how) {
         if (listener == null) {
             return;
@@ -209,7 +210,7 @@
         List.copyOf(connections).forEach(Channel::close);
     }
 
-    /** Runs so many times slower from now on. */
+    /** Makes it {@code times} slower than normal from now on. */
     public void slow(double times) {
         record.add(loop.nowUs(), Event.Kind.FAULT, name, "", "slow " + times);
         progress();
@@ -217,7 +218,7 @@
         planNext();
     }
 
-    /** Forgets the copy of a key. */
+    /** Removes a key from its cache. */
     public void drop(String key) {
         memory.remove(key);
     }
@@ -247,7 +248,7 @@
         }
     }
 
-    /** Whether with this much more work it has been sent more than it can stand while cold. */
+    /** Adds work to that of the last {@code TIP_US}; whether this exceeds the budget of a cold node. */
     private boolean tips(double workUs) {
         if (startedUs == Long.MIN_VALUE || loop.nowUs() - startedUs >= kind.coldUs) {
             return false;
@@ -275,7 +276,7 @@
         planNext();
     }
 
-    /** Work done a microsecond on each of those that run. */
+    /** Work done per microsecond on each running request. */
     private double rate() {
         return kind.speed * warm() / slowness * Math.min(1, (double) kind.cores / running.size());
     }
@@ -319,14 +320,14 @@
         done.forEach(this::worked);
     }
 
-    /** The node's own work is done: a value from memory, or on to the register. */
+    /** The node's own work on a request is done: answers from its cache or asks the origin. */
     private void worked(Job job) {
         String key = job.command.word(1);
         if (job.command.line().startsWith("ms ")) {
             register.write(
                     job.id, key, job.command.field("k"), job.group, receipt -> ran(job, receipt));
-        } else if (memory.getOrDefault(key, -1L)
-                > loop.nowUs()) { // which also makes it the latest used
+        } else if (memory.getOrDefault(key, -1L) > loop.nowUs()) {
+            // the look-up also marks the key as most recently used
             ran(job, null);
         } else {
             register.fetch(
@@ -341,7 +342,7 @@
 
     private void ran(Job job, String receipt) {
         if (job.ofLife != life) {
-            return; // it died while the register worked
+            return; // the node ended while the origin worked
         }
         String value = receipt != null ? receipt : name + "." + ++made;
         record.add(loop.nowUs(), Event.Kind.RAN, name, job.id, value);
@@ -357,7 +358,7 @@
         job.connection.flushInOrder();
     }
 
-    /** A proxy's connection: commands begin when they come and are answered in their order. */
+    /** A connection of a proxy: commands start on arrival and are answered in order of arrival. */
     private final class Connection extends SimpleChannelInboundHandler<MetaLines.Message> {
         private final ArrayDeque<Job> line = new ArrayDeque<>();
         private Channel channel;
@@ -393,7 +394,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(ctx.channel());
-            waiting.removeAll(line); // nobody waits any more for what has not begun
+            waiting.removeAll(line); // commands that have not started have nobody to answer
         }
     }
 }
--- a/src/main/java/holdproxy/town/Clients.java
+++ b/src/main/java/holdproxy/town/Clients.java
@@ -22,9 +22,9 @@
 import java.util.stream.Stream;
 
 /**
- * The clients of a town, in open loop: what they want comes by chance at its rate, whatever became of what
- * was wanted before. Each try is asked on a connection that is free, or a new one, of the proxy that
- * the front picks; a client waits for 50 to 80% of its class's give-up time and tries again after a pause.
+ * The clients of an emulated site, as an open-loop load: new operations arrive at random at the set rate,
+ * whatever became of earlier ones. Each try goes to the proxy that the front picks, on an idle connection or
+ * a new one; a client waits for 50 to 80% of its class's give-up time and tries again after a pause.
  */
 public final class Clients {
     private static final int CONNECT_MS = 1000;
@@ -35,7 +35,7 @@
 
     private final Timeline loop;
 
-    /** By zone. */
+    /** The network of each zone's clients, indexed by zone. */
     private final List<? extends Transport> networks;
 
     private final TownRecord record;
@@ -47,10 +47,10 @@
     private final double[] times;
     private final int proxies;
 
-    /** By zone and proxy. */
+    /** Idle connections, at index zone * proxies + proxy. */
     private final List<ArrayDeque<Connection>> free = new ArrayList<>();
 
-    /** Tries whose last byte a proxy has read. */
+    /** Ids of the open requests that a proxy has read. */
     private final Set<String> taken = new HashSet<>();
 
     private boolean takenWhenWritten;
@@ -58,7 +58,7 @@
     private long untilUs;
     private long wants;
 
-    /** Clients that ask nothing yet. */
+    /** Creates clients that send nothing before {@link #ask}. */
     public Clients(
             Timeline loop,
             List<? extends Transport> networks,
@@ -89,36 +89,37 @@
         }
     }
 
-    /** The n-th most wanted key. */
+    /** The key with popularity rank n, from 0. */
     public static String key(int n) {
         return Integer.toHexString(0xa000 + n);
     }
 
-    /** Asks from now on until this time, in microseconds. */
+    /** Sends requests from now on until this time, in microseconds. */
     public void ask(long until) {
         untilUs = until;
         next();
     }
 
     /**
-     * Nobody stands at the proxies' doors to see what they read: what was written to one may have run, and a
-     * connection that ends under it is no reason to ask for the same once more.
+     * Counts a request as read by the proxy as soon as it is written, for runs where the proxies' networks
+     * are not observed by {@link #atDoor}: a request may then have run when its connection closes, and isn't
+     * sent once more for that.
      */
     public void takenWhenWritten() {
         takenWhenWritten = true;
     }
 
-    /** A club asks so many times as often from now on. */
+    /** Multiplies a club's request rate by this factor from now on. */
     public void surge(int club, double factor) {
         times[club] = factor;
     }
 
-    /** This part of all reads is for one key from now on. */
+    /** Sends this part of all reads to a single key from now on. */
     public void hot(double part) {
         hot = part;
     }
 
-    /** A proxy's network, watched at its door: which tries has the proxy read? */
+    /** Wraps a proxy's network so as to record which client requests the proxy has read. */
     public Transport atDoor(String proxy, Transport inner) {
         return new Transport() {
             @Override
@@ -153,7 +154,7 @@
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
-                // clients write each request whole, so that one message is one request
+                // clients write each request at once, so one message holds one request
                 String text = ((ByteBuf) message).toString(StandardCharsets.ISO_8859_1);
                 int at = text.indexOf(" O") + 2;
                 String id = text.substring(at, text.indexOf(' ', at));
@@ -225,7 +226,7 @@
         return low;
     }
 
-    /** What one person wants once; each of its tries is a request with an id of its own. */
+    /** One operation of a client; each of its tries is a request with its own id. */
     private final class Want {
         private final RequestClass type = drawClass();
         private final String tenant = drawTenant();
@@ -295,7 +296,7 @@
                     });
         }
 
-        /** Another try after a pause, {@code adviceMs} at least, if there is one left. */
+        /** Tries again after a pause of at least {@code adviceMs}, if a retry is left. */
         private void again(long adviceMs) {
             if (tries <= load.retries()) {
                 double pauseMs =
@@ -319,7 +320,7 @@
             mayHaveRun();
         }
 
-        /** Without an answer that says otherwise, what must not run twice is not asked again. */
+        /** The request may have run: tries again unless its class may run at most once. */
         private void mayHaveRun() {
             if (!type.onceOnly()) {
                 again(0);
@@ -329,7 +330,8 @@
         private void lost() {
             boolean unread = !taken.remove(id());
             if (unread && !crossed) {
-                crossed = true; // the proxy closed while this was on its way: the same again, once
+                // the proxy closed the connection before it read the request: resend it, once
+                crossed = true;
                 send();
             } else {
                 mayHaveRun();
@@ -383,7 +385,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaLines.Message answer) {
             Want served = waits;
-            // an answer to nobody is put down too: it is for the auditors to judge
+            // an answer without an open request is recorded too, for the auditors to report
             add(
                     Event.Kind.ANSWERED,
                     served == null ? "" : served.id(),
--- a/src/main/java/holdproxy/town/DiscoveryService.java
+++ b/src/main/java/holdproxy/town/DiscoveryService.java
@@ -25,7 +25,7 @@
 import java.util.function.BiFunction;
 import java.util.function.Predicate;
 
-/** The platform's list of nodes over HTTP: one call after another, and watches that are told of changes. */
+/** The emulated discovery: serves the node list over HTTP, one call at a time, and pushes changes. */
 public final class DiscoveryService {
     private static final long BEAT_US = 2_000_000;
 
@@ -45,7 +45,7 @@
     private final BiFunction<String, InetSocketAddress, InetSocketAddress> places;
     private final List<Change> changes = new ArrayList<>();
 
-    /** Watches and the proxy behind each. */
+    /** Open watches, each with the name of its proxy. */
     private final Map<Channel, String> watches = new LinkedHashMap<>();
 
     private final Map<String, Change> latest = new LinkedHashMap<>();
@@ -55,8 +55,11 @@
     private boolean down;
 
     /**
-     * Each call takes {@code callUs}; {@code unheard}: whether a proxy is not reached by what it is told;
-     * {@code places}: where a proxy finds a node that is at this address.
+     * Creates a service that isn't started.
+     *
+     * @param callUs time that each call takes
+     * @param unheard whether messages to this proxy are lost
+     * @param places maps a proxy and a node's address to the address at which that proxy reaches the node
      */
     public DiscoveryService(
             Timeline loop,
@@ -71,14 +74,14 @@
         this.callUs = callUs;
     }
 
-    /** Accepts calls at this address. */
+    /** Starts to accept calls at this address. */
     public void start(TownNetwork network, InetSocketAddress address) {
         this.network = network;
         network.listen(address, () -> new ChannelHandler[] {new HttpServerCodec(), new Call()});
         beat();
     }
 
-    /** Down, it answers 503, and its watches have ended. */
+    /** Takes it down or up again; while down it answers 503. Going down closes all watches. */
     public void down(boolean isDown) {
         record.add(loop.nowUs(), Event.Kind.FAULT, "discovery", "", isDown ? "down" : "up");
         down = isDown;
@@ -88,7 +91,7 @@
         }
     }
 
-    /** A node's state is from now on: SERVING, DRAINING or DELETED. */
+    /** Sets a node's state (SERVING, DRAINING or DELETED) and pushes it to all watches. */
     public void set(
             String node,
             InetSocketAddress address,
@@ -110,7 +113,7 @@
                 });
     }
 
-    /** The whole list as it is now, told to a proxy that starts with it. */
+    /** The current full list for a proxy that starts with it; recorded as told to the proxy. */
     public String whole(String proxy) {
         latest.values().forEach(c -> told(proxy, c));
         return list(proxy, true, List.copyOf(latest.values()));
@@ -146,7 +149,7 @@
 
     private void told(String proxy, Change change) {
         if (unheard.test(proxy)) {
-            return; // it will have it from its next watch
+            return; // the proxy gets the change when it opens its next watch
         }
         record.add(
                 loop.nowUs(),
@@ -156,7 +159,7 @@
                 change.state + " " + change.startedMs);
     }
 
-    /** An address as discovery states it: host, colon, port. */
+    /** The form of an address in discovery's answers: host, colon, port. */
     public static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/src/main/java/holdproxy/town/Event.java
+++ b/src/main/java/holdproxy/town/Event.java
@@ -1,60 +1,69 @@
 package holdproxy.town;
 
 /**
- * One line of the town's own record, which auditors read.
+ * An entry of the record of an emulated site, which the auditors read.
  *
- * @param us when, in microseconds of the town's time
+ * @param us time in microseconds of the site's clock
  * @param kind what happened
- * @param where the host that saw it
- * @param id the request's id where it is about one, else empty
- * @param detail what else there is to it, by kind
+ * @param where the host that observed it
+ * @param id id of the request where it is about one, else empty unless the kind says otherwise
+ * @param detail further fields, as stated for the kind
  */
 public record Event(long us, Kind kind, String where, String id, String detail) {
-    /** What happened. */
+    /** Kinds of events; the names of the constants are written to the record. */
     public enum Kind {
-        /** Somebody wants something; where: the club, id: what its tries' ids begin with, detail: class. */
+        /**
+         * A client begins an operation; where: the club, id: the prefix of its requests' ids, detail: class,
+         * and zone of the client if there are several.
+         */
         WANTED,
-        /** A client wrote a request's last byte; detail: class, key of a write or -, and wait in ms. */
+        /** A client has written a request; detail: class, idempotency key of a write or -, and wait in ms. */
         ASKED,
-        /** The request has come to the proxy and was read by it. */
+        /** The proxy has read the request. */
         TAKEN,
-        /** A client has read an answer; detail: its first line, and the value. */
+        /** A client has read an answer; id: empty if it had no open request, detail: first line and value. */
         ANSWERED,
-        /** A client gave a request up and closed its connection. */
+        /** A client gave up on a request and closed its connection. */
         LEFT,
-        /** A proxy's connection ended under a client that waited on it. */
+        /** A connection to a proxy closed while a client waited for an answer on it. */
         CUT,
-        /** A command's last byte has come to a node; detail: key of a write or -, proxy, and work in us. */
+        /**
+         * A node has read a command; detail: idempotency key of a write or -, proxy, and work in microseconds
+         * on a standard core.
+         */
         ARRIVED,
-        /** A node or the register has run it; detail: the value or receipt that it made. */
+        /** A node or the origin has run a command; detail: the value or receipt that it produced. */
         RAN,
-        /** The register has applied a write; detail: its key. */
+        /** The origin has applied a write; detail: its idempotency key. */
         APPLIED,
-        /** A node is up; detail: speed at first and when warm, in standard cores, and us in between. */
+        /** A node has started; detail: speed at first and when warm, in standard cores, and us in between. */
         UP,
-        /** Discovery wrote a node's state to a proxy; where: the proxy, id: the node, detail: the state. */
+        /**
+         * Discovery sent a node's state to a proxy; where: the proxy, id: the node, detail: the state and the
+         * node's start time in milliseconds.
+         */
         TOLD,
         /** Operators left a node out at a proxy, or used it again; id: the node, detail: out or back. */
         OUT,
-        /** A proxy has taken settings; detail: attempts. */
+        /** A proxy has applied new settings; detail: most attempts per request. */
         RETUNED,
-        /** What a proxy shows operators at the end; detail: ok, shed, errors, tries and active. */
+        /** The counters that a proxy reports at the end; detail: ok, shed, errors, tries and active. */
         FIGURES,
         /**
-         * What the state of a zone kept from its end, or made late; where: who it was to, id: who sent it,
-         * detail: dial, message or late, whether people sent it, and the silent zone that it was for from
+         * A zone fault lost or delayed a dial or message; where: the receiver, id: the sender, detail: dial,
+         * message or late, whether it went to or from clients, and the silent zone that it was sent into from
          * outside, or -1.
          */
         LOST,
-        /** What a process says that it did, by its own clock; id: that in microseconds, detail: what. */
+        /** A process reported an action; id: its own clock in microseconds, detail: the action. */
         SAID,
-        /** A guarded resource was acted upon; id: by whom, detail: duty, token, taken or refused. */
+        /** A guarded resource received an action; id: the actor, detail: duty, token, taken or refused. */
         ACTED,
-        /** Something was done to a host; detail: what. */
+        /** A fault or another action was applied to a host; detail: which. */
         FAULT
     }
 
-    /** A word of the detail, the first being 0; without splitting all of it, for auditors read millions. */
+    /** The i-th word of the detail, from 0; doesn't split all of it, as auditors read millions of events. */
     public String word(int i) {
         int from = 0;
         for (int left = i; left > 0; left--) {
@@ -64,7 +73,7 @@
         return end < 0 ? detail.substring(from) : detail.substring(from, end);
     }
 
-    /** Of the id of a try: what is common to all tries of its want, which is all but the last digit. */
+    /** The id that all tries of an operation share: this request's id without its last digit. */
     public String want() {
         return id.substring(0, id.length() - 1);
     }
--- a/src/main/java/holdproxy/town/Front.java
+++ b/src/main/java/holdproxy/town/Front.java
@@ -7,13 +7,13 @@
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
 
-/** The plain layer before the proxies: spreads connections over those it believes up, and learns late. */
+/** A simple load balancer in front of the proxies: spreads connections over those that are marked in use. */
 public final class Front {
     private final List<InetSocketAddress> doors = new ArrayList<>();
     private final List<Boolean> used = new ArrayList<>();
     private final List<Integer> zones = new ArrayList<>();
 
-    /** One more proxy, not used yet; returns its number. */
+    /** Adds a proxy that is not in use yet; returns its number. */
     public int door(InetSocketAddress address, int zone) {
         doors.add(address);
         zones.add(zone);
@@ -21,17 +21,17 @@
         return doors.size() - 1;
     }
 
-    /** Where clients reach this proxy. */
+    /** The address at which clients reach this proxy. */
     public InetSocketAddress address(int proxy) {
         return doors.get(proxy);
     }
 
-    /** Whether this proxy is given new connections. */
+    /** Sets whether new connections go to this proxy. */
     public void use(int proxy, boolean use) {
         used.set(proxy, use);
     }
 
-    /** A proxy by chance among those in use in this zone; else in any; among all where none is in use. */
+    /** A random proxy in use in this zone; if there is none, one in use in any zone; else any proxy. */
     public int pick(SplittableRandom random, int zone) {
         int near = count(i -> used.get(i) && zones.get(i) == zone);
         int up = count(used::get);
--- a/src/main/java/holdproxy/town/Load.java
+++ b/src/main/java/holdproxy/town/Load.java
@@ -6,20 +6,20 @@
 import org.tomlj.TomlArray;
 
 /**
- * What is asked.
+ * The load that clients offer.
  *
- * @param ratePerS new requests a second of all clubs together
- * @param workMs mean work of one on a standard core, in milliseconds
- * @param keys different ones
- * @param zipf exponent of their popularity
- * @param retries how often a client tries again
- * @param clubs shares of the load, in the order of the settings
+ * @param ratePerS new operations a second of all clubs together
+ * @param workMs mean work of a request on a standard core, in milliseconds
+ * @param keys number of distinct keys
+ * @param zipf exponent of the Zipf distribution of key popularity
+ * @param retries most retries per operation
+ * @param clubs each club's share of the load, in the order of the settings
  */
 public record Load(
         double ratePerS, double workMs, int keys, double zipf, int retries, List<Double> clubs) {
     public static final Load PLAIN = new Load(62, 40, 20_000, 0.9, 2, List.of(0.45, 0.37, 0.18));
 
-    /** As scenario files have it; what is not stated is as {@link #PLAIN} has it. */
+    /** Reads the load of a scenario file; missing keys take their value from {@link #PLAIN}. */
     public static Load read(TomlPart p) {
         Load d = PLAIN;
         double ratePerS = p.number("rate_per_s", d.ratePerS(), 0.1, 100_000);
@@ -33,14 +33,14 @@
             if (!(shares.get(i) instanceof Double share) || share <= 0 || share > 1) {
                 throw p.bad(
                         shares.inputPositionOf(i),
-                        "clubs holds something else than shares from 0 to 1");
+                        "clubs must hold only shares above 0 and up to 1");
             }
             clubs.add(share);
         }
         p.done();
         double sum = clubs.stream().mapToDouble(c -> c).sum();
         if (!clubs.isEmpty() && Math.abs(sum - 1) > 1e-6) {
-            throw p.bad(p.at("clubs"), "the shares of clubs make " + sum + " and not 1");
+            throw p.bad(p.at("clubs"), "the shares of clubs sum to " + sum + " instead of 1");
         }
         return new Load(ratePerS, workMs, keys, zipf, retries, clubs.isEmpty() ? d.clubs() : clubs);
     }
--- a/src/main/java/holdproxy/town/MemberRegister.java
+++ b/src/main/java/holdproxy/town/MemberRegister.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The slow origin behind all nodes: so many at once, the others wait in line; a write voids kept copies. */
+/**
+ * The emulated origin behind all nodes, the member register: a limited number of requests run at once, the
+ * others queue; a write invalidates the cached copies.
+ */
 public final class MemberRegister {
     private static final String NAME = "register";
 
@@ -21,21 +24,22 @@
     private final long dropRepeatsUs;
     private final ArrayDeque<Work> waiting = new ArrayDeque<>();
 
-    /** When a key of a write first came to any node, for as long as repeats of it are dropped. */
+    /** When a write's idempotency key first arrived at any node, within the window that drops repeats. */
     private final Map<String, Long> firstUs = new HashMap<>();
 
     private final Map<String, String> receipts = new HashMap<>();
     private final List<CacheNode> nodes = new ArrayList<>();
 
-    /** What came in each second. */
+    /** Number of requests that arrived in each second. */
     private final List<Integer> came = new ArrayList<>();
 
     private int running;
     private long versions;
 
     /**
-     * {@code most} at once, each of {@code workUs}; a keyed write's repeat within {@code dropRepeatsUs}
-     * of its coming to a node is dropped, at whichever node and however late it gets round to it.
+     * Creates an origin that runs {@code most} requests at once, each for {@code workUs}. A keyed write's
+     * repeat is dropped if it arrives at any node within {@code dropRepeatsUs} of the first arrival, however
+     * late it gets to the origin.
      */
     public MemberRegister(
             Timeline loop, TownRecord record, int most, long workUs, long dropRepeatsUs) {
@@ -46,17 +50,17 @@
         this.dropRepeatsUs = dropRepeatsUs;
     }
 
-    /** Has this node's copies dropped when their values change. */
+    /** Adds a node whose cached copies are invalidated by writes. */
     public void knows(CacheNode node) {
         nodes.add(node);
     }
 
-    /** Reads a value; {@code done} takes it. */
+    /** Reads a value and passes it to {@code done}. */
     public void fetch(String id, String key, Consumer<String> done) {
         take(new Work(id, key, null, null, done));
     }
 
-    /** A keyed write has come to a node; returns what it and its repeats are known by. */
+    /** Notes that a keyed write arrived at a node; returns the group that it shares with its repeats. */
     public String came(String writeKey) {
         long first = firstUs.getOrDefault(writeKey, Long.MIN_VALUE / 2);
         if (loop.nowUs() - first > dropRepeatsUs) {
@@ -67,13 +71,16 @@
     }
 
     /**
-     * {@code writeKey}: the client's idempotency key; {@code group}: of a write whose repeats are dropped.
+     * Applies a write and passes its receipt to {@code done}.
+     *
+     * @param writeKey the client's idempotency key
+     * @param group from {@link #came(String)} for a write whose repeats are dropped, else null
      */
     public void write(String id, String key, String writeKey, String group, Consumer<String> done) {
         take(new Work(id, key, writeKey, group, done));
     }
 
-    /** The most that came in any one second, over what can be done in one. */
+    /** The most requests that arrived in any second, divided by the capacity per second. */
     public double peakLoad() {
         double perS = most * 1e6 / workUs;
         return came.stream().mapToInt(n -> n).max().orElse(0) / perS;
--- a/src/main/java/holdproxy/town/MetaLines.java
+++ b/src/main/java/holdproxy/town/MetaLines.java
@@ -7,21 +7,21 @@
 import java.util.List;
 
 /**
- * Lines of the meta protocol (PROTOCOL-pebbletide.md) with the block that belongs to one. Written for
- * the town alone: it shares nothing with the proxy's decoder, whose faults it is to show.
+ * Decodes lines of the meta protocol (PROTOCOL-pebbletide.md) with their data blocks. It shares no code with
+ * the proxy's decoder, so that it shows faults of the latter.
  */
 public final class MetaLines extends ByteToMessageDecoder {
-    /** How a refusal begins. */
+    /** Prefix of the answer that refuses a request. */
     public static final String BUSY = "SERVER_ERROR busy";
 
     private static final int LONGEST = 70_000;
 
-    /** Whether an answer that begins so has a value or a receipt. */
+    /** Whether the answer with this first line carries a value or a receipt. */
     public static boolean served(String answer) {
         return answer.startsWith("VA ") || answer.startsWith("HD ");
     }
 
-    /** A line without its end, and its block, null where it has none. */
+    /** A line without its line end, and its data block or null. */
     public static final class Message {
         private final String line;
         private final String block;
@@ -41,7 +41,7 @@
             return block;
         }
 
-        /** The token that begins with this letter, without it; empty where there is none. */
+        /** The argument of the flag with this letter; empty if there is none. */
         String flag(char letter) {
             for (String token : tokens) {
                 if (!token.isEmpty() && token.charAt(0) == letter && token.length() > 1) {
@@ -51,7 +51,7 @@
             return "";
         }
 
-        /** A value among those of the flag P; empty where it is missing. */
+        /** The value of this name among the name=value pairs of flag P; empty if it is missing. */
         String field(String name) {
             for (String pair : flag('P').split(",")) {
                 if (pair.startsWith(name + "=")) {
@@ -74,7 +74,7 @@
             int end = in.bytesBefore((byte) '\n');
             if (end < 0) {
                 if (in.readableBytes() > LONGEST) {
-                    throw new IllegalStateException("a line without end");
+                    throw new IllegalStateException("no line end within " + LONGEST + " bytes");
                 }
                 return;
             }
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Bytes of the block after the line; -1 for none. */
+    /** Length of the data block after the line in bytes; -1 if the line has none. */
     private int blockLength() {
         String[] tokens = line.split(" ");
         int at = line.startsWith("VA ") ? 1 : line.startsWith("ms ") ? 2 : -1;
@@ -105,7 +105,7 @@
         }
         int length = Integer.parseInt(tokens[at]);
         if (length < 0 || length > LONGEST) {
-            throw new IllegalStateException("a block of " + length + " bytes");
+            throw new IllegalStateException("invalid block length: " + length + " bytes");
         }
         return length;
     }
--- a/src/main/java/holdproxy/town/ProxyConfig.java
+++ b/src/main/java/holdproxy/town/ProxyConfig.java
@@ -5,16 +5,16 @@
 import java.util.stream.IntStream;
 
 /**
- * What a proxy of a town is configured with, as the platform words it.
+ * The configuration of a proxy of an emulated site, in the platform's JSON form.
  *
  * @param index of the proxy
- * @param proxies in the town
- * @param zone its own
- * @param zones the names of all
- * @param coldFrom part of its speed that a node has at its start
- * @param coldS seconds until it has all of it
+ * @param proxies number of proxies in the site
+ * @param zone index of the proxy's zone
+ * @param zones names of all zones
+ * @param coldFrom part of its speed that a node has right after its start
+ * @param coldS seconds from a node's start to full speed
  * @param clubs tenants' shares of the load
- * @param quotaPerS requests a second that all clubs together may ask for
+ * @param quotaPerS quota of all clubs together, in requests a second
  */
 public record ProxyConfig(
         int index,
@@ -25,12 +25,12 @@
         double coldS,
         List<Double> clubs,
         double quotaPerS) {
-    /** A keyed write's repeats are dropped for so long, in microseconds. */
+    /** How long repeats of a keyed write are dropped, in microseconds. */
     public static final long REPEATS_DROPPED_US = 2_500_000;
 
     public static final int ATTEMPTS = 3;
 
-    /** No node is known. */
+    /** A node list without nodes. */
     public static final String NO_LIST = "{\"version\":0,\"full\":true,\"servers\":[]}";
 
     private static final String SETTINGS =
@@ -48,12 +48,12 @@
  "tenants":[%s],"tickMs":5.0,"weights":"off"}
 """;
 
-    /** The names of so many clubs. */
+    /** The names of the first {@code count} clubs. */
     public static List<String> clubNames(int count) {
         return IntStream.range(0, count).mapToObj(i -> "club-" + i).toList();
     }
 
-    /** The whole configuration with so many attempts. */
+    /** The whole configuration, with {@code known} as the node list and at most this many attempts. */
     public String json(String name, long seed, String known, int attempts) {
         List<String> names = clubNames(clubs.size());
         String tenants =
--- a/src/main/java/holdproxy/town/RequestClass.java
+++ b/src/main/java/holdproxy/town/RequestClass.java
@@ -6,11 +6,11 @@
  * A class of requests (BRIEF-pebbletide.md).
  *
  * @param name as in the settings
- * @param share of all requests
- * @param aimMs wanted time
+ * @param share of all operations
+ * @param aimMs target response time
  * @param deadlineMs give-up time
- * @param work of one beside the mean of all
- * @param worth of one answered in its wanted time
+ * @param work mean work of a request relative to the mean over all classes
+ * @param worth value of a request answered within its target time
  * @param effect as in the settings: pure, token (repeats are dropped for a time) or side_effect
  */
 public record RequestClass(
@@ -28,17 +28,16 @@
                     new RequestClass("renewal", 0.033, 800, 4000, 1.6, 10, "token"),
                     new RequestClass("enrolment", 0.027, 1500, 3000, 2.6, 10, "side_effect"));
 
-    /** The class of this name. */
     public static RequestClass named(String name) {
         return ALL.stream().filter(c -> c.name.equals(name)).findFirst().orElseThrow();
     }
 
-    /** Whether its requests may change something. */
+    /** Whether its requests are writes. */
     public boolean write() {
         return !effect.equals("pure");
     }
 
-    /** Whether it may run no more than once: then no client repeats one that was not refused. */
+    /** Whether a request may run at most once; clients then repeat it only after a refusal. */
     public boolean onceOnly() {
         return effect.equals("side_effect");
     }
--- a/src/main/java/holdproxy/town/Service.java
+++ b/src/main/java/holdproxy/town/Service.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** How a town's clients were served, from its record. */
+/** Statistics of how the clients of an emulated site were served, computed from its record. */
 public final class Service {
-    /** What came to be in one second of the town; a want counts in the second in which it began. */
+    /** Counts for one second or for a sum; an operation counts in the second in which it began. */
     public static final class Second {
         public long wanted;
         public double worthWanted;
@@ -30,7 +30,7 @@
     private final Histogram servedMs = new Histogram(LONGEST_MS, 2);
     private final Second all = new Second();
 
-    /** Of a whole record. */
+    /** Evaluates a whole record. */
     public Service(List<Event> events) {
         RequestClass.ALL.forEach(c -> classes.put(c.name(), new Second()));
         Map<String, Want> open = new HashMap<>();
@@ -88,32 +88,32 @@
         }
     }
 
-    /** Worth answered in its wanted time over the worth asked for; 1 where nothing was. */
+    /** Worth served within its target time divided by the worth asked for; 1 if nothing was asked for. */
     public static double share(Second s) {
         return s.worthWanted == 0 ? 1 : s.worthInTime / s.worthWanted;
     }
 
-    /** The sums over all seconds. */
+    /** The sums over the whole record. */
     public Second all() {
         return all;
     }
 
-    /** Second by second, from the first request. */
+    /** The counts of each second since the start of the site's clock. */
     public List<Second> seconds() {
         return seconds;
     }
 
-    /** The share of all requests that was served in time. */
+    /** {@link #share(Second)} over the whole record. */
     public double share() {
         return share(all);
     }
 
-    /** Wants served at all, in time or late. */
+    /** Number of operations served, in time or late. */
     public long served() {
         return servedMs.getTotalCount();
     }
 
-    /** The least share of any 10 seconds in which something was wanted. */
+    /** The least share over any 10 consecutive seconds, or of the whole record if that is less. */
     public double worstTenSeconds() {
         double worst = share();
         for (int from = 0; from + 10 <= seconds.size(); from++) {
@@ -129,13 +129,13 @@
         return worst;
     }
 
-    /** Commands at the busiest node over the mean of all that got any. */
+    /** Commands at the busiest node divided by the mean over the nodes that got any. */
     public double spread() {
         double most = sentTo.values().stream().mapToLong(n -> n).max().orElse(0);
         return most == 0 ? 1 : most * sentTo.size() / all.attempts;
     }
 
-    /** In the order in which a report has them. */
+    /** All figures, in the order of the report. */
     public Map<String, Object> figures() {
         Map<String, Object> f = new LinkedHashMap<>();
         f.put("in_time", share());
--- a/src/main/java/holdproxy/town/Timeline.java
+++ b/src/main/java/holdproxy/town/Timeline.java
@@ -1,10 +1,10 @@
 package holdproxy.town;
 
-/** The time that a part of a town goes by: virtual, or a real event loop's. Its tasks run one at a time. */
+/** Clock and scheduler of a part of the site: virtual, or a real event loop. Its tasks run one at a time. */
 public interface Timeline {
-    /** Microseconds since the town's start, never going back. */
+    /** Microseconds since the site's start; never decreases. */
     long nowUs();
 
-    /** Runs this so many microseconds from now, at once where it is none or less. */
+    /** Runs the task after a delay in microseconds, at once if the delay is 0 or less. */
     void after(long delayUs, Runnable task);
 }
--- a/src/main/java/holdproxy/town/TownRecord.java
+++ b/src/main/java/holdproxy/town/TownRecord.java
@@ -9,22 +9,21 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** All that happened in a town, in its order. */
+/** The event record of an emulated site, in order of occurrence. */
 public final class TownRecord {
     private final List<Event> events = new ArrayList<>();
     private final Consumer<Event> also;
 
-    /** Keeps events in memory alone. */
+    /** Creates a record that keeps its events in memory only. */
     public TownRecord() {
         this(e -> {});
     }
 
-    /** {@code also} is told of each event as it is put down. */
+    /** Creates a record that also passes each event to {@code also} when it is added. */
     public TownRecord(Consumer<Event> also) {
         this.also = also;
     }
 
-    /** Appends an event. */
     public void add(long us, Event.Kind kind, String where, String id, String detail) {
         Event event = new Event(us, kind, where, id, detail);
         events.add(event);
@@ -36,7 +35,7 @@
         return Collections.unmodifiableList(events);
     }
 
-    /** The same for two runs that went the same way, event by event. */
+    /** SHA-256 over all events: equal for two runs with the same events in the same order. */
     public String hash() {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
--- a/src/main/java/holdproxy/town/ZoneReport.java
+++ b/src/main/java/holdproxy/town/ZoneReport.java
@@ -11,17 +11,17 @@
 import java.util.TreeMap;
 
 /**
- * What a town's record says of its zones: how the clients of each were served, and of each zone that fell
- * silent how long proxies went on sending into it. Also the peak of what cold nodes were sent over what they
- * can stand, which a zone that returns shows.
+ * Figures by zone, computed from a site's record: how the clients of each zone were served and, for each zone
+ * that fell silent, how long proxies went on sending into it. Also the peak of the work sent to a cold node
+ * divided by its budget, which matters when a zone returns.
  */
 public final class ZoneReport {
-    /** Sent this multiple of what it can do within this time, a cold node falls over. */
+    /** A cold node fails when it is sent more than this multiple of what it can do within {@code TIP_US}. */
     private static final double TIP = 4;
 
     private static final long TIP_US = 2_000_000;
 
-    /** A zone that died or fell silent. */
+    /** A zone that fell silent, and the traffic sent into it meanwhile. */
     private static final class Loss {
         private final String zone;
         private final long atUs;
@@ -36,7 +36,7 @@
         }
     }
 
-    /** A started node, as {@link Event.Kind#UP} tells of it, and what has come to it lately. */
+    /** A started node, from its {@link Event.Kind#UP}, and its work of the last {@code TIP_US}. */
     private static final class Cold {
         private final long upUs;
         private final double from;
@@ -52,7 +52,7 @@
             coldUs = Double.parseDouble(up.word(2));
         }
 
-        /** The part of its budget that is spent with this more; 0 once it is warm. */
+        /** Adds work; returns the part of the budget that is used, or 0 once the node is warm. */
         double spent(long us, double workUs) {
             double since = us - upUs;
             if (from == warm || since >= coldUs) {
@@ -71,7 +71,7 @@
     private final List<Loss> losses = new ArrayList<>();
     private double coldPeak;
 
-    /** Of a whole record. */
+    /** Evaluates a whole record. */
     public ZoneReport(List<Event> events) {
         Map<String, String> zoneOf = new HashMap<>();
         Map<String, Long> wantedAt = new HashMap<>();
@@ -123,7 +123,7 @@
         }
     }
 
-    /** A dial or message of a proxy outside that a silent zone did not take. */
+    /** Counts a dial or message that a proxy outside sent into a silent zone. */
     private void lost(Event e) {
         for (Loss l : losses) {
             if (!e.word(1).equals("true")
@@ -137,7 +137,7 @@
         }
     }
 
-    /** In the order in which a report has them. */
+    /** All figures, in the order of the report. */
     public Map<String, Object> figures() {
         Map<String, Object> f = new LinkedHashMap<>();
         if (zones.size() > 1) {
--- a/src/main/java/holdproxy/town/package-info.java
+++ b/src/main/java/holdproxy/town/package-info.java
@@ -1,2 +1,2 @@
-/** An emulated environment of the proxies: cache nodes, origin, discovery, clients, and auditors. */
+/** The emulated site of the proxies: cache nodes, origin, discovery, clients, and auditors of its record. */
 package holdproxy.town;
