--- a/src/main/java/holdproxy/sim/FrameWriter.java
+++ b/src/main/java/holdproxy/sim/FrameWriter.java
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void tell(int router, byte[] data) {
+    public void sendMessage(int router, byte[] data) {
         startRecord(MEMO_TO, 4 + data.length);
         put(router, 2);
         put(data.length, 2);
--- a/src/main/java/holdproxy/toml/TomlPart.java
+++ b/src/main/java/holdproxy/toml/TomlSection.java
@@ -19,14 +19,14 @@
  * report unknown ones. A value that is missing, unknown, of the wrong type or out of range is a {@link
  * BadInput} with the file and the line.
  */
-public final class TomlPart {
+public final class TomlSection {
     private final String file;
     private final String what;
     private final TomlTable table;
     private final TomlPosition position;
     private final Set<String> readKeys = new TreeSet<>();
 
-    private TomlPart(String file, String what, TomlTable table, TomlPosition start) {
+    private TomlSection(String file, String what, TomlTable table, TomlPosition start) {
         this.file = file;
         this.what = what;
         this.table = table;
@@ -34,7 +34,7 @@
     }
 
     /** {@code file} names the file and {@code what} the table in error messages. */
-    public static TomlPart parse(String file, String what, String text) {
+    public static TomlSection parse(String file, String what, String text) {
         TomlParseResult parsed = Toml.parse(text);
         if (parsed.hasErrors()) {
             throw new BadInput(
@@ -44,17 +44,17 @@
                             + ": "
                             + parsed.errors().get(0).getMessage());
         }
-        return new TomlPart(file, what, parsed, null);
+        return new TomlSection(file, what, parsed, null);
     }
 
     /** The position of a key, or of the table if the key is absent. */
-    public TomlPosition at(String key) {
+    public TomlPosition positionOf(String key) {
         TomlPosition at = table.inputPositionOf(List.of(key));
         return at == null ? position : at;
     }
 
     /** Returns an error with the file and the line. */
-    public BadInput bad(TomlPosition at, String why) {
+    public BadInput error(TomlPosition at, String why) {
         return new BadInput(file + (at == null ? "" : " line " + at.line()) + ": " + why);
     }
 
@@ -64,8 +64,9 @@
             return current;
         }
         if (table.contains(List.of(current))) {
-            throw bad(
-                    at(former), former + " is the former name of " + current + "; both are stated");
+            throw error(
+                    positionOf(former),
+                    former + " is the former name of " + current + "; both are stated");
         }
         return former;
     }
@@ -76,40 +77,40 @@
     }
 
     /** A string, or the fallback if the key is absent. */
-    public String text(String key, String fallback) {
+    public String string(String key, String fallback) {
         Object value = value(key);
         if (value == null || value instanceof String) {
             return value == null ? fallback : (String) value;
         }
-        throw bad(at(key), key + " is no text");
+        throw error(positionOf(key), key + " is no text");
     }
 
     /** A required string, converted by {@code reader}; its {@link BadInput} gets the file and the line. */
-    public <T> T read(String key, Function<String, T> reader) {
+    public <T> T requiredString(String key, Function<String, T> reader) {
         if (value(key) == null) {
-            throw bad(position, key + " is missing from " + what);
+            throw error(position, key + " is missing from " + what);
         }
         try {
-            return reader.apply(text(key, ""));
+            return reader.apply(string(key, ""));
         } catch (BadInput e) {
-            throw bad(at(key), e.getMessage());
+            throw error(positionOf(key), e.getMessage());
         }
     }
 
     /** A list of strings, each checked by {@code reader}; empty if the key is absent. */
-    public List<String> texts(String key, Function<String, ?> reader) {
+    public List<String> strings(String key, Function<String, ?> reader) {
         List<String> texts = new ArrayList<>();
         TomlArray array = array(key);
         for (int i = 0; array != null && i < array.size(); i++) {
             if (!(array.get(i) instanceof String text)) {
-                throw bad(
+                throw error(
                         array.inputPositionOf(i),
                         key + " in " + what + " has an entry that is no text");
             }
             try {
                 reader.apply(text);
             } catch (BadInput e) {
-                throw bad(array.inputPositionOf(i), e.getMessage());
+                throw error(array.inputPositionOf(i), e.getMessage());
             }
             texts.add(text);
         }
@@ -125,7 +126,7 @@
     public Map<String, Object> map(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
-            throw bad(at(key), key + " is no table, [" + key + "]");
+            throw error(positionOf(key), key + " is no table, [" + key + "]");
         }
         return value == null ? Map.of() : toPlain((TomlTable) value);
     }
@@ -151,7 +152,7 @@
     }
 
     /** The position of a dotted path of keys and list indexes, or of the innermost existing parent. */
-    public TomlPosition atPath(String path) {
+    public TomlPosition positionOfPath(String path) {
         TomlPosition at = position;
         Object inside = table;
         for (String step : path.split("\\.")) {
@@ -179,8 +180,8 @@
         if (value instanceof Number n && n.doubleValue() >= least && n.doubleValue() <= most) {
             return n.doubleValue();
         }
-        throw bad(
-                at(key),
+        throw error(
+                positionOf(key),
                 key
                         + " in "
                         + what
@@ -193,18 +194,18 @@
     }
 
     /** A required number within bounds. */
-    public double needed(String key, double least, double most) {
+    public double requiredNumber(String key, double least, double most) {
         if (value(key) == null) {
-            throw bad(position, key + " is missing from " + what);
+            throw error(position, key + " is missing from " + what);
         }
         return number(key, 0, least, most);
     }
 
     /** A whole number within bounds, or the fallback if the key is absent. */
-    public int whole(String key, int fallback, int least, int most) {
+    public int integer(String key, int fallback, int least, int most) {
         double value = number(key, fallback, least, most);
         if (value != Math.rint(value)) {
-            throw bad(at(key), key + " in " + what + " is not a whole number: " + value);
+            throw error(positionOf(key), key + " in " + what + " is not a whole number: " + value);
         }
         return (int) value;
     }
@@ -215,30 +216,33 @@
         if (value == null || value instanceof TomlArray) {
             return (TomlArray) value;
         }
-        throw bad(at(key), key + " in " + what + " is no list");
+        throw error(positionOf(key), key + " in " + what + " is no list");
     }
 
     /** A table, {@code [key]}; an empty one if the key is absent. */
-    public TomlPart part(String key) {
+    public TomlSection section(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
-            throw bad(at(key), key + " is no table, [" + key + "]");
+            throw error(positionOf(key), key + " is no table, [" + key + "]");
         }
-        return new TomlPart(
-                file, "[" + key + "]", value == null ? Toml.parse("") : (TomlTable) value, at(key));
+        return new TomlSection(
+                file,
+                "[" + key + "]",
+                value == null ? Toml.parse("") : (TomlTable) value,
+                positionOf(key));
     }
 
     /** A list of tables, {@code [[key]]}; empty if the key is absent. */
-    public List<TomlPart> parts(String key) {
-        List<TomlPart> parts = new ArrayList<>();
+    public List<TomlSection> sections(String key) {
+        List<TomlSection> parts = new ArrayList<>();
         TomlArray array = array(key);
         for (int i = 0; array != null && i < array.size(); i++) {
             if (!(array.get(i) instanceof TomlTable each)) {
-                throw bad(
+                throw error(
                         array.inputPositionOf(i),
                         key + " is not a list of tables, [[" + key + "]]");
             }
-            parts.add(new TomlPart(file, "[[" + key + "]]", each, array.inputPositionOf(i)));
+            parts.add(new TomlSection(file, "[[" + key + "]]", each, array.inputPositionOf(i)));
         }
         return parts;
     }
@@ -249,24 +253,26 @@
         if (value == null || value instanceof Boolean) {
             return Boolean.TRUE.equals(value);
         }
-        throw bad(at(key), key + " in " + what + " is neither true nor false");
+        throw error(positionOf(key), key + " in " + what + " is neither true nor false");
     }
 
     /** A required string that is one of these words. */
-    public String word(String key, List<String> words) {
-        String word = text(key, "");
+    public String requiredChoice(String key, List<String> words) {
+        String word = string(key, "");
         if (!words.contains(word)) {
-            throw bad(at(key), key + " in " + what + " is not one of " + String.join(", ", words));
+            throw error(
+                    positionOf(key),
+                    key + " in " + what + " is not one of " + String.join(", ", words));
         }
         return word;
     }
 
     /** Throws a {@link BadInput} for the first key that was never read, which is thus unknown. */
-    public void done() {
+    public void rejectUnknownKeys() {
         for (String key : table.keySet()) {
             if (!readKeys.contains(key)) {
-                throw bad(
-                        at(key),
+                throw error(
+                        positionOf(key),
                         key
                                 + " is unknown in "
                                 + what
--- a/src/main/java/holdproxy/toml/TomlText.java
+++ b/src/main/java/holdproxy/toml/TomlText.java
@@ -1,6 +1,6 @@
 package holdproxy.toml;
 
-/** Formats values as TOML that {@link TomlPart} reads back unchanged. */
+/** Formats values as TOML that {@link TomlSection} reads back unchanged. */
 public final class TomlText {
     private TomlText() {}
 
--- a/src/main/java/holdproxy/town/Auditors.java
+++ b/src/main/java/holdproxy/town/Auditors.java
@@ -16,7 +16,7 @@
  */
 public final class Auditors {
     /** Attempts per request that the rules allow unless a proxy's settings say otherwise. */
-    public static final int ATTEMPTS = 3;
+    public static final int MAX_ATTEMPTS = 3;
 
     /** Added to each time limit of the rules, to allow for delays on sockets. */
     private static final long SLACK_US = 50_000;
@@ -36,47 +36,47 @@
 
     static {
         RULES.put("one answer", Auditors::oneAnswer);
-        RULES.put("honest values", Auditors::honestValues);
+        RULES.put("honest values", Auditors::valueIntegrity);
         RULES.put("attempts", Auditors::attempts);
-        RULES.put("repeats", Auditors::repeats);
+        RULES.put("repeats", Auditors::repeatedWrites);
         RULES.put("drains", Auditors::drains);
-        RULES.put("left out", Auditors::leftOut);
-        RULES.put("figures", Auditors::figures);
-        RULES.put("harmless refusals", Auditors::harmlessRefusals);
-        RULES.put("cold nodes", Auditors::coldNodes);
+        RULES.put("left out", Auditors::excludedNodes);
+        RULES.put("figures", Auditors::reportedCounters);
+        RULES.put("harmless refusals", Auditors::refusedNeverApplied);
+        RULES.put("cold nodes", Auditors::coldNodeBudgets);
         UNTIMED_RULES.put("unasked answers", Auditors::unsolicitedAnswers);
-        UNTIMED_RULES.put("honest values", Auditors::honestValues);
+        UNTIMED_RULES.put("honest values", Auditors::valueIntegrity);
         UNTIMED_RULES.put("attempts", Auditors::attempts);
         UNTIMED_RULES.put("once", Auditors::appliedOnce);
-        UNTIMED_RULES.put("harmless refusals", Auditors::harmlessRefusals);
+        UNTIMED_RULES.put("harmless refusals", Auditors::refusedNeverApplied);
     }
 
     /** A violation: the name of the rule and the event that shows it. */
-    public record Broken(String rule, String what) {
+    public record Violation(String rule, String evidence) {
         @Override
         public String toString() {
-            return rule + ": " + what;
+            return rule + ": " + evidence;
         }
     }
 
     private Auditors() {}
 
     /** The violations of all rules. */
-    public static List<Broken> broken(List<Event> events) {
+    public static List<Violation> violations(List<Event> events) {
         return check(RULES, events);
     }
 
     /** The violations of those rules that set no time limit, for runs in real time. */
-    public static List<Broken> brokenWhateverTheTime(List<Event> events) {
+    public static List<Violation> untimedViolations(List<Event> events) {
         return check(UNTIMED_RULES, events);
     }
 
-    private static List<Broken> check(
+    private static List<Violation> check(
             Map<String, Function<List<Event>, List<String>>> rules, List<Event> events) {
-        List<Broken> found = new ArrayList<>();
+        List<Violation> found = new ArrayList<>();
         rules.forEach(
                 (rule, auditor) ->
-                        auditor.apply(events).forEach(w -> found.add(new Broken(rule, w))));
+                        auditor.apply(events).forEach(w -> found.add(new Violation(rule, w))));
         return found;
     }
 
@@ -106,15 +106,15 @@
                 case FAULT -> {
                     if (e.detail().startsWith("held ")) {
                         suspendedUntil.put(
-                                e.where(),
+                                e.host(),
                                 e.us() + Long.parseLong(e.detail().substring(5)) + SLACK_US);
                     } else if (e.detail().equals("killed")) {
-                        killedAt.put(e.where(), e.us());
+                        killedAt.put(e.host(), e.us());
                     }
                 }
                 case LOST -> {
                     if (e.word(1).equals("true")) {
-                        lostAt.put(e.where(), e.us());
+                        lostAt.put(e.host(), e.us());
                     }
                 }
                 case ASKED -> sentAt.put(e.id(), e.us());
@@ -127,9 +127,9 @@
                 case LEFT, CUT -> {
                     long since = sentAt.get(e.id());
                     boolean excused =
-                            suspendedUntil.getOrDefault(e.where(), -1L) >= since
-                                    || killedAt.getOrDefault(e.where(), -1L) >= since
-                                    || lostAt.getOrDefault(e.where(), -1L) >= since
+                            suspendedUntil.getOrDefault(e.host(), -1L) >= since
+                                    || killedAt.getOrDefault(e.host(), -1L) >= since
+                                    || lostAt.getOrDefault(e.host(), -1L) >= since
                                     || e.kind() == Event.Kind.CUT && !taken.contains(e.id());
                     if (!excused) {
                         found.add(
@@ -145,7 +145,7 @@
     }
 
     /** A value or receipt that is served was produced for this request by a node or the origin. */
-    public static List<String> honestValues(List<Event> events) {
+    public static List<String> valueIntegrity(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, Set<String>> produced = new HashMap<>();
         for (Event e : events) {
@@ -175,12 +175,12 @@
         Map<String, Integer> allowed = new HashMap<>();
         for (Event e : events) {
             if (e.kind() == Event.Kind.RETUNED) {
-                allowedAt.put(e.where(), Integer.parseInt(e.detail()));
+                allowedAt.put(e.host(), Integer.parseInt(e.detail()));
             } else if (e.kind() == Event.Kind.TAKEN) {
-                allowed.put(e.id(), allowedAt.getOrDefault(e.where(), ATTEMPTS));
+                allowed.put(e.id(), allowedAt.getOrDefault(e.host(), MAX_ATTEMPTS));
             } else if (e.kind() == Event.Kind.ARRIVED
                     && sent.merge(e.id(), 1, Integer::sum)
-                            > allowed.getOrDefault(e.id(), ATTEMPTS)) {
+                            > allowed.getOrDefault(e.id(), MAX_ATTEMPTS)) {
                 found.add("more attempts than allowed: " + e);
             }
         }
@@ -188,19 +188,19 @@
     }
 
     /** A node that operators left out gets no command after the drain grace time, until it is used again. */
-    public static List<String> leftOut(List<Event> events) {
+    public static List<String> excludedNodes(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, Long> outSince = new HashMap<>();
         for (Event e : events) {
             if (e.kind() == Event.Kind.OUT && e.detail().equals("out")) {
-                outSince.putIfAbsent(e.where() + " " + e.id(), e.us());
+                outSince.putIfAbsent(e.host() + " " + e.id(), e.us());
             } else if (e.kind() == Event.Kind.OUT) {
-                outSince.remove(e.where() + " " + e.id());
+                outSince.remove(e.host() + " " + e.id());
             } else if (proxyEnded(e)) {
                 // a restarted proxy learns at its start which nodes are left out
-                outSince.keySet().removeIf(key -> key.startsWith(e.where() + " "));
+                outSince.keySet().removeIf(key -> key.startsWith(e.host() + " "));
             } else if (e.kind() == Event.Kind.ARRIVED) {
-                Long since = outSince.get(e.word(1) + " " + e.where());
+                Long since = outSince.get(e.word(1) + " " + e.host());
                 if (since != null && e.us() - since > DRAIN_US) {
                     found.add(
                             "sent "
@@ -217,16 +217,16 @@
      * The counters that a proxy reports at the end agree with what its clients and nodes saw since its start.
      * Abandoned requests may be counted or not, and attempts that were sent may be lost on the way to a node.
      */
-    public static List<String> figures(List<Event> events) {
+    public static List<String> reportedCounters(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, ObservedCounts> seen = new HashMap<>();
         for (Event e : events) {
             if (e.kind() == Event.Kind.FAULT && e.detail().equals("started")) {
-                seen.put(e.where(), new ObservedCounts());
+                seen.put(e.host(), new ObservedCounts());
             } else if (e.kind() == Event.Kind.ARRIVED && seen.containsKey(e.word(1))) {
                 seen.get(e.word(1)).arrived++;
-            } else if (seen.containsKey(e.where())) {
-                seen.get(e.where()).add(e, found);
+            } else if (seen.containsKey(e.host())) {
+                seen.get(e.host()).add(e, found);
             }
         }
         return found;
@@ -248,7 +248,7 @@
                 case ANSWERED -> {
                     if (e.detail().startsWith("VA ") || e.detail().startsWith("HD ")) {
                         served++;
-                    } else if (e.detail().startsWith(MetaLines.BUSY)) {
+                    } else if (e.detail().startsWith(MetaProtocolDecoder.BUSY)) {
                         busy++;
                     } else {
                         failed++;
@@ -296,7 +296,7 @@
      * An enrolment runs at most once; a renewal is repeated only within the time for which repeats are
      * dropped.
      */
-    public static List<String> repeats(List<Event> events) {
+    public static List<String> repeatedWrites(List<Event> events) {
         List<String> found = appliedOnce(events);
         Map<String, String> classOf = new HashMap<>();
         Map<String, Long> firstAt = new HashMap<>();
@@ -340,16 +340,16 @@
         for (Event e : events) {
             if (e.kind() == Event.Kind.TOLD) {
                 Map<String, Long> nodes =
-                        notifiedAt.computeIfAbsent(e.where(), proxy -> new HashMap<>());
+                        notifiedAt.computeIfAbsent(e.host(), proxy -> new HashMap<>());
                 if (e.detail().startsWith("SERVING")) {
                     nodes.remove(e.id());
                 } else {
                     nodes.putIfAbsent(e.id(), e.us());
                 }
             } else if (proxyEnded(e)) {
-                notifiedAt.remove(e.where()); // a restarted proxy gets a new list
+                notifiedAt.remove(e.host()); // a restarted proxy gets a new list
             } else if (e.kind() == Event.Kind.ARRIVED) {
-                Long since = notifiedAt.getOrDefault(e.word(1), Map.of()).get(e.where());
+                Long since = notifiedAt.getOrDefault(e.word(1), Map.of()).get(e.host());
                 if (since != null && e.us() - since > DRAIN_US) {
                     found.add(
                             "sent "
@@ -371,7 +371,7 @@
      * "Busy" states that the request may safely be sent again: an enrolment that got this answer runs at no
      * time.
      */
-    public static List<String> harmlessRefusals(List<Event> events) {
+    public static List<String> refusedNeverApplied(List<Event> events) {
         List<String> found = new ArrayList<>();
         Set<String> enrolments = new HashSet<>();
         Set<String> ran = new HashSet<>();
@@ -434,22 +434,22 @@
     }
 
     /** The proxies together send no cold node more than its budget; one violation per start of a node. */
-    public static List<String> coldNodes(List<Event> events) {
+    public static List<String> coldNodeBudgets(List<Event> events) {
         List<String> found = new ArrayList<>();
         Map<String, StartedNode> started = new HashMap<>();
         Map<String, Set<String>> informed = new HashMap<>();
         for (Event e : events) {
             if (e.kind() == Event.Kind.UP) {
-                started.put(e.where(), new StartedNode(e));
-                informed.put(e.where(), new HashSet<>());
+                started.put(e.host(), new StartedNode(e));
+                informed.put(e.host(), new HashSet<>());
             } else if (e.kind() == Event.Kind.TOLD && e.detail().startsWith("SERVING")) {
-                informed.getOrDefault(e.id(), new HashSet<>()).add(e.where());
+                informed.getOrDefault(e.id(), new HashSet<>()).add(e.host());
             } else if (e.kind() == Event.Kind.ARRIVED) {
-                StartedNode node = started.get(e.where());
+                StartedNode node = started.get(e.host());
                 if (node.warmAt(e.us())) {
                     continue;
                 }
-                boolean known = informed.get(e.where()).contains(e.word(1));
+                boolean known = informed.get(e.host()).contains(e.word(1));
                 if (!node.reported
                         && node.exceedsBudget(e.us(), Double.parseDouble(e.word(2)), known)) {
                     node.reported = true;
--- a/src/main/java/holdproxy/town/CacheNode.java
+++ b/src/main/java/holdproxy/town/CacheNode.java
@@ -58,7 +58,7 @@
 
     /** A command and the connection on which it is answered. */
     private final class Job {
-        final MetaLines.Message command;
+        final MetaProtocolDecoder.Message command;
         final Connection connection;
         final String id;
 
@@ -69,7 +69,7 @@
         double remainingUs = -kind.workUs * Math.log(1 - random.nextDouble());
         String answer;
 
-        Job(MetaLines.Message command, Connection connection) {
+        Job(MetaProtocolDecoder.Message command, Connection connection) {
             this.command = command;
             this.connection = connection;
             id = command.flag('O');
@@ -77,7 +77,7 @@
                     command.field("c").equals("renewal")
                             ? origin.groupOnArrival(command.field("k"))
                             : null;
-            remainingUs *= RequestClass.named(command.field("c")).work();
+            remainingUs *= RequestClass.named(command.field("c")).relativeWork();
         }
     }
 
@@ -88,10 +88,10 @@
     public final int zone;
     public final InetSocketAddress address;
     public final Kind kind;
-    private final Timeline loop;
-    private final TownNetwork network;
-    private final TownRecord record;
-    private final MemberRegister origin;
+    private final Scheduler loop;
+    private final SiteNetwork network;
+    private final SiteRecord record;
+    private final Origin origin;
     private final SplittableRandom random;
     private final List<Job> running = new ArrayList<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
@@ -119,10 +119,10 @@
             int zone,
             InetSocketAddress address,
             Kind kind,
-            Timeline loop,
-            TownNetwork network,
-            TownRecord record,
-            MemberRegister origin,
+            Scheduler loop,
+            SiteNetwork network,
+            SiteRecord record,
+            Origin origin,
             SplittableRandom random) {
         this.name = name;
         this.zone = zone;
@@ -165,7 +165,10 @@
         listener =
                 network.listen(
                                 address,
-                                () -> new ChannelHandler[] {new MetaLines(), new Connection()})
+                                () ->
+                                        new ChannelHandler[] {
+                                            new MetaProtocolDecoder(), new Connection()
+                                        })
                         .channel();
         double speed = kind.speed * kind.cores;
         record.add(
@@ -177,12 +180,12 @@
     }
 
     /** Whether it accepts connections. */
-    public boolean up() {
+    public boolean isUp() {
         return listener != null;
     }
 
     /** Whether {@link #drain} was called since its start. */
-    public boolean drains() {
+    public boolean isDraining() {
         return draining;
     }
 
@@ -198,7 +201,7 @@
     }
 
     /** Ends the process: closes its connections and drops its requests; {@code how} goes into the record. */
-    public void end(String how) {
+    public void stop(String how) {
         if (listener == null) {
             return;
         }
@@ -215,7 +218,7 @@
     }
 
     /** Makes it {@code times} slower than normal from now on. */
-    public void slow(double factor) {
+    public void setSlowdown(double factor) {
         record.add(loop.nowUs(), Event.Kind.FAULT, name, "", "slow " + factor);
         advance();
         slowdown = factor;
@@ -240,7 +243,7 @@
                         + " "
                         + (long) job.remainingUs);
         if (exceedsColdBudget(job.remainingUs)) {
-            end("falls over");
+            stop("falls over");
         } else if (draining
                 || connections.size() > kind.connections
                 || running.size() == kind.slots && waiting.size() == kind.queue) {
@@ -302,7 +305,7 @@
             least = Math.min(least, j.remainingUs);
         }
         if (!running.isEmpty()) {
-            loop.after(
+            loop.schedule(
                     (long) Math.ceil(Math.max(0, least) / workPerUs()),
                     () -> {
                         if (number == stepNumber) {
@@ -371,7 +374,8 @@
     }
 
     /** A connection of a proxy: commands start on arrival and are answered in order of arrival. */
-    private final class Connection extends SimpleChannelInboundHandler<MetaLines.Message> {
+    private final class Connection
+            extends SimpleChannelInboundHandler<MetaProtocolDecoder.Message> {
         private final ArrayDeque<Job> pending = new ArrayDeque<>();
         private Channel channel;
         private String proxy;
@@ -380,12 +384,13 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            proxy = network.peer(channel);
+            proxy = network.peerName(channel);
             connections.add(channel);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, MetaLines.Message command) {
+        protected void channelRead0(
+                ChannelHandlerContext ctx, MetaProtocolDecoder.Message command) {
             Job job = new Job(command, this);
             pending.add(job);
             if (beforeFirstCommand) {
--- a/src/main/java/holdproxy/town/Clients.java
+++ b/src/main/java/holdproxy/town/Clients.java
@@ -33,16 +33,16 @@
     private static final double MIN_PAUSE_MS = 20;
     private static final double MAX_PAUSE_MS = 160;
 
-    private final Timeline loop;
+    private final Scheduler loop;
 
     /** The network of each zone's clients, indexed by zone. */
     private final List<? extends Transport> networks;
 
-    private final TownRecord record;
+    private final SiteRecord record;
     private final SplittableRandom random;
     private final Load load;
     private final List<String> tenants;
-    private final Front front;
+    private final LoadBalancer front;
     private final double[] cumulativeKeyWeights;
     private final double[] rateFactors;
     private final int proxies;
@@ -60,13 +60,13 @@
 
     /** Creates clients that send nothing before {@link #ask}. */
     public Clients(
-            Timeline loop,
+            Scheduler loop,
             List<? extends Transport> networks,
-            TownRecord record,
+            SiteRecord record,
             SplittableRandom random,
             Load load,
             List<String> tenants,
-            Front front,
+            LoadBalancer front,
             int proxies) {
         this.loop = loop;
         this.networks = networks;
@@ -95,7 +95,7 @@
     }
 
     /** Sends requests from now on until this time, in microseconds. */
-    public void ask(long until) {
+    public void start(long until) {
         untilUs = until;
         scheduleNext();
     }
@@ -105,22 +105,22 @@
      * are not observed by {@link #atDoor}: a request may then have run when its connection closes, and isn't
      * sent once more for that.
      */
-    public void takenWhenWritten() {
+    public void countReadWhenWritten() {
         countsReadWhenWritten = true;
     }
 
     /** Multiplies a club's request rate by this factor from now on. */
-    public void surge(int club, double factor) {
+    public void setRateFactor(int club, double factor) {
         rateFactors[club] = factor;
     }
 
     /** Sends this part of all reads to a single key from now on. */
-    public void hot(double part) {
+    public void setHotKeyShare(double part) {
         hotKeyShare = part;
     }
 
     /** Wraps a proxy's network so as to record which client requests the proxy has read. */
-    public Transport atDoor(String proxy, Transport inner) {
+    public Transport recordReads(String proxy, Transport inner) {
         return new Transport() {
             @Override
             public ChannelFuture connect(
@@ -141,13 +141,13 @@
             }
 
             @Override
-            public void endSending(Channel channel) {
-                inner.endSending(channel);
+            public void shutdownOutput(Channel channel) {
+                inner.shutdownOutput(channel);
             }
 
             @Override
-            public void whenRead(Runnable task, boolean late) {
-                inner.whenRead(task, late);
+            public void afterReads(Runnable task, boolean late) {
+                inner.afterReads(task, late);
             }
         };
     }
@@ -186,7 +186,7 @@
                                 / (load.ratePerS() * totalWeight())
                                 * 1e6);
         if (loop.nowUs() + gapUs < untilUs) {
-            loop.after(
+            loop.schedule(
                     gapUs,
                     () -> {
                         scheduleNext();
@@ -237,7 +237,7 @@
         private final String tenant = drawTenant();
         private final String key =
                 key(
-                        !type.write() && hotKeyShare > 0 && random.nextDouble() < hotKeyShare
+                        !type.isWrite() && hotKeyShare > 0 && random.nextDouble() < hotKeyShare
                                 ? 0
                                 : drawKey());
         private final int zone = networks.size() == 1 ? 0 : random.nextInt(networks.size());
@@ -277,7 +277,7 @@
                             + ",d="
                             + timeoutMs
                             + (tries > 1 ? ",r=1" : "");
-            return type.write()
+            return type.isWrite()
                     ? "ms " + key + " 5" + fields + ",k=k" + number + "\r\nhello\r\n"
                     : "mg " + key + " v" + fields + "\r\n";
         }
@@ -292,7 +292,11 @@
             Connection fresh = new Connection(proxy, zone);
             ChannelFuture connected =
                     networks.get(zone)
-                            .connect(front.address(proxy), CONNECT_MS, new MetaLines(), fresh);
+                            .connect(
+                                    front.address(proxy),
+                                    CONNECT_MS,
+                                    new MetaProtocolDecoder(),
+                                    fresh);
             fresh.channel = connected.channel();
             connected.addListener(
                     f -> {
@@ -309,16 +313,16 @@
             if (tries <= load.retries()) {
                 double pauseMs =
                         random.nextDouble(MIN_PAUSE_MS, MAX_PAUSE_MS) * (1L << (tries - 1));
-                loop.after((long) (1000 * Math.max(adviceMs, pauseMs)), this::sendTry);
+                loop.schedule((long) (1000 * Math.max(adviceMs, pauseMs)), this::sendTry);
             }
         }
 
         private void handleAnswer(String line) {
             readRequests.remove(id());
-            if (line.startsWith(MetaLines.BUSY)) {
-                String advice = line.substring(MetaLines.BUSY.length()).strip();
+            if (line.startsWith(MetaProtocolDecoder.BUSY)) {
+                String advice = line.substring(MetaProtocolDecoder.BUSY.length()).strip();
                 retry(advice.isEmpty() ? 0 : Long.parseLong(advice));
-            } else if (!MetaLines.served(line)) {
+            } else if (!MetaProtocolDecoder.isServed(line)) {
                 retryUnlessOnceOnly();
             }
         }
@@ -347,7 +351,8 @@
         }
     }
 
-    private final class Connection extends SimpleChannelInboundHandler<MetaLines.Message> {
+    private final class Connection
+            extends SimpleChannelInboundHandler<MetaProtocolDecoder.Message> {
         private final int proxy;
         private final ArrayDeque<Connection> idle;
         private Channel channel;
@@ -376,10 +381,10 @@
                     id,
                     operation.type.name()
                             + " "
-                            + (operation.type.write() ? "k" + operation.number : "-")
+                            + (operation.type.isWrite() ? "k" + operation.number : "-")
                             + " "
                             + operation.timeoutMs);
-            loop.after(operation.timeoutMs * 1000L, () -> giveUp(operation, id));
+            loop.schedule(operation.timeoutMs * 1000L, () -> giveUp(operation, id));
         }
 
         private void giveUp(Operation operation, String id) {
@@ -392,7 +397,7 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, MetaLines.Message answer) {
+        protected void channelRead0(ChannelHandlerContext ctx, MetaProtocolDecoder.Message answer) {
             Operation operation = current;
             // an answer without an open request is recorded too, for the auditors to report
             recordEvent(
--- a/src/main/java/holdproxy/town/DiscoveryService.java
+++ b/src/main/java/holdproxy/town/DiscoveryService.java
@@ -38,8 +38,8 @@
             String state,
             long startedMs) {}
 
-    private final Timeline loop;
-    private final TownRecord record;
+    private final Scheduler loop;
+    private final SiteRecord record;
     private final long callUs;
     private final Predicate<String> unreachable;
     private final BiFunction<String, InetSocketAddress, InetSocketAddress> addressForProxy;
@@ -49,7 +49,7 @@
     private final Map<Channel, String> watches = new LinkedHashMap<>();
 
     private final Map<String, Change> latest = new LinkedHashMap<>();
-    private TownNetwork network;
+    private SiteNetwork network;
     private long version;
     private long freeAtUs;
     private boolean down;
@@ -62,8 +62,8 @@
      * @param places maps a proxy and a node's address to the address at which that proxy reaches the node
      */
     public DiscoveryService(
-            Timeline loop,
-            TownRecord record,
+            Scheduler loop,
+            SiteRecord record,
             long callUs,
             Predicate<String> unreachable,
             BiFunction<String, InetSocketAddress, InetSocketAddress> addressForProxy) {
@@ -75,14 +75,14 @@
     }
 
     /** Starts to accept calls at this address. */
-    public void start(TownNetwork network, InetSocketAddress address) {
+    public void start(SiteNetwork network, InetSocketAddress address) {
         this.network = network;
         network.listen(address, () -> new ChannelHandler[] {new HttpServerCodec(), new Call()});
         sendHeartbeats();
     }
 
     /** Takes it down or up again; while down it answers 503. Going down closes all watches. */
-    public void down(boolean isDown) {
+    public void setDown(boolean isDown) {
         record.add(loop.nowUs(), Event.Kind.FAULT, "discovery", "", isDown ? "down" : "up");
         down = isDown;
         if (isDown) {
@@ -92,7 +92,7 @@
     }
 
     /** Sets a node's state (SERVING, DRAINING or DELETED) and pushes it to all watches. */
-    public void set(
+    public void setState(
             String node,
             InetSocketAddress address,
             String zone,
@@ -114,7 +114,7 @@
     }
 
     /** The current full list for a proxy that starts with it; recorded as told to the proxy. */
-    public String whole(String proxy) {
+    public String fullList(String proxy) {
         latest.values().forEach(c -> recordTold(proxy, c));
         return list(proxy, true, List.copyOf(latest.values()));
     }
@@ -130,7 +130,7 @@
     }
 
     private String entry(String proxy, Change c) {
-        String address = text(addressForProxy.apply(proxy, c.address));
+        String address = formatAddress(addressForProxy.apply(proxy, c.address));
         return "{\"id\":\""
                 + c.node
                 + "\",\"addr\":\""
@@ -160,7 +160,7 @@
     }
 
     /** The form of an address in discovery's answers: host, colon, port. */
-    public static String text(InetSocketAddress address) {
+    public static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -171,7 +171,7 @@
 
     private void sendHeartbeats() {
         watches.keySet().forEach(w -> writeLine(w, ""));
-        loop.after(HEARTBEAT_US, this::sendHeartbeats);
+        loop.schedule(HEARTBEAT_US, this::sendHeartbeats);
     }
 
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
@@ -180,7 +180,7 @@
             if (message instanceof HttpRequest request) {
                 QueryStringDecoder query = new QueryStringDecoder(request.uri());
                 freeAtUs = Math.max(freeAtUs, loop.nowUs()) + callUs;
-                loop.after(
+                loop.schedule(
                         freeAtUs - loop.nowUs(), () -> answer(ctx.channel(), query.parameters()));
             }
         }
@@ -197,7 +197,7 @@
                     new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             channel.writeAndFlush(head);
-            String proxy = network.peer(channel);
+            String proxy = network.peerName(channel);
             long since =
                     parameters.containsKey("index")
                             ? Long.parseLong(parameters.get("index").get(0))
--- a/src/main/java/holdproxy/town/Event.java
+++ b/src/main/java/holdproxy/town/Event.java
@@ -5,15 +5,15 @@
  *
  * @param us time in microseconds of the site's clock
  * @param kind what happened
- * @param where the host that observed it
+ * @param host the host that observed it
  * @param id id of the request where it is about one, else empty unless the kind says otherwise
  * @param detail further fields, as stated for the kind
  */
-public record Event(long us, Kind kind, String where, String id, String detail) {
+public record Event(long us, Kind kind, String host, String id, String detail) {
     /** Kinds of events; the names of the constants are written to the record. */
     public enum Kind {
         /**
-         * A client begins an operation; where: the club, id: the prefix of its requests' ids, detail: class,
+         * A client begins an operation; host: the club, id: the prefix of its requests' ids, detail: class,
          * and zone of the client if there are several.
          */
         WANTED,
@@ -39,7 +39,7 @@
         /** A node has started; detail: speed at first and when warm, in standard cores, and us in between. */
         UP,
         /**
-         * Discovery sent a node's state to a proxy; where: the proxy, id: the node, detail: the state and the
+         * Discovery sent a node's state to a proxy; host: the proxy, id: the node, detail: the state and the
          * node's start time in milliseconds.
          */
         TOLD,
@@ -50,7 +50,7 @@
         /** The counters that a proxy reports at the end; detail: ok, shed, errors, tries and active. */
         FIGURES,
         /**
-         * A zone fault lost or delayed a dial or message; where: the receiver, id: the sender, detail: dial,
+         * A zone fault lost or delayed a dial or message; host: the receiver, id: the sender, detail: dial,
          * message or late, whether on a client connection, and the silent zone that it was sent into from
          * outside, or -1.
          */
@@ -74,12 +74,12 @@
     }
 
     /** The id that all tries of an operation share: this request's id without its last digit. */
-    public String want() {
+    public String operationId() {
         return id.substring(0, id.length() - 1);
     }
 
     @Override
     public String toString() {
-        return us + " " + kind + " " + where + " " + id + " " + detail;
+        return us + " " + kind + " " + host + " " + id + " " + detail;
     }
 }
--- a/src/main/java/holdproxy/town/Front.java
+++ b/src/main/java/holdproxy/town/LoadBalancer.java
@@ -8,13 +8,13 @@
 import java.util.stream.IntStream;
 
 /** A simple load balancer: spreads connections over proxies marked in use; callers update the marks late. */
-public final class Front {
+public final class LoadBalancer {
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final List<Boolean> inUse = new ArrayList<>();
     private final List<Integer> zones = new ArrayList<>();
 
     /** Adds a proxy that is not in use yet; returns its number. */
-    public int door(InetSocketAddress address, int zone) {
+    public int addProxy(InetSocketAddress address, int zone) {
         addresses.add(address);
         zones.add(zone);
         inUse.add(false);
@@ -27,8 +27,8 @@
     }
 
     /** Sets whether new connections go to this proxy. */
-    public void use(int proxy, boolean use) {
-        inUse.set(proxy, use);
+    public void setInUse(int proxy, boolean setInUse) {
+        inUse.set(proxy, setInUse);
     }
 
     /** A random proxy in use in this zone; if there is none, one in use in any zone; else any proxy. */
--- a/src/main/java/holdproxy/town/MetaLines.java
+++ b/src/main/java/holdproxy/town/MetaProtocolDecoder.java
@@ -10,14 +10,14 @@
  * Decodes lines of the meta protocol (PROTOCOL-pebbletide.md) with their data blocks. It shares no code with
  * the proxy's decoder, so that it shows faults of the latter.
  */
-public final class MetaLines extends ByteToMessageDecoder {
+public final class MetaProtocolDecoder extends ByteToMessageDecoder {
     /** Prefix of the answer that refuses a request. */
     public static final String BUSY = "SERVER_ERROR busy";
 
     private static final int LONGEST = 70_000;
 
     /** Whether the answer with this first line carries a value or a receipt. */
-    public static boolean served(String answer) {
+    public static boolean isServed(String answer) {
         return answer.startsWith("VA ") || answer.startsWith("HD ");
     }
 
--- a/src/main/java/holdproxy/town/MemberRegister.java
+++ b/src/main/java/holdproxy/town/Origin.java
@@ -11,14 +11,14 @@
  * The emulated origin behind all nodes, the member register: a limited number of requests run at once, the
  * others queue; a write invalidates the cached copies.
  */
-public final class MemberRegister {
+public final class Origin {
     private static final String NAME = "register";
 
     private record Request(
             String id, String key, String writeKey, String group, Consumer<String> done) {}
 
-    private final Timeline loop;
-    private final TownRecord record;
+    private final Scheduler loop;
+    private final SiteRecord record;
     private final int slots;
     private final long workUs;
     private final long dropRepeatsUs;
@@ -41,8 +41,7 @@
      * repeat is dropped if it arrives at any node within {@code dropRepeatsUs} of the first arrival, however
      * late it gets to the origin.
      */
-    public MemberRegister(
-            Timeline loop, TownRecord record, int slots, long workUs, long dropRepeatsUs) {
+    public Origin(Scheduler loop, SiteRecord record, int slots, long workUs, long dropRepeatsUs) {
         this.loop = loop;
         this.record = record;
         this.slots = slots;
@@ -105,7 +104,7 @@
             return;
         }
         running++;
-        loop.after(
+        loop.schedule(
                 workUs,
                 () -> {
                     running--;
--- a/src/main/java/holdproxy/town/ProxyConfig.java
+++ b/src/main/java/holdproxy/town/ProxyConfig.java
@@ -26,12 +26,12 @@
         List<Double> clubs,
         double quotaPerS) {
     /** How long repeats of a keyed write are dropped, in microseconds. */
-    public static final long REPEATS_DROPPED_US = 2_500_000;
+    public static final long REPEAT_WINDOW_US = 2_500_000;
 
-    public static final int ATTEMPTS = 3;
+    public static final int MAX_ATTEMPTS = 3;
 
     /** A node list without nodes. */
-    public static final String NO_LIST = "{\"version\":0,\"full\":true,\"servers\":[]}";
+    public static final String EMPTY_NODE_LIST = "{\"version\":0,\"full\":true,\"servers\":[]}";
 
     private static final String SETTINGS =
             """
@@ -101,15 +101,13 @@
                                         + "\",\"effect\":\""
                                         + c.effect()
                                         + "\",\"group\":\"all\",\"targetMs\":"
-                                        + c.aimMs()
+                                        + c.targetMs()
                                         + ".0,\"deadlineMs\":"
                                         + c.deadlineMs()
                                         + ".0,\"lateWorth\":0.0,\"repeatWindowMs\":"
-                                        + (c.effect().equals("token")
-                                                ? REPEATS_DROPPED_US / 1000
-                                                : 0)
+                                        + (c.effect().equals("token") ? REPEAT_WINDOW_US / 1000 : 0)
                                         + ",\"stream\":false,\"value\":"
-                                        + c.worth()
+                                        + c.value()
                                         + "}")
                 .collect(Collectors.joining(","));
     }
--- a/src/main/java/holdproxy/town/RequestClass.java
+++ b/src/main/java/holdproxy/town/RequestClass.java
@@ -7,19 +7,19 @@
  *
  * @param name as in the settings
  * @param share of all operations
- * @param aimMs target response time
+ * @param targetMs target response time
  * @param deadlineMs give-up time
- * @param work mean work of a request relative to the mean over all classes
- * @param worth value of a request answered within its target time
+ * @param relativeWork mean work of a request relative to the mean over all classes
+ * @param value value of a request answered within its target time
  * @param effect as in the settings: pure, token (repeats are dropped for a time) or side_effect
  */
 public record RequestClass(
         String name,
         double share,
-        int aimMs,
+        int targetMs,
         int deadlineMs,
-        double work,
-        double worth,
+        double relativeWork,
+        double value,
         String effect) {
     public static final List<RequestClass> ALL =
             List.of(
@@ -34,7 +34,7 @@
     }
 
     /** Whether its requests are writes. */
-    public boolean write() {
+    public boolean isWrite() {
         return !effect.equals("pure");
     }
 
--- a/src/main/java/holdproxy/town/Timeline.java
+++ b/src/main/java/holdproxy/town/Scheduler.java
@@ -1,10 +1,10 @@
 package holdproxy.town;
 
 /** Clock and scheduler of a part of the site: virtual, or a real event loop. Its tasks run one at a time. */
-public interface Timeline {
+public interface Scheduler {
     /** Microseconds since the site's start; never decreases. */
     long nowUs();
 
     /** Runs the task after a delay in microseconds, at once if the delay is 0 or less. */
-    void after(long delayUs, Runnable task);
+    void schedule(long delayUs, Runnable task);
 }
--- a/src/main/java/holdproxy/town/TownNetwork.java
+++ b/src/main/java/holdproxy/town/SiteNetwork.java
@@ -4,7 +4,7 @@
 import io.netty.channel.Channel;
 
 /** The network of a part of the emulated site, in memory or on sockets. */
-public interface TownNetwork extends Transport {
+public interface SiteNetwork extends Transport {
     /** The name of the process that opened an accepted connection. */
-    String peer(Channel accepted);
+    String peerName(Channel accepted);
 }
--- a/src/main/java/holdproxy/town/TownRecord.java
+++ b/src/main/java/holdproxy/town/SiteRecord.java
@@ -10,17 +10,17 @@
 import java.util.function.Consumer;
 
 /** The event record of an emulated site, in order of occurrence. */
-public final class TownRecord {
+public final class SiteRecord {
     private final List<Event> events = new ArrayList<>();
     private final Consumer<Event> listener;
 
     /** Creates a record that keeps its events in memory only. */
-    public TownRecord() {
+    public SiteRecord() {
         this(e -> {});
     }
 
     /** Creates a record that also passes each event to {@code also} when it is added. */
-    public TownRecord(Consumer<Event> listener) {
+    public SiteRecord(Consumer<Event> listener) {
         this.listener = listener;
     }
 
--- a/src/main/java/holdproxy/town/ZoneReport.java
+++ b/src/main/java/holdproxy/town/ZoneReport.java
@@ -70,7 +70,7 @@
         }
     }
 
-    private final Map<String, Service.Second> zones = new TreeMap<>();
+    private final Map<String, ServiceStatistics.ServiceCounts> zones = new TreeMap<>();
     private final List<SilentZone> silentZones = new ArrayList<>();
     private double coldBudgetPeak;
 
@@ -88,28 +88,31 @@
                     zoneOf.put(e.id(), zone);
                     wantedAt.put(e.id(), e.us());
                     types.put(e.id(), type);
-                    Service.Second s = zones.computeIfAbsent(zone, z -> new Service.Second());
-                    s.wanted++;
-                    s.worthWanted += type.worth();
+                    ServiceStatistics.ServiceCounts s =
+                            zones.computeIfAbsent(zone, z -> new ServiceStatistics.ServiceCounts());
+                    s.operations++;
+                    s.valueRequested += type.value();
                 }
                 case ANSWERED -> {
                     if (!e.id().isEmpty()
-                            && MetaLines.served(e.detail())
-                            && wantedAt.containsKey(e.want())) {
-                        RequestClass type = types.get(e.want());
+                            && MetaProtocolDecoder.isServed(e.detail())
+                            && wantedAt.containsKey(e.operationId())) {
+                        RequestClass type = types.get(e.operationId());
                         boolean inTime =
-                                (e.us() - wantedAt.remove(e.want())) / 1000 <= type.aimMs();
-                        zones.get(zoneOf.get(e.want())).worthInTime += inTime ? type.worth() : 0;
+                                (e.us() - wantedAt.remove(e.operationId())) / 1000
+                                        <= type.targetMs();
+                        zones.get(zoneOf.get(e.operationId())).valueServedInTime +=
+                                inTime ? type.value() : 0;
                     }
                 }
                 case FAULT -> noteZoneFault(e);
                 case LOST -> countSend(e);
-                case UP -> started.put(e.where(), new StartedNode(e));
+                case UP -> started.put(e.host(), new StartedNode(e));
                 case ARRIVED ->
                         coldBudgetPeak =
                                 Math.max(
                                         coldBudgetPeak,
-                                        started.get(e.where())
+                                        started.get(e.host())
                                                 .addToBudget(
                                                         e.us(), Double.parseDouble(e.word(2))));
                 default -> {}
@@ -118,11 +121,11 @@
     }
 
     private void noteZoneFault(Event e) {
-        if (e.detail().equals("silent") && e.where().startsWith("zone-")) {
-            silentZones.add(new SilentZone(e.where().substring(5), e.us()));
+        if (e.detail().equals("silent") && e.host().startsWith("zone-")) {
+            silentZones.add(new SilentZone(e.host().substring(5), e.us()));
         } else if (e.detail().equals("back")) {
             silentZones.stream()
-                    .filter(l -> l.zone.equals(e.where().substring(e.where().indexOf('-') + 1)))
+                    .filter(l -> l.zone.equals(e.host().substring(e.host().indexOf('-') + 1)))
                     .forEach(l -> l.returnedUs = Math.min(l.returnedUs, e.us()));
         }
     }
@@ -133,7 +136,7 @@
             if (!e.word(1).equals("true")
                     && l.zone.equals(e.word(2))
                     && e.us() < l.returnedUs
-                    && !e.where().startsWith("proxy-")) {
+                    && !e.host().startsWith("proxy-")) {
                 l.sends++;
                 l.lastSendUs = e.us();
                 l.senders.add(e.id());
@@ -145,7 +148,9 @@
     public Map<String, Object> figures() {
         Map<String, Object> f = new LinkedHashMap<>();
         if (zones.size() > 1) {
-            zones.forEach((zone, s) -> f.put("in_time_zone_" + zone, Service.share(s)));
+            zones.forEach(
+                    (zone, s) ->
+                            f.put("in_time_zone_" + zone, ServiceStatistics.servedValueShare(s)));
         }
         for (SilentZone l : silentZones) {
             f.put(
